--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.loads[w.req.Endpoint]
-	if l != nil && now.Sub(l.swept) >= queueTick/2 {
+	if l != nil && now.Sub(l.lastSweep) >= queueTick/2 {
 		l.dispatch(now, o.cfg.Load())
 	}
 }
@@ -70,9 +70,9 @@
 
 // submit decides a request, or queues it and returns the waiter.
 func (o *Owner) submit(now time.Time, req AdmitRequest) (AdmitReply, *waiter) {
-	o.hear(now, req.Entry)
+	o.entryAlive(now, req.Entry)
 	for _, r := range req.Releases {
-		o.see(now, r.notice(), req.Entry)
+		o.recordEvidence(now, r.notice(), req.Entry)
 		o.end(now, GrantID{Entry: req.Entry, Sequence: r.Sequence}, r.Endpoint)
 	}
 	zone := o.zoneOf(req.Entry)
@@ -83,7 +83,7 @@
 	if l == nil {
 		return o.disclaim(req.Endpoint), nil
 	}
-	if wait, off := l.keepsOff(now, &req, zone); off {
+	if wait, off := l.mustAvoid(now, &req, zone); off {
 		return AdmitReply{Decision: Next, Code: Outlier, RetryAfter: millis(wait)}, nil
 	}
 	return l.submit(now, req, o.cfg.Load())
@@ -94,7 +94,7 @@
 	v := o.view.Load()
 	d := v.set.Find(id)
 	if d == nil {
-		return AdmitReply{Decision: Next, Code: Lost}
+		return AdmitReply{Decision: Next, Code: EndpointLost}
 	}
 	return AdmitReply{Decision: Next, Code: NotOwner, Owner: v.routers.Owner(id, d.Zone)}
 }
@@ -111,9 +111,9 @@
 		return AdmitReply{Decision: Next, Code: code}, nil
 	}
 	l.dispatch(now, cfg)
-	code := l.fits(now, req.Alone, cfg)
+	code := l.fits(now, req.Isolated, cfg)
 	if code == None {
-		limit, ok := l.grant(now, id, req.Alone, cfg)
+		limit, ok := l.grant(now, id, req.Isolated, cfg)
 		if ok {
 			return AdmitReply{Decision: Granted, Limit: limit}, nil
 		}
@@ -129,11 +129,11 @@
 func (l *endpointLoad) absent(now time.Time, req AdmitRequest, cfg *Config) Code {
 	switch {
 	case req.Incarnation != 0 && req.Incarnation != l.desc.Incarnation:
-		return Lost
-	case l.left:
-		return Gone
+		return EndpointLost
+	case l.leaving:
+		return EndpointLeaving
 	case l.isLost(now, cfg):
-		return Lost
+		return EndpointLost
 	default:
 		return None
 	}
@@ -145,9 +145,9 @@
 	switch {
 	case l.settling(now, cfg):
 		return Settling
-	case alone && l.alone > 0:
+	case alone && l.isolated > 0:
 		return Full
-	case l.count(now, cfg) >= l.room(cfg):
+	case l.count(now, cfg) >= l.sendLimit(cfg):
 		return Full
 	default:
 		return None
@@ -159,8 +159,8 @@
 	l.refresh(now, cfg)
 	limit, ok = l.pool.admit(now, l.count(now, cfg), cfg)
 	if ok {
-		l.counted++
-		l.hold(now, id, held{start: now, alone: alone})
+		l.countedInPool++
+		l.addGrant(now, id, activeGrant{start: now, isolated: alone})
 	}
 	return limit, ok
 }
@@ -168,13 +168,13 @@
 // pass returns the answer that sends a request on to its next candidate. It
 // tells how long the request would wait here, by its account's share.
 func (l *endpointLoad) pass(now time.Time, code Code, req *AdmitRequest) AdmitReply {
-	wait := time.Duration(l.queue.aheadOf(now, req)+1) * l.service.gap(now, len(l.grants))
+	wait := time.Duration(l.queue.aheadOf(now, req)+1) * l.service.completionInterval(now, len(l.grants))
 	return AdmitReply{Decision: Next, Code: code, RetryAfter: millis(wait)}
 }
 
 // drain returns the time in which the present queue will have been served.
 func (l *endpointLoad) drain(now time.Time) time.Duration {
-	return time.Duration(l.queue.size+1) * l.service.gap(now, len(l.grants))
+	return time.Duration(l.queue.size+1) * l.service.completionInterval(now, len(l.grants))
 }
 
 // startShare is the part of the time to its objective, as a divisor, within which
@@ -227,15 +227,15 @@
 // holds them back, although it has room, others of the pool carry less: the
 // requests look for a place there.
 func (l *endpointLoad) dispatch(now time.Time, cfg *Config) {
-	l.swept = now
+	l.lastSweep = now
 	for l.queue.size > 0 {
 		w := l.queue.next(now, func(w *waiter) bool {
-			return l.fits(now, w.req.Alone, cfg) == None
+			return l.fits(now, w.req.Isolated, cfg) == None
 		})
 		if w == nil {
 			break
 		}
-		limit, ok := l.grant(now, w.id, w.req.Alone, cfg)
+		limit, ok := l.grant(now, w.id, w.req.Isolated, cfg)
 		if !ok {
 			l.passOn(OverBound)
 			break
@@ -252,7 +252,7 @@
 	if l.queue.size == 0 {
 		return
 	}
-	gap := l.service.gap(now, l.count(now, cfg))
+	gap := l.service.completionInterval(now, l.count(now, cfg))
 	for _, w := range l.queue.waiters() {
 		if !w.req.Final {
 			l.pruneHeldBack(now, w)
@@ -297,6 +297,6 @@
 
 // retire takes the endpoint out of its pool's sum before it is forgotten.
 func (l *endpointLoad) retire(code Code) {
-	l.leave()
+	l.markLeaving()
 	l.passOn(code)
 }
--- a/coordination/placement/ahead_test.go
+++ b/coordination/placement/ahead_test.go
@@ -59,7 +59,7 @@
 // slots can run, and returns the share that was answered within 0.3 s.
 func servedOnTime(t *testing.T, load, ahead float64) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
-		o := NewOwner("self", Config{Bound: 100, Ahead: ahead})
+		o := NewOwner("self", Config{Bound: 100, Overcommit: ahead})
 		set := NewSet([]Descriptor{{ID: "desk", Pool: "p", Zone: "z", Capacity: 6}})
 		o.Update(set, NewRouters([]Router{{ID: "self", Zone: "z"}}, 0))
 		time.Sleep(2 * time.Second) // until the owner has settled
--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -39,7 +39,7 @@
 	}
 	b.ReportMetric(float64(m.waits[false].ValueAtQuantile(95)), "ms-p95")
 	b.ReportMetric(100*float64(m.refused)/float64(m.placed+m.refused), "%refused")
-	if s.weather == surge {
+	if s.scenario == surge {
 		b.ReportMetric(100*float64(m.served[false])/float64(m.asked[false]), "%served-others")
 		b.ReportMetric(float64(m.waits[false].ValueAtQuantile(99)), "ms-p99-others")
 		b.ReportMetric(100*float64(m.served[true])/float64(m.asked[true]), "%served-surging")
@@ -51,11 +51,11 @@
 func BenchmarkPlacement(b *testing.B) {
 	sizes := []struct{ endpoints, routers int }{{12, 7}, {60, 30}, {60, 100}}
 	for _, size := range sizes {
-		for _, weather := range []weather{steady, churn, flapping, surge} {
+		for _, weather := range []scenario{steady, churn, flapping, surge} {
 			for _, scheme := range []scheme{rendezvousOnly, routerLocal, laggedReports, ownerAdmission, ownerWait} {
 				for _, hint := range []bool{false, true} {
 					s := setup{
-						scheme: scheme, weather: weather, hint: hint, endpoints: size.endpoints, routers: size.routers,
+						scheme: scheme, scenario: weather, hint: hint, endpoints: size.endpoints, routers: size.routers,
 						seed: 1, length: 90 * time.Second, bound: 1.25,
 					}
 					name := fmt.Sprintf("size=%dx%d/%s/%s/hint=%t", size.endpoints, size.routers, weather, scheme, hint)
@@ -68,11 +68,11 @@
 
 // BenchmarkWarmWait measures what waiting for the warm endpoint is worth.
 func BenchmarkWarmWait(b *testing.B) {
-	for _, weather := range []weather{steady, churn} {
+	for _, weather := range []scenario{steady, churn} {
 		for _, wait := range []time.Duration{0, 25, 50, 100, 200} {
 			b.Run(fmt.Sprintf("%s/ms=%d", weather, wait), func(b *testing.B) {
 				s := setup{
-					scheme: ownerAdmission, weather: weather, hint: true, endpoints: 60, routers: 30,
+					scheme: ownerAdmission, scenario: weather, hint: true, endpoints: 60, routers: 30,
 					seed: 1, length: 90 * time.Second, bound: 1.25, warmWait: wait * time.Millisecond,
 				}
 				measure(b, s)
@@ -85,7 +85,7 @@
 // of docs/CAPACITY.md: 4,450 requests a second on 890 endpoints.
 func BenchmarkTargetSize(b *testing.B) {
 	measure(b, setup{
-		scheme: ownerAdmission, weather: steady, hint: true, endpoints: 890, routers: 330,
+		scheme: ownerAdmission, scenario: steady, hint: true, endpoints: 890, routers: 330,
 		seed: 1, length: 25 * time.Second, bound: 1.25,
 	})
 }
@@ -93,10 +93,10 @@
 // BenchmarkOneOwner is owner admission with all endpoints at one owner, whose
 // mean does not lag.
 func BenchmarkOneOwner(b *testing.B) {
-	for _, weather := range []weather{steady, churn, surge} {
+	for _, weather := range []scenario{steady, churn, surge} {
 		b.Run(string(weather), func(b *testing.B) {
 			s := setup{
-				scheme: ownerAdmission, weather: weather, hint: true, endpoints: 12, routers: 1,
+				scheme: ownerAdmission, scenario: weather, hint: true, endpoints: 12, routers: 1,
 				seed: 1, length: 90 * time.Second, bound: 1.25,
 			}
 			measure(b, s)
--- a/coordination/placement/candidates_test.go
+++ b/coordination/placement/candidates_test.go
@@ -86,7 +86,7 @@
 func TestWeightSetsTheShareOfChats(t *testing.T) {
 	es := testEndpoints(4)
 	es[0].Weight = 3
-	es[1].Warming = 0.5
+	es[1].WeightFactor = 0.5
 	s := NewSet(es)
 	const chats = 11000
 	got := make(map[coordination.Endpoint]int)
--- a/coordination/placement/config.go
+++ b/coordination/placement/config.go
@@ -20,8 +20,8 @@
 	// keeps small loads from being driven away from their caches: at a mean of
 	// two, a bound of 1.25 lets an endpoint run three. Default 0.
 	Slack int
-	// Ahead is as in PoolBound, default 0.
-	Ahead float64
+	// Overcommit is as in PoolBound, default 0.
+	Overcommit float64
 	// Pools holds the bounds of pools that have their own.
 	Pools map[coordination.Pool]PoolBound
 	// WarmWait is the longest time for which an owner holds a request back
@@ -61,18 +61,18 @@
 	// a request queues at the first of them, default 6.
 	Candidates int
 
-	// MeanHold is how long an owner uses the last mean of a pool when its root
+	// MeanTTL is how long an owner uses the last mean of a pool when its root
 	// is silent, default 5 s.
-	MeanHold time.Duration
+	MeanTTL time.Duration
 
-	// LostFor is how long an endpoint that an entry has found dead gets nothing,
+	// LostTTL is how long an endpoint that an entry has found dead gets nothing,
 	// unless its own report proves otherwise; default ReportTTL. Where endpoints
 	// do not report, nothing else proves an entry wrong.
-	LostFor time.Duration
-	// AloneLimit is the number of requests that an entry may have at an endpoint
+	LostTTL time.Duration
+	// FallbackLimit is the number of requests that an entry may have at an endpoint
 	// without its owner's leave, while the owner cannot be reached and the
 	// endpoint is not asked for its load. Default 0: none.
-	AloneLimit int
+	FallbackLimit int
 	// FallbackShare is the part of the bound that an entry uses when it has to
 	// decide without an endpoint's owner, default 0.8.
 	FallbackShare float64
@@ -82,12 +82,12 @@
 type PoolBound struct {
 	Bound float64 // multiple of the mean; above 1
 	Slack int     // requests beyond it
-	// Ahead is the share of an endpoint's capacity that it is sent beyond it.
+	// Overcommit is the share of an endpoint's capacity that it is sent beyond it.
 	// An owner learns of the end of a request some 30 ms late, by way of its
 	// entry, and the next one needs as long to get there; for requests of 60 ms
 	// an endpoint that is never sent more than it can run idles a third of its
 	// time while others wait for it.
-	Ahead float64
+	Overcommit float64
 }
 
 // boundOf returns the bound of a pool.
@@ -95,7 +95,7 @@
 	if b, ok := c.Pools[p]; ok {
 		return b
 	}
-	return PoolBound{Bound: c.Bound, Slack: c.Slack, Ahead: c.Ahead}
+	return PoolBound{Bound: c.Bound, Slack: c.Slack, Overcommit: c.Overcommit}
 }
 
 // limit returns how many requests an endpoint may carry at a mean load.
@@ -118,9 +118,9 @@
 	setDuration(&c.Grace, time.Second)
 	setDuration(&c.EntryLease, 30*time.Second)
 	setDuration(&c.ReportTTL, 5*time.Second)
-	setDuration(&c.LostFor, c.ReportTTL)
+	setDuration(&c.LostTTL, c.ReportTTL)
 	setInt(&c.Candidates, 6)
-	setDuration(&c.MeanHold, 5*time.Second)
+	setDuration(&c.MeanTTL, 5*time.Second)
 	setFloat(&c.FallbackShare, 0.8)
 	return c
 }
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -27,7 +27,7 @@
 	cfg       atomic.Pointer[Config]
 	view      atomic.Pointer[view]
 	held      grantTable
-	doubts    doubtTable
+	doubts    avoidTable
 	fallback  fallbackTable
 }
 
@@ -87,7 +87,7 @@
 		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
 		r := e.put(ctx, g, req, a, cfg)
 		if r.Code == Outlier {
-			e.doubts.note(time.Now(), doubt{pool: req.Pool, endpoint: a.endpoint.ID, once: req.Once}, r.RetryAfter.Duration())
+			e.doubts.note(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.Once}, r.RetryAfter.Duration())
 		}
 		if !w.take(a, r) {
 			continue
@@ -109,19 +109,19 @@
 func (e *Entry) put(ctx context.Context, g *Grant, req Request, a ask, cfg *Config) AdmitReply {
 	e.held.aim(time.Now(), g, a)
 	m := AdmitRequest{
-		Entry:       e.id,
-		Sequence:    g.sequence,
-		Endpoint:    a.endpoint.ID,
-		Incarnation: a.endpoint.Incarnation,
-		Account:     req.Account,
-		Priority:    req.Priority,
-		Deadline:    a.deadline,
-		Wait:        a.wait,
-		Final:       a.final,
-		Alone:       req.Alone,
-		Once:        req.Once,
-		Insist:      a.insist,
-		Target:      a.target,
+		Entry:        e.id,
+		Sequence:     g.sequence,
+		Endpoint:     a.endpoint.ID,
+		Incarnation:  a.endpoint.Incarnation,
+		Account:      req.Account,
+		Priority:     req.Priority,
+		Deadline:     a.deadline,
+		Wait:         a.wait,
+		Final:        a.final,
+		Isolated:     req.Alone,
+		NonRetryable: req.Once,
+		AllowOutlier: a.insist,
+		Target:       a.target,
 	}
 	if a.owner == e.id.Instance {
 		r := e.local.Admit(ctx, m)
@@ -146,8 +146,8 @@
 		return e.decideAlone(ctx, g, a, cfg)
 	}
 	e.fallback.heard(a.owner)
-	if r.Code == Lost {
-		e.fallback.bury(time.Now(), lostOf(a.endpoint), cfg.LostFor)
+	if r.Code == EndpointLost {
+		e.fallback.bury(time.Now(), lostOf(a.endpoint), cfg.LostTTL)
 	}
 	e.settle(g, a, r)
 	return r
@@ -190,7 +190,7 @@
 // that others do not run into it before their lists say so.
 func (e *Entry) Lost(ctx context.Context, d Descriptor) {
 	lost := lostOf(&d)
-	e.fallback.bury(time.Now(), lost, e.cfg.Load().LostFor)
+	e.fallback.bury(time.Now(), lost, e.cfg.Load().LostTTL)
 	b := ReleaseBatch{Entry: e.id, Lost: []LostEndpoint{lost}}
 	to := e.view.Load().routers.Owner(d.ID, d.Zone)
 	if to == e.id.Instance {
@@ -208,7 +208,7 @@
 func (e *Entry) tell(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
 	b := ReleaseBatch{Entry: e.id, Notices: []Notice{n}}
 	if owner == e.id.Instance {
-		return slices.Contains(e.local.Release(b).Out, n.Endpoint)
+		return slices.Contains(e.local.Release(b).Ejected, n.Endpoint)
 	}
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
@@ -217,7 +217,7 @@
 		return false
 	}
 	r, err := DecodeReleaseReply(raw)
-	return err == nil && slices.Contains(r.Out, n.Endpoint)
+	return err == nil && slices.Contains(r.Ejected, n.Endpoint)
 }
 
 // Tick sends the releases that have gathered, and registers the held grants
--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -132,8 +132,8 @@
 func (e *Entry) decideAlone(ctx context.Context, g *Grant, a ask, cfg *Config) AdmitReply {
 	declined := AdmitReply{Decision: Next, Code: Unreachable}
 	if e.loads == nil {
-		if e.fallback.isDead(time.Now(), lostOf(a.endpoint), cfg.LostFor) {
-			return AdmitReply{Decision: Next, Code: Lost}
+		if e.fallback.isDead(time.Now(), lostOf(a.endpoint), cfg.LostTTL) {
+			return AdmitReply{Decision: Next, Code: EndpointLost}
 		}
 		return e.decideBlind(g, cfg)
 	}
@@ -164,7 +164,7 @@
 // all routers start at once, or one is cut off from all others, a refusal helps
 // nobody while the endpoints are well.
 func (e *Entry) decideBlind(g *Grant, cfg *Config) AdmitReply {
-	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.AloneLimit) {
+	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.FallbackLimit) {
 		return AdmitReply{Decision: Next, Code: Unreachable}
 	}
 	return AdmitReply{Decision: Granted}
--- a/coordination/placement/fallback_test.go
+++ b/coordination/placement/fallback_test.go
@@ -23,7 +23,7 @@
 func TestEntryPlacesBlindlyUpToItsLimit(t *testing.T) {
 	for limit, want := range map[int]int{0: 0, 3: 6} {
 		id := EntryID{Instance: "self", Incarnation: 1}
-		cfg := Config{AloneLimit: limit}
+		cfg := Config{FallbackLimit: limit}
 		e := NewEntry(id, NewOwner("self", cfg), silentOwner{}, nil, cfg)
 		set := NewSet([]Descriptor{{ID: "a", Pool: "p", Zone: "z"}, {ID: "b", Pool: "p", Zone: "z"}})
 		e.Update(set, NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
--- a/coordination/placement/fleet_test.go
+++ b/coordination/placement/fleet_test.go
@@ -18,25 +18,25 @@
 // fleet is a number of routers in one process. Its transport calls their
 // handlers directly, after a delay, and can cut, freeze or lose.
 type fleet struct {
-	mu      sync.Mutex
-	nodes   map[coordination.Instance]*node
-	delay   time.Duration
-	dead    map[coordination.Instance]bool
-	frozen  map[coordination.Instance]chan struct{}
-	lose    func(topic string, reply bool) bool
-	planted plant
-	bytes   map[string]int
-	message map[string]int
+	mu          sync.Mutex
+	nodes       map[coordination.Instance]*node
+	delay       time.Duration
+	dead        map[coordination.Instance]bool
+	frozen      map[coordination.Instance]chan struct{}
+	dropMessage func(topic string, reply bool) bool
+	fault       injectedFault
+	bytes       map[string]int
+	messages    map[string]int
 }
 
-// plant is a fault put into the routers, to see that the checker finds it.
-type plant int
+// injectedFault is a fault put into the routers, to see that the checker finds it.
+type injectedFault int
 
 const (
-	sound          plant = iota
-	releaseTwice         // each release at some endpoints ends another grant as well
-	takeoverAtZero       // a new owner hears of nothing that runs already
-	boundPerRouter       // each owner takes its own endpoints for the whole pool
+	noFault        injectedFault = iota
+	releaseTwice                 // each release at some endpoints ends another grant as well
+	takeoverAtZero               // a new owner hears of nothing that runs already
+	boundPerRouter               // each owner takes its own endpoints for the whole pool
 )
 
 type node struct {
@@ -46,12 +46,12 @@
 
 func newFleet(members []Router, es []Descriptor, cfg Config) *fleet {
 	f := &fleet{
-		nodes:   make(map[coordination.Instance]*node),
-		delay:   time.Millisecond,
-		dead:    make(map[coordination.Instance]bool),
-		frozen:  make(map[coordination.Instance]chan struct{}),
-		bytes:   make(map[string]int),
-		message: make(map[string]int),
+		nodes:    make(map[coordination.Instance]*node),
+		delay:    time.Millisecond,
+		dead:     make(map[coordination.Instance]bool),
+		frozen:   make(map[coordination.Instance]chan struct{}),
+		bytes:    make(map[string]int),
+		messages: make(map[string]int),
 	}
 	set, routers := NewSet(es), NewRouters(members, 0)
 	for _, m := range members {
@@ -118,8 +118,8 @@
 	f.mu.Lock()
 	n, dead, frozen := f.nodes[to], f.dead[to], f.frozen[to]
 	f.bytes[topic] += len(payload)
-	f.message[topic]++
-	lost := f.lose != nil && f.lose(topic, false)
+	f.messages[topic]++
+	lost := f.dropMessage != nil && f.dropMessage(topic, false)
 	f.mu.Unlock()
 	if n == nil || dead {
 		return nil, errUnreachable
@@ -133,23 +133,23 @@
 		case <-frozen:
 		case <-ctx.Done():
 			// The message sits in the frozen process and is handled on waking.
-			go n.late(frozen, topic, payload)
+			go n.handleLate(frozen, topic, payload)
 			return nil, ctx.Err()
 		}
 	}
-	if f.planted == takeoverAtZero && topic == TopicRegister {
+	if f.fault == takeoverAtZero && topic == TopicRegister {
 		return nil, nil
 	}
-	if f.planted == boundPerRouter && topic == TopicSum {
+	if f.fault == boundPerRouter && topic == TopicSum {
 		return nil, errUnreachable
 	}
 	reply, err := n.handle(ctx, topic, payload)
-	if f.planted == releaseTwice && topic == TopicRelease {
+	if f.fault == releaseTwice && topic == TopicRelease {
 		n.releaseAnother(payload)
 	}
 	time.Sleep(f.delay)
 	f.mu.Lock()
-	lost = f.lose != nil && f.lose(topic, true)
+	lost = f.dropMessage != nil && f.dropMessage(topic, true)
 	f.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -180,7 +180,7 @@
 	}
 }
 
-func (n *node) late(frozen chan struct{}, topic string, payload []byte) {
+func (n *node) handleLate(frozen chan struct{}, topic string, payload []byte) {
 	<-frozen
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -225,7 +225,7 @@
 		time.Sleep(time.Second)
 		for _, n := range f.nodes {
 			for _, p := range n.owner.pools {
-				count, _ := p.own()
+				count, _ := p.ownSums()
 				assert.Equal(t, count, 0)
 			}
 		}
--- a/coordination/placement/grants.go
+++ b/coordination/placement/grants.go
@@ -59,7 +59,7 @@
 // its failures.
 func (g *Grant) Tell(ctx context.Context, w outlier.Weight) (out bool) {
 	e := g.entry
-	n := Notice{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: w}
+	n := Notice{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Evidence: w}
 	for _, o := range e.held.ownersOf(g) {
 		out = e.tell(ctx, o, n) || out
 	}
@@ -161,7 +161,7 @@
 		return nil
 	}
 	for _, o := range g.owners {
-		r := Release{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: g.seen}
+		r := Release{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Evidence: g.seen}
 		if o == self {
 			local = &r
 			continue
@@ -324,7 +324,7 @@
 		h.Flags |= HeldPending
 	}
 	if g.alone {
-		h.Flags |= HeldAlone
+		h.Flags |= HeldIsolated
 	}
 	i := slices.IndexFunc(m.Held, func(h HeldGrants) bool { return h.Endpoint == g.Endpoint.ID })
 	if i < 0 {
--- a/coordination/placement/handlers.go
+++ b/coordination/placement/handlers.go
@@ -19,7 +19,7 @@
 		return nil, err
 	}
 	r := o.Release(m)
-	if len(r.Out) == 0 {
+	if len(r.Ejected) == 0 {
 		return nil, nil
 	}
 	return r.Encode(), nil
@@ -41,5 +41,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.Sum(m).Encode(), nil
+	return o.CollectSums(m).Encode(), nil
 }
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -48,7 +48,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				members := []Router{{ID: "r0", Zone: "z", Incarnation: 1}, {ID: "r1", Zone: "z", Incarnation: 1}, {ID: "r2", Zone: "z", Incarnation: 1}}
 				set := NewSet(handoverEndpoints)
-				f := newFleet(members, handoverEndpoints, Config{Grace: 250 * time.Millisecond, AloneLimit: 3})
+				f := newFleet(members, handoverEndpoints, Config{Grace: 250 * time.Millisecond, FallbackLimit: 3})
 				for _, n := range f.nodes {
 					n.update(set, before)
 				}
--- a/coordination/placement/history_test.go
+++ b/coordination/placement/history_test.go
@@ -46,8 +46,8 @@
 	return h.load[e]
 }
 
-// verdict is what a history shows of the bound.
-type verdict struct {
+// boundResult is what a history shows of the bound.
+type boundResult struct {
 	placed  int
 	over    int // placements over the bound
 	worst   int // requests over the bound at the worst placement
@@ -57,7 +57,7 @@
 // check goes through the events in order. A placement is over the bound if the
 // endpoint then runs more than ceil(bound * mean) over the live endpoints, with
 // slack more requests for what ends while a grant is on its way.
-func (h *history) check(bound float64, slack int) (v verdict) {
+func (h *history) check(bound float64, slack int) (v boundResult) {
 	load := make(map[coordination.Endpoint]int)
 	live := make(map[coordination.Endpoint]bool)
 	total := 0
@@ -86,8 +86,8 @@
 	return v
 }
 
-// trial drives a fleet with a seeded load.
-type trial struct {
+// fleetTest drives a fleet with a seeded load.
+type fleetTest struct {
 	*fleet
 	h         history
 	rng       *rand.Rand
@@ -99,8 +99,8 @@
 	refused   int
 }
 
-func newTrial(seed uint64, routers, endpoints int, cfg Config) *trial {
-	tr := &trial{
+func newFleetTest(seed uint64, routers, endpoints int, cfg Config) *fleetTest {
+	tr := &fleetTest{
 		rng:       rand.New(rand.NewPCG(seed, 7)),
 		members:   testRouters(routers),
 		endpoints: testEndpoints(endpoints),
@@ -116,7 +116,7 @@
 }
 
 // play runs the load with faults and returns the verdict.
-func (tr *trial) play(ctx context.Context, faults func(*trial), slack int) verdict {
+func (tr *fleetTest) play(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
 	stop := tr.start()
 	ctx, cancel := context.WithCancel(ctx)
 	tr.wg.Go(func() { tr.reports(ctx) })
@@ -136,8 +136,8 @@
 
 // arrivals sends requests through random routers. Half of them would rather go
 // to the endpoints of one owner, so that the bound is what keeps them away.
-func (tr *trial) arrivals(ctx context.Context, wg *sync.WaitGroup) {
-	victim, r := tr.ownerOf(), NewRouters(tr.members, 0)
+func (tr *fleetTest) arrivals(ctx context.Context, wg *sync.WaitGroup) {
+	victim, r := tr.busiestOwner(), NewRouters(tr.members, 0)
 	hot := lo.FilterMap(tr.endpoints, func(d Descriptor, _ int) (coordination.Endpoint, bool) {
 		return d.ID, r.Owner(d.ID, d.Zone) == victim
 	})
@@ -153,7 +153,7 @@
 	}
 }
 
-func (tr *trial) request(ctx context.Context, id coordination.Instance, req Request, hold time.Duration) {
+func (tr *fleetTest) request(ctx context.Context, id coordination.Instance, req Request, hold time.Duration) {
 	tr.wait(id)
 	if tr.isDead(id) {
 		return
@@ -176,15 +176,15 @@
 	}
 }
 
-func (tr *trial) kill(id coordination.Instance) {
+func (tr *fleetTest) kill(id coordination.Instance) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.dead[id] = true
 }
 
 // reports gives owners the endpoints' own word, half a second old.
-func (tr *trial) reports(ctx context.Context) {
-	for ctx.Err() == nil && tr.planted == sound {
+func (tr *fleetTest) reports(ctx context.Context) {
+	for ctx.Err() == nil && tr.fault == noFault {
 		at := time.Now()
 		tr.mu.Lock()
 		es := tr.endpoints
@@ -201,8 +201,8 @@
 	}
 }
 
-// tell gives all routers but some new lists, one after another.
-func (tr *trial) tell(es []Descriptor, members []Router, gap time.Duration) {
+// updateAll gives all routers but some new lists, one after another.
+func (tr *fleetTest) updateAll(es []Descriptor, members []Router, gap time.Duration) {
 	set, routers := NewSet(es), NewRouters(members, 0)
 	for _, m := range tr.members {
 		time.Sleep(gap)
@@ -218,15 +218,15 @@
 func TestOneOwnerNeverExceedsTheBound(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			v := newTrial(seed, 1, 12, Config{}).play(t.Context(), nil, 0)
+			v := newFleetTest(seed, 1, 12, Config{}).play(t.Context(), nil, 0)
 			assert.Equal(t, v.over, 0, "seed %d: %+v", seed, v)
 			assert.Assert(t, v.placed > 400)
 		})
 	}
 }
 
-// ownerOf returns the router that owns most endpoints of the trial.
-func (tr *trial) ownerOf() coordination.Instance {
+// busiestOwner returns the router that owns most endpoints of the trial.
+func (tr *fleetTest) busiestOwner() coordination.Instance {
 	r := NewRouters(tr.members, 0)
 	counts := lo.CountValuesBy(tr.endpoints, func(d Descriptor) coordination.Instance { return r.Owner(d.ID, d.Zone) })
 	ids := lo.Keys(counts)
@@ -235,67 +235,67 @@
 	})
 }
 
-func (tr *trial) without(id coordination.Instance) []Router {
+func (tr *fleetTest) membersWithout(id coordination.Instance) []Router {
 	return lo.Filter(tr.members, func(m Router, _ int) bool { return m.ID != id })
 }
 
 // An owner dies. Others take its endpoints over, and if they counted from zero
 // they would put a second load on each of them.
-func killOwner(tr *trial) {
-	dead := tr.ownerOf()
+func killOwner(tr *fleetTest) {
+	dead := tr.busiestOwner()
 	tr.kill(dead)
 	time.Sleep(300 * time.Millisecond)
-	tr.tell(tr.endpoints, tr.without(dead), 50*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.membersWithout(dead), 50*time.Millisecond)
 }
 
 // An owner dies and is missed at once, while its endpoints still run all that
 // they ran.
-func killOwnerAtOnce(tr *trial) {
-	dead := tr.ownerOf()
+func killOwnerAtOnce(tr *fleetTest) {
+	dead := tr.busiestOwner()
 	tr.kill(dead)
-	tr.tell(tr.endpoints, tr.without(dead), 5*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.membersWithout(dead), 5*time.Millisecond)
 }
 
 // An owner is paused for longer than its peers wait, and wakes with what it
 // counted before; some requests still believe in it.
-func freezeOwner(tr *trial) {
-	id := tr.ownerOf()
+func freezeOwner(tr *fleetTest) {
+	id := tr.busiestOwner()
 	wake := make(chan struct{})
 	tr.mu.Lock()
 	tr.frozen[id] = wake
 	tr.mu.Unlock()
 	time.Sleep(time.Second)
-	tr.tell(tr.endpoints, tr.without(id), 100*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.membersWithout(id), 100*time.Millisecond)
 	time.Sleep(2 * time.Second)
 	tr.mu.Lock()
 	delete(tr.frozen, id)
 	close(wake)
 	tr.mu.Unlock()
-	tr.tell(tr.endpoints, tr.members, 200*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.members, 200*time.Millisecond)
 }
 
 // Routers hold different lists for seconds, so two of them take themselves for
 // the owner of the same endpoints.
-func splitLists(tr *trial) {
-	id := tr.ownerOf()
-	set, short := NewSet(tr.endpoints), NewRouters(tr.without(id), 0)
+func splitLists(tr *fleetTest) {
+	id := tr.busiestOwner()
+	set, short := NewSet(tr.endpoints), NewRouters(tr.membersWithout(id), 0)
 	for _, m := range tr.members[:len(tr.members)/2] {
 		tr.nodes[m.ID].update(set, short)
 	}
 	time.Sleep(2 * time.Second)
-	tr.tell(tr.endpoints, tr.members, 100*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.members, 100*time.Millisecond)
 }
 
 // A router is killed holding grants; nobody will ever release them.
-func killEntry(tr *trial) {
+func killEntry(tr *fleetTest) {
 	id := tr.members[0].ID
 	tr.kill(id)
 	time.Sleep(2 * time.Second)
-	tr.tell(tr.endpoints, tr.without(id), 50*time.Millisecond)
+	tr.updateAll(tr.endpoints, tr.membersWithout(id), 50*time.Millisecond)
 }
 
 // Endpoints join and leave within moments.
-func flap(tr *trial) {
+func flap(tr *fleetTest) {
 	for i := range 3 {
 		es := slices.Clone(tr.endpoints)
 		joined := testEndpoints(len(es) + 1)[len(es)]
@@ -303,7 +303,7 @@
 		es[i].State = Leaving
 		tr.h.add(event{endpoint: joined.ID, live: 1})
 		tr.h.add(event{endpoint: es[i].ID, live: -1})
-		tr.tell(append(es, joined), tr.members, 30*time.Millisecond)
+		tr.updateAll(append(es, joined), tr.members, 30*time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
 		es[i].State = Live
 		es[i].Incarnation += 100
@@ -312,25 +312,25 @@
 		tr.mu.Unlock()
 		tr.h.add(event{endpoint: joined.ID, live: -1})
 		tr.h.add(event{endpoint: es[i].ID, live: 1})
-		tr.tell(es, tr.members, 30*time.Millisecond)
+		tr.updateAll(es, tr.members, 30*time.Millisecond)
 	}
 }
 
 // tolerance is what a few routers with a mean that lags by 0.1 s and more may
 // show: the share of placements over the bound, and by how much.
 const (
-	tolerableShare = 0.025
-	tolerableWorst = 3
+	maxOverShare = 0.025
+	maxOverBy    = 3
 )
 
-func (v verdict) tolerable() bool {
-	return float64(v.over) <= tolerableShare*float64(v.placed) && v.worst <= tolerableWorst
+func (v boundResult) withinTolerance() bool {
+	return float64(v.over) <= maxOverShare*float64(v.placed) && v.worst <= maxOverBy
 }
 
 func TestBoundHoldsUnderFaults(t *testing.T) {
 	tests := []struct {
 		name   string
-		faults func(*trial)
+		faults func(*fleetTest)
 	}{
 		{"steady", nil},
 		{"owner killed", killOwner},
@@ -342,19 +342,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v := sum(t, test.faults, sound, Config{WarmWait: DefaultWarmWait})
-			assert.Assert(t, v.tolerable(), "%+v", v)
+			v := playSeeds(t, test.faults, noFault, Config{WarmWait: DefaultWarmWait})
+			assert.Assert(t, v.withinTolerance(), "%+v", v)
 			assert.Assert(t, v.refused <= v.placed/100, "%+v", v)
 		})
 	}
 }
 
-// sum plays several seeds and adds up what they show.
-func sum(t *testing.T, faults func(*trial), planted plant, cfg Config) (all verdict) {
+// playSeeds plays several seeds and adds up what they show.
+func playSeeds(t *testing.T, faults func(*fleetTest), planted injectedFault, cfg Config) (all boundResult) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(seed, 7, 12, cfg)
-			tr.planted = planted
+			tr := newFleetTest(seed, 7, 12, cfg)
+			tr.fault = planted
 			v := tr.play(t.Context(), faults, 0)
 			all.placed += v.placed
 			all.over += v.over
@@ -368,11 +368,11 @@
 
 // The check above must be able to fail, and for each of the mistakes that the
 // owner's code is there to avoid.
-func TestCheckFindsPlantedFaults(t *testing.T) {
+func TestCheckDetectsInjectedFaults(t *testing.T) {
 	tests := []struct {
 		name    string
-		planted plant
-		faults  func(*trial)
+		planted injectedFault
+		faults  func(*fleetTest)
 	}{
 		{"release counted twice", releaseTwice, nil},
 		{"takeover from zero", takeoverAtZero, killOwnerAtOnce},
@@ -380,8 +380,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v := sum(t, test.faults, test.planted, Config{Grace: time.Nanosecond})
-			assert.Assert(t, !v.tolerable(), "%+v", v)
+			v := playSeeds(t, test.faults, test.planted, Config{Grace: time.Nanosecond})
+			assert.Assert(t, !v.withinTolerance(), "%+v", v)
 		})
 	}
 }
--- a/coordination/placement/holders.go
+++ b/coordination/placement/holders.go
@@ -36,7 +36,7 @@
 		}
 		h.since[d.ID] = at
 		d.State = Live
-		d.Warming = 0
+		d.WeightFactor = 0
 		kept = append(kept, d)
 	}
 	h.set = NewSet(kept)
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -18,45 +18,45 @@
 	Observed    time.Time
 }
 
-// held is a grant as its owner counts it.
-type held struct {
-	start time.Time
-	alone bool
+// activeGrant is a grant as its owner counts it.
+type activeGrant struct {
+	start    time.Time
+	isolated bool
 }
 
-// span is the life of a grant that has ended.
-type span struct{ start, end time.Time }
+// grantSpan is the life of a grant that has ended.
+type grantSpan struct{ start, end time.Time }
 
 // endpointLoad is the exact count of one endpoint, kept by its owner. A shard's
 // lock guards it.
 type endpointLoad struct {
-	desc     Descriptor
-	pool     *poolLoad
-	grants   map[GrantID]held
-	alone    int // grants of suspects
-	queue    fairQueue
-	arrived  uint64
-	service  serviceTime
-	counted  int // what the pool's sum holds for this endpoint
-	left     bool
-	lost     time.Time // when an entry last found it dead; zero if alive
-	detector outlier.Detector
+	desc          Descriptor
+	pool          *poolLoad
+	grants        map[GrantID]activeGrant
+	isolated      int // grants of suspects
+	queue         fairQueue
+	arrived       uint64
+	service       serviceTime
+	countedInPool int // what the pool's sum holds for this endpoint
+	leaving       bool
+	lostAt        time.Time // when an entry last found it dead; zero if alive
+	detector      outlier.Detector
 
 	// A new owner does not know what its endpoint runs until entries have
 	// registered or the endpoint has reported. Counting from zero would put a
 	// whole second load upon it.
-	settled time.Time
+	settledAt time.Time
 
-	report  Report
-	unknown int    // requests in the report that no grant accounts for
-	ghosts  int    // grants that the report shows no request for
-	ended   []span // of late, oldest first
+	report          Report
+	unaccounted     int         // requests in the report that no grant accounts for
+	unmatchedGrants int         // grants that the report shows no request for
+	ended           []grantSpan // of late, oldest first
 
 	// released remembers grants that have ended: an admission or a registration
 	// that arrives after the release would otherwise be held for ever.
-	released map[GrantID]time.Time
-	forgot   time.Time
-	swept    time.Time
+	released       map[GrantID]time.Time
+	releasedPruned time.Time
+	lastSweep      time.Time
 }
 
 const (
@@ -67,15 +67,15 @@
 
 func newEndpointLoad(d Descriptor, p *poolLoad, settled time.Time) *endpointLoad {
 	l := &endpointLoad{
-		desc:     d,
-		pool:     p,
-		grants:   make(map[GrantID]held),
-		released: make(map[GrantID]time.Time),
-		settled:  settled,
-		left:     d.State == Leaving,
+		desc:      d,
+		pool:      p,
+		grants:    make(map[GrantID]activeGrant),
+		released:  make(map[GrantID]time.Time),
+		settledAt: settled,
+		leaving:   d.State == Leaving,
 	}
-	if !l.left {
-		p.change(0, 1)
+	if !l.leaving {
+		p.add(0, 1)
 	}
 	return l
 }
@@ -84,22 +84,22 @@
 // the endpoint itself reports beyond them. The latter ages, since a report
 // that is not renewed says less and less.
 func (l *endpointLoad) count(now time.Time, cfg *Config) int {
-	return len(l.grants) + l.unknownAt(now, cfg)
+	return len(l.grants) + l.unaccountedAt(now, cfg)
 }
 
-// sure returns the number of requests that certainly run: without the grants
+// confirmedCount returns the number of requests that certainly run: without the grants
 // for which the endpoint shows none, such as those of an entry that died. The
 // pool's mean is made of this. If it were made of the count, grants that nobody
 // will release would raise what all endpoints may run.
-func (l *endpointLoad) sure(now time.Time, cfg *Config) int {
+func (l *endpointLoad) confirmedCount(now time.Time, cfg *Config) int {
 	if now.Sub(l.report.Observed) >= cfg.ReportTTL {
 		return len(l.grants)
 	}
-	return max(len(l.grants)-l.ghosts, 0) + l.unknownAt(now, cfg)
+	return max(len(l.grants)-l.unmatchedGrants, 0) + l.unaccountedAt(now, cfg)
 }
 
-func (l *endpointLoad) unknownAt(now time.Time, cfg *Config) int {
-	if l.unknown == 0 {
+func (l *endpointLoad) unaccountedAt(now time.Time, cfg *Config) int {
+	if l.unaccounted == 0 {
 		return 0
 	}
 	age := now.Sub(l.report.Observed)
@@ -107,12 +107,12 @@
 	if left <= 0 {
 		return 0
 	}
-	return int(math.Ceil(float64(l.unknown) * min(left, 1)))
+	return int(math.Ceil(float64(l.unaccounted) * min(left, 1)))
 }
 
 // settling reports whether the owner cannot yet tell what the endpoint runs.
 func (l *endpointLoad) settling(now time.Time, cfg *Config) bool {
-	if !now.Before(l.settled) {
+	if !now.Before(l.settledAt) {
 		return false
 	}
 	reported := !l.report.Observed.IsZero() && now.Sub(l.report.Observed) < cfg.ReportTTL
@@ -122,29 +122,29 @@
 // isLost reports whether an entry has found the endpoint dead of late. Its own
 // report proves otherwise; without any the entry's word lasts for a set time.
 func (l *endpointLoad) isLost(now time.Time, cfg *Config) bool {
-	return !l.lost.IsZero() && now.Sub(l.lost) < cfg.LostFor
+	return !l.lostAt.IsZero() && now.Sub(l.lostAt) < cfg.LostTTL
 }
 
 // refresh brings the pool's sum in line with the count.
 func (l *endpointLoad) refresh(now time.Time, cfg *Config) {
-	n := l.sure(now, cfg)
-	if l.left {
+	n := l.confirmedCount(now, cfg)
+	if l.leaving {
 		n = 0
 	}
-	if n != l.counted {
-		l.pool.change(n-l.counted, 0)
-		l.counted = n
+	if n != l.countedInPool {
+		l.pool.add(n-l.countedInPool, 0)
+		l.countedInPool = n
 	}
 }
 
-// leave marks the endpoint as leaving, for good.
-func (l *endpointLoad) leave() {
-	if l.left {
+// markLeaving marks the endpoint as leaving, for good.
+func (l *endpointLoad) markLeaving() {
+	if l.leaving {
 		return
 	}
-	l.left = true
-	l.pool.change(-l.counted, -1)
-	l.counted = 0
+	l.leaving = true
+	l.pool.add(-l.countedInPool, -1)
+	l.countedInPool = 0
 }
 
 // capacity returns the number of requests that the endpoint may run.
@@ -162,23 +162,23 @@
 	}
 }
 
-// room returns the number of requests that the endpoint may be sent.
-func (l *endpointLoad) room(cfg *Config) int {
+// sendLimit returns the number of requests that the endpoint may be sent.
+func (l *endpointLoad) sendLimit(cfg *Config) int {
 	c := l.capacity()
 	if c == math.MaxInt {
 		return c
 	}
-	return c + int(cfg.boundOf(l.desc.Pool).Ahead*float64(c))
+	return c + int(cfg.boundOf(l.desc.Pool).Overcommit*float64(c))
 }
 
-// learn takes a report: what it shows beyond the grants that were live when it
+// applyReport takes a report: what it shows beyond the grants that were live when it
 // was observed is unknown to this owner.
-func (l *endpointLoad) learn(now time.Time, r Report, cfg *Config) {
+func (l *endpointLoad) applyReport(now time.Time, r Report, cfg *Config) {
 	if r.Observed.Before(l.report.Observed) {
 		return
 	}
-	if r.Observed.After(l.lost) {
-		l.lost = time.Time{}
+	if r.Observed.After(l.lostAt) {
+		l.lostAt = time.Time{}
 	}
 	known := 0
 	for _, g := range l.grants {
@@ -192,52 +192,52 @@
 		}
 	}
 	l.report = r
-	l.unknown = max(r.Running-known, 0)
-	l.ghosts = max(known-r.Running, 0)
+	l.unaccounted = max(r.Running-known, 0)
+	l.unmatchedGrants = max(known-r.Running, 0)
 	l.refresh(now, cfg)
 }
 
-// hold records a grant.
-func (l *endpointLoad) hold(now time.Time, id GrantID, g held) {
+// addGrant records a grant.
+func (l *endpointLoad) addGrant(now time.Time, id GrantID, g activeGrant) {
 	if len(l.grants) == 0 {
 		l.service.begin(now)
 	}
 	l.grants[id] = g
-	if g.alone {
-		l.alone++
+	if g.isolated {
+		l.isolated++
 	}
 }
 
-// drop ends a grant and reports whether there was one.
-func (l *endpointLoad) drop(now time.Time, id GrantID) bool {
+// removeGrant ends a grant and reports whether there was one.
+func (l *endpointLoad) removeGrant(now time.Time, id GrantID) bool {
 	g, ok := l.grants[id]
 	if !ok {
 		return false
 	}
 	delete(l.grants, id)
-	if g.alone {
-		l.alone--
+	if g.isolated {
+		l.isolated--
 	}
 	if len(l.ended) == endedSpans {
 		l.ended = l.ended[1:]
 	}
-	l.ended = append(l.ended, span{start: g.start, end: now})
+	l.ended = append(l.ended, grantSpan{start: g.start, end: now})
 	return true
 }
 
-// remember notes that a grant has been released.
-func (l *endpointLoad) remember(now time.Time, id GrantID) {
+// rememberRelease notes that a grant has been released.
+func (l *endpointLoad) rememberRelease(now time.Time, id GrantID) {
 	if len(l.released) < releasedLimit {
 		l.released[id] = now
 	}
 }
 
-// forget drops old releases.
-func (l *endpointLoad) forget(now time.Time) {
-	if now.Sub(l.forgot) < releasedRetention/4 {
+// pruneReleased drops old releases.
+func (l *endpointLoad) pruneReleased(now time.Time) {
+	if now.Sub(l.releasedPruned) < releasedRetention/4 {
 		return
 	}
-	l.forgot = now
+	l.releasedPruned = now
 	for id, at := range l.released {
 		if now.Sub(at) > releasedRetention {
 			delete(l.released, id)
@@ -248,37 +248,37 @@
 // serviceTime is the observed time that requests hold an endpoint. The zero
 // value has observed nothing.
 type serviceTime struct {
-	mean  time.Duration
-	moved time.Time // when a request last ended, or the first one began
+	mean         time.Duration
+	lastProgress time.Time // when a request last ended, or the first one began
 }
 
-// serviceShare is the weight of the latest request in the mean.
-const serviceShare = 0.1
+// serviceSmoothing is the weight of the latest request in the mean.
+const serviceSmoothing = 0.1
 
 func (s *serviceTime) observe(d time.Duration, now time.Time) {
-	s.moved = now
+	s.lastProgress = now
 	if s.mean == 0 {
 		s.mean = max(d, 1)
 		return
 	}
-	s.mean += time.Duration(serviceShare * float64(d-s.mean))
+	s.mean += time.Duration(serviceSmoothing * float64(d-s.mean))
 }
 
 // begin notes that a request begins at an idle endpoint. The time before that
 // says nothing of the endpoint's speed.
-func (s *serviceTime) begin(now time.Time) { s.moved = now }
+func (s *serviceTime) begin(now time.Time) { s.lastProgress = now }
 
 // stallFactor is how many mean gaps an endpoint may go without ending a
 // request before it is taken to be slower than it was.
 const stallFactor = 4
 
-// gap returns the expected time between two requests that end at an endpoint
+// completionInterval returns the expected time between two requests that end at an endpoint
 // that runs n. An endpoint that has stopped ending any gets slower with time,
 // so that requests behind it are refused early and not at their deadline.
-func (s *serviceTime) gap(now time.Time, n int) time.Duration {
+func (s *serviceTime) completionInterval(now time.Time, n int) time.Duration {
 	if s.mean == 0 {
 		return 0
 	}
 	g := s.mean / time.Duration(max(n, 1))
-	return max(g, now.Sub(s.moved)/stallFactor)
+	return max(g, now.Sub(s.lastProgress)/stallFactor)
 }
--- a/coordination/placement/lost_test.go
+++ b/coordination/placement/lost_test.go
@@ -16,7 +16,7 @@
 // took five seconds, and 375 requests.
 func TestEndpointTakenForDeadIsTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := NewOwner("self", Config{LostFor: time.Second})
+		o := NewOwner("self", Config{LostTTL: time.Second})
 		d := Descriptor{ID: "only", Pool: "p", Zone: "z", Incarnation: 7}
 		o.Update(NewSet([]Descriptor{d}), NewRouters([]Router{{ID: "self", Zone: "z"}}, 0))
 		time.Sleep(2 * time.Second) // until the owner has settled
--- a/coordination/placement/mean.go
+++ b/coordination/placement/mean.go
@@ -18,19 +18,19 @@
 	endpoints int // own endpoints that take new work
 	listed    int // endpoints of the pool in the instance list
 
-	others          int // requests at endpoints of other owners
-	othersEndpoints int
-	drift           float64 // usual change of others from one exchange to the next
-	interval        time.Duration
-	heard           time.Time // when the root last answered
-	reported        time.Time // when the root was last told; guarded by the owner's lock
-	told            int       // own endpoints that it was told of; guarded by the owner's lock
-	moved           time.Time // when it was last told of another number; guarded by the owner's lock
-	whole           time.Time // when the sums last covered all listed endpoints
+	others            int // requests at endpoints of other owners
+	othersEndpoints   int
+	drift             float64 // usual change of others from one exchange to the next
+	interval          time.Duration
+	lastReply         time.Time // when the root last answered
+	lastReport        time.Time // when the root was last told; guarded by the owner's lock
+	reportedEndpoints int       // own endpoints that it was told of; guarded by the owner's lock
+	reportChanged     time.Time // when it was last told of another number; guarded by the owner's lock
+	lastComplete      time.Time // when the sums last covered all listed endpoints
 }
 
-// change adds to the sums over own endpoints.
-func (p *poolLoad) change(count, endpoints int) {
+// add adds to the sums over own endpoints.
+func (p *poolLoad) add(count, endpoints int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count += count
@@ -40,8 +40,8 @@
 	}
 }
 
-// list notes how many endpoints of the pool the instance list has.
-func (p *poolLoad) list(n int) {
+// setListed notes how many endpoints of the pool the instance setListed has.
+func (p *poolLoad) setListed(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed = n
@@ -53,8 +53,8 @@
 	// it, one placement in a hundred relies on a mean that is no more.
 	driftMargin = 2.0
 
-	// driftShare is the weight of the latest change in the usual one.
-	driftShare = 0.2
+	// driftSmoothing is the weight of the latest change in the usual one.
+	driftSmoothing = 0.2
 )
 
 // admit counts one more request at an endpoint that runs count, if that keeps
@@ -76,44 +76,44 @@
 func (p *poolLoad) mean(now time.Time, cfg *Config) float64 {
 	own := float64(p.count + 1)
 	ownEndpoints := float64(max(p.endpoints, 1))
-	age := now.Sub(p.heard)
-	if p.heard.IsZero() || age >= 2*cfg.MeanHold {
+	age := now.Sub(p.lastReply)
+	if p.lastReply.IsZero() || age >= 2*cfg.MeanTTL {
 		return own / ownEndpoints
 	}
-	n := p.members(now)
+	n := p.endpointCount(now)
 	others := float64(p.others)
 	// With half of what the bound leaves above the mean, some endpoint is still
 	// under the bound, so that the margin never refuses by itself.
 	others -= min(p.drift*p.staleness(age), others*(1-1/cfg.boundOf(p.name).Bound)/2)
 	whole := (own + others) / n
-	if age <= cfg.MeanHold {
+	if age <= cfg.MeanTTL {
 		return whole
 	}
 	// The root has been silent for long: lean on the own part more and more,
 	// rather than jump from one mean to another.
-	part := float64(age-cfg.MeanHold) / float64(cfg.MeanHold)
+	part := float64(age-cfg.MeanTTL) / float64(cfg.MeanTTL)
 	return whole*(1-part) + own/ownEndpoints*part
 }
 
-// partialHold is for how long sums that cover only a part of a pool are taken
+// partialTTL is for how long sums that cover only a part of a pool are taken
 // for those of the whole.
-const partialHold = 3 * time.Second
+const partialTTL = 3 * time.Second
 
-// members returns by how many endpoints the sums are divided. Some that are
+// endpointCount returns by how many endpoints the sums are divided. Some that are
 // listed may not be in the sums yet: they have just joined, their owner has
 // died, or the root has not heard from all owners. Counting those keeps the
 // mean from being too high. But an owner that stays cut off from the others
 // would so refuse everything, hence the time limit.
-func (p *poolLoad) members(now time.Time) float64 {
+func (p *poolLoad) endpointCount(now time.Time) float64 {
 	summed := max(p.endpoints+p.othersEndpoints, 1)
-	if now.Sub(p.whole) > partialHold {
+	if now.Sub(p.lastComplete) > partialTTL {
 		return float64(summed)
 	}
 	return float64(max(p.listed, summed))
 }
 
-// partialShare is the part of a pool's endpoints below which its sums are partial.
-const partialShare = 7.0 / 8
+// minCoverage is the part of a pool's endpoints below which its sums are partial.
+const minCoverage = 7.0 / 8
 
 // unsettled reports whether the sums do not fit the list of endpoints, for some time
 // after they did or this owner's part changed: many routers have started, or are
@@ -122,15 +122,15 @@
 func (p *poolLoad) unsettled(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.endpoints == 0 || !p.fits() && min(now.Sub(p.whole), now.Sub(p.moved)) <= partialHold
+	return p.endpoints == 0 || !p.coversListed() && min(now.Sub(p.lastComplete), now.Sub(p.reportChanged)) <= partialTTL
 }
 
-// fits reports whether the sums cover nearly as many endpoints as are listed. The
+// coversListed reports whether the sums cover nearly as many endpoints as are listed. The
 // caller holds p.mu.
-func (p *poolLoad) fits() bool { return alike(p.endpoints+p.othersEndpoints, p.listed) }
+func (p *poolLoad) coversListed() bool { return nearlyEqual(p.endpoints+p.othersEndpoints, p.listed) }
 
-// alike reports whether two numbers of endpoints are nearly the same.
-func alike(a, b int) bool { return float64(min(a, b)) >= partialShare*float64(max(a, b)) }
+// nearlyEqual reports whether two numbers of endpoints are nearly the same.
+func nearlyEqual(a, b int) bool { return float64(min(a, b)) >= minCoverage*float64(max(a, b)) }
 
 // staleness returns by how many usual changes the others' load may have fallen
 // since the last exchange. It grows with every exchange that is missed.
@@ -141,27 +141,27 @@
 	return driftMargin * max(float64(age)/float64(p.interval), 1)
 }
 
-// learn takes the root's total, of which mine is what this owner had reported.
-func (p *poolLoad) learn(now time.Time, total, mine PoolSum) {
+// applyTotal takes the root's total, of which mine is what this owner had reported.
+func (p *poolLoad) applyTotal(now time.Time, total, mine PoolSum) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	others, endpoints := max(total.Count-mine.Count, 0), max(total.Endpoints-mine.Endpoints, 0)
-	if !p.heard.IsZero() {
-		if alike(endpoints, p.othersEndpoints) {
+	if !p.lastReply.IsZero() {
+		if nearlyEqual(endpoints, p.othersEndpoints) {
 			change := math.Abs(float64(others - p.others))
-			p.drift += driftShare * (change - p.drift)
+			p.drift += driftSmoothing * (change - p.drift)
 		}
-		p.interval = now.Sub(p.heard)
+		p.interval = now.Sub(p.lastReply)
 	}
 	p.others, p.othersEndpoints = others, endpoints
-	if summed := p.endpoints + p.othersEndpoints; summed >= p.listed && p.fits() {
-		p.whole = now
+	if summed := p.endpoints + p.othersEndpoints; summed >= p.listed && p.coversListed() {
+		p.lastComplete = now
 	}
-	p.heard = now
+	p.lastReply = now
 }
 
-// own returns the sums over own endpoints.
-func (p *poolLoad) own() (count, endpoints int) {
+// ownSums returns the sums over ownSums endpoints.
+func (p *poolLoad) ownSums() (count, endpoints int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count, p.endpoints
--- a/coordination/placement/messages.go
+++ b/coordination/placement/messages.go
@@ -67,25 +67,25 @@
 	// or refused, never passed on.
 	Final bool `cbor:"9,keyasint,omitempty"`
 
-	// Alone says that the request is suspected of crashing endpoints, so that
+	// Isolated says that the request is suspected of crashing endpoints, so that
 	// no other suspect may run beside it.
-	Alone bool `cbor:"10,keyasint,omitempty"`
+	Isolated bool `cbor:"10,keyasint,omitempty"`
 
 	// Releases are grants of this entry that have ended, at any endpoint of
 	// this owner.
 	Releases []Release `cbor:"11,keyasint,omitempty"`
 
-	// Once says that a failure of the request could not be mended by another
+	// NonRetryable says that a failure of the request could not be mended by another
 	// attempt, so that it keeps away from endpoints in doubt.
-	Once bool `cbor:"12,keyasint,omitempty"`
+	NonRetryable bool `cbor:"12,keyasint,omitempty"`
 
-	// Insist says that so much of the pool is in doubt that the request is to
+	// AllowOutlier says that so much of the pool is in doubt that the request is to
 	// be placed there all the same.
-	Insist bool `cbor:"13,keyasint,omitempty"`
+	AllowOutlier bool `cbor:"13,keyasint,omitempty"`
 
-	// Seen tells for each of Releases what the request showed of its endpoint.
+	// Evidence tells for each of Releases what the request showed of its endpoint.
 	// It is empty if none showed anything.
-	Seen []outlier.Weight `cbor:"14,keyasint,omitempty"`
+	Evidence []outlier.Weight `cbor:"14,keyasint,omitempty"`
 
 	// Target is the time left until the answer has to begin to be on time. Zero
 	// means no objective.
@@ -119,27 +119,27 @@
 
 // The codes of refusals and of Next.
 const (
-	None        Code = iota
-	Overloaded       // no capacity, and no room in the queue
-	Deadline         // cannot start in time
-	Gone             // the endpoint is leaving
-	Poison           // convicted of crashing endpoints
-	NotOwner         // the asked router does not own the endpoint
-	OverBound        // the endpoint carries its multiple of the mean
-	Full             // the endpoint runs as many as it can
-	Settling         // a new owner does not yet know what the endpoint runs
-	Cancelled        // the entry has released the request already
-	Unreachable      // the owner could not be reached, and the fallback declined
-	Lost             // the endpoint has died, restarted or is unknown
-	Unlisted         // the pool has no endpoint that is known
-	Outlier          // the endpoint fails requests that others of its pool serve
+	None            Code = iota
+	Overloaded           // no capacity, and no room in the queue
+	Deadline             // cannot start in time
+	EndpointLeaving      // the endpoint is leaving
+	Poison               // convicted of crashing endpoints
+	NotOwner             // the asked router does not own the endpoint
+	OverBound            // the endpoint carries its multiple of the mean
+	Full                 // the endpoint runs as many as it can
+	Settling             // a new owner does not yet know what the endpoint runs
+	Cancelled            // the entry has released the request already
+	Unreachable          // the owner could not be reached, and the fallback declined
+	EndpointLost         // the endpoint has died, restarted or is unknown
+	NoKnownEndpoint      // the pool has no endpoint that is known
+	Outlier              // the endpoint fails requests that others of its pool serve
 )
 
 var codeNames = [...]string{
-	None: "none", Overloaded: "overloaded", Deadline: "deadline", Gone: "leaving",
+	None: "none", Overloaded: "overloaded", Deadline: "deadline", EndpointLeaving: "leaving",
 	Poison: "poison", NotOwner: "not-owner", OverBound: "over-bound", Full: "full",
-	Settling: "settling", Cancelled: "cancelled", Unreachable: "unreachable", Lost: "endpoint-lost",
-	Unlisted: "no-endpoint-known", Outlier: "outlier",
+	Settling: "settling", Cancelled: "cancelled", Unreachable: "unreachable", EndpointLost: "endpoint-lost",
+	NoKnownEndpoint: "no-endpoint-known", Outlier: "outlier",
 }
 
 // String returns the name of c as logs, metrics and callers see it.
@@ -172,9 +172,9 @@
 	_        struct{} `cbor:",toarray"`
 	Endpoint coordination.Endpoint
 	Sequence Sequence
-	// Seen is what the request showed of its endpoint. It travels beside the
+	// Evidence is what the request showed of its endpoint. It travels beside the
 	// releases, since older routers know a release by its two fields.
-	Seen outlier.Weight `cbor:"-"`
+	Evidence outlier.Weight `cbor:"-"`
 }
 
 // Notice tells what a request shows of its endpoint while it still runs there.
@@ -182,7 +182,7 @@
 	_        struct{} `cbor:",toarray"`
 	Endpoint coordination.Endpoint
 	Sequence Sequence
-	Seen     outlier.Weight
+	Evidence outlier.Weight
 }
 
 // LostEndpoint names an incarnation of an endpoint that an entry found dead.
@@ -203,17 +203,17 @@
 	Entry    EntryID        `cbor:"1,keyasint"`
 	Releases []Release      `cbor:"2,keyasint,omitempty"`
 	Lost     []LostEndpoint `cbor:"3,keyasint,omitempty"`
-	// Seen is as in AdmitRequest.
-	Seen    []outlier.Weight `cbor:"4,keyasint,omitempty"`
-	Notices []Notice         `cbor:"5,keyasint,omitempty"`
+	// Evidence is as in AdmitRequest.
+	Evidence []outlier.Weight `cbor:"4,keyasint,omitempty"`
+	Notices  []Notice         `cbor:"5,keyasint,omitempty"`
 }
 
 // ReleaseReply answers a ReleaseBatch that has notices. Older routers answer with
 // nothing.
 type ReleaseReply struct {
-	// Out lists the endpoints of the notices that are taken out for the entry's
+	// Ejected lists the endpoints of the notices that are taken out for the entry's
 	// availability zone.
-	Out []coordination.Endpoint `cbor:"1,keyasint,omitempty"`
+	Ejected []coordination.Endpoint `cbor:"1,keyasint,omitempty"`
 }
 
 // Encode returns m as CBOR.
@@ -228,21 +228,21 @@
 	return m, err
 }
 
-// seenOf returns what releases say of their endpoints, or nil for nothing.
-func seenOf(rs []Release) []outlier.Weight {
-	if !lo.SomeBy(rs, func(r Release) bool { return r.Seen != 0 }) {
+// evidenceOf returns what releases say of their endpoints, or nil for nothing.
+func evidenceOf(rs []Release) []outlier.Weight {
+	if !lo.SomeBy(rs, func(r Release) bool { return r.Evidence != 0 }) {
 		return nil
 	}
-	return lo.Map(rs, func(r Release, _ int) outlier.Weight { return r.Seen })
+	return lo.Map(rs, func(r Release, _ int) outlier.Weight { return r.Evidence })
 }
 
-// see gives releases what was told beside them.
-func see(rs []Release, seen []outlier.Weight) {
+// attachEvidence gives releases what was told beside them.
+func attachEvidence(rs []Release, seen []outlier.Weight) {
 	if len(seen) != len(rs) {
 		return // an older router tells nothing
 	}
 	for i := range rs {
-		rs[i].Seen = seen[i]
+		rs[i].Evidence = seen[i]
 	}
 }
 
@@ -277,13 +277,13 @@
 
 // The flags of a held grant.
 const (
-	HeldAlone   HeldFlags = 1 << iota // no other suspect may run beside it
-	HeldPending                       // asked for, not known to be granted
+	HeldIsolated HeldFlags = 1 << iota // no other suspect may run beside it
+	HeldPending                        // asked for, not known to be granted
 )
 
 // Encode returns m as CBOR.
 func (m AdmitRequest) Encode() []byte {
-	m.Seen = seenOf(m.Releases)
+	m.Evidence = evidenceOf(m.Releases)
 	return encode(m)
 }
 
@@ -292,7 +292,7 @@
 
 // Encode returns m as CBOR.
 func (m ReleaseBatch) Encode() []byte {
-	m.Seen = seenOf(m.Releases)
+	m.Evidence = evidenceOf(m.Releases)
 	return encode(m)
 }
 
@@ -302,7 +302,7 @@
 // DecodeAdmitRequest returns the request in b.
 func DecodeAdmitRequest(b []byte) (m AdmitRequest, err error) {
 	err = decode(b, &m)
-	see(m.Releases, m.Seen)
+	attachEvidence(m.Releases, m.Evidence)
 	return m, err
 }
 
@@ -315,7 +315,7 @@
 // DecodeReleaseBatch returns the batch in b.
 func DecodeReleaseBatch(b []byte) (m ReleaseBatch, err error) {
 	err = decode(b, &m)
-	see(m.Releases, m.Seen)
+	attachEvidence(m.Releases, m.Evidence)
 	return m, err
 }
 
--- a/coordination/placement/model_test.go
+++ b/coordination/placement/model_test.go
@@ -26,21 +26,21 @@
 	ownerWait      scheme = "owner-wait" // the same, with the default wait for a warm endpoint
 )
 
-// weather is what happens to the pool meanwhile.
-type weather string
+// scenario is what happens to the pool meanwhile.
+type scenario string
 
 const (
-	steady   weather = "steady"
-	churn    weather = "churn" // one endpoint in twelve is replaced every 20 s
-	flapping weather = "flap"  // each endpoint restarts every 20 s
-	surge    weather = "surge" // three of ten accounts at ten times their rate
+	steady   scenario = "steady"
+	churn    scenario = "churn" // one endpoint in twelve is replaced every 20 s
+	flapping scenario = "flap"  // each endpoint restarts every 20 s
+	surge    scenario = "surge" // three of ten accounts at ten times their rate
 )
 
 // setup is one run of the model: the decisions themselves, driven by a small
 // event loop before fake engines that have a cache and a running count.
 type setup struct {
 	scheme    scheme
-	weather   weather
+	scenario  scenario
 	hint      bool
 	endpoints int
 	routers   int
@@ -71,7 +71,7 @@
 	cache   *list.List // of chats, latest first
 	where   map[int]*list.Element
 	reports []int    // running, by report tick
-	broken  []func() // what the entries of its requests do when it dies
+	onDeath []func() // what the entries of its requests do when it dies
 }
 
 func (e *engine) touch(chat int) (warm bool) {
@@ -195,7 +195,7 @@
 		Pool:        testPool,
 		Incarnation: coordination.Incarnation(testStart.UnixMilli()),
 	}
-	if m.weather == surge {
+	if m.scenario == surge {
 		d.Capacity = modelCapacity
 	}
 	m.next++
@@ -230,7 +230,7 @@
 		m.every(releaseInterval, m.flush)
 		m.every((&view{set: m.list(), routers: m.view}).sumInterval(testPool), m.exchange)
 	}
-	switch m.weather {
+	switch m.scenario {
 	case churn:
 		m.every(20*time.Second, func() {
 			for range max(m.setup.endpoints/12, 1) {
@@ -269,7 +269,7 @@
 // arrive schedules the arrivals of all accounts.
 func (m *model) arrive() {
 	base := modelHold / time.Duration(modelMeanLoad*m.setup.endpoints)
-	if m.weather == surge {
+	if m.scenario == surge {
 		base *= 2 // half loaded before the surge
 	}
 	for account := range 10 {
@@ -279,7 +279,7 @@
 
 func (m *model) arriveOf(account int, mean time.Duration) {
 	gap := mean
-	surging := m.weather == surge && account < 3
+	surging := m.scenario == surge && account < 3
 	if at := m.now.Sub(testStart); surging && at > m.length/3 && at < m.length*2/3 {
 		gap /= 10
 	}
@@ -473,8 +473,8 @@
 		for _, c := range r.owner.sumCalls(m.now) {
 			root := m.byID[c.to]
 			m.hop(r, root, len(c.report.Encode()), func() {
-				reply := root.owner.sum(m.now, c.report)
-				m.hop(root, r, len(reply.Encode()), func() { r.owner.learn(m.now, c.report, reply) })
+				reply := root.owner.collectSums(m.now, c.report)
+				m.hop(root, r, len(reply.Encode()), func() { r.owner.applyTotals(m.now, c.report, reply) })
 			})
 		}
 	})
@@ -508,7 +508,7 @@
 			release()
 		}
 	}
-	e.broken = append(e.broken, end)
+	e.onDeath = append(e.onDeath, end)
 	m.after(time.Duration(m.rng.ExpFloat64()*float64(modelHold)), end)
 }
 
@@ -549,7 +549,7 @@
 	old := m.live[0]
 	m.live = m.live[1:]
 	m.join()
-	m.spread()
+	m.distributeList()
 	m.after(30*time.Second, func() { delete(m.engines, old) })
 }
 
@@ -562,24 +562,24 @@
 	d.Incarnation++
 	m.engines[id] = &engine{Descriptor: d, cache: list.New(), where: make(map[int]*list.Element)}
 	m.after(modelHop, func() {
-		for _, end := range old.broken {
+		for _, end := range old.onDeath {
 			end()
 		}
-		m.tellLost(old.Descriptor)
+		m.reportLost(old.Descriptor)
 	})
-	m.spread()
+	m.distributeList()
 }
 
-// tellLost is what the entries that lost a request there tell the owner.
-func (m *model) tellLost(d Descriptor) {
+// reportLost is what the entries that lost a request there tell the owner.
+func (m *model) reportLost(d Descriptor) {
 	owner := m.byID[m.view.Owner(d.ID, d.Zone)]
 	lost := []LostEndpoint{{Endpoint: d.ID, Incarnation: d.Incarnation}}
 	owner.owner.release(m.now, ReleaseBatch{Entry: owner.entryID(), Lost: lost})
 	m.settle(owner)
 }
 
-// spread gives each router the list after a lag of its own.
-func (m *model) spread() {
+// distributeList gives each router the list after a lag of its own.
+func (m *model) distributeList() {
 	set := m.list()
 	m.each(func(r *modelRouter) {
 		m.after(time.Duration(m.rng.Int64N(int64(modelListLag))), func() {
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -8,19 +8,19 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// mostOutliers is the part of a pool that may be kept off at a time, as a
+// outlierDivisor is the part of a pool that may be kept off at a time, as a
 // divisor: one endpoint in three. Were more of them to fail than that, the rest
 // would drown, and what looks like many bad endpoints is more often one cause
 // behind them all.
-const mostOutliers = 3
+const outlierDivisor = 3
 
-// outliersOf returns how many of n endpoints a request keeps off. Of two one is
+// maxOutliers returns how many of n endpoints a request keeps off. Of two one is
 // kept off, since the other can take its load; a single one has no other.
-func outliersOf(n int) int {
+func maxOutliers(n int) int {
 	if n < 2 {
 		return 0
 	}
-	return max(n/mostOutliers, 1)
+	return max(n/outlierDivisor, 1)
 }
 
 // OutlierChange tells that an endpoint is taken out, or back, for the routers of a
@@ -44,10 +44,10 @@
 	return r.Zone
 }
 
-// see takes in what a request showed of its endpoint, and reports whether the
+// recordEvidence takes in what a request showed of its endpoint, and reports whether the
 // endpoint is taken out for the zone of the request's router. A request that this
 // owner does not count says nothing: it was taken in before, or at another owner.
-func (o *Owner) see(now time.Time, n Notice, from EntryID) (out bool) {
+func (o *Owner) recordEvidence(now time.Time, n Notice, from EntryID) (out bool) {
 	zone := o.zoneOf(from)
 	s := o.shard(n.Endpoint)
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 		return false
 	}
 	if g, ok := l.grants[GrantID{Entry: from, Sequence: n.Sequence}]; ok {
-		l.detector.Hear(now, zone, g.start, n.Seen)
+		l.detector.Hear(now, zone, g.start, n.Evidence)
 	}
 	return l.detector.OutFor(zone)
 }
@@ -76,10 +76,10 @@
 	}
 }
 
-// keepsOff tells whether a request is to keep off the endpoint for its failures,
+// mustAvoid tells whether a request is to keep off the endpoint for its failures,
 // and for how long.
-func (l *endpointLoad) keepsOff(now time.Time, req *AdmitRequest, zone coordination.Zone) (time.Duration, bool) {
-	if req.Insist {
+func (l *endpointLoad) mustAvoid(now time.Time, req *AdmitRequest, zone coordination.Zone) (time.Duration, bool) {
+	if req.AllowOutlier {
 		return 0, false
 	}
 	standing, wait := l.detector.Standing(now, zone, l)
@@ -87,7 +87,7 @@
 	case outlier.Ejected:
 		return wait, true
 	case outlier.Doubted, outlier.Probed:
-		return max(wait, leastDoubt), req.Once
+		return max(wait, minAvoidTime), req.NonRetryable
 	default:
 		return 0, false
 	}
@@ -104,46 +104,46 @@
 	return n
 }
 
-// leastDoubt is the least time for which an entry need not ask again.
-const leastDoubt = 100 * time.Millisecond
+// minAvoidTime is the least time for which an entry need not ask again.
+const minAvoidTime = 100 * time.Millisecond
 
-// doubtTable holds which endpoints an entry need not ask about, by the word of
+// avoidTable holds which endpoints an entry need not ask about, by the word of
 // their owners. Without it each request would first be sent away by the owner
 // of its bad endpoint, 7 ms away. The zero value is ready for use.
-type doubtTable struct {
+type avoidTable struct {
 	mu    sync.Mutex
-	until map[doubt]time.Time
+	until map[avoidKey]time.Time
 }
 
-// doubt is an endpoint that turned a request away for its failures. One that
+// avoidKey is an endpoint that turned a request away for its failures. One that
 // takes requests which may be sent again may keep off others.
-type doubt struct {
-	pool     coordination.Pool
-	endpoint coordination.Endpoint
-	once     bool
+type avoidKey struct {
+	pool         coordination.Pool
+	endpoint     coordination.Endpoint
+	nonRetryable bool
 }
 
-// longestDoubt bounds for how long an entry does not ask, so that a new owner,
+// maxAvoidTime bounds for how long an entry does not ask, so that a new owner,
 // which knows of no failures, is asked soon.
-const longestDoubt = time.Second
+const maxAvoidTime = time.Second
 
-func (t *doubtTable) note(now time.Time, d doubt, wait time.Duration) {
+func (t *avoidTable) note(now time.Time, d avoidKey, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.until == nil {
-		t.until = make(map[doubt]time.Time)
+		t.until = make(map[avoidKey]time.Time)
 	}
 	for old, until := range t.until {
 		if now.After(until) {
 			delete(t.until, old)
 		}
 	}
-	t.until[d] = now.Add(min(wait, longestDoubt))
+	t.until[d] = now.Add(min(wait, maxAvoidTime))
 }
 
 // outliers returns how many endpoints of a pool are known to take no requests at
 // all.
-func (t *doubtTable) outliers(now time.Time, p coordination.Pool) int {
+func (t *avoidTable) outliers(now time.Time, p coordination.Pool) int {
 	if t == nil {
 		return 0
 	}
@@ -151,14 +151,14 @@
 	defer t.mu.Unlock()
 	n := 0
 	for d, until := range t.until {
-		if d.pool == p && !d.once && now.Before(until) {
+		if d.pool == p && !d.nonRetryable && now.Before(until) {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *doubtTable) holds(now time.Time, d doubt) bool {
+func (t *avoidTable) contains(now time.Time, d avoidKey) bool {
 	if t == nil {
 		return false
 	}
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -27,13 +27,13 @@
 		assert.Equal(t, r.Decision, Granted)
 		assert.Assert(t, seq < 1010, "not taken out after ten failures")
 		now = now.Add(50 * time.Millisecond)
-		o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: e, Sequence: seq, Seen: clearFailure}}})
+		o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: e, Sequence: seq, Evidence: clearFailure}}})
 	}
 }
 
 // An endpoint fails what others serve. Its owner is the one place that all
 // routers ask, so that all of them keep off it as soon as the owner does.
-func TestOwnerKeepsRequestsOffAnOutlier(t *testing.T) {
+func TestOwnerRejectsRequestsAtOutlier(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	var told []OutlierChange
 	o.OnOutlier(func(j OutlierChange) { told = append(told, j) })
@@ -74,7 +74,7 @@
 			time.Sleep(10 * time.Millisecond)
 			n.owner.Admit(t.Context(), AdmitRequest{Entry: id, Sequence: 1000 + seq, Endpoint: "e0"})
 			time.Sleep(10 * time.Millisecond)
-			n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: "e0", Sequence: 1000 + seq, Seen: clearFailure}}})
+			n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: "e0", Sequence: 1000 + seq, Evidence: clearFailure}}})
 		}
 		for range 2 {
 			g, _ := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool})
@@ -98,13 +98,13 @@
 		admit(o, now, 1, "e0")
 		now = fail(t, o, now, "e0")
 		if leaves {
-			o.Leaving("e0", 1)
+			o.MarkLeaving("e0", 1)
 		} else {
 			now = now.Add(10 * time.Second) // untried, it comes back
 			assert.Equal(t, admit(o, now, 2, "e0").Decision, Granted)
 		}
 		o.tick(now)
-		count, endpoints := o.pools[es[0].Pool].own()
+		count, endpoints := o.pools[es[0].Pool].ownSums()
 		if leaves {
 			assert.Equal(t, count, 0)
 			assert.Equal(t, endpoints, 1)
@@ -117,12 +117,12 @@
 
 // A request that may run only once meets an endpoint that has just failed one.
 // Nothing can mend a failure there, and other endpoints are as good.
-func TestOnceKeepsOffAnEndpointInDoubt(t *testing.T) {
+func TestNonRetryableAvoidsDoubtedEndpoint(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
-	o.release(now.Add(time.Millisecond), ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1, Seen: clearFailure}}})
+	o.release(now.Add(time.Millisecond), ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1, Evidence: clearFailure}}})
 	now = now.Add(2 * time.Millisecond)
-	r, _ := o.submit(now, AdmitRequest{Entry: testEntry, Sequence: 2, Endpoint: "e0", Once: true})
+	r, _ := o.submit(now, AdmitRequest{Entry: testEntry, Sequence: 2, Endpoint: "e0", NonRetryable: true})
 	assert.Equal(t, r.Code, Outlier)
 	assert.Equal(t, admit(o, now, 3, "e0").Decision, Granted)
 }
@@ -132,10 +132,10 @@
 func TestNoticeIsAnswered(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
-	batch := ReleaseBatch{Entry: testEntry, Notices: []Notice{{Endpoint: "e0", Sequence: 1, Seen: clearFailure}}}
-	assert.Equal(t, len(o.release(now.Add(time.Millisecond), batch).Out), 0)
+	batch := ReleaseBatch{Entry: testEntry, Notices: []Notice{{Endpoint: "e0", Sequence: 1, Evidence: clearFailure}}}
+	assert.Equal(t, len(o.release(now.Add(time.Millisecond), batch).Ejected), 0)
 	now = fail(t, o, now.Add(time.Second), "e0")
-	assert.DeepEqual(t, o.release(now, batch).Out, []coordination.Endpoint{"e0"})
+	assert.DeepEqual(t, o.release(now, batch).Ejected, []coordination.Endpoint{"e0"})
 }
 
 // Entries and owners of two versions meet while a fleet is updated.
@@ -151,7 +151,7 @@
 	}
 	b := ReleaseBatch{
 		Entry:    testEntry,
-		Releases: []Release{{Endpoint: "e0", Sequence: 7, Seen: clearFailure}, {Endpoint: "e1", Sequence: 8}},
+		Releases: []Release{{Endpoint: "e0", Sequence: 7, Evidence: clearFailure}, {Endpoint: "e1", Sequence: 8}},
 	}
 	var old oldBatch
 	assert.NilError(t, decode(b.Encode(), &old))
@@ -159,15 +159,15 @@
 
 	again, err := DecodeReleaseBatch(b.Encode())
 	assert.NilError(t, err)
-	assert.Equal(t, again.Releases[0].Seen, clearFailure)
-	assert.Equal(t, again.Releases[1].Seen, outlier.Weight(0))
+	assert.Equal(t, again.Releases[0].Evidence, clearFailure)
+	assert.Equal(t, again.Releases[1].Evidence, outlier.Weight(0))
 
 	fresh, err := DecodeReleaseBatch(encode(oldBatch{Entry: testEntry, Releases: old.Releases}))
 	assert.NilError(t, err)
-	assert.Equal(t, fresh.Releases[0].Seen, outlier.Weight(0))
+	assert.Equal(t, fresh.Releases[0].Evidence, outlier.Weight(0))
 	reply, err := DecodeReleaseReply(nil)
 	assert.NilError(t, err)
-	assert.Equal(t, len(reply.Out), 0)
+	assert.Equal(t, len(reply.Ejected), 0)
 }
 
 // fleetWithOutliers returns a fleet in which all requests at some endpoints have
@@ -187,7 +187,7 @@
 					continue
 				}
 				time.Sleep(10 * time.Millisecond)
-				n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: d.ID, Sequence: 1000 + seq, Seen: clearFailure}}})
+				n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: d.ID, Sequence: 1000 + seq, Evidence: clearFailure}}})
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 
 // A third of a pool fails. Whatever a request's own order of endpoints is, it is
 // placed at one of the others, from each router.
-func TestEntriesGoRoundOutliers(t *testing.T) {
+func TestEntriesAvoidOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 2)
 		for _, n := range f.nodes {
@@ -212,7 +212,7 @@
 
 // More of a pool seems to fail than the rest can stand in for. Kept off them
 // all, the requests would drown the rest; so they are sent there all the same.
-func TestNoMoreThanAThirdOfAPoolIsKeptOff(t *testing.T) {
+func TestAtMostOneThirdOfPoolIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 5)
 		met := make(map[coordination.Endpoint]bool)
@@ -230,7 +230,7 @@
 
 // The only endpoint of a pool fails. A request is better sent to it than to
 // nobody.
-func TestTheOnlyEndpointIsNeverKeptOff(t *testing.T) {
+func TestOnlyEndpointIsNeverAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 1, 1)
 		for _, n := range f.nodes {
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -29,11 +29,11 @@
 	pools map[coordination.Pool]*poolLoad
 	sums  map[coordination.Pool]*poolSums
 
-	silentRoots map[coordination.Instance]time.Time // when each was found silent
-	mutedRoots  map[coordination.Instance]time.Time // since when each has left reports unanswered
+	skippedRoots map[coordination.Instance]time.Time // when each was found silent
+	failingRoots map[coordination.Instance]time.Time // since when each has left reports unanswered
 
 	entriesMu sync.Mutex
-	heard     map[EntryID]time.Time
+	lastHeard map[EntryID]time.Time
 
 	onOutlier func(OutlierChange) // nil if nobody wants to know
 }
@@ -48,12 +48,12 @@
 // its first [Owner.Update].
 func NewOwner(self coordination.Instance, cfg Config) *Owner {
 	o := &Owner{
-		self:        self,
-		pools:       make(map[coordination.Pool]*poolLoad),
-		sums:        make(map[coordination.Pool]*poolSums),
-		silentRoots: make(map[coordination.Instance]time.Time),
-		mutedRoots:  make(map[coordination.Instance]time.Time),
-		heard:       make(map[EntryID]time.Time),
+		self:         self,
+		pools:        make(map[coordination.Pool]*poolLoad),
+		sums:         make(map[coordination.Pool]*poolSums),
+		skippedRoots: make(map[coordination.Instance]time.Time),
+		failingRoots: make(map[coordination.Instance]time.Time),
+		lastHeard:    make(map[EntryID]time.Time),
 	}
 	for i := range o.shards {
 		o.shards[i].loads = make(map[coordination.Endpoint]*endpointLoad)
@@ -86,21 +86,21 @@
 	old := o.view.Load()
 	o.view.Store(&view{set: set, routers: routers})
 	for _, name := range set.Pools() {
-		o.poolLoad(name).list(set.Len(name))
+		o.poolLoad(name).setListed(set.Len(name))
 	}
 	for _, d := range set.byID {
 		if routers.Owner(d.ID, d.Zone) == o.self {
-			o.own(now, *d, old)
+			o.ownEndpoint(now, *d, old)
 		}
 	}
 	for i := range o.shards {
-		o.shards[i].disown(o.self, set, routers)
+		o.shards[i].dropUnowned(o.self, set, routers)
 	}
-	o.lapseDead(now, old.routers, routers)
+	o.expireDeadEntries(now, old.routers, routers)
 }
 
-// own starts or updates the count of an endpoint.
-func (o *Owner) own(now time.Time, d Descriptor, last *view) {
+// ownEndpoint starts or updates the count of an endpoint.
+func (o *Owner) ownEndpoint(now time.Time, d Descriptor, last *view) {
 	cfg := o.cfg.Load()
 	s := o.shard(d.ID)
 	s.mu.Lock()
@@ -109,8 +109,8 @@
 	if l != nil && l.desc.Incarnation == d.Incarnation {
 		l.desc = d
 		if d.State == Leaving {
-			l.leave()
-			l.passOn(Gone)
+			l.markLeaving()
+			l.passOn(EndpointLeaving)
 		}
 		return
 	}
@@ -118,7 +118,7 @@
 		return // an older list
 	}
 	if l != nil {
-		l.retire(Lost)
+		l.retire(EndpointLost)
 	}
 	// Somebody may have placed requests there before, unless the endpoint has
 	// only now come up or restarted before our eyes.
@@ -133,15 +133,15 @@
 	s.loads[d.ID] = l
 }
 
-// disown forgets the endpoints that are gone or not owned by self.
-func (s *ownerShard) disown(self coordination.Instance, set *Set, routers *Routers) {
+// dropUnowned forgets the endpoints that are gone or not owned by self.
+func (s *ownerShard) dropUnowned(self coordination.Instance, set *Set, routers *Routers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.loads {
 		d := set.Find(id)
 		switch {
 		case d == nil:
-			l.retire(Lost)
+			l.retire(EndpointLost)
 			delete(s.loads, id)
 		case routers.Owner(id, d.Zone) != self:
 			l.retire(NotOwner)
@@ -150,14 +150,14 @@
 	}
 }
 
-// lapseDead ends the grants of entries that have died or restarted. An entry
+// expireDeadEntries ends the grants of entries that have died or restarted. An entry
 // that was never listed may be newer than the list, and is left alone.
-func (o *Owner) lapseDead(now time.Time, before, routers *Routers) {
+func (o *Owner) expireDeadEntries(now time.Time, before, routers *Routers) {
 	for _, e := range o.entries() {
 		m, ok := routers.Find(e.Instance)
 		_, listed := before.Find(e.Instance)
 		if ok && m.Incarnation > e.Incarnation || !ok && listed {
-			o.lapse(now, e)
+			o.expireEntry(now, e)
 		}
 	}
 }
@@ -172,15 +172,15 @@
 	return p
 }
 
-// Leaving marks an incarnation of an endpoint as leaving from any first sign
+// MarkLeaving marks an incarnation of an endpoint as leaving from any first sign
 // of it: the endpoint's own word, or a rumour. It cannot be taken back.
-func (o *Owner) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
+func (o *Owner) MarkLeaving(id coordination.Endpoint, n coordination.Incarnation) {
 	s := o.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.loads[id]; l != nil && l.desc.Incarnation == n {
-		l.leave()
-		l.passOn(Gone)
+		l.markLeaving()
+		l.passOn(EndpointLeaving)
 	}
 }
 
@@ -197,10 +197,10 @@
 		return
 	}
 	if r.Leaving {
-		l.leave()
-		l.passOn(Gone)
+		l.markLeaving()
+		l.passOn(EndpointLeaving)
 	}
-	l.learn(now, r, cfg)
+	l.applyReport(now, r, cfg)
 	l.dispatch(now, cfg)
 }
 
@@ -210,8 +210,8 @@
 
 func (o *Owner) tick(now time.Time) {
 	cfg := o.cfg.Load()
-	for _, e := range o.silent(now, cfg.EntryLease) {
-		o.lapse(now, e)
+	for _, e := range o.expiredEntries(now, cfg.EntryLease) {
+		o.expireEntry(now, e)
 	}
 	for i := range o.shards {
 		o.shards[i].tick(now, cfg)
@@ -222,7 +222,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.loads {
-		l.forget(now)
+		l.pruneReleased(now)
 		l.refresh(now, cfg)
 		l.dispatch(now, cfg)
 	}
--- a/coordination/placement/owner_test.go
+++ b/coordination/placement/owner_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, admit(o, now, 7, "e0").Code, OverBound)
 }
 
-func TestAskingAgainIsIdempotent(t *testing.T) {
+func TestRepeatedAdmitIsIdempotent(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(4), Config{})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
@@ -61,30 +61,30 @@
 	o, now := newTestOwner(t, testEndpoints(1), Config{})
 	o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1}}})
 	assert.Equal(t, admit(o, now, 1, "e0").Code, Cancelled)
-	assert.Equal(t, o.shard("e0").loads["e0"].counted, 0)
+	assert.Equal(t, o.shard("e0").loads["e0"].countedInPool, 0)
 }
 
 func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
 	es := testEndpoints(2)
 	o, now := newTestOwner(t, es, Config{})
-	o.Leaving("e0", 1)
-	assert.Equal(t, admit(o, now, 1, "e0").Code, Gone)
+	o.MarkLeaving("e0", 1)
+	assert.Equal(t, admit(o, now, 1, "e0").Code, EndpointLeaving)
 	// A lagging list still calls it live.
 	o.update(now, NewSet(es), NewRouters(testRouters(1), 0))
-	assert.Equal(t, admit(o, now, 2, "e0").Code, Gone)
+	assert.Equal(t, admit(o, now, 2, "e0").Code, EndpointLeaving)
 	es[0].Incarnation = 2
 	o.update(now, NewSet(es), NewRouters(testRouters(1), 0))
 	assert.Equal(t, admit(o, now, 3, "e0").Decision, Granted)
 }
 
-func TestOwnerTellsWhatItCounts(t *testing.T) {
+func TestOwnerReportsLoadsAndDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOwner("r0", Config{})
 		o.Update(NewSet(testEndpoints(4)), NewRouters(testRouters(1), 0))
 		time.Sleep(2 * time.Second)
 		o.Admit(t.Context(), AdmitRequest{Entry: testEntry, Sequence: 1, Endpoint: "e0"})
 		o.Admit(t.Context(), AdmitRequest{Entry: testEntry, Sequence: 2, Endpoint: "e0"})
-		o.Leaving("e1", 1)
+		o.MarkLeaving("e1", 1)
 		assert.DeepEqual(t, o.Loads()[:2], []LoadStatus{
 			{Endpoint: "e0", Pool: testPool, Count: 1, Held: 1},
 			{Endpoint: "e1", Pool: testPool, State: Leaving},
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -59,9 +59,9 @@
 	// Zero means 1.
 	Weight float64
 
-	// Warming scales Weight while the endpoint's cache is cold or its
+	// WeightFactor scales Weight while the endpoint's cache is cold or its
 	// membership unsteady, between 0 and 1. Zero means 1.
-	Warming float64
+	WeightFactor float64
 }
 
 // weight returns the effective weight of d among the endpoints of its pool.
@@ -70,8 +70,8 @@
 	if w <= 0 {
 		w = 1
 	}
-	if d.Warming > 0 && d.Warming < 1 {
-		w *= d.Warming
+	if d.WeightFactor > 0 && d.WeightFactor < 1 {
+		w *= d.WeightFactor
 	}
 	if d.State == Suspect {
 		w *= suspectShare
--- a/coordination/placement/queue_test.go
+++ b/coordination/placement/queue_test.go
@@ -161,7 +161,7 @@
 // dies, nobody could tell which of them did it.
 func TestSuspectsRunAlone(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(1), Config{})
-	alone := AdmitRequest{Entry: testEntry, Sequence: 1, Endpoint: "e0", Alone: true}
+	alone := AdmitRequest{Entry: testEntry, Sequence: 1, Endpoint: "e0", Isolated: true}
 	r, _ := o.submit(now, alone)
 	assert.Equal(t, r.Decision, Granted)
 	alone.Sequence = 2
@@ -173,13 +173,13 @@
 func TestMessagesSurviveTheWire(t *testing.T) {
 	m := AdmitRequest{
 		Entry: testEntry, Sequence: 9, Endpoint: "e0", Incarnation: 4, Account: "a", Priority: 2,
-		Deadline: 50, Wait: 25, Final: true, Alone: true, Releases: []Release{{Endpoint: "e1", Sequence: 3}},
+		Deadline: 50, Wait: 25, Final: true, Isolated: true, Releases: []Release{{Endpoint: "e1", Sequence: 3}},
 	}
 	got, err := DecodeAdmitRequest(m.Encode())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, m)
 	reg := Register{Entry: testEntry, UpTo: 7, Held: []HeldGrants{{
-		Endpoint: "e0", Incarnation: 1, Grants: []HeldGrant{{Sequence: 3, Age: 5, Flags: HeldAlone}},
+		Endpoint: "e0", Incarnation: 1, Grants: []HeldGrant{{Sequence: 3, Age: 5, Flags: HeldIsolated}},
 	}}}
 	gotReg, err := DecodeRegister(reg.Encode())
 	assert.NilError(t, err)
--- a/coordination/placement/queued_test.go
+++ b/coordination/placement/queued_test.go
@@ -20,7 +20,7 @@
 		end  func(f *fleet, set *Set, queue coordination.Endpoint)
 	}{
 		{name: "endpoint leaves", end: func(f *fleet, _ *Set, queue coordination.Endpoint) {
-			f.nodes["r1"].owner.Leaving(queue, 1)
+			f.nodes["r1"].owner.MarkLeaving(queue, 1)
 		}},
 		{name: "endpoint dies", end: func(f *fleet, set *Set, queue coordination.Endpoint) {
 			var rest []Descriptor
--- a/coordination/placement/release.go
+++ b/coordination/placement/release.go
@@ -13,35 +13,35 @@
 func (o *Owner) Release(b ReleaseBatch) ReleaseReply { return o.release(time.Now(), b) }
 
 func (o *Owner) release(now time.Time, b ReleaseBatch) (r ReleaseReply) {
-	o.hear(now, b.Entry)
+	o.entryAlive(now, b.Entry)
 	for _, n := range b.Notices {
-		if o.see(now, n, b.Entry) {
-			r.Out = append(r.Out, n.Endpoint)
+		if o.recordEvidence(now, n, b.Entry) {
+			r.Ejected = append(r.Ejected, n.Endpoint)
 		}
 	}
 	for _, r := range b.Releases {
-		o.see(now, r.notice(), b.Entry)
+		o.recordEvidence(now, r.notice(), b.Entry)
 		o.end(now, GrantID{Entry: b.Entry, Sequence: r.Sequence}, r.Endpoint)
 	}
 	for _, e := range b.Lost {
-		o.lose(now, e)
+		o.markLost(now, e)
 	}
 	return r
 }
 
 // notice returns what a release tells of its endpoint.
 func (r Release) notice() Notice {
-	return Notice{Endpoint: r.Endpoint, Sequence: r.Sequence, Seen: r.Seen}
+	return Notice{Endpoint: r.Endpoint, Sequence: r.Sequence, Evidence: r.Evidence}
 }
 
-// lose takes an entry's word that an endpoint is dead, before any list says so.
-func (o *Owner) lose(now time.Time, e LostEndpoint) {
+// markLost takes an entry's word that an endpoint is dead, before any list says so.
+func (o *Owner) markLost(now time.Time, e LostEndpoint) {
 	s := o.shard(e.Endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.loads[e.Endpoint]; l != nil && l.desc.Incarnation == e.Incarnation {
-		l.lost = now
-		l.passOn(Lost)
+		l.lostAt = now
+		l.passOn(EndpointLost)
 	}
 }
 
@@ -57,9 +57,9 @@
 
 func (l *endpointLoad) end(now time.Time, id GrantID, cfg *Config) {
 	if g, ok := l.grants[id]; ok {
-		l.drop(now, id)
+		l.removeGrant(now, id)
 		l.service.observe(now.Sub(g.start), now)
-		l.remember(now, id)
+		l.rememberRelease(now, id)
 	} else if !l.withdraw(id) {
 		l.endUnknown(now, id)
 	}
@@ -85,9 +85,9 @@
 	if _, again := l.released[id]; again {
 		return
 	}
-	l.remember(now, id)
-	if l.unknown > 0 {
-		l.unknown--
+	l.rememberRelease(now, id)
+	if l.unaccounted > 0 {
+		l.unaccounted--
 	}
 }
 
@@ -95,7 +95,7 @@
 func (o *Owner) Register(m Register) { o.register(time.Now(), m) }
 
 func (o *Owner) register(now time.Time, m Register) {
-	o.hear(now, m.Entry)
+	o.entryAlive(now, m.Entry)
 	byEndpoint := lo.KeyBy(m.Held, func(h HeldGrants) coordination.Endpoint { return h.Endpoint })
 	cfg := o.cfg.Load()
 	for i := range o.shards {
@@ -120,7 +120,7 @@
 		return id.Entry == m.Entry && id.Sequence <= m.UpTo && !listed[id.Sequence]
 	})
 	for _, id := range ended {
-		l.drop(now, id)
+		l.removeGrant(now, id)
 	}
 	l.refresh(now, cfg)
 	l.dispatch(now, cfg)
@@ -136,30 +136,30 @@
 		return
 	}
 	start := now.Add(-g.Age.Duration())
-	l.hold(now, id, held{start: start, alone: g.Flags&HeldAlone != 0})
-	if l.unknown > 0 && !start.After(l.report.Observed) {
-		l.unknown--
+	l.addGrant(now, id, activeGrant{start: start, isolated: g.Flags&HeldIsolated != 0})
+	if l.unaccounted > 0 && !start.After(l.report.Observed) {
+		l.unaccounted--
 	}
 }
 
-// hear notes a sign of life of an entry.
-func (o *Owner) hear(now time.Time, e EntryID) {
-	for _, old := range o.note(now, e) {
-		o.lapse(now, old)
+// entryAlive notes a sign of life of an entry.
+func (o *Owner) entryAlive(now time.Time, e EntryID) {
+	for _, old := range o.markHeard(now, e) {
+		o.expireEntry(now, old)
 	}
 }
 
-// note marks an entry as heard, and returns its earlier lives if it is new: a
+// markHeard marks an entry as heard, and returns its earlier lives if it is new: a
 // process that has restarted no longer runs what it held before.
-func (o *Owner) note(now time.Time, e EntryID) []EntryID {
+func (o *Owner) markHeard(now time.Time, e EntryID) []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
-	_, known := o.heard[e]
-	o.heard[e] = now
+	_, known := o.lastHeard[e]
+	o.lastHeard[e] = now
 	if known {
 		return nil
 	}
-	return lo.Filter(lo.Keys(o.heard), func(old EntryID, _ int) bool {
+	return lo.Filter(lo.Keys(o.lastHeard), func(old EntryID, _ int) bool {
 		return old.Instance == e.Instance && old.Incarnation < e.Incarnation
 	})
 }
@@ -168,39 +168,39 @@
 func (o *Owner) entries() []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
-	return lo.Keys(o.heard)
+	return lo.Keys(o.lastHeard)
 }
 
-// silent returns the entries not heard from for a lease.
-func (o *Owner) silent(now time.Time, lease time.Duration) []EntryID {
+// expiredEntries returns the entries not heard from for a lease.
+func (o *Owner) expiredEntries(now time.Time, lease time.Duration) []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
-	return lo.Keys(lo.PickBy(o.heard, func(_ EntryID, at time.Time) bool {
+	return lo.Keys(lo.PickBy(o.lastHeard, func(_ EntryID, at time.Time) bool {
 		return now.Sub(at) > lease
 	}))
 }
 
-// lapse ends all that an entry holds. If its requests still run, the
+// expireEntry ends all that an entry holds. If its requests still run, the
 // endpoint's report goes on counting them.
-func (o *Owner) lapse(now time.Time, e EntryID) {
+func (o *Owner) expireEntry(now time.Time, e EntryID) {
 	o.entriesMu.Lock()
-	delete(o.heard, e)
+	delete(o.lastHeard, e)
 	o.entriesMu.Unlock()
 	cfg := o.cfg.Load()
 	for i := range o.shards {
 		s := &o.shards[i]
 		s.mu.Lock()
 		for _, l := range s.loads {
-			l.lapse(now, e, cfg)
+			l.expireEntry(now, e, cfg)
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (l *endpointLoad) lapse(now time.Time, e EntryID, cfg *Config) {
+func (l *endpointLoad) expireEntry(now time.Time, e EntryID, cfg *Config) {
 	for _, id := range lo.Keys(l.grants) {
 		if id.Entry == e {
-			l.drop(now, id)
+			l.removeGrant(now, id)
 		}
 	}
 	for _, w := range l.queue.waiters() {
--- a/coordination/placement/roster.go
+++ b/coordination/placement/roster.go
@@ -20,8 +20,8 @@
 	// not nothing: if all endpoints flap, all are damped, and serve.
 	flapShare = 1.0 / 8
 
-	// lifeRetention is how long an endpoint that has gone is remembered.
-	lifeRetention = 10 * time.Minute
+	// absentRetention is how long an endpoint that has gone is remembered.
+	absentRetention = 10 * time.Minute
 )
 
 // Roster makes one list of endpoints out of what a router learns from the
@@ -30,18 +30,18 @@
 // live; and an endpoint that comes and goes gets few chats until it is steady.
 // The zero value is empty and ready for use.
 type Roster struct {
-	mu    sync.Mutex
-	lives map[coordination.Endpoint]*life
+	mu      sync.Mutex
+	tracked map[coordination.Endpoint]*trackedEndpoint
 }
 
-// life is what is known of one endpoint.
-type life struct {
+// trackedEndpoint is what is known of one endpoint.
+type trackedEndpoint struct {
 	desc    Descriptor
 	present bool
 	leaving coordination.Incarnation // the latest one seen to leave
 	suspect bool
 	penalty float64
-	at      time.Time // of penalty, and when last present
+	changed time.Time // of penalty, and when last present
 }
 
 // Update takes the instance list and returns the endpoints as they stand.
@@ -52,45 +52,45 @@
 	listed := make(map[coordination.Endpoint]bool, len(list))
 	for _, d := range list {
 		listed[d.ID] = true
-		r.life(d.ID).see(now, d)
+		r.track(d.ID).observe(now, d)
 	}
-	for id, l := range r.lives {
-		l.miss(now, listed[id])
-		if !l.present && now.Sub(l.at) > lifeRetention {
-			delete(r.lives, id)
+	for id, l := range r.tracked {
+		l.markListed(now, listed[id])
+		if !l.present && now.Sub(l.changed) > absentRetention {
+			delete(r.tracked, id)
 		}
 	}
 	return r.set(now)
 }
 
-// Leaving notes that an incarnation of an endpoint is leaving, from any source,
+// MarkLeaving notes that an incarnation of an endpoint is leaving, from any source,
 // also before the instance list knows the endpoint.
-func (r *Roster) Leaving(id coordination.Endpoint, n coordination.Incarnation) *Set {
+func (r *Roster) MarkLeaving(id coordination.Endpoint, n coordination.Incarnation) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.life(id)
+	l := r.track(id)
 	l.leaving = max(l.leaving, n)
 	return r.set(time.Now())
 }
 
-// Suspect notes whether an incarnation of an endpoint is suspected to be dead.
-func (r *Roster) Suspect(id coordination.Endpoint, n coordination.Incarnation, suspect bool) *Set {
+// SetSuspect notes whether an incarnation of an endpoint is suspected to be dead.
+func (r *Roster) SetSuspect(id coordination.Endpoint, n coordination.Incarnation, suspect bool) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.life(id); l.desc.Incarnation == n {
+	if l := r.track(id); l.desc.Incarnation == n {
 		l.suspect = suspect
 	}
 	return r.set(time.Now())
 }
 
-func (r *Roster) life(id coordination.Endpoint) *life {
-	if r.lives == nil {
-		r.lives = make(map[coordination.Endpoint]*life)
+func (r *Roster) track(id coordination.Endpoint) *trackedEndpoint {
+	if r.tracked == nil {
+		r.tracked = make(map[coordination.Endpoint]*trackedEndpoint)
 	}
-	l := r.lives[id]
+	l := r.tracked[id]
 	if l == nil {
-		l = &life{at: time.Now()}
-		r.lives[id] = l
+		l = &trackedEndpoint{changed: time.Now()}
+		r.tracked[id] = l
 	}
 	return l
 }
@@ -98,7 +98,7 @@
 // set returns the present endpoints. The caller holds r.mu.
 func (r *Roster) set(now time.Time) *Set {
 	var ds []Descriptor
-	for _, l := range r.lives {
+	for _, l := range r.tracked {
 		if l.present {
 			ds = append(ds, l.descriptor(now))
 		}
@@ -106,13 +106,13 @@
 	return NewSet(ds)
 }
 
-// see takes a descriptor from a list, which may be older than what is known.
-func (l *life) see(now time.Time, d Descriptor) {
+// observe takes a descriptor from a list, which may be older than what is known.
+func (l *trackedEndpoint) observe(now time.Time, d Descriptor) {
 	if d.Incarnation < l.desc.Incarnation {
 		return
 	}
 	if l.present && d.Incarnation > l.desc.Incarnation {
-		l.punish(now)
+		l.addPenalty(now)
 	}
 	if d.Incarnation > l.desc.Incarnation {
 		l.suspect = false
@@ -123,29 +123,29 @@
 	l.desc, l.present = d, true
 }
 
-// miss notes whether the endpoint was in the list. One that had said it would
+// markListed notes whether the endpoint was in the list. One that had said it would
 // leave has not flapped.
-func (l *life) miss(now time.Time, listed bool) {
+func (l *trackedEndpoint) markListed(now time.Time, listed bool) {
 	if listed || !l.present {
 		return
 	}
 	l.present = false
 	if l.leaving < l.desc.Incarnation {
-		l.punish(now)
+		l.addPenalty(now)
 	}
 }
 
-func (l *life) punish(now time.Time) {
-	l.penalty = l.decayed(now) + 1
-	l.at = now
+func (l *trackedEndpoint) addPenalty(now time.Time) {
+	l.penalty = l.decayedPenalty(now) + 1
+	l.changed = now
 }
 
-func (l *life) decayed(now time.Time) float64 {
-	return l.penalty * math.Exp2(-float64(now.Sub(l.at))/float64(flapHalfLife))
+func (l *trackedEndpoint) decayedPenalty(now time.Time) float64 {
+	return l.penalty * math.Exp2(-float64(now.Sub(l.changed))/float64(flapHalfLife))
 }
 
 // descriptor returns the endpoint as placement should see it.
-func (l *life) descriptor(now time.Time) Descriptor {
+func (l *trackedEndpoint) descriptor(now time.Time) Descriptor {
 	d := l.desc
 	switch {
 	case l.leaving >= d.Incarnation:
@@ -153,8 +153,8 @@
 	case l.suspect:
 		d.State = Suspect
 	}
-	if l.decayed(now) >= flapPenalty {
-		d.Warming = flapShare
+	if l.decayedPenalty(now) >= flapPenalty {
+		d.WeightFactor = flapShare
 	}
 	return d
 }
--- a/coordination/placement/roster_test.go
+++ b/coordination/placement/roster_test.go
@@ -12,11 +12,11 @@
 // An engine says that it is leaving while the instance list, which lags, still
 // calls it live. Were the list believed, requests would go on to an engine that
 // is about to stop.
-func TestFirstSightOfLeavingIsFinal(t *testing.T) {
+func TestFirstLeavingSignalIsFinal(t *testing.T) {
 	var r Roster
 	es := testEndpoints(2)
 	r.Update(es)
-	assert.Equal(t, r.Leaving("e0", 1).Find("e0").State, Leaving)
+	assert.Equal(t, r.MarkLeaving("e0", 1).Find("e0").State, Leaving)
 	assert.Equal(t, r.Update(es).Find("e0").State, Leaving)
 	es[0].Incarnation = 2
 	assert.Equal(t, r.Update(es).Find("e0").State, Live)
@@ -27,7 +27,7 @@
 
 func TestLeavingIsKnownBeforeTheEndpointIs(t *testing.T) {
 	var r Roster
-	r.Leaving("e0", 1)
+	r.MarkLeaving("e0", 1)
 	assert.Equal(t, r.Update(testEndpoints(1)).Find("e0").State, Leaving)
 }
 
@@ -43,10 +43,10 @@
 			es[0].Incarnation++
 			r.Update(es)
 		}
-		assert.Equal(t, r.Update(es).Find("e0").Warming, flapShare)
-		assert.Equal(t, r.Update(es).Find("e1").Warming, 0.0)
+		assert.Equal(t, r.Update(es).Find("e0").WeightFactor, flapShare)
+		assert.Equal(t, r.Update(es).Find("e1").WeightFactor, 0.0)
 		time.Sleep(time.Minute)
-		assert.Equal(t, r.Update(es).Find("e0").Warming, 0.0)
+		assert.Equal(t, r.Update(es).Find("e0").WeightFactor, 0.0)
 	})
 }
 
@@ -55,18 +55,18 @@
 	es := testEndpoints(1)
 	for range 5 {
 		r.Update(es)
-		r.Leaving("e0", es[0].Incarnation)
+		r.MarkLeaving("e0", es[0].Incarnation)
 		r.Update(nil)
 		es[0].Incarnation++
 	}
-	assert.Equal(t, r.Update(es).Find("e0").Warming, 0.0)
+	assert.Equal(t, r.Update(es).Find("e0").WeightFactor, 0.0)
 }
 
 func TestSuspectEndpointComesLast(t *testing.T) {
 	var r Roster
 	r.Update(testEndpoints(3))
-	s := r.Suspect("e1", 1, true)
+	s := r.SetSuspect("e1", 1, true)
 	assert.Equal(t, s.Find("e1").State, Suspect)
 	assert.Assert(t, s.Warm(testPool, HintOf("e1", 1)) == nil)
-	assert.Equal(t, r.Suspect("e1", 1, false).Find("e1").State, Live)
+	assert.Equal(t, r.SetSuspect("e1", 1, false).Find("e1").State, Live)
 }
--- a/coordination/placement/routers.go
+++ b/coordination/placement/routers.go
@@ -53,13 +53,13 @@
 		o := ownerRouter{id: m.ID, hash: xxhash.Sum64String(string(m.ID))}
 		r.zones[m.Zone] = append(r.zones[m.Zone], o)
 	}
-	r.cap(limit)
+	r.limitOwners(limit)
 	return r
 }
 
-// cap keeps at most limit owners, an equal number in each zone as far as the
+// limitOwners keeps at most limit owners, an equal number in each zone as far as the
 // zone has them.
-func (r *Routers) cap(limit int) {
+func (r *Routers) limitOwners(limit int) {
 	names := lo.Keys(r.zones)
 	slices.SortFunc(names, func(a, b coordination.Zone) int {
 		byLen := cmp.Compare(len(r.zones[a]), len(r.zones[b]))
@@ -102,23 +102,23 @@
 	if len(among) == 0 {
 		among = r.owners
 	}
-	return highest(among, xxhash.Sum64String(string(id)))
+	return highestHash(among, xxhash.Sum64String(string(id)))
 }
 
 // Root returns the router that sums the load of a pool, the next one in line
 // if the first has been found silent.
 func (r *Routers) Root(name coordination.Pool, silent func(coordination.Instance) bool) coordination.Instance {
 	among := lo.Reject(r.owners, func(o ownerRouter, _ int) bool { return silent(o.id) })
-	return highest(among, xxhash.Sum64String(string(name)))
+	return highestHash(among, xxhash.Sum64String(string(name)))
 }
 
 // Place returns the owner on which all routers agree for a hash, such as a
 // content fingerprint.
 func (r *Routers) Place(hash uint64) coordination.Instance {
-	return highest(r.owners, hash)
+	return highestHash(r.owners, hash)
 }
 
-func highest(among []ownerRouter, hash uint64) coordination.Instance {
+func highestHash(among []ownerRouter, hash uint64) coordination.Instance {
 	var best coordination.Instance
 	var high uint64
 	for _, o := range among {
--- a/coordination/placement/rush_test.go
+++ b/coordination/placement/rush_test.go
@@ -97,8 +97,8 @@
 		down:   make(map[coordination.Endpoint]bool),
 	}
 	cfg := Config{
-		Bound: 1.8, Slack: 2, Ahead: 0.25, Grace: 250 * time.Millisecond, EntryLease: 3 * time.Second,
-		LostFor: time.Second, AloneLimit: 3,
+		Bound: 1.8, Slack: 2, Overcommit: 0.25, Grace: 250 * time.Millisecond, EntryLease: 3 * time.Second,
+		LostTTL: time.Second, FallbackLimit: 3,
 	}
 	for i := range s.es {
 		s.es[i].Capacity = 16
@@ -162,7 +162,7 @@
 func (s *rush) sent() int {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	return s.message[TopicAdmit]
+	return s.messages[TopicAdmit]
 }
 
 // rushCaller is one request of a rush.
--- a/coordination/placement/short_test.go
+++ b/coordination/placement/short_test.go
@@ -25,7 +25,7 @@
 // Guards against loads far over the mean where requests are shorter than sums are old.
 func TestBoundHoldsForShortRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(testRouters(shortRouters), testEndpoints(shortEndpoints), Config{Bound: 1.8, Slack: 2, Grace: 250 * time.Millisecond, AloneLimit: 3})
+		f := newFleet(testRouters(shortRouters), testEndpoints(shortEndpoints), Config{Bound: 1.8, Slack: 2, Grace: 250 * time.Millisecond, FallbackLimit: 3})
 		stop := f.start()
 		time.Sleep(5 * time.Second) // until all sums are known
 		s := &shortLoad{running: make(map[coordination.Endpoint]int)}
--- a/coordination/placement/start.go
+++ b/coordination/placement/start.go
@@ -74,5 +74,5 @@
 
 func (d *driver) exchange(ctx context.Context) time.Duration {
 	d.owner.Exchange(ctx, d.entry.transport)
-	return d.owner.exchangeIn(time.Now())
+	return d.owner.untilNextExchange(time.Now())
 }
--- a/coordination/placement/status.go
+++ b/coordination/placement/status.go
@@ -60,7 +60,7 @@
 				Endpoint: id, Pool: l.desc.Pool, Count: l.count(now, cfg),
 				Held: len(l.grants), Queued: l.queue.size, State: l.desc.State,
 			}
-			if l.left {
+			if l.leaving {
 				st.State = Leaving
 			}
 			all = append(all, st)
--- a/coordination/placement/sums.go
+++ b/coordination/placement/sums.go
@@ -62,9 +62,9 @@
 	maxSumInterval      = 2 * time.Second
 	sumIntervalPerOwner = 8 * time.Millisecond
 
-	// partialPace is how much more often sums are exchanged while they do not fit
+	// partialSpeedup is how much more often sums are exchanged while they do not fit
 	// the list of endpoints.
-	partialPace = 4
+	partialSpeedup = 4
 
 	// sumTTL is how many intervals the sum of a silent owner counts.
 	sumTTL = 4
@@ -85,10 +85,10 @@
 
 // poolSums is what the root of a pool knows of its owners' sums.
 type poolSums struct {
-	from map[coordination.Instance]heardSum
+	from map[coordination.Instance]receivedSum
 }
 
-type heardSum struct {
+type receivedSum struct {
 	PoolSum
 	at time.Time
 }
@@ -107,22 +107,22 @@
 	return sum
 }
 
-// Sum takes an owner's report as the root of its pools. Any router answers: an
+// CollectSums takes an owner's report as the root of its pools. Any router answers: an
 // owner with another list of routers asks another root, which then knows only
 // a part, and says how many endpoints that part has.
-func (o *Owner) Sum(m SumReport) SumReply { return o.sum(time.Now(), m) }
+func (o *Owner) CollectSums(m SumReport) SumReply { return o.collectSums(time.Now(), m) }
 
-func (o *Owner) sum(now time.Time, m SumReport) SumReply {
+func (o *Owner) collectSums(now time.Time, m SumReport) SumReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.view.Load()
 	totals := lo.Map(m.Sums, func(p PoolSum, _ int) PoolSum {
 		s := o.sums[p.Pool]
 		if s == nil {
-			s = &poolSums{from: make(map[coordination.Instance]heardSum)}
+			s = &poolSums{from: make(map[coordination.Instance]receivedSum)}
 			o.sums[p.Pool] = s
 		}
-		s.from[m.From] = heardSum{PoolSum: p, at: now}
+		s.from[m.From] = receivedSum{PoolSum: p, at: now}
 		return s.total(now, p.Pool, sumTTL*v.sumInterval(p.Pool))
 	})
 	return SumReply{Totals: totals}
@@ -130,10 +130,10 @@
 
 // sumCall is one report on its way to a root.
 type sumCall struct {
-	owner    *Owner
-	to       coordination.Instance
-	report   SumReport
-	patience time.Duration // for the answer
+	owner   *Owner
+	to      coordination.Instance
+	report  SumReport
+	timeout time.Duration // for the answer
 }
 
 // sumCalls returns the reports that are due, one for each root. An owner that has
@@ -143,11 +143,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.view.Load()
-	silent := func(id coordination.Instance) bool { return now.Sub(o.silentRoots[id]) < rootSilence }
+	silent := func(id coordination.Instance) bool { return now.Sub(o.skippedRoots[id]) < rootSkipTime }
 	byRoot := make(map[coordination.Instance]*sumCall)
 	for name, p := range o.pools {
-		count, endpoints := p.own()
-		if endpoints == 0 && p.told == 0 || now.Before(p.due(now, v)) {
+		count, endpoints := p.ownSums()
+		if endpoints == 0 && p.reportedEndpoints == 0 || now.Before(p.due(now, v)) {
 			continue
 		}
 		root := v.routers.Root(name, silent)
@@ -157,7 +157,7 @@
 			byRoot[root] = c
 		}
 		c.report.Sums = append(c.report.Sums, PoolSum{Pool: name, Count: count, Endpoints: endpoints})
-		c.patience = max(c.patience, v.sumInterval(name))
+		c.timeout = max(c.timeout, v.sumInterval(name))
 	}
 	calls := lo.MapToSlice(byRoot, func(_ coordination.Instance, c *sumCall) sumCall { return *c })
 	slices.SortFunc(calls, func(a, b sumCall) int { return cmp.Compare(a.to, b.to) })
@@ -169,49 +169,49 @@
 func (p *poolLoad) due(now time.Time, v *view) time.Time {
 	interval := v.sumInterval(p.name)
 	if p.unsettled(now) {
-		interval = max(interval/partialPace, minSumInterval)
+		interval = max(interval/partialSpeedup, minSumInterval)
 	}
-	return p.reported.Add(interval)
+	return p.lastReport.Add(interval)
 }
 
-// reported notes that the roots are told of the pools of the calls.
-func (o *Owner) reported(now time.Time, calls []sumCall) {
+// markReported notes that the roots are told of the pools of the calls.
+func (o *Owner) markReported(now time.Time, calls []sumCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range calls {
 		for _, s := range c.report.Sums {
 			p := o.pools[s.Pool]
-			if s.Endpoints != p.told {
-				p.moved = now
+			if s.Endpoints != p.reportedEndpoints {
+				p.reportChanged = now
 			}
-			p.reported, p.told = now, s.Endpoints
+			p.lastReport, p.reportedEndpoints = now, s.Endpoints
 		}
 	}
 }
 
-// exchangeIn returns the time until the next report is due.
-func (o *Owner) exchangeIn(now time.Time) time.Duration {
+// untilNextExchange returns the time until the next report is due.
+func (o *Owner) untilNextExchange(now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.view.Load()
 	next := SumInterval(len(v.routers.owners))
 	for _, p := range o.pools {
-		if _, endpoints := p.own(); endpoints > 0 || p.told > 0 {
+		if _, endpoints := p.ownSums(); endpoints > 0 || p.reportedEndpoints > 0 {
 			next = min(next, p.due(now, v).Sub(now))
 		}
 	}
 	return max(next, 0)
 }
 
-// learn takes the root's reply to a report.
-func (o *Owner) learn(now time.Time, sent SumReport, reply SumReply) {
+// applyTotals takes the root's reply to a report.
+func (o *Owner) applyTotals(now time.Time, sent SumReport, reply SumReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	mine := lo.KeyBy(sent.Sums, func(p PoolSum) coordination.Pool { return p.Pool })
 	for _, total := range reply.Totals {
 		own, asked := mine[total.Pool]
 		if p := o.pools[total.Pool]; asked && p != nil {
-			p.learn(now, total, own)
+			p.applyTotal(now, total, own)
 		}
 	}
 }
@@ -222,10 +222,10 @@
 func (o *Owner) Exchange(ctx context.Context, t Transport) {
 	var wg sync.WaitGroup
 	calls := o.sumCalls(time.Now())
-	o.reported(time.Now(), calls)
+	o.markReported(time.Now(), calls)
 	for _, c := range calls {
 		if c.to == o.self {
-			o.learn(time.Now(), c.report, o.Sum(c.report))
+			o.applyTotals(time.Now(), c.report, o.CollectSums(c.report))
 			continue
 		}
 		wg.Go(func() { c.run(ctx, t) })
@@ -234,7 +234,7 @@
 }
 
 const (
-	// rootPatience is for how long a root may leave reports unanswered before it
+	// rootFailureTimeout is for how long a root may leave reports unanswered before it
 	// is passed over. A lost packet holds a connection up for 0.2 s, a few of them
 	// for longer than an exchange. Another root knows only the sums of those who
 	// ask it: an owner that turned to it at once took its own endpoints for the
@@ -242,40 +242,40 @@
 	// lossy links, beside load, 31 of 524, 24 of 607 and 55 of 1,517 requests of
 	// five seconds came to endpoints with over twice the mean and three. A root that has died is off the list of
 	// routers within half a second, so that patience costs nothing then.
-	rootPatience = time.Second
+	rootFailureTimeout = time.Second
 
-	// rootSilence is how long a root that did not answer is passed over.
-	rootSilence = 3 * time.Second
+	// rootSkipTime is how long a root that did not answer is passed over.
+	rootSkipTime = 3 * time.Second
 )
 
 // run makes one call. A root that goes on not to answer is passed over for a
 // while; the held mean makes up for the time until it answers, or until the next
 // in line has heard from all owners.
 func (c sumCall) run(ctx context.Context, t Transport) {
-	ctx, cancel := context.WithTimeout(ctx, c.patience)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	b, err := t.Call(ctx, c.to, TopicSum, c.report.Encode())
-	c.owner.answered(time.Now(), c.to, err == nil)
+	c.owner.recordAnswer(time.Now(), c.to, err == nil)
 	if err != nil {
 		return
 	}
 	if reply, err := DecodeSumReply(b); err == nil {
-		c.owner.learn(time.Now(), c.report, reply)
+		c.owner.applyTotals(time.Now(), c.report, reply)
 	}
 }
 
-// answered notes whether a root has answered a report.
-func (o *Owner) answered(now time.Time, root coordination.Instance, ok bool) {
+// recordAnswer notes whether a root has recordAnswer a report.
+func (o *Owner) recordAnswer(now time.Time, root coordination.Instance, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	since, failing := o.mutedRoots[root]
+	since, failing := o.failingRoots[root]
 	switch {
 	case ok:
-		delete(o.mutedRoots, root)
+		delete(o.failingRoots, root)
 	case !failing:
-		o.mutedRoots[root] = now
-	case now.Sub(since) >= rootPatience:
-		delete(o.mutedRoots, root)
-		o.silentRoots[root] = now
+		o.failingRoots[root] = now
+	case now.Sub(since) >= rootFailureTimeout:
+		delete(o.failingRoots, root)
+		o.skippedRoots[root] = now
 	}
 }
--- a/coordination/placement/sums_test.go
+++ b/coordination/placement/sums_test.go
@@ -17,22 +17,22 @@
 // rootTransport leads reports to owners, but for a root that does not answer in
 // some span.
 type rootTransport struct {
-	owners      map[coordination.Instance]*Owner
-	muted       coordination.Instance
-	from, until time.Time
+	owners       map[coordination.Instance]*Owner
+	unresponsive coordination.Instance
+	from, until  time.Time
 }
 
 // Call implements Transport.
 func (r rootTransport) Call(ctx context.Context, to coordination.Instance, _ string, payload []byte) ([]byte, error) {
-	if now := time.Now(); to == r.muted && now.After(r.from) && now.Before(r.until) {
+	if now := time.Now(); to == r.unresponsive && now.After(r.from) && now.Before(r.until) {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
 	return r.owners[to].HandleSum(ctx, payload)
 }
 
-// sumWorld is owners of a pool of twelve endpoints, each of which runs 15.
-func sumWorld() (owners map[coordination.Instance]*Owner, root coordination.Instance) {
+// newSumOwners is owners of a pool of twelve endpoints, each of which runs 15.
+func newSumOwners() (owners map[coordination.Instance]*Owner, root coordination.Instance) {
 	members := make([]Router, 7)
 	owners = make(map[coordination.Instance]*Owner)
 	for i := range members {
@@ -47,15 +47,15 @@
 		o := NewOwner(m.ID, Config{Bound: 1.8, Slack: 2})
 		o.Update(NewSet(ds), routers)
 		if p := o.pools["p"]; p != nil {
-			p.change(15*p.endpoints, 0)
+			p.add(15*p.endpoints, 0)
 		}
 		owners[m.ID] = o
 	}
 	return owners, routers.Root("p", func(coordination.Instance) bool { return false })
 }
 
-// widest returns the highest limit that any owner would grant by at a moment.
-func widest(owners map[coordination.Instance]*Owner) (limit int) {
+// highestLimit returns the highest limit that any owner would grant by at a moment.
+func highestLimit(owners map[coordination.Instance]*Owner) (limit int) {
 	for _, o := range owners {
 		if p := o.pools["p"]; p != nil && p.endpoints > 0 {
 			limit = max(limit, o.cfg.Load().boundOf("p").limit(p.mean(time.Now(), o.cfg.Load())))
@@ -72,7 +72,7 @@
 func TestLostReportLeavesTheBound(t *testing.T) {
 	for _, silence := range []time.Duration{250 * time.Millisecond, 800 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			owners, root := sumWorld()
+			owners, root := newSumOwners()
 			var hot *Owner // of one endpoint, and cut off from the root for a moment
 			for id, o := range owners {
 				if p := o.pools["p"]; id != root && p != nil && p.endpoints == 1 {
@@ -80,9 +80,9 @@
 				}
 			}
 			start := time.Now()
-			cut := rootTransport{owners: owners, muted: root, from: start.Add(time.Second), until: start.Add(time.Second + silence)}
+			cut := rootTransport{owners: owners, unresponsive: root, from: start.Add(time.Second), until: start.Add(time.Second + silence)}
 			well := rootTransport{owners: owners}
-			hot.pools["p"].change(20, 0)
+			hot.pools["p"].add(20, 0)
 			for time.Since(start) < 6*time.Second {
 				for _, o := range owners {
 					transport := well
@@ -95,7 +95,7 @@
 				}
 				time.Sleep(minSumInterval)
 				if time.Since(start) > 500*time.Millisecond {
-					assert.Assert(t, widest(owners) <= 40, "limit %d, %v after the start, with a silence of %v", widest(owners), time.Since(start), silence)
+					assert.Assert(t, highestLimit(owners) <= 40, "limit %d, %v after the start, with a silence of %v", highestLimit(owners), time.Since(start), silence)
 				}
 			}
 		})
@@ -106,7 +106,7 @@
 // what it was.
 func TestRootThatIsGoneIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owners, root := sumWorld()
+		owners, root := newSumOwners()
 		var asking *Owner
 		for id, o := range owners {
 			if p := o.pools["p"]; id != root && p != nil && p.endpoints > 0 {
@@ -114,12 +114,12 @@
 			}
 		}
 		start := time.Now()
-		transport := rootTransport{owners: owners, muted: root, from: start.Add(-1), until: start.Add(time.Hour)}
+		transport := rootTransport{owners: owners, unresponsive: root, from: start.Add(-1), until: start.Add(time.Hour)}
 		for asking.sumCalls(time.Now())[0].to == root {
 			ctx, cancel := context.WithTimeout(t.Context(), minSumInterval)
 			asking.Exchange(ctx, transport)
 			cancel()
-			assert.Assert(t, time.Since(start) <= rootPatience+2*minSumInterval, "the root is still asked")
+			assert.Assert(t, time.Since(start) <= rootFailureTimeout+2*minSumInterval, "the root is still asked")
 		}
 	})
 }
@@ -138,8 +138,8 @@
 	return newFleet(members, es, cfg), NewSet(es), NewRouters(members, 0)
 }
 
-// load has n requests run in a pool, which come from all routers.
-func (f *fleet) load(t *testing.T, pool coordination.Pool, n int) (release func()) {
+// placeRequests has n requests run in a pool, which come from all routers.
+func (f *fleet) placeRequests(t *testing.T, pool coordination.Pool, n int) (release func()) {
 	t.Helper()
 	var grants []*Grant
 	for i := range n {
@@ -155,15 +155,15 @@
 	}
 }
 
-// leastLimit returns the lowest limit by which any owner of the small pool grants.
-func (f *fleet) leastLimit() int {
+// lowestLimit returns the lowest limit by which any owner of the small pool grants.
+func (f *fleet) lowestLimit() int {
 	var limits []int
 	for _, n := range f.nodes {
 		p := n.owner.poolLoadOf(smallPool)
 		if p == nil {
 			continue
 		}
-		if _, endpoints := p.own(); endpoints > 0 {
+		if _, endpoints := p.ownSums(); endpoints > 0 {
 			limits = append(limits, n.owner.cfg.Load().boundOf(smallPool).limit(p.mean(time.Now(), n.owner.cfg.Load())))
 		}
 	}
@@ -184,33 +184,33 @@
 		defer f.start()()
 		time.Sleep(3 * time.Second)
 		f.mu.Lock()
-		before := f.message[TopicSum]
+		before := f.messages[TopicSum]
 		f.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		f.mu.Lock()
-		sent := f.message[TopicSum] - before
+		sent := f.messages[TopicSum] - before
 		f.mu.Unlock()
 		assert.Assert(t, sent <= 5*250, "%d reports in 5 s at rest", sent)
 		begun := time.Now()
-		defer f.load(t, smallPool, 40)()
+		defer f.placeRequests(t, smallPool, 40)()
 		assert.Assert(t, time.Since(begun) < 500*time.Millisecond, "40 requests took %v to be placed", time.Since(begun))
 		time.Sleep(2 * minSumInterval)
-		assert.Assert(t, f.leastLimit() >= 6, "limit %d at a mean of 4", f.leastLimit())
+		assert.Assert(t, f.lowestLimit() >= 6, "limit %d at a mean of 4", f.lowestLimit())
 	})
 }
 
-// startedAnew returns a large fleet whose routers have started together and have
+// startTogether returns a large fleet whose routers have started together and have
 // just met each other.
-func startedAnew() (f *fleet, stop func()) {
-	f, meet, stop := startedAlone()
+func startTogether() (f *fleet, stop func()) {
+	f, meet, stop := startIsolated()
 	time.Sleep(300 * time.Millisecond)
 	meet()
 	return f, stop
 }
 
-// startedAlone returns a large fleet whose routers have started together and know
+// startIsolated returns a large fleet whose routers have started together and know
 // only themselves until they meet.
-func startedAlone() (f *fleet, meet, stop func()) {
+func startIsolated() (f *fleet, meet, stop func()) {
 	f, set, routers := largeFleet(Config{Bound: 1.8, Slack: 2, Grace: 250 * time.Millisecond})
 	for id, n := range f.nodes {
 		alone, _ := routers.Find(id)
@@ -228,12 +228,12 @@
 // had met the others, and bounds the endpoints by half of the mean for seconds.
 func TestSmallPoolIsCountedSoonAfterAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stop := startedAnew()
+		f, stop := startTogether()
 		defer stop()
 		time.Sleep(500 * time.Millisecond)
-		defer f.load(t, smallPool, 40)()
+		defer f.placeRequests(t, smallPool, 40)()
 		time.Sleep(500 * time.Millisecond)
-		assert.Assert(t, f.leastLimit() >= 8, "limit %d at a mean of 4", f.leastLimit())
+		assert.Assert(t, f.lowestLimit() >= 8, "limit %d at a mean of 4", f.lowestLimit())
 	})
 }
 
@@ -242,10 +242,10 @@
 // have their prompts.
 func TestLargePoolIsCountedSoonAfterAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stop := startedAnew()
+		f, stop := startTogether()
 		defer stop()
 		f.mu.Lock()
-		before := f.message[TopicSum]
+		before := f.messages[TopicSum]
 		f.mu.Unlock()
 		time.Sleep(700 * time.Millisecond)
 		for id, n := range f.nodes {
@@ -257,7 +257,7 @@
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		sent := f.message[TopicSum] - before
+		sent := f.messages[TopicSum] - before
 		assert.Assert(t, sent <= 5*len(f.nodes), "%d reports of %d routers", sent, len(f.nodes))
 	})
 }
@@ -266,15 +266,15 @@
 // changes as much, and bounds endpoints by three quarters of the mean for seconds.
 func TestMeanHoldsWhileSumsGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, meet, stop := startedAlone()
+		f, meet, stop := startIsolated()
 		defer stop()
 		time.Sleep(200 * time.Millisecond)
-		defer f.load(t, testPool, 960)()
+		defer f.placeRequests(t, testPool, 960)()
 		meet()
 		time.Sleep(2 * time.Second)
 		for id, n := range f.nodes {
 			p := n.owner.poolLoadOf(testPool)
-			if _, endpoints := p.own(); endpoints > 0 {
+			if _, endpoints := p.ownSums(); endpoints > 0 {
 				mean := p.mean(time.Now(), n.owner.cfg.Load())
 				assert.Assert(t, mean >= 3.6 && mean <= 4.1, "%s takes %.2f for the mean, which is 4", id, mean)
 			}
@@ -302,7 +302,7 @@
 		time.Sleep(2 * time.Second)
 		for id, n := range f.nodes {
 			p := n.owner.poolLoadOf(testPool)
-			if _, endpoints := p.own(); endpoints > 0 {
+			if _, endpoints := p.ownSums(); endpoints > 0 {
 				p.mu.Lock()
 				summed := p.endpoints + p.othersEndpoints
 				p.mu.Unlock()
--- a/coordination/placement/unanswered_test.go
+++ b/coordination/placement/unanswered_test.go
@@ -11,14 +11,14 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// lossyOwner is a transport to one owner that loses the answers to the first
+// lossyTransport is a transport to one owner that loses the answers to the first
 // admissions.
-type lossyOwner struct {
+type lossyTransport struct {
 	owner *Owner
 	lost  int
 }
 
-func (l *lossyOwner) Call(ctx context.Context, _ coordination.Instance, topic string, payload []byte) ([]byte, error) {
+func (l *lossyTransport) Call(ctx context.Context, _ coordination.Instance, topic string, payload []byte) ([]byte, error) {
 	if topic == TopicRelease {
 		return l.owner.HandleRelease(ctx, payload)
 	}
@@ -40,7 +40,7 @@
 		set := NewSet([]Descriptor{{ID: "a", Pool: "p", Zone: "z"}})
 		routers := NewRouters([]Router{{ID: "other", Zone: "z"}}, 0)
 		o.Update(set, routers)
-		l := &lossyOwner{owner: o, lost: 1}
+		l := &lossyTransport{owner: o, lost: 1}
 		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), l, nil, Config{})
 		e.Update(set, routers)
 		time.Sleep(2 * time.Second) // until the owner has settled
@@ -79,16 +79,16 @@
 
 // Endpoints are dead and stay listed, and their owner does not answer. A router that
 // has seen that they are dead must not take them for idle.
-func TestEntryPlacesNothingBlindlyAtTheDead(t *testing.T) {
+func TestEntryAvoidsDeadEndpointsWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := Config{AloneLimit: 3, LostFor: time.Second}
+		cfg := Config{FallbackLimit: 3, LostTTL: time.Second}
 		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", cfg), silentOwner{}, nil, cfg)
 		set := NewSet([]Descriptor{{ID: "dead", Pool: "p", Zone: "z"}})
 		e.Update(set, NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
 		e.Lost(t.Context(), *set.Find("dead"))
 		g, r := e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
 		assert.Assert(t, g == nil)
-		assert.Equal(t, r.Code, Lost)
+		assert.Equal(t, r.Code, EndpointLost)
 		time.Sleep(time.Second)
 		g, _ = e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
 		assert.Assert(t, g != nil, "it may be back")
--- a/coordination/placement/unlisted_test.go
+++ b/coordination/placement/unlisted_test.go
@@ -9,12 +9,12 @@
 
 // All endpoints of a pool have lost their entries. An operator who is told that
 // the pool is overloaded adds endpoints, though none of them is listed.
-func TestPoolWithoutEndpointsIsToldFromAFullOne(t *testing.T) {
+func TestEmptyPoolIsNotReportedAsOverloaded(t *testing.T) {
 	cfg := Config{}.withDefaults()
 	w := newWalk(time.Now(), Request{Pool: "m@1"}, &cfg, NewSet(nil), NewRouters(nil, 0))
 	_, r, ok := w.next(time.Now())
 	assert.Assert(t, !ok)
-	assert.Equal(t, r.Code, Unlisted)
+	assert.Equal(t, r.Code, NoKnownEndpoint)
 	assert.Equal(t, r.Code.String(), "no-endpoint-known")
 	assert.Assert(t, r.RetryAfter > 0)
 }
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -77,7 +77,7 @@
 	set     *Set
 	routers *Routers
 	latest  func() *view // nil if the lists do not change
-	doubts  *doubtTable  // nil if nothing is known of outliers
+	doubts  *avoidTable  // nil if nothing is known of outliers
 	started time.Time
 
 	list []*Descriptor
@@ -273,7 +273,7 @@
 	if w.full >= fullTries && w.queue != nil || w.crowded() {
 		return nil
 	}
-	if w.at < 0 && w.doubts.outliers(now, w.req.Pool) > outliersOf(w.set.Len(w.req.Pool)) {
+	if w.at < 0 && w.doubts.outliers(now, w.req.Pool) > maxOutliers(w.set.Len(w.req.Pool)) {
 		w.insist = true
 	}
 	for {
@@ -285,7 +285,7 @@
 		if slices.Contains(w.req.Avoid, d.ID) {
 			continue
 		}
-		if w.insist || !w.doubts.holds(now, doubt{pool: w.req.Pool, endpoint: d.ID, once: w.req.Once}) {
+		if w.insist || !w.doubts.contains(now, avoidKey{pool: w.req.Pool, endpoint: d.ID, nonRetryable: w.req.Once}) {
 			return d
 		}
 		w.keepOff()
@@ -297,7 +297,7 @@
 
 // crowded reports whether more endpoints fail than the pool may do without.
 func (w *walk) crowded() bool {
-	return !w.insist && w.outliers > outliersOf(w.set.Len(w.req.Pool))
+	return !w.insist && w.outliers > maxOutliers(w.set.Len(w.req.Pool))
 }
 
 // keepOff notes that the present candidate is kept off for its failures.
@@ -347,10 +347,10 @@
 		return true
 	}
 	w.last = r.Code
-	if r.Code == Gone || r.Code == Lost {
+	if r.Code == EndpointLeaving || r.Code == EndpointLost {
 		w.req.Avoid = append(slices.Clip(w.req.Avoid), a.endpoint.ID)
 	}
-	if r.Code == Lost {
+	if r.Code == EndpointLost {
 		w.lost = append(w.lost, lostOf(a.endpoint))
 	}
 	if w.stage != asking {
@@ -402,10 +402,10 @@
 	code := w.last
 	switch {
 	case w.set.Len(w.req.Pool) == 0:
-		code = Unlisted
+		code = NoKnownEndpoint
 	case w.unowned:
 		code = NotOwner
-	case code != Unreachable && code != Gone && code != Lost:
+	case code != Unreachable && code != EndpointLeaving && code != EndpointLost:
 		code = Overloaded
 	}
 	return Refusal{Code: code, RetryAfter: noCandidateRetry}
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -362,5 +362,5 @@
 // Leaving implements caller.Placer.
 func (p *placing) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
 	p.directory.Leave(id, n)
-	p.owner.Leaving(id, n)
+	p.owner.MarkLeaving(id, n)
 }
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -42,19 +42,19 @@
 	// An endpoint that has died is back within seconds, or its entry is gone.
 	// One that lives and was taken for dead, by a packet that was lost, would
 	// be missed; if it is the only one of its pool, all is refused meanwhile.
-	LostFor: time.Second,
+	LostTTL: time.Second,
 	// A router has one request at an endpoint in the mean; three are a burst.
-	AloneLimit: 3,
+	FallbackLimit: 3,
 }
 
 // bounds puts the bounds of a desired state's pools in force.
 func (p *placing) bounds(s route.State, cfg *config.Relay) {
 	c := relayConfig
-	c.Bound, c.Slack, c.Ahead = cfg.LoadFactor, cfg.LoadSlack, engineAhead
+	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineAhead
 	c.Pools = make(map[coordination.Pool]placement.PoolBound)
 	for name, pool := range s.Pools {
 		if !pool.Engine {
-			c.Pools[name] = placement.PoolBound{Bound: plainFactor, Slack: plainSlack, Ahead: plainAhead}
+			c.Pools[name] = placement.PoolBound{Bound: plainFactor, Slack: plainSlack, Overcommit: plainAhead}
 		}
 	}
 	p.owner.Configure(c)
