--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -13,7 +13,8 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measure runs the setup once for each iteration and reports the last run.
+// measure runs the model once per iteration and reports the metrics of the last
+// run.
 func measure(b *testing.B, s setup) {
 	b.Helper()
 	var m *model
@@ -47,7 +48,7 @@
 	}
 }
 
-// BenchmarkPlacement compares the schemes. See docs/ROUTING.md.
+// BenchmarkPlacement compares the placement schemes. See docs/ROUTING.md.
 func BenchmarkPlacement(b *testing.B) {
 	sizes := []struct{ endpoints, routers int }{{12, 7}, {60, 30}, {60, 100}}
 	for _, size := range sizes {
@@ -66,7 +67,7 @@
 	}
 }
 
-// BenchmarkWarmWait measures what waiting for the warm endpoint is worth.
+// BenchmarkWarmWait measures the benefit of waiting for the warm endpoint.
 func BenchmarkWarmWait(b *testing.B) {
 	for _, weather := range []scenario{steady, churn} {
 		for _, wait := range []time.Duration{0, 25, 50, 100, 200} {
@@ -81,8 +82,8 @@
 	}
 }
 
-// BenchmarkTargetSize measures what owner admission costs a router at the size
-// of docs/CAPACITY.md: 4,450 requests a second on 890 endpoints.
+// BenchmarkTargetSize measures the cost of owner admission for a router at the
+// size given in docs/CAPACITY.md: 4,450 requests/s on 890 endpoints.
 func BenchmarkTargetSize(b *testing.B) {
 	measure(b, setup{
 		scheme: ownerAdmission, scenario: steady, hint: true, endpoints: 890, routers: 330,
@@ -90,8 +91,8 @@
 	})
 }
 
-// BenchmarkOneOwner is owner admission with all endpoints at one owner, whose
-// mean does not lag.
+// BenchmarkOneOwner measures owner admission with a single owner, whose mean
+// does not lag.
 func BenchmarkOneOwner(b *testing.B) {
 	for _, weather := range []scenario{steady, churn, surge} {
 		b.Run(string(weather), func(b *testing.B) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// BenchmarkCandidates measures one decision of an entry.
+// BenchmarkCandidates measures the selection of candidates by an entry.
 func BenchmarkCandidates(b *testing.B) {
 	for _, n := range []int{12, 110, 890} {
 		for _, uniform := range []bool{true, false} {
@@ -125,7 +126,7 @@
 	}
 }
 
-// BenchmarkAdmit measures one decision of an owner, with its release.
+// BenchmarkAdmit measures an owner's admission of a request and its release.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{12, 110, 890} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/coordination/placement/fleet_test.go
+++ b/coordination/placement/fleet_test.go
@@ -15,8 +15,9 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// fleet is a number of routers in one process. Its transport calls their
-// handlers directly, after a delay, and can cut, freeze or lose.
+// fleet runs several routers in one process. Its transport calls their handlers
+// directly after a delay. It can make routers unreachable, freeze them and drop
+// messages.
 type fleet struct {
 	mu          sync.Mutex
 	nodes       map[coordination.Instance]*node
@@ -29,14 +30,15 @@
 	messages    map[string]int
 }
 
-// injectedFault is a fault put into the routers, to see that the checker finds it.
+// injectedFault is a fault injected into the routers to verify that the bound
+// check detects it.
 type injectedFault int
 
 const (
 	noFault        injectedFault = iota
-	releaseTwice                 // each release at some endpoints ends another grant as well
-	takeoverAtZero               // a new owner hears of nothing that runs already
-	boundPerRouter               // each owner takes its own endpoints for the whole pool
+	releaseTwice                 // each release at some endpoints also ends another grant
+	takeoverAtZero               // a new owner receives no registrations
+	boundPerRouter               // each owner computes the mean from its own endpoints only
 )
 
 type node struct {
@@ -68,7 +70,7 @@
 	n.entry.Update(set, routers)
 }
 
-// start runs all routers and returns what stops them.
+// start runs all routers and returns a function that stops them.
 func (f *fleet) start() (stop func()) {
 	var stops []func()
 	for _, n := range f.nodes {
@@ -87,8 +89,8 @@
 	from coordination.Instance
 }
 
-// Call implements Transport. A dead router sends nothing, a frozen one only
-// when it wakes.
+// Call implements Transport. Calls of a dead router fail; calls of a frozen one
+// block until it resumes.
 func (l link) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
 	l.wait(l.from)
 	if l.isDead(l.from) {
@@ -97,7 +99,7 @@
 	return l.call(ctx, to, topic, payload)
 }
 
-// wait returns when a router is not frozen.
+// wait blocks while a router is frozen.
 func (f *fleet) wait(id coordination.Instance) {
 	f.mu.Lock()
 	frozen := f.frozen[id]
@@ -132,7 +134,8 @@
 		select {
 		case <-frozen:
 		case <-ctx.Done():
-			// The message sits in the frozen process and is handled on waking.
+			// The message stays queued in the frozen process and is handled
+			// when it resumes.
 			go n.handleLate(frozen, topic, payload)
 			return nil, ctx.Err()
 		}
--- a/coordination/placement/handlers.go
+++ b/coordination/placement/handlers.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// HandleAdmit answers a message on [TopicAdmit].
+// HandleAdmit handles a message on [TopicAdmit]. It returns an encoded
+// [AdmitReply], or an error of type [ErrMalformed].
 func (o *Owner) HandleAdmit(ctx context.Context, payload []byte) ([]byte, error) {
 	m, err := DecodeAdmitRequest(payload)
 	if err != nil {
@@ -11,8 +12,9 @@
 	return o.Admit(ctx, m).Encode(), nil
 }
 
-// HandleRelease answers a message on [TopicRelease], with nothing if it has no
-// notices.
+// HandleRelease handles a message on [TopicRelease]. It returns an encoded
+// [ReleaseReply], or nil if no endpoint is ejected, or an error of type
+// [ErrMalformed].
 func (o *Owner) HandleRelease(_ context.Context, payload []byte) ([]byte, error) {
 	m, err := DecodeReleaseBatch(payload)
 	if err != nil {
@@ -25,7 +27,8 @@
 	return r.Encode(), nil
 }
 
-// HandleRegister answers a message on [TopicRegister] with nothing.
+// HandleRegister handles a message on [TopicRegister]. Its reply is empty. It
+// returns an error of type [ErrMalformed] if payload cannot be decoded.
 func (o *Owner) HandleRegister(_ context.Context, payload []byte) ([]byte, error) {
 	m, err := DecodeRegister(payload)
 	if err != nil {
@@ -35,7 +38,8 @@
 	return nil, nil
 }
 
-// HandleSum answers a message on [TopicSum].
+// HandleSum handles a message on [TopicSum]. It returns an encoded [SumReply],
+// or an error of type [ErrMalformed].
 func (o *Owner) HandleSum(_ context.Context, payload []byte) ([]byte, error) {
 	m, err := DecodeSumReport(payload)
 	if err != nil {
--- a/coordination/placement/history_test.go
+++ b/coordination/placement/history_test.go
@@ -16,16 +16,16 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// event is the start or end of a request, or the coming or going of an
-// endpoint, as the endpoints themselves see it.
+// event is the start or end of a request, or the joining or leaving of an
+// endpoint, as recorded at the endpoint.
 type event struct {
 	at       time.Time
 	endpoint coordination.Endpoint
-	running  int // change
-	live     int // change, 1 or -1, of the endpoint's membership
+	running  int // change of the number of running requests
+	live     int // 1 if the endpoint joins, -1 if it leaves, otherwise 0
 }
 
-// history gathers events.
+// history records events.
 type history struct {
 	mu     sync.Mutex
 	events []event
@@ -46,17 +46,18 @@
 	return h.load[e]
 }
 
-// boundResult is what a history shows of the bound.
+// boundResult summarizes how well the placements of a history kept the bound.
 type boundResult struct {
 	placed  int
-	over    int // placements over the bound
-	worst   int // requests over the bound at the worst placement
+	over    int // placements that exceeded the bound
+	worst   int // largest excess of a placement, in requests
 	refused int
 }
 
-// check goes through the events in order. A placement is over the bound if the
-// endpoint then runs more than ceil(bound * mean) over the live endpoints, with
-// slack more requests for what ends while a grant is on its way.
+// check replays the events in order. A placement exceeds the bound if the
+// endpoint then runs more than ceil(bound * mean) requests, with the mean taken
+// over the live endpoints. slack is added to the total, for requests that end
+// while a grant is being sent.
 func (h *history) check(bound float64, slack int) (v boundResult) {
 	load := make(map[coordination.Endpoint]int)
 	live := make(map[coordination.Endpoint]bool)
@@ -86,7 +87,7 @@
 	return v
 }
 
-// fleetTest drives a fleet with a seeded load.
+// fleetTest applies a seeded load to a fleet.
 type fleetTest struct {
 	*fleet
 	h         history
@@ -94,7 +95,7 @@
 	members   []Router
 	endpoints []Descriptor
 	length    time.Duration
-	rate      int // requests a second
+	rate      int // per second
 	wg        sync.WaitGroup
 	refused   int
 }
@@ -115,7 +116,7 @@
 	return tr
 }
 
-// play runs the load with faults and returns the verdict.
+// play runs the load, injects faults halfway and checks the history.
 func (tr *fleetTest) play(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
 	stop := tr.start()
 	ctx, cancel := context.WithCancel(ctx)
@@ -134,8 +135,9 @@
 	return tr.h.check(1.25, slack)
 }
 
-// arrivals sends requests through random routers. Half of them would rather go
-// to the endpoints of one owner, so that the bound is what keeps them away.
+// arrivals sends requests through random routers. Half of them prefer the
+// endpoints of one owner, so that only the bound keeps the load of these
+// endpoints down.
 func (tr *fleetTest) arrivals(ctx context.Context, wg *sync.WaitGroup) {
 	victim, r := tr.busiestOwner(), NewRouters(tr.members, 0)
 	hot := lo.FilterMap(tr.endpoints, func(d Descriptor, _ int) (coordination.Endpoint, bool) {
@@ -182,7 +184,7 @@
 	tr.dead[id] = true
 }
 
-// reports gives owners the endpoints' own word, half a second old.
+// reports passes the endpoints' load reports to the owners, 0.5 s late.
 func (tr *fleetTest) reports(ctx context.Context) {
 	for ctx.Err() == nil && tr.fault == noFault {
 		at := time.Now()
@@ -201,7 +203,7 @@
 	}
 }
 
-// updateAll gives all routers but some new lists, one after another.
+// updateAll updates the lists of all routers that are alive, one after another.
 func (tr *fleetTest) updateAll(es []Descriptor, members []Router, gap time.Duration) {
 	set, routers := NewSet(es), NewRouters(members, 0)
 	for _, m := range tr.members {
@@ -212,9 +214,9 @@
 	}
 }
 
-// Users of a pool see their answers slow down when one endpoint carries far
-// more than the others. With a single owner there is no lag, so nothing may
-// ever be over the bound.
+// Guards against an endpoint that carries more than its bound and slows down
+// the streams on it. A single owner has no lag, so that no placement may exceed
+// the bound.
 func TestOneOwnerNeverExceedsTheBound(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
@@ -225,7 +227,7 @@
 	}
 }
 
-// busiestOwner returns the router that owns most endpoints of the trial.
+// busiestOwner returns the router that owns the most endpoints.
 func (tr *fleetTest) busiestOwner() coordination.Instance {
 	r := NewRouters(tr.members, 0)
 	counts := lo.CountValuesBy(tr.endpoints, func(d Descriptor) coordination.Instance { return r.Owner(d.ID, d.Zone) })
@@ -239,8 +241,8 @@
 	return lo.Filter(tr.members, func(m Router, _ int) bool { return m.ID != id })
 }
 
-// An owner dies. Others take its endpoints over, and if they counted from zero
-// they would put a second load on each of them.
+// killOwner kills an owner. The routers that take over its endpoints must not
+// count from zero, or they would admit a second full load.
 func killOwner(tr *fleetTest) {
 	dead := tr.busiestOwner()
 	tr.kill(dead)
@@ -248,16 +250,16 @@
 	tr.updateAll(tr.endpoints, tr.membersWithout(dead), 50*time.Millisecond)
 }
 
-// An owner dies and is missed at once, while its endpoints still run all that
-// they ran.
+// killOwnerAtOnce kills an owner and removes it from the lists immediately,
+// while its endpoints still run all their requests.
 func killOwnerAtOnce(tr *fleetTest) {
 	dead := tr.busiestOwner()
 	tr.kill(dead)
 	tr.updateAll(tr.endpoints, tr.membersWithout(dead), 5*time.Millisecond)
 }
 
-// An owner is paused for longer than its peers wait, and wakes with what it
-// counted before; some requests still believe in it.
+// freezeOwner pauses an owner for longer than its peers wait. It resumes with
+// outdated counts while some requests still address it as the owner.
 func freezeOwner(tr *fleetTest) {
 	id := tr.busiestOwner()
 	wake := make(chan struct{})
@@ -274,8 +276,8 @@
 	tr.updateAll(tr.endpoints, tr.members, 200*time.Millisecond)
 }
 
-// Routers hold different lists for seconds, so two of them take themselves for
-// the owner of the same endpoints.
+// splitLists gives routers different lists for 2 s, so that two of them act as
+// owner of the same endpoints.
 func splitLists(tr *fleetTest) {
 	id := tr.busiestOwner()
 	set, short := NewSet(tr.endpoints), NewRouters(tr.membersWithout(id), 0)
@@ -286,7 +288,7 @@
 	tr.updateAll(tr.endpoints, tr.members, 100*time.Millisecond)
 }
 
-// A router is killed holding grants; nobody will ever release them.
+// killEntry kills a router that holds grants, which are then never released.
 func killEntry(tr *fleetTest) {
 	id := tr.members[0].ID
 	tr.kill(id)
@@ -294,7 +296,7 @@
 	tr.updateAll(tr.endpoints, tr.membersWithout(id), 50*time.Millisecond)
 }
 
-// Endpoints join and leave within moments.
+// flap makes endpoints join and leave within 0.3 s.
 func flap(tr *fleetTest) {
 	for i := range 3 {
 		es := slices.Clone(tr.endpoints)
@@ -316,8 +318,8 @@
 	}
 }
 
-// tolerance is what a few routers with a mean that lags by 0.1 s and more may
-// show: the share of placements over the bound, and by how much.
+// Limits for a fleet of a few routers whose mean lags by 0.1 s or more: the
+// fraction of placements over the bound, and the largest excess in requests.
 const (
 	maxOverShare = 0.025
 	maxOverBy    = 3
@@ -349,7 +351,7 @@
 	}
 }
 
-// playSeeds plays several seeds and adds up what they show.
+// playSeeds runs several seeds and adds up their results.
 func playSeeds(t *testing.T, faults func(*fleetTest), planted injectedFault, cfg Config) (all boundResult) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
@@ -366,8 +368,8 @@
 	return all
 }
 
-// The check above must be able to fail, and for each of the mistakes that the
-// owner's code is there to avoid.
+// Verifies that the bound check fails for each kind of fault that the owner's
+// code prevents.
 func TestCheckDetectsInjectedFaults(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -8,52 +8,54 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// Report is an endpoint's own word on its load. It lags.
+// Report is the load that an endpoint reports about itself. It lags behind the
+// actual load.
 type Report struct {
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
-	Running     int // running and waiting requests
-	Capacity    int // zero if the endpoint names none
+	Running     int // running and queued requests
+	Capacity    int // maximum concurrent requests; zero if unknown
 	Leaving     bool
 	Observed    time.Time
 }
 
-// activeGrant is a grant as its owner counts it.
+// activeGrant is a live grant as counted by the endpoint's owner.
 type activeGrant struct {
 	start    time.Time
 	isolated bool
 }
 
-// grantSpan is the life of a grant that has ended.
+// grantSpan is the lifetime of a grant that has ended.
 type grantSpan struct{ start, end time.Time }
 
-// endpointLoad is the exact count of one endpoint, kept by its owner. A shard's
-// lock guards it.
+// endpointLoad is the owner's exact count of the requests at one endpoint. It
+// is guarded by the lock of its shard.
 type endpointLoad struct {
 	desc          Descriptor
 	pool          *poolLoad
 	grants        map[GrantID]activeGrant
-	isolated      int // grants of suspects
+	isolated      int // number of isolated grants
 	queue         fairQueue
 	arrived       uint64
 	service       serviceTime
-	countedInPool int // what the pool's sum holds for this endpoint
+	countedInPool int // requests of this endpoint included in the pool's sum
 	leaving       bool
-	lostAt        time.Time // when an entry last found it dead; zero if alive
+	lostAt        time.Time // when an entry last found the endpoint dead; zero if alive
 	detector      outlier.Detector
 
-	// A new owner does not know what its endpoint runs until entries have
-	// registered or the endpoint has reported. Counting from zero would put a
-	// whole second load upon it.
+	// settledAt ends the time in which a new owner does not know what its
+	// endpoint runs, unless entries register or the endpoint reports earlier.
+	// An owner that counted from zero would admit a full second load.
 	settledAt time.Time
 
 	report          Report
-	unaccounted     int         // requests in the report that no grant accounts for
-	unmatchedGrants int         // grants that the report shows no request for
-	ended           []grantSpan // of late, oldest first
+	unaccounted     int         // requests in the report without a matching grant
+	unmatchedGrants int         // grants without a matching request in the report
+	ended           []grantSpan // recently ended grants, oldest first
 
-	// released remembers grants that have ended: an admission or a registration
-	// that arrives after the release would otherwise be held for ever.
+	// released holds ended grants. Without it, an admission or a registration
+	// that arrives after the release would be counted until the entry's lease
+	// expires.
 	released       map[GrantID]time.Time
 	releasedPruned time.Time
 	lastSweep      time.Time
@@ -80,17 +82,17 @@
 	return l
 }
 
-// count returns the number of requests at the endpoint: the grants, and what
-// the endpoint itself reports beyond them. The latter ages, since a report
-// that is not renewed says less and less.
+// count returns the number of requests at the endpoint: its grants and the
+// reported requests without a grant. The latter decay with the age of the
+// report, because an old report says little about the current load.
 func (l *endpointLoad) count(now time.Time, cfg *Config) int {
 	return len(l.grants) + l.unaccountedAt(now, cfg)
 }
 
-// confirmedCount returns the number of requests that certainly run: without the grants
-// for which the endpoint shows none, such as those of an entry that died. The
-// pool's mean is made of this. If it were made of the count, grants that nobody
-// will release would raise what all endpoints may run.
+// confirmedCount returns the number of requests that are known to run. It
+// leaves out grants for which the endpoint reports no request, such as those of
+// a crashed entry. The pool's mean is computed from it: with count, grants that
+// are never released would raise the limit of all endpoints.
 func (l *endpointLoad) confirmedCount(now time.Time, cfg *Config) int {
 	if now.Sub(l.report.Observed) >= cfg.ReportTTL {
 		return len(l.grants)
@@ -110,7 +112,7 @@
 	return int(math.Ceil(float64(l.unaccounted) * min(left, 1)))
 }
 
-// settling reports whether the owner cannot yet tell what the endpoint runs.
+// settling reports whether the owner does not yet know what the endpoint runs.
 func (l *endpointLoad) settling(now time.Time, cfg *Config) bool {
 	if !now.Before(l.settledAt) {
 		return false
@@ -119,13 +121,13 @@
 	return !reported
 }
 
-// isLost reports whether an entry has found the endpoint dead of late. Its own
-// report proves otherwise; without any the entry's word lasts for a set time.
+// isLost reports whether an entry recently found the endpoint dead. The
+// endpoint's own report clears the state; without one it expires after LostTTL.
 func (l *endpointLoad) isLost(now time.Time, cfg *Config) bool {
 	return !l.lostAt.IsZero() && now.Sub(l.lostAt) < cfg.LostTTL
 }
 
-// refresh brings the pool's sum in line with the count.
+// refresh updates the pool's sum to the current count.
 func (l *endpointLoad) refresh(now time.Time, cfg *Config) {
 	n := l.confirmedCount(now, cfg)
 	if l.leaving {
@@ -137,7 +139,7 @@
 	}
 }
 
-// markLeaving marks the endpoint as leaving, for good.
+// markLeaving marks the endpoint as leaving. This is final for its incarnation.
 func (l *endpointLoad) markLeaving() {
 	if l.leaving {
 		return
@@ -147,7 +149,7 @@
 	l.countedInPool = 0
 }
 
-// capacity returns the number of requests that the endpoint may run.
+// capacity returns the number of requests that the endpoint may run at a time.
 func (l *endpointLoad) capacity() int {
 	c, r := l.desc.Capacity, l.report.Capacity
 	switch {
@@ -162,7 +164,8 @@
 	}
 }
 
-// sendLimit returns the number of requests that the endpoint may be sent.
+// sendLimit returns the number of requests that may be sent to the endpoint:
+// its capacity and the overcommit.
 func (l *endpointLoad) sendLimit(cfg *Config) int {
 	c := l.capacity()
 	if c == math.MaxInt {
@@ -171,8 +174,8 @@
 	return c + int(cfg.boundOf(l.desc.Pool).Overcommit*float64(c))
 }
 
-// applyReport takes a report: what it shows beyond the grants that were live when it
-// was observed is unknown to this owner.
+// applyReport stores a report. Requests beyond the grants that were live when
+// the report was observed are counted as unaccounted.
 func (l *endpointLoad) applyReport(now time.Time, r Report, cfg *Config) {
 	if r.Observed.Before(l.report.Observed) {
 		return
@@ -208,7 +211,7 @@
 	}
 }
 
-// removeGrant ends a grant and reports whether there was one.
+// removeGrant ends a grant and reports whether it existed.
 func (l *endpointLoad) removeGrant(now time.Time, id GrantID) bool {
 	g, ok := l.grants[id]
 	if !ok {
@@ -225,14 +228,14 @@
 	return true
 }
 
-// rememberRelease notes that a grant has been released.
+// rememberRelease records that a grant has been released.
 func (l *endpointLoad) rememberRelease(now time.Time, id GrantID) {
 	if len(l.released) < releasedLimit {
 		l.released[id] = now
 	}
 }
 
-// pruneReleased drops old releases.
+// pruneReleased drops releases older than releasedRetention.
 func (l *endpointLoad) pruneReleased(now time.Time) {
 	if now.Sub(l.releasedPruned) < releasedRetention/4 {
 		return
@@ -245,14 +248,14 @@
 	}
 }
 
-// serviceTime is the observed time that requests hold an endpoint. The zero
-// value has observed nothing.
+// serviceTime estimates how long requests run at an endpoint. The zero value
+// has no observations.
 type serviceTime struct {
 	mean         time.Duration
-	lastProgress time.Time // when a request last ended, or the first one began
+	lastProgress time.Time // when a request last ended, or began at an idle endpoint
 }
 
-// serviceSmoothing is the weight of the latest request in the mean.
+// serviceSmoothing is the weight of the latest request in the moving average.
 const serviceSmoothing = 0.1
 
 func (s *serviceTime) observe(d time.Duration, now time.Time) {
@@ -264,17 +267,18 @@
 	s.mean += time.Duration(serviceSmoothing * float64(d-s.mean))
 }
 
-// begin notes that a request begins at an idle endpoint. The time before that
-// says nothing of the endpoint's speed.
+// begin records that a request starts at an idle endpoint. The idle time before
+// it says nothing about the endpoint's speed.
 func (s *serviceTime) begin(now time.Time) { s.lastProgress = now }
 
-// stallFactor is how many mean gaps an endpoint may go without ending a
-// request before it is taken to be slower than it was.
+// stallFactor is the number of mean completion intervals that an endpoint may
+// go without completing a request before its estimate is raised.
 const stallFactor = 4
 
-// completionInterval returns the expected time between two requests that end at an endpoint
-// that runs n. An endpoint that has stopped ending any gets slower with time,
-// so that requests behind it are refused early and not at their deadline.
+// completionInterval returns the expected time between two completions at an
+// endpoint that runs n requests. It grows while no request completes, so that
+// requests queued at a stalled endpoint are refused early rather than at their
+// deadline.
 func (s *serviceTime) completionInterval(now time.Time, n int) time.Duration {
 	if s.mean == 0 {
 		return 0
--- a/coordination/placement/mean.go
+++ b/coordination/placement/mean.go
@@ -8,28 +8,28 @@
 	"wisteriaspool/coordination"
 )
 
-// poolLoad is what an owner knows of the load of one pool: the exact sum over
-// its own endpoints, and the total that the pool's root last told it. The zero
-// value is a pool of which only the own part is known.
+// poolLoad is an owner's view of the load of one pool: the exact sum over its
+// own endpoints and the last total received from the pool's root. The zero
+// value knows only the own part.
 type poolLoad struct {
 	mu        sync.Mutex
 	name      coordination.Pool
 	count     int // requests at own endpoints
-	endpoints int // own endpoints that take new work
+	endpoints int // own endpoints that accept new requests
 	listed    int // endpoints of the pool in the instance list
 
 	others            int // requests at endpoints of other owners
 	othersEndpoints   int
-	drift             float64 // usual change of others from one exchange to the next
+	drift             float64 // moving average of the change of others between exchanges
 	interval          time.Duration
 	lastReply         time.Time // when the root last answered
-	lastReport        time.Time // when the root was last told; guarded by the owner's lock
-	reportedEndpoints int       // own endpoints that it was told of; guarded by the owner's lock
-	reportChanged     time.Time // when it was last told of another number; guarded by the owner's lock
+	lastReport        time.Time // when a report was last sent to the root; guarded by the owner's lock
+	reportedEndpoints int       // own endpoints in that report; guarded by the owner's lock
+	reportChanged     time.Time // when that number last changed; guarded by the owner's lock
 	lastComplete      time.Time // when the sums last covered all listed endpoints
 }
 
-// add adds to the sums over own endpoints.
+// add adds to the sums over the own endpoints.
 func (p *poolLoad) add(count, endpoints int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// setListed notes how many endpoints of the pool the instance setListed has.
+// setListed sets the number of the pool's endpoints in the instance list.
 func (p *poolLoad) setListed(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,19 +48,18 @@
 }
 
 const (
-	// driftMargin is how many times the usual change between two exchanges the
-	// other owners' load is taken to have fallen since the last one. Without
-	// it, one placement in a hundred relies on a mean that is no more.
+	// driftMargin is by how many average changes the load of other owners is
+	// assumed to have fallen since the last exchange. Without it, 1% of
+	// placements use a mean that is higher than the actual one.
 	driftMargin = 2.0
 
-	// driftSmoothing is the weight of the latest change in the usual one.
+	// driftSmoothing is the weight of the latest change in the moving average.
 	driftSmoothing = 0.2
 )
 
-// admit counts one more request at an endpoint that runs count, if that keeps
-// the endpoint within bound times the mean. Reading the mean and adding to it
-// is one step under the lock, so that admissions at two endpoints cannot both
-// rely on the same sum.
+// admit counts one more request at an endpoint that runs count requests, if the
+// endpoint stays within its limit. The mean is read and updated under one lock,
+// so that concurrent admissions at two endpoints cannot rely on the same sum.
 func (p *poolLoad) admit(now time.Time, count int, cfg *Config) (limit int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +71,8 @@
 	return limit, true
 }
 
-// mean returns the mean load of the pool with one more request.
+// mean returns the mean load of the pool including one more request. The caller
+// holds p.mu.
 func (p *poolLoad) mean(now time.Time, cfg *Config) float64 {
 	own := float64(p.count + 1)
 	ownEndpoints := float64(max(p.endpoints, 1))
@@ -82,28 +82,29 @@
 	}
 	n := p.endpointCount(now)
 	others := float64(p.others)
-	// With half of what the bound leaves above the mean, some endpoint is still
-	// under the bound, so that the margin never refuses by itself.
+	// The margin is capped at half of the headroom that the bound leaves above
+	// the mean. Some endpoint is then still below the bound, so that the margin
+	// alone never causes a refusal.
 	others -= min(p.drift*p.staleness(age), others*(1-1/cfg.boundOf(p.name).Bound)/2)
 	whole := (own + others) / n
 	if age <= cfg.MeanTTL {
 		return whole
 	}
-	// The root has been silent for long: lean on the own part more and more,
-	// rather than jump from one mean to another.
+	// The root has not answered for longer than MeanTTL. Shift gradually to the
+	// own mean to avoid a sudden change of the limits.
 	part := float64(age-cfg.MeanTTL) / float64(cfg.MeanTTL)
 	return whole*(1-part) + own/ownEndpoints*part
 }
 
-// partialTTL is for how long sums that cover only a part of a pool are taken
-// for those of the whole.
+// partialTTL is how long sums that cover only part of a pool are divided by the
+// number of all its listed endpoints.
 const partialTTL = 3 * time.Second
 
-// endpointCount returns by how many endpoints the sums are divided. Some that are
-// listed may not be in the sums yet: they have just joined, their owner has
-// died, or the root has not heard from all owners. Counting those keeps the
-// mean from being too high. But an owner that stays cut off from the others
-// would so refuse everything, hence the time limit.
+// endpointCount returns the divisor of the mean. Listed endpoints may be
+// missing from the sums because they have just joined, their owner has died, or
+// the root has not heard from all owners. Counting them keeps the mean from
+// being too high. An owner that stays partitioned would then refuse everything,
+// so this ends after partialTTL.
 func (p *poolLoad) endpointCount(now time.Time) float64 {
 	summed := max(p.endpoints+p.othersEndpoints, 1)
 	if now.Sub(p.lastComplete) > partialTTL {
@@ -112,28 +113,30 @@
 	return float64(max(p.listed, summed))
 }
 
-// minCoverage is the part of a pool's endpoints below which its sums are partial.
+// minCoverage is the fraction of a pool's endpoints that the sums must cover to
+// count as complete.
 const minCoverage = 7.0 / 8
 
-// unsettled reports whether the sums do not fit the list of endpoints, for some time
-// after they did or this owner's part changed: many routers have started, or are
-// gone, and endpoints are counted by none or by several. The caller holds the owner's
-// lock.
+// unsettled reports whether the sums do not cover the listed endpoints, within
+// partialTTL after they last did or after this owner's part changed. This
+// happens when many routers start or stop, and endpoints are counted by no
+// owner or by several. The caller holds the owner's lock.
 func (p *poolLoad) unsettled(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints == 0 || !p.coversListed() && min(now.Sub(p.lastComplete), now.Sub(p.reportChanged)) <= partialTTL
 }
 
-// coversListed reports whether the sums cover nearly as many endpoints as are listed. The
-// caller holds p.mu.
+// coversListed reports whether the sums cover nearly as many endpoints as are
+// listed. The caller holds p.mu.
 func (p *poolLoad) coversListed() bool { return nearlyEqual(p.endpoints+p.othersEndpoints, p.listed) }
 
-// nearlyEqual reports whether two numbers of endpoints are nearly the same.
+// nearlyEqual reports whether two numbers of endpoints differ by no more than
+// minCoverage allows.
 func nearlyEqual(a, b int) bool { return float64(min(a, b)) >= minCoverage*float64(max(a, b)) }
 
-// staleness returns by how many usual changes the others' load may have fallen
-// since the last exchange. It grows with every exchange that is missed.
+// staleness returns by how many average changes the load of other owners may
+// have fallen since the last exchange. It grows with every missed exchange.
 func (p *poolLoad) staleness(age time.Duration) float64 {
 	if p.interval <= 0 {
 		return driftMargin
@@ -141,7 +144,8 @@
 	return driftMargin * max(float64(age)/float64(p.interval), 1)
 }
 
-// applyTotal takes the root's total, of which mine is what this owner had reported.
+// applyTotal stores the total received from the root. mine is this owner's part
+// of it, as last reported.
 func (p *poolLoad) applyTotal(now time.Time, total, mine PoolSum) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,15 +164,15 @@
 	p.lastReply = now
 }
 
-// ownSums returns the sums over ownSums endpoints.
+// ownSums returns the sums over the own endpoints.
 func (p *poolLoad) ownSums() (count, endpoints int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count, p.endpoints
 }
 
-// limitOf returns ceil(bound*mean), forgiving the rounding of floats: 1.25*8
-// must not become 11.
+// limitOf returns ceil(bound*mean) and tolerates floating-point rounding
+// errors, so that 1.25*8 yields 10 and not 11.
 func limitOf(bound, mean float64) int {
 	return int(math.Ceil(bound*mean - 1e-9))
 }
--- a/coordination/placement/messages.go
+++ b/coordination/placement/messages.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// The topics of the messages between entries and owners.
+// Topics of the messages between entries and owners.
 const (
 	TopicAdmit    = "place-admit"
 	TopicRelease  = "place-release"
@@ -22,30 +22,30 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("placement")
 
-// ErrMalformed is the type of the error for a message that cannot be decoded.
+// ErrMalformed is the error type for a message that cannot be decoded.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Sequence numbers the requests of one incarnation of an entry, from 1.
+// Sequence numbers the requests of one incarnation of an entry, starting at 1.
 type Sequence uint64
 
-// EntryID names one incarnation of an entry.
+// EntryID identifies one incarnation of an entry.
 type EntryID struct {
 	_           struct{} `cbor:",toarray"`
 	Instance    coordination.Instance
 	Incarnation coordination.Incarnation
 }
 
-// GrantID names a grant for as long as anybody remembers it. The entry makes
-// it, so that asking, registering and releasing are idempotent.
+// GrantID identifies a grant. The entry assigns it, which makes admitting,
+// registering and releasing idempotent.
 type GrantID struct {
 	Entry    EntryID
 	Sequence Sequence
 }
 
-// Millis is a span of time in milliseconds.
+// Millis is a duration in milliseconds.
 type Millis uint32
 
-// AdmitRequest asks the owner of an endpoint for a grant.
+// AdmitRequest asks the owner of an endpoint to admit a request.
 type AdmitRequest struct {
 	Entry       EntryID                  `cbor:"1,keyasint"`
 	Sequence    Sequence                 `cbor:"2,keyasint"`
@@ -54,55 +54,54 @@
 	Account     coordination.Account     `cbor:"5,keyasint,omitempty"`
 	Priority    coordination.Priority    `cbor:"6,keyasint,omitempty"`
 
-	// Deadline is the time left in which the request must start. Zero means
-	// no deadline of its own.
+	// Deadline is the time left until the request must start. Zero means no
+	// deadline.
 	Deadline Millis `cbor:"7,keyasint,omitempty"`
 
-	// Wait is how long the owner may hold the request back for this endpoint
-	// rather than answer Next: because the chat is warm there, or because no
-	// other candidate is left.
+	// Wait is how long the owner may queue the request for this endpoint before
+	// it answers Next, because the endpoint has the chat's context cached or
+	// because no other candidate is left.
 	Wait Millis `cbor:"8,keyasint,omitempty"`
 
-	// Final says that the entry has no other candidate: the request is queued
-	// or refused, never passed on.
+	// Final says that the entry has no other candidate. The owner queues or
+	// refuses the request and does not answer Next.
 	Final bool `cbor:"9,keyasint,omitempty"`
 
-	// Isolated says that the request is suspected of crashing endpoints, so that
-	// no other suspect may run beside it.
+	// Isolated says that the request is suspected of crashing endpoints. At
+	// most one isolated request runs at an endpoint.
 	Isolated bool `cbor:"10,keyasint,omitempty"`
 
-	// Releases are grants of this entry that have ended, at any endpoint of
-	// this owner.
+	// Releases holds ended grants of this entry at any endpoints of this owner.
 	Releases []Release `cbor:"11,keyasint,omitempty"`
 
-	// NonRetryable says that a failure of the request could not be mended by another
-	// attempt, so that it keeps away from endpoints in doubt.
+	// NonRetryable says that the request cannot be retried after a failure. It
+	// avoids endpoints that are suspected of failing.
 	NonRetryable bool `cbor:"12,keyasint,omitempty"`
 
-	// AllowOutlier says that so much of the pool is in doubt that the request is to
-	// be placed there all the same.
+	// AllowOutlier says that too many endpoints of the pool are outliers to
+	// avoid them all, so that the request may be placed at one.
 	AllowOutlier bool `cbor:"13,keyasint,omitempty"`
 
-	// Evidence tells for each of Releases what the request showed of its endpoint.
-	// It is empty if none showed anything.
+	// Evidence holds the outcome weight of each element of Releases. It is
+	// empty if no release has one.
 	Evidence []outlier.Weight `cbor:"14,keyasint,omitempty"`
 
-	// Target is the time left until the answer has to begin to be on time. Zero
-	// means no objective.
+	// Target is the time left until the answer must begin to meet its
+	// objective. Zero means no objective.
 	Target Millis `cbor:"15,keyasint,omitempty"`
 }
 
-// Decision is an owner's answer to a request for a grant.
+// Decision is an owner's answer to an AdmitRequest.
 type Decision uint8
 
-// The decisions of an owner.
+// The possible decisions.
 const (
 	Refused Decision = iota
 	Granted
 	Next // try the next candidate
 )
 
-// String returns the name of d as logs and metrics show it.
+// String returns the name of d used in logs and metrics.
 func (d Decision) String() string {
 	switch d {
 	case Granted:
@@ -114,24 +113,24 @@
 	}
 }
 
-// Code tells why a request got no grant.
+// Code is the reason for a decision other than Granted.
 type Code uint8
 
-// The codes of refusals and of Next.
+// The reasons for Refused and Next.
 const (
 	None            Code = iota
-	Overloaded           // no capacity, and no room in the queue
-	Deadline             // cannot start in time
+	Overloaded           // no capacity and the queue is full
+	Deadline             // cannot start before its deadline
 	EndpointLeaving      // the endpoint is leaving
-	Poison               // convicted of crashing endpoints
-	NotOwner             // the asked router does not own the endpoint
-	OverBound            // the endpoint carries its multiple of the mean
-	Full                 // the endpoint runs as many as it can
+	Poison               // the request was found to crash endpoints
+	NotOwner             // the receiver does not own the endpoint
+	OverBound            // the endpoint is at its multiple of the mean load
+	Full                 // the endpoint is at its capacity
 	Settling             // a new owner does not yet know what the endpoint runs
-	Cancelled            // the entry has released the request already
-	Unreachable          // the owner could not be reached, and the fallback declined
-	EndpointLost         // the endpoint has died, restarted or is unknown
-	NoKnownEndpoint      // the pool has no endpoint that is known
+	Cancelled            // the entry has already released the request
+	Unreachable          // the owner is unreachable and the fallback declined
+	EndpointLost         // the endpoint died, restarted or is unknown
+	NoKnownEndpoint      // no endpoint of the pool is known
 	Outlier              // the endpoint fails requests that others of its pool serve
 )
 
@@ -142,7 +141,7 @@
 	NoKnownEndpoint: "no-endpoint-known", Outlier: "outlier",
 }
 
-// String returns the name of c as logs, metrics and callers see it.
+// String returns the name of c used in logs, metrics and responses.
 func (c Code) String() string {
 	if int(c) < len(codeNames) {
 		return codeNames[c]
@@ -155,29 +154,29 @@
 	Decision Decision `cbor:"1,keyasint,omitempty"`
 	Code     Code     `cbor:"2,keyasint,omitempty"`
 
-	// RetryAfter is when to come back after a refusal, or the expected wait in
-	// the queue of the endpoint with Next.
+	// RetryAfter is the delay before a new attempt after Refused, or the
+	// expected queueing time at the endpoint with Next.
 	RetryAfter Millis `cbor:"3,keyasint,omitempty"`
 
-	// Owner is the router that owns the endpoint, if the asked one does not.
+	// Owner is the router that owns the endpoint, if the receiver does not.
 	Owner coordination.Instance `cbor:"4,keyasint,omitempty"`
 
-	// Limit is what the endpoint may run now. An entry that later cannot reach
-	// the owner decides by it.
+	// Limit is the number of requests that the endpoint may run now. The entry
+	// uses it if it cannot reach the owner later.
 	Limit int `cbor:"5,keyasint,omitempty"`
 }
 
-// Release ends a grant, or a request that is still queued.
+// Release ends a grant or withdraws a queued request.
 type Release struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint coordination.Endpoint
 	Sequence Sequence
-	// Evidence is what the request showed of its endpoint. It travels beside the
-	// releases, since older routers know a release by its two fields.
+	// Evidence is the outcome weight of the request. It is sent outside of the
+	// release, because older routers decode a release with exactly two fields.
 	Evidence outlier.Weight `cbor:"-"`
 }
 
-// Notice tells what a request shows of its endpoint while it still runs there.
+// Notice carries the outcome weight of a request that is still running.
 type Notice struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint coordination.Endpoint
@@ -185,41 +184,42 @@
 	Evidence outlier.Weight
 }
 
-// LostEndpoint names an incarnation of an endpoint that an entry found dead.
+// LostEndpoint identifies an incarnation of an endpoint that an entry found
+// dead.
 type LostEndpoint struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
 }
 
-// lostOf returns the name of a dead incarnation of an endpoint.
+// lostOf returns the LostEndpoint of d.
 func lostOf(d *Descriptor) LostEndpoint {
 	return LostEndpoint{Endpoint: d.ID, Incarnation: d.Incarnation}
 }
 
-// ReleaseBatch ends grants of one entry, and tells of endpoints that it found
-// dead.
+// ReleaseBatch ends grants of one entry and lists endpoints that it found dead.
 type ReleaseBatch struct {
 	Entry    EntryID        `cbor:"1,keyasint"`
 	Releases []Release      `cbor:"2,keyasint,omitempty"`
 	Lost     []LostEndpoint `cbor:"3,keyasint,omitempty"`
-	// Evidence is as in AdmitRequest.
+	// Evidence is described in AdmitRequest.
 	Evidence []outlier.Weight `cbor:"4,keyasint,omitempty"`
 	Notices  []Notice         `cbor:"5,keyasint,omitempty"`
 }
 
-// ReleaseReply answers a ReleaseBatch that has notices. Older routers answer with
-// nothing.
+// ReleaseReply answers a ReleaseBatch that has notices. The reply of older
+// routers is empty.
 type ReleaseReply struct {
-	// Ejected lists the endpoints of the notices that are taken out for the entry's
-	// availability zone.
+	// Ejected lists the endpoints of the notices that are ejected for the
+	// entry's availability zone.
 	Ejected []coordination.Endpoint `cbor:"1,keyasint,omitempty"`
 }
 
 // Encode returns m as CBOR.
 func (m ReleaseReply) Encode() []byte { return encode(m) }
 
-// DecodeReleaseReply returns the reply in b, which may be empty.
+// DecodeReleaseReply returns the reply in b, which may be empty. The error is
+// of type [ErrMalformed].
 func DecodeReleaseReply(b []byte) (m ReleaseReply, err error) {
 	if len(b) == 0 {
 		return m, nil
@@ -228,7 +228,7 @@
 	return m, err
 }
 
-// evidenceOf returns what releases say of their endpoints, or nil for nothing.
+// evidenceOf returns the outcome weights of releases, or nil if all are zero.
 func evidenceOf(rs []Release) []outlier.Weight {
 	if !lo.SomeBy(rs, func(r Release) bool { return r.Evidence != 0 }) {
 		return nil
@@ -236,20 +236,20 @@
 	return lo.Map(rs, func(r Release, _ int) outlier.Weight { return r.Evidence })
 }
 
-// attachEvidence gives releases what was told beside them.
+// attachEvidence sets the outcome weights of releases from a decoded message.
 func attachEvidence(rs []Release, seen []outlier.Weight) {
 	if len(seen) != len(rs) {
-		return // an older router tells nothing
+		return // sent by an older router, without weights
 	}
 	for i := range rs {
 		rs[i].Evidence = seen[i]
 	}
 }
 
-// Register lists all that an entry holds or has asked for at endpoints which
-// it believes the receiver to own. Whatever the receiver counts for this entry
-// with a sequence up to UpTo and does not find here has ended: this mends lost
-// releases, and it tells a new owner what its endpoints run.
+// Register lists all grants that an entry holds or has requested at endpoints
+// that it takes the receiver to own. Grants of this entry with a sequence up to
+// UpTo that are not listed have ended. This corrects lost releases and tells a
+// new owner what its endpoints run.
 type Register struct {
 	Entry EntryID      `cbor:"1,keyasint"`
 	UpTo  Sequence     `cbor:"2,keyasint"`
@@ -264,7 +264,7 @@
 	Grants      []HeldGrant
 }
 
-// HeldGrant is a live grant in a Register.
+// HeldGrant is a live grant in a Register message.
 type HeldGrant struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence Sequence
@@ -272,13 +272,13 @@
 	Flags    HeldFlags
 }
 
-// HeldFlags tells more of a grant in a Register.
+// HeldFlags holds the properties of a grant in a Register message.
 type HeldFlags uint8
 
-// The flags of a held grant.
+// The flags of a HeldGrant.
 const (
-	HeldIsolated HeldFlags = 1 << iota // no other suspect may run beside it
-	HeldPending                        // asked for, not known to be granted
+	HeldIsolated HeldFlags = 1 << iota // isolated, see AdmitRequest
+	HeldPending                        // requested, but not known to be granted
 )
 
 // Encode returns m as CBOR.
@@ -299,34 +299,37 @@
 // Encode returns m as CBOR.
 func (m Register) Encode() []byte { return encode(m) }
 
-// DecodeAdmitRequest returns the request in b.
+// DecodeAdmitRequest returns the request in b. The error is of type
+// [ErrMalformed].
 func DecodeAdmitRequest(b []byte) (m AdmitRequest, err error) {
 	err = decode(b, &m)
 	attachEvidence(m.Releases, m.Evidence)
 	return m, err
 }
 
-// DecodeAdmitReply returns the reply in b.
+// DecodeAdmitReply returns the reply in b. The error is of type [ErrMalformed].
 func DecodeAdmitReply(b []byte) (m AdmitReply, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// DecodeReleaseBatch returns the batch in b.
+// DecodeReleaseBatch returns the batch in b. The error is of type
+// [ErrMalformed].
 func DecodeReleaseBatch(b []byte) (m ReleaseBatch, err error) {
 	err = decode(b, &m)
 	attachEvidence(m.Releases, m.Evidence)
 	return m, err
 }
 
-// DecodeRegister returns the registration in b.
+// DecodeRegister returns the registration in b. The error is of type
+// [ErrMalformed].
 func DecodeRegister(b []byte) (m Register, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// encode panics on failure: the messages are plain data, so a failure is a
-// mistake in their declaration.
+// encode panics on failure. The messages are plain data, so that a failure is
+// an error in their declaration.
 func encode(m any) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
@@ -345,7 +348,8 @@
 // Duration returns m as a duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// millis returns d in milliseconds, rounded up so that a short span is not none.
+// millis converts d to milliseconds, rounding up so that a positive duration
+// never becomes zero.
 func millis(d time.Duration) Millis {
 	if d <= 0 {
 		return 0
--- a/coordination/placement/model_test.go
+++ b/coordination/placement/model_test.go
@@ -15,18 +15,18 @@
 	"wisteriaspool/coordination"
 )
 
-// scheme is a way to place requests.
+// scheme is a placement algorithm.
 type scheme string
 
 const (
 	rendezvousOnly scheme = "rendezvous"
-	routerLocal    scheme = "router-local" // each router keeps the bound among its own requests
-	laggedReports  scheme = "lagged"       // endpoints' reports up to 1 s old, and own requests since
+	routerLocal    scheme = "router-local" // each router applies the bound to its own requests
+	laggedReports  scheme = "lagged"       // endpoint reports up to 1 s old plus own requests since
 	ownerAdmission scheme = "owner"
-	ownerWait      scheme = "owner-wait" // the same, with the default wait for a warm endpoint
+	ownerWait      scheme = "owner-wait" // owner admission with the default WarmWait
 )
 
-// scenario is what happens to the pool meanwhile.
+// scenario is the change applied to the pool during a run.
 type scenario string
 
 const (
@@ -36,8 +36,9 @@
 	surge    scenario = "surge" // three of ten accounts at ten times their rate
 )
 
-// setup is one run of the model: the decisions themselves, driven by a small
-// event loop before fake engines that have a cache and a running count.
+// setup configures one run of the model. The model runs the actual placement
+// code in an event loop with simulated engines that have a cache and a request
+// count.
 type setup struct {
 	scheme    scheme
 	scenario  scenario
@@ -51,27 +52,27 @@
 }
 
 const (
-	modelMeanLoad = 10                     // requests at an endpoint, on average
-	modelHold     = 2 * time.Second        // mean time that a request runs
-	modelHop      = 1 * time.Millisecond   // one way
-	modelCache    = 120                    // chats that an engine has cached
-	modelChats    = 100                    // chats for each endpoint
-	modelCapacity = 16                     // requests that an engine runs in a surge
-	modelReport   = 1 * time.Second        // lag of reports
-	modelListLag  = 2 * time.Second        // longest lag of a router's list
-	modelSample   = 100 * time.Millisecond // between two samples of the skew
-	modelWarmUp   = 10 * time.Second       // not measured
-	modelEnvelope = 12                     // bytes around each payload
+	modelMeanLoad = 10                     // mean number of requests at an endpoint
+	modelHold     = 2 * time.Second        // mean duration of a request
+	modelHop      = 1 * time.Millisecond   // one-way network delay
+	modelCache    = 120                    // chats in the cache of an engine
+	modelChats    = 100                    // chats per endpoint
+	modelCapacity = 16                     // concurrent requests of an engine in a surge
+	modelReport   = 1 * time.Second        // interval of load reports
+	modelListLag  = 2 * time.Second        // maximum lag of a router's endpoint list
+	modelSample   = 100 * time.Millisecond // interval between samples of the skew
+	modelWarmUp   = 10 * time.Second       // excluded from the results
+	modelEnvelope = 12                     // framing overhead of each message, in bytes
 )
 
-// engine is a fake endpoint.
+// engine is a simulated endpoint.
 type engine struct {
 	Descriptor
 	running int
-	cache   *list.List // of chats, latest first
+	cache   *list.List // chats, most recently used first
 	where   map[int]*list.Element
-	reports []int    // running, by report tick
-	onDeath []func() // what the entries of its requests do when it dies
+	reports []int    // running requests at the last two reports
+	onDeath []func() // called for each of its requests when the engine dies
 }
 
 func (e *engine) touch(chat int) (warm bool) {
@@ -107,14 +108,14 @@
 	return last
 }
 
-// modelRouter is a router of the model.
+// modelRouter is a simulated router.
 type modelRouter struct {
 	Router
 	owner    *Owner
 	set      *Set
 	sequence Sequence
-	own      map[coordination.Endpoint]int // own requests running
-	since    map[coordination.Endpoint]int // begun since the last report
+	own      map[coordination.Endpoint]int // running requests of this router
+	since    map[coordination.Endpoint]int // started since the last report
 	releases map[coordination.Instance][]Release
 	waiting  []modelWaiter
 	bytes    int // sent and received
@@ -126,7 +127,7 @@
 	then func(AdmitReply)
 }
 
-// model runs a setup.
+// model is the state of a run.
 type model struct {
 	setup
 	cfg     Config
@@ -145,7 +146,7 @@
 
 	placed, over, reused, refused, lost int
 	skew                                []float64
-	waits                               map[bool]*hdrhistogram.Histogram // by surging
+	waits                               map[bool]*hdrhistogram.Histogram // in milliseconds, by whether the account surges
 	asked, served                       map[bool]int
 }
 
@@ -207,13 +208,13 @@
 	return NewSet(lo.Map(m.live, func(id coordination.Endpoint, _ int) Descriptor { return m.engines[id].Descriptor }))
 }
 
-// after runs do after d.
+// after schedules do to run after d.
 func (m *model) after(d time.Duration, do func()) {
 	m.order++
 	heap.Push(&m.queue, task{at: m.now.Add(d), order: m.order, do: do})
 }
 
-// every runs do again and again.
+// every schedules do to run repeatedly at interval d.
 func (m *model) every(d time.Duration, do func()) {
 	m.after(d, func() {
 		do()
@@ -249,7 +250,7 @@
 	}
 }
 
-// reset forgets what was measured while the load came up from nothing.
+// reset discards the results of the warm-up.
 func (m *model) reset() {
 	m.placed, m.over, m.reused, m.refused, m.lost = 0, 0, 0, 0, 0
 	m.skew = nil
@@ -270,7 +271,7 @@
 func (m *model) arrive() {
 	base := modelHold / time.Duration(modelMeanLoad*m.setup.endpoints)
 	if m.scenario == surge {
-		base *= 2 // half loaded before the surge
+		base *= 2 // half the load before the surge
 	}
 	for account := range 10 {
 		m.arriveOf(account, base*10)
@@ -289,7 +290,7 @@
 	})
 }
 
-// request is one request of a chat that returns.
+// request simulates one request of a random chat.
 func (m *model) request(account int, surging bool) {
 	chat := m.rng.IntN(modelChats * m.setup.endpoints)
 	r := m.routers[m.rng.IntN(len(m.routers))]
@@ -321,7 +322,7 @@
 
 func xxhashInt(n int) uint64 { return mix(uint64(n), 1) }
 
-// choose places by one of the schemes that ask nobody.
+// choose selects an endpoint by one of the schemes without an owner.
 func (m *model) choose(r *modelRouter, req Request) *Descriptor {
 	all := r.set.Candidates(nil, testPool, req.Key, req.Hint, r.set.Len(testPool))
 	load := func(*Descriptor) int { return -1 }
@@ -340,8 +341,7 @@
 	return d
 }
 
-// latest returns the engine's load as of its last report, which is up to a
-// second old.
+// latest returns the engine's load at its last report, which is up to 1 s old.
 func (e *engine) latest() int {
 	if len(e.reports) == 0 {
 		return 0
@@ -349,8 +349,8 @@
 	return e.reports[len(e.reports)-1]
 }
 
-// reported returns the engine's load as of the last report but one, as its
-// owner learns it.
+// reported returns the engine's load at its second to last report, which is the
+// one that its owner has received.
 func (e *engine) reported() int {
 	if len(e.reports) == 0 {
 		return 0
@@ -358,7 +358,7 @@
 	return e.reports[0]
 }
 
-// step asks the next question of a walk.
+// step asks the next candidate of a walk.
 func (m *model) step(r *modelRouter, w *walk, seq Sequence, done func(*Descriptor, func())) {
 	a, _, ok := w.next(m.now)
 	if !ok {
@@ -407,7 +407,7 @@
 	return EntryID{Instance: r.ID, Incarnation: 1_800_000_000_000}
 }
 
-// hop carries a message from one router to another.
+// hop sends a message from one router to another.
 func (m *model) hop(from, to *modelRouter, size int, then func()) {
 	if from == to {
 		then()
@@ -420,7 +420,7 @@
 	m.after(modelHop, then)
 }
 
-// settle passes on the answers that waiting requests have got.
+// settle delivers the replies to requests that were queued.
 func (m *model) settle(r *modelRouter) {
 	ready := lo.Filter(r.waiting, func(w modelWaiter, _ int) bool { return len(w.w.done) > 0 })
 	if len(ready) == 0 {
@@ -523,7 +523,8 @@
 	}
 }
 
-// report lets all engines report. The report before is what has arrived.
+// report records a load report of every engine. Owners receive the previous
+// one.
 func (m *model) report() {
 	for _, e := range m.engines {
 		e.reports = append(e.reports, e.running)
@@ -544,7 +545,7 @@
 	})
 }
 
-// replace lets the oldest endpoint leave, and another one join.
+// replace removes the oldest endpoint and adds a new one.
 func (m *model) replace() {
 	old := m.live[0]
 	m.live = m.live[1:]
@@ -553,7 +554,7 @@
 	m.after(30*time.Second, func() { delete(m.engines, old) })
 }
 
-// flap restarts an endpoint: it loses what runs and its cache.
+// flap restarts an endpoint, which loses its running requests and its cache.
 func (m *model) flap() {
 	id := m.live[0]
 	old := m.engines[id]
@@ -570,7 +571,7 @@
 	m.distributeList()
 }
 
-// reportLost is what the entries that lost a request there tell the owner.
+// reportLost tells the owner of an endpoint that the endpoint was found dead.
 func (m *model) reportLost(d Descriptor) {
 	owner := m.byID[m.view.Owner(d.ID, d.Zone)]
 	lost := []LostEndpoint{{Endpoint: d.ID, Incarnation: d.Incarnation}}
@@ -578,7 +579,7 @@
 	m.settle(owner)
 }
 
-// distributeList gives each router the list after a lag of its own.
+// distributeList gives each router the endpoint list after a random lag.
 func (m *model) distributeList() {
 	set := m.list()
 	m.each(func(r *modelRouter) {
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -8,14 +8,13 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// outlierDivisor is the part of a pool that may be kept off at a time, as a
-// divisor: one endpoint in three. Were more of them to fail than that, the rest
-// would drown, and what looks like many bad endpoints is more often one cause
-// behind them all.
+// outlierDivisor limits the outliers avoided in a pool to one endpoint in
+// three. If more endpoints fail, the rest could not carry the load, and the
+// failures are more likely to have a common cause.
 const outlierDivisor = 3
 
-// maxOutliers returns how many of n endpoints a request keeps off. Of two one is
-// kept off, since the other can take its load; a single one has no other.
+// maxOutliers returns how many of n endpoints requests may avoid. One of two
+// may be avoided, since the other can take its load; a single endpoint may not.
 func maxOutliers(n int) int {
 	if n < 2 {
 		return 0
@@ -23,8 +22,8 @@
 	return max(n/outlierDivisor, 1)
 }
 
-// OutlierChange tells that an endpoint is taken out, or back, for the routers of a
-// zone.
+// OutlierChange reports that an endpoint is ejected or readmitted for the
+// routers of an availability zone.
 type OutlierChange struct {
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
@@ -32,21 +31,22 @@
 	outlier.Change
 }
 
-// OnOutlier has fn told of each change of an own endpoint's standing. It is
-// called under a lock and must not call the owner. It is to be set before the
-// first [Owner.Update].
+// OnOutlier sets fn to be called on every change of the outlier state of an own
+// endpoint. It is called with a lock held and must not call the owner. It must
+// be set before the first [Owner.Update].
 func (o *Owner) OnOutlier(fn func(OutlierChange)) { o.onOutlier = fn }
 
 // zoneOf returns the availability zone of an entry's router. Routers that are
-// not listed yet share the zone without a name.
+// not listed yet share the empty zone.
 func (o *Owner) zoneOf(e EntryID) coordination.Zone {
 	r, _ := o.view.Load().routers.Find(e.Instance)
 	return r.Zone
 }
 
-// recordEvidence takes in what a request showed of its endpoint, and reports whether the
-// endpoint is taken out for the zone of the request's router. A request that this
-// owner does not count says nothing: it was taken in before, or at another owner.
+// recordEvidence passes the outcome weight of a request to the outlier detector
+// of its endpoint and reports whether the endpoint is ejected for the zone of
+// the request's router. A request that this owner does not count is ignored,
+// because it was recorded before or by another owner.
 func (o *Owner) recordEvidence(now time.Time, n Notice, from EntryID) (out bool) {
 	zone := o.zoneOf(from)
 	s := o.shard(n.Endpoint)
@@ -62,11 +62,12 @@
 	return l.detector.OutFor(zone)
 }
 
-// outlierChanged follows a change of the endpoint's standing. Requests that wait
-// there look for another place. The endpoint goes on counting in its pool's mean:
-// else the others would be let over the bound for the load that it does not take.
-// On a day with eight of twelve engines that lost 3 of 10 answers, most were taken
-// out, and 21 of 566 requests met an engine over twice the mean load.
+// outlierChanged handles a change of the endpoint's outlier state. Requests
+// queued at an ejected endpoint are passed on. The endpoint still counts in its
+// pool's mean; otherwise the others would exceed the bound by the load that it
+// does not take. With 8 of 12 engines losing 3 of 10 answers, most were
+// ejected, and 21 of 566 requests ran on an engine at more than twice the mean
+// load.
 func (l *endpointLoad) outlierChanged(c outlier.Change, tell func(OutlierChange)) {
 	if tell != nil {
 		tell(OutlierChange{Endpoint: l.desc.ID, Incarnation: l.desc.Incarnation, Pool: l.desc.Pool, Change: c})
@@ -76,8 +77,8 @@
 	}
 }
 
-// mustAvoid tells whether a request is to keep off the endpoint for its failures,
-// and for how long.
+// mustAvoid reports whether a request must avoid the endpoint because of its
+// failures, and for how long.
 func (l *endpointLoad) mustAvoid(now time.Time, req *AdmitRequest, zone coordination.Zone) (time.Duration, bool) {
 	if req.AllowOutlier {
 		return 0, false
@@ -104,27 +105,28 @@
 	return n
 }
 
-// minAvoidTime is the least time for which an entry need not ask again.
+// minAvoidTime is the shortest time for which an entry avoids an endpoint.
 const minAvoidTime = 100 * time.Millisecond
 
-// avoidTable holds which endpoints an entry need not ask about, by the word of
-// their owners. Without it each request would first be sent away by the owner
-// of its bad endpoint, 7 ms away. The zero value is ready for use.
+// avoidTable holds the endpoints that an entry need not ask about, because
+// their owners rejected requests for an outlier state. Without it, each request
+// would first be rejected by the owner of the failing endpoint, which is 7 ms
+// away. The zero value is ready for use.
 type avoidTable struct {
 	mu    sync.Mutex
 	until map[avoidKey]time.Time
 }
 
-// avoidKey is an endpoint that turned a request away for its failures. One that
-// takes requests which may be sent again may keep off others.
+// avoidKey identifies an endpoint that rejected a request for its failures. An
+// endpoint that rejects non-retryable requests may still accept others.
 type avoidKey struct {
 	pool         coordination.Pool
 	endpoint     coordination.Endpoint
 	nonRetryable bool
 }
 
-// maxAvoidTime bounds for how long an entry does not ask, so that a new owner,
-// which knows of no failures, is asked soon.
+// maxAvoidTime bounds how long an entry avoids an endpoint without asking, so
+// that a new owner, which has no record of failures, is asked soon.
 const maxAvoidTime = time.Second
 
 func (t *avoidTable) note(now time.Time, d avoidKey, wait time.Duration) {
@@ -141,8 +143,8 @@
 	t.until[d] = now.Add(min(wait, maxAvoidTime))
 }
 
-// outliers returns how many endpoints of a pool are known to take no requests at
-// all.
+// outliers returns the number of endpoints of a pool that are known to reject
+// all requests.
 func (t *avoidTable) outliers(now time.Time, p coordination.Pool) int {
 	if t == nil {
 		return 0
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -12,10 +12,11 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// clearFailure is the weight of a failure that leaves little doubt.
+// clearFailure is the weight of an unambiguous failure.
 const clearFailure outlier.Weight = 390
 
-// fail has requests fail at an endpoint until its owner takes it out.
+// fail makes requests fail at an endpoint until its owner ejects it. It returns
+// the time of the ejection.
 func fail(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
 	t.Helper()
 	for seq := Sequence(1000); ; seq++ {
@@ -25,14 +26,14 @@
 			return now
 		}
 		assert.Equal(t, r.Decision, Granted)
-		assert.Assert(t, seq < 1010, "not taken out after ten failures")
+		assert.Assert(t, seq < 1010, "not ejected after ten failures")
 		now = now.Add(50 * time.Millisecond)
 		o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: e, Sequence: seq, Evidence: clearFailure}}})
 	}
 }
 
-// An endpoint fails what others serve. Its owner is the one place that all
-// routers ask, so that all of them keep off it as soon as the owner does.
+// Guards against requests placed at an endpoint that fails what others serve.
+// The owner rejects them for all routers as soon as it ejects the endpoint.
 func TestOwnerRejectsRequestsAtOutlier(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	var told []OutlierChange
@@ -44,25 +45,26 @@
 	r := admit(o, now, 1, "e0")
 	assert.Equal(t, r.Decision, Next)
 	assert.Equal(t, r.Code, Outlier)
-	assert.Assert(t, r.RetryAfter > 0, "an entry need not ask before")
+	assert.Assert(t, r.RetryAfter > 0, "a rejection must say when to ask again")
 	assert.Equal(t, admit(o, now, 2, "e1").Decision, Granted)
 }
 
-// An endpoint that gets nothing still counts in the mean of its pool. Were it left
-// out, the others would be let over the bound for the load that it does not take,
-// and with several outliers they would drown.
+// Guards against a bound that rises because an ejected endpoint is left out of
+// the mean. The other endpoints would then be overloaded by the load that it
+// does not take.
 func TestOutlierCountsInTheMean(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(2), Config{})
 	now = fail(t, o, now, "e0")
-	// Of two endpoints one may run ceil(1.25 times the mean): two requests of two,
-	// and no third one, which would make the mean 1.5.
+	// Each of two endpoints may run ceil(1.25 * mean) requests. That allows two
+	// requests, but not a third, for which the mean is 1.5.
 	assert.Equal(t, admit(o, now, 1, "e1").Decision, Granted)
 	assert.Equal(t, admit(o, now, 2, "e1").Decision, Granted)
 	assert.Equal(t, admit(o, now, 3, "e1").Code, OverBound)
 }
 
-// The others of a pool are over their bound for the load that an outlier does not
-// take. Requests go to the outlier then, rather than wait or drown the others.
+// Guards against requests that wait, or overload the other endpoints, when
+// these are at their bound because of an outlier. Such requests are placed at
+// the outlier.
 func TestOutlierIsUsedBeforeOthersAreOverTheirBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(2)
@@ -90,7 +92,7 @@
 	})
 }
 
-// The count of a pool must come out even however an endpoint goes.
+// Guards against a wrong pool count after an outlier leaves or is readmitted.
 func TestOutlierThatLeavesOrComesBack(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
 		es := testEndpoints(2)
@@ -100,7 +102,7 @@
 		if leaves {
 			o.MarkLeaving("e0", 1)
 		} else {
-			now = now.Add(10 * time.Second) // untried, it comes back
+			now = now.Add(10 * time.Second) // readmitted after a time without requests
 			assert.Equal(t, admit(o, now, 2, "e0").Decision, Granted)
 		}
 		o.tick(now)
@@ -115,8 +117,8 @@
 	}
 }
 
-// A request that may run only once meets an endpoint that has just failed one.
-// Nothing can mend a failure there, and other endpoints are as good.
+// Guards against a non-retryable request placed at an endpoint that has just
+// failed one, while other endpoints are available.
 func TestNonRetryableAvoidsDoubtedEndpoint(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
@@ -127,8 +129,8 @@
 	assert.Equal(t, admit(o, now, 3, "e0").Decision, Granted)
 }
 
-// While a request still waits for its answer, the router asks whether the
-// endpoint is known to fail.
+// Guards against a router that learns too late, while a request is still
+// running, that its endpoint is ejected.
 func TestNoticeIsAnswered(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
@@ -138,7 +140,8 @@
 	assert.DeepEqual(t, o.release(now, batch).Ejected, []coordination.Endpoint{"e0"})
 }
 
-// Entries and owners of two versions meet while a fleet is updated.
+// Guards against incompatible messages between router versions during a rolling
+// update.
 func TestOlderRoutersReadReleases(t *testing.T) {
 	type oldRelease struct {
 		_        struct{} `cbor:",toarray"`
@@ -170,8 +173,8 @@
 	assert.Equal(t, len(reply.Ejected), 0)
 }
 
-// fleetWithOutliers returns a fleet in which all requests at some endpoints have
-// failed until these were taken out.
+// fleetWithOutliers returns a fleet in which the first bad endpoints have
+// failed requests until they were ejected.
 func fleetWithOutliers(t *testing.T, endpoints, bad int) (*fleet, []Descriptor) {
 	t.Helper()
 	es := testEndpoints(endpoints)
@@ -194,8 +197,8 @@
 	return f, es
 }
 
-// A third of a pool fails. Whatever a request's own order of endpoints is, it is
-// placed at one of the others, from each router.
+// Guards against requests placed at ejected endpoints when a third of a pool
+// fails, whatever their order of candidates and whichever router receives them.
 func TestEntriesAvoidOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 2)
@@ -210,8 +213,8 @@
 	})
 }
 
-// More of a pool seems to fail than the rest can stand in for. Kept off them
-// all, the requests would drown the rest; so they are sent there all the same.
+// Guards against overloading the rest of a pool when too many of its endpoints
+// fail. Requests are then placed at the failing endpoints as well.
 func TestAtMostOneThirdOfPoolIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 5)
@@ -224,12 +227,11 @@
 				g.Release()
 			}
 		}
-		assert.Equal(t, len(met), 6, "endpoints that are used")
+		assert.Equal(t, len(met), 6, "number of endpoints that received requests")
 	})
 }
 
-// The only endpoint of a pool fails. A request is better sent to it than to
-// nobody.
+// Guards against refusing all requests of a pool whose only endpoint fails.
 func TestOnlyEndpointIsNeverAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 1, 1)
@@ -241,8 +243,8 @@
 	})
 }
 
-// A second attempt beside one that is still open must not wait in a queue: the
-// first may have its answer long before.
+// Guards against a second attempt that waits in a queue while the first is
+// still open: the first may be answered long before.
 func TestRequestForNowDoesNotQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(1)
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -11,12 +11,12 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// ownerShards is the number of locks over the endpoints of an owner.
+// ownerShards is the number of locks that guard the endpoints of an owner.
 const ownerShards = 16
 
-// Owner counts the requests at the endpoints that this router owns and grants
-// or declines new ones. It starts nothing: the router calls [Owner.Tick] a few
-// times a second.
+// Owner counts the requests at the endpoints that this router owns and admits
+// or rejects new ones. It starts no goroutines; the router calls [Owner.Tick]
+// several times a second.
 type Owner struct {
 	self   coordination.Instance
 	cfg    atomic.Pointer[Config]
@@ -25,27 +25,27 @@
 	view      atomic.Pointer[view]
 	decisions decisionCounts
 
-	mu    sync.Mutex // orders updates of view and guards what follows
+	mu    sync.Mutex // serializes updates of view and guards the fields below
 	pools map[coordination.Pool]*poolLoad
 	sums  map[coordination.Pool]*poolSums
 
-	skippedRoots map[coordination.Instance]time.Time // when each was found silent
-	failingRoots map[coordination.Instance]time.Time // since when each has left reports unanswered
+	skippedRoots map[coordination.Instance]time.Time // when each root was last skipped
+	failingRoots map[coordination.Instance]time.Time // since when each root has not answered
 
 	entriesMu sync.Mutex
 	lastHeard map[EntryID]time.Time
 
-	onOutlier func(OutlierChange) // nil if nobody wants to know
+	onOutlier func(OutlierChange) // may be nil
 }
 
-// ownerShard holds a part of the endpoints under its own lock.
+// ownerShard holds part of the endpoints under its own lock.
 type ownerShard struct {
 	mu    sync.Mutex
 	loads map[coordination.Endpoint]*endpointLoad
 }
 
-// NewOwner returns the owner side of the router self, which owns nothing until
-// its first [Owner.Update].
+// NewOwner returns the owner role of router self. It owns no endpoints before
+// the first [Owner.Update].
 func NewOwner(self coordination.Instance, cfg Config) *Owner {
 	o := &Owner{
 		self:         self,
@@ -63,7 +63,7 @@
 	return o
 }
 
-// Configure puts new settings in force.
+// Configure replaces the settings.
 func (o *Owner) Configure(cfg Config) {
 	cfg = cfg.withDefaults()
 	o.cfg.Store(&cfg)
@@ -73,9 +73,10 @@
 	return &o.shards[xxhash.Sum64String(string(id))%ownerShards]
 }
 
-// Update takes new lists of endpoints and routers. Endpoints that this router
-// now owns are counted from what they report and entries register; those it no
-// longer owns are forgotten, and their waiting requests are passed on.
+// Update applies new lists of endpoints and routers. The load of newly owned
+// endpoints is taken from their reports and from registrations of entries.
+// Endpoints that are no longer owned are dropped and their queued requests
+// passed on.
 func (o *Owner) Update(set *Set, routers *Routers) {
 	o.update(time.Now(), set, routers)
 }
@@ -99,7 +100,7 @@
 	o.expireDeadEntries(now, old.routers, routers)
 }
 
-// ownEndpoint starts or updates the count of an endpoint.
+// ownEndpoint starts or updates the load count of an endpoint.
 func (o *Owner) ownEndpoint(now time.Time, d Descriptor, last *view) {
 	cfg := o.cfg.Load()
 	s := o.shard(d.ID)
@@ -115,13 +116,13 @@
 		return
 	}
 	if l != nil && l.desc.Incarnation > d.Incarnation {
-		return // an older list
+		return // from an outdated list
 	}
 	if l != nil {
 		l.retire(EndpointLost)
 	}
-	// Somebody may have placed requests there before, unless the endpoint has
-	// only now come up or restarted before our eyes.
+	// Other owners may have admitted requests here before, unless the endpoint
+	// was first listed or restarted while this router was running.
 	var settled time.Time
 	old := last.set.Find(d.ID)
 	seen := old != nil && old.Incarnation == d.Incarnation
@@ -133,7 +134,7 @@
 	s.loads[d.ID] = l
 }
 
-// dropUnowned forgets the endpoints that are gone or not owned by self.
+// dropUnowned drops endpoints that are gone or not owned by self.
 func (s *ownerShard) dropUnowned(self coordination.Instance, set *Set, routers *Routers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +151,8 @@
 	}
 }
 
-// expireDeadEntries ends the grants of entries that have died or restarted. An entry
-// that was never listed may be newer than the list, and is left alone.
+// expireDeadEntries ends the grants of entries that have died or restarted. An
+// entry that was never listed may be newer than the list and is kept.
 func (o *Owner) expireDeadEntries(now time.Time, before, routers *Routers) {
 	for _, e := range o.entries() {
 		m, ok := routers.Find(e.Instance)
@@ -162,7 +163,8 @@
 	}
 }
 
-// poolLoad returns the load of a pool. The caller holds o.mu.
+// poolLoad returns the load of a pool, creating it if needed. The caller holds
+// o.mu.
 func (o *Owner) poolLoad(name coordination.Pool) *poolLoad {
 	p := o.pools[name]
 	if p == nil {
@@ -172,8 +174,8 @@
 	return p
 }
 
-// MarkLeaving marks an incarnation of an endpoint as leaving from any first sign
-// of it: the endpoint's own word, or a rumour. It cannot be taken back.
+// MarkLeaving marks an incarnation of an endpoint as leaving. The source may be
+// the endpoint itself or gossip. The mark is final.
 func (o *Owner) MarkLeaving(id coordination.Endpoint, n coordination.Incarnation) {
 	s := o.shard(id)
 	s.mu.Lock()
@@ -184,7 +186,7 @@
 	}
 }
 
-// Report takes an endpoint's own word on its load.
+// Report applies an endpoint's load report.
 func (o *Owner) Report(r Report) { o.report(time.Now(), r) }
 
 func (o *Owner) report(now time.Time, r Report) {
@@ -204,8 +206,8 @@
 	l.dispatch(now, cfg)
 }
 
-// Tick does what only time brings about: it lapses the grants of entries that
-// have gone silent, ages reports and serves queues.
+// Tick does the periodic work: it expires the grants of silent entries, ages
+// load reports and serves the queues.
 func (o *Owner) Tick() { o.tick(time.Now()) }
 
 func (o *Owner) tick(now time.Time) {
--- a/coordination/placement/owner_test.go
+++ b/coordination/placement/owner_test.go
@@ -12,7 +12,7 @@
 
 var testStart = time.UnixMilli(1_800_000_000_000)
 
-// newTestOwner returns an owner of n endpoints that has settled, and the time.
+// newTestOwner returns an owner of es, and a time at which it has settled.
 func newTestOwner(t *testing.T, es []Descriptor, cfg Config) (*Owner, time.Time) {
 	t.Helper()
 	o := NewOwner("r0", cfg)
@@ -25,20 +25,21 @@
 func admit(o *Owner, now time.Time, seq Sequence, e coordination.Endpoint) AdmitReply {
 	r, w := o.submit(now, AdmitRequest{Entry: testEntry, Sequence: seq, Endpoint: e})
 	if w != nil {
-		panic("queued")
+		panic("request was queued")
 	}
 	return r
 }
 
 func TestOwnerKeepsTheRelativeBound(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(4), Config{})
-	// One endpoint alone may have one request, whatever the mean is.
+	// A single endpoint may always run one request, whatever the mean.
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
 	assert.DeepEqual(t, admit(o, now, 2, "e0"), AdmitReply{Decision: Next, Code: OverBound})
 	for i, e := range []coordination.Endpoint{"e1", "e2", "e3"} {
 		assert.Equal(t, admit(o, now, Sequence(3+i), e).Decision, Granted)
 	}
-	// Four run, and the fifth makes the mean 1.25: ceil(1.25*1.25) is 2.
+	// Four requests run. The fifth makes the mean 1.25, and ceil(1.25*1.25) is
+	// 2.
 	assert.Equal(t, admit(o, now, 6, "e0").Decision, Granted)
 	assert.Equal(t, admit(o, now, 7, "e0").Code, OverBound)
 }
@@ -54,9 +55,9 @@
 	assert.Equal(t, admit(o, now, 3, "e0").Code, OverBound)
 }
 
-// An entry gives a request up while its question is still on the way to the
-// owner, so the release overtakes it. Were it granted then, the endpoint would
-// seem to run one request more for ever.
+// Guards against a grant that is never released because the release arrives
+// before the request, after the entry gave the request up. The endpoint would
+// appear to run one more request forever.
 func TestReleaseThatOvertakesItsRequest(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(1), Config{})
 	o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1}}})
@@ -69,7 +70,7 @@
 	o, now := newTestOwner(t, es, Config{})
 	o.MarkLeaving("e0", 1)
 	assert.Equal(t, admit(o, now, 1, "e0").Code, EndpointLeaving)
-	// A lagging list still calls it live.
+	// An outdated list still reports it as live.
 	o.update(now, NewSet(es), NewRouters(testRouters(1), 0))
 	assert.Equal(t, admit(o, now, 2, "e0").Code, EndpointLeaving)
 	es[0].Incarnation = 2
@@ -96,10 +97,10 @@
 	})
 }
 
-// A router restarts at once, so that lists never drop it. What it ran before is
-// over; counted on, it would keep new requests from the endpoint. A router that
-// was frozen, on the other hand, comes back in lists with a higher incarnation
-// while the same process still holds its grants, and they have to stay.
+// Guards against counting the requests of a router that restarted so quickly
+// that no list dropped it; they would keep new requests from the endpoint. A
+// router that was frozen is listed again with a higher incarnation while the
+// same process still holds its grants, which must be kept.
 func TestGrantsEndWithTheProcessNotWithTheListing(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(4), Config{})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,12 +1,12 @@
-// Package placement decides which endpoint runs a request, so that no endpoint
-// carries more than a set multiple of the mean load of its pool and a chat
-// that returns finds its earlier context still cached.
+// Package placement selects the endpoint for each request. It keeps the load of
+// every endpoint within a configured multiple of its pool's mean and returns a
+// chat to the endpoint that has its context cached.
 //
-// Every router is an entry: it takes requests from callers and walks the
-// candidate endpoints of a chat ([Set.Candidates]). Some routers own endpoints
-// ([Routers.Owner]): the owner alone counts the requests of an endpoint and
-// grants or declines each new one ([Owner.Admit]). The package does no I/O; an
-// [Entry] reaches owners through a [Transport].
+// Every router is an entry: it accepts requests from callers and tries the
+// candidate endpoints of a chat in order ([Set.Candidates]). Some routers also
+// own endpoints ([Routers.Owner]). Only the owner counts the requests of an
+// endpoint and admits or rejects new ones ([Owner.Admit]). The package does no
+// I/O; an [Entry] reaches owners through a [Transport].
 package placement
 
 import (
@@ -19,7 +19,7 @@
 	"wisteriaspool/coordination"
 )
 
-// State is what is known of an endpoint's willingness to take new work.
+// State is the availability of an endpoint for new requests.
 type State uint8
 
 // The states of an endpoint. Leaving is final for an incarnation.
@@ -29,7 +29,7 @@
 	Leaving
 )
 
-// String returns the name of s as logs and metrics show it.
+// String returns the name of s used in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -43,7 +43,7 @@
 	}
 }
 
-// Descriptor describes an endpoint to the placement decisions.
+// Descriptor describes an endpoint to the placement algorithm.
 type Descriptor struct {
 	ID          coordination.Endpoint
 	Zone        coordination.Zone
@@ -51,20 +51,20 @@
 	Incarnation coordination.Incarnation
 	State       State
 
-	// Capacity is the number of requests that the endpoint may run at a time.
-	// Zero leaves that to the endpoint's own report.
+	// Capacity is the maximum number of concurrent requests. Zero means that
+	// the endpoint's own report determines it.
 	Capacity int
 
-	// Weight is the endpoint's share of chats against the others of its pool.
-	// Zero means 1.
+	// Weight is the endpoint's relative share of the chats of its pool. Zero
+	// means 1.
 	Weight float64
 
-	// WeightFactor scales Weight while the endpoint's cache is cold or its
-	// membership unsteady, between 0 and 1. Zero means 1.
+	// WeightFactor scales Weight, between 0 and 1, while the endpoint's cache
+	// is cold or it restarts often. Zero means 1.
 	WeightFactor float64
 }
 
-// weight returns the effective weight of d among the endpoints of its pool.
+// weight returns the effective weight of d in its pool.
 func (d *Descriptor) weight() float64 {
 	w := d.Weight
 	if w <= 0 {
@@ -79,13 +79,12 @@
 	return w
 }
 
-// suspectShare is the share of its chats that an endpoint keeps while its
-// death is suspected: small, but not nothing, since the whole pool may be
-// suspected by a router that is itself cut off.
+// suspectShare is the fraction of its chats that a suspect endpoint keeps. It
+// is not zero, because a partitioned router may suspect the whole pool.
 const suspectShare = 1.0 / 64
 
-// Key places a request among the endpoints of a pool: equal keys meet the
-// same candidates in the same order.
+// Key is the hash that places a request among the endpoints of a pool. Equal
+// keys get the same candidates in the same order.
 type Key uint64
 
 // KeyOf returns the key of a chat.
@@ -93,9 +92,9 @@
 	return Key(xxhash.Sum64String(string(chat)))
 }
 
-// Hint names the incarnation of an endpoint where a chat is warm. It is a hash,
-// so that it is short, tells a caller nothing and is simply not found once the
-// endpoint has restarted. Zero names none.
+// Hint identifies the incarnation of an endpoint that has a chat's context
+// cached. It is a hash, so that it is short, reveals nothing to callers and no
+// longer matches after the endpoint restarts. Zero means no hint.
 type Hint uint64
 
 // HintOf returns the hint for an incarnation of an endpoint.
@@ -103,7 +102,8 @@
 	return Hint(mix(xxhash.Sum64String(string(id)), uint64(n)))
 }
 
-// String returns h as callers see and echo it: 11 characters, or none for zero.
+// String returns h as sent to callers: 11 characters of unpadded base64url, or
+// the empty string for zero.
 func (h Hint) String() string {
 	if h == 0 {
 		return ""
@@ -113,8 +113,9 @@
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// ParseHint returns the hint that s spells, or zero: a caller may send
-// anything, and a hint that says nothing costs the chat only its cache.
+// ParseHint returns the hint encoded in s, or zero if s is malformed. Callers
+// may send arbitrary values; a wrong hint costs the chat only its cached
+// context.
 func ParseHint(s string) Hint {
 	b, err := base64.RawURLEncoding.DecodeString(s)
 	if err != nil || len(b) != 8 {
@@ -123,7 +124,7 @@
 	return Hint(binary.BigEndian.Uint64(b))
 }
 
-// mix hashes two words into one.
+// mix hashes two integers into one.
 func mix(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
--- a/coordination/placement/release.go
+++ b/coordination/placement/release.go
@@ -8,7 +8,7 @@
 	"wisteriaspool/coordination"
 )
 
-// Release ends grants, and withdraws requests that still wait. It answers the
+// Release ends grants and withdraws queued requests. The reply answers the
 // notices in the batch.
 func (o *Owner) Release(b ReleaseBatch) ReleaseReply { return o.release(time.Now(), b) }
 
@@ -29,12 +29,13 @@
 	return r
 }
 
-// notice returns what a release tells of its endpoint.
+// notice returns the outcome weight of a release as a Notice.
 func (r Release) notice() Notice {
 	return Notice{Endpoint: r.Endpoint, Sequence: r.Sequence, Evidence: r.Evidence}
 }
 
-// markLost takes an entry's word that an endpoint is dead, before any list says so.
+// markLost marks an endpoint as dead because an entry found it so, ahead of the
+// instance list.
 func (o *Owner) markLost(now time.Time, e LostEndpoint) {
 	s := o.shard(e.Endpoint)
 	s.mu.Lock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// end ends one grant, or withdraws one waiting request.
+// end ends one grant or withdraws one queued request.
 func (o *Owner) end(now time.Time, id GrantID, endpoint coordination.Endpoint) {
 	s := o.shard(endpoint)
 	s.mu.Lock()
@@ -67,7 +68,7 @@
 	l.dispatch(now, cfg)
 }
 
-// withdraw answers a waiting request whose entry has given it up.
+// withdraw answers and removes a queued request that its entry has given up.
 func (l *endpointLoad) withdraw(id GrantID) bool {
 	for _, w := range l.queue.waiters() {
 		if w.id == id {
@@ -79,8 +80,8 @@
 	return false
 }
 
-// endUnknown takes the release of a grant that this owner has not seen, once:
-// either the admission is still on its way, or a former owner granted it.
+// endUnknown handles the first release of a grant that this owner has not seen.
+// The admission has not arrived yet, or a former owner granted it.
 func (l *endpointLoad) endUnknown(now time.Time, id GrantID) {
 	if _, again := l.released[id]; again {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// Register takes an entry's list of what it holds here.
+// Register applies an entry's list of the grants it holds here.
 func (o *Owner) Register(m Register) { o.register(time.Now(), m) }
 
 func (o *Owner) register(now time.Time, m Register) {
@@ -126,8 +127,8 @@
 	l.dispatch(now, cfg)
 }
 
-// adopt counts a grant that another owner gave. If the endpoint's report
-// counted it among the unknown, it is not counted twice.
+// adopt counts a grant made by another owner. A request that the endpoint's
+// report already counted as unaccounted is not counted twice.
 func (l *endpointLoad) adopt(now time.Time, id GrantID, g HeldGrant) {
 	if _, ok := l.grants[id]; ok || g.Flags&HeldPending != 0 {
 		return
@@ -142,15 +143,17 @@
 	}
 }
 
-// entryAlive notes a sign of life of an entry.
+// entryAlive records a message from an entry and expires its earlier
+// incarnations.
 func (o *Owner) entryAlive(now time.Time, e EntryID) {
 	for _, old := range o.markHeard(now, e) {
 		o.expireEntry(now, old)
 	}
 }
 
-// markHeard marks an entry as heard, and returns its earlier lives if it is new: a
-// process that has restarted no longer runs what it held before.
+// markHeard records when an entry was last heard. If it is new, markHeard
+// returns its earlier incarnations: a restarted process no longer runs its
+// former requests.
 func (o *Owner) markHeard(now time.Time, e EntryID) []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
@@ -164,14 +167,14 @@
 	})
 }
 
-// entries returns the entries heard from.
+// entries returns the entries that have been heard from.
 func (o *Owner) entries() []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
 	return lo.Keys(o.lastHeard)
 }
 
-// expiredEntries returns the entries not heard from for a lease.
+// expiredEntries returns the entries not heard from for longer than lease.
 func (o *Owner) expiredEntries(now time.Time, lease time.Duration) []EntryID {
 	o.entriesMu.Lock()
 	defer o.entriesMu.Unlock()
@@ -180,8 +183,8 @@
 	}))
 }
 
-// expireEntry ends all that an entry holds. If its requests still run, the
-// endpoint's report goes on counting them.
+// expireEntry ends all grants and queued requests of an entry. Requests that
+// still run remain counted by the endpoint's report.
 func (o *Owner) expireEntry(now time.Time, e EntryID) {
 	o.entriesMu.Lock()
 	delete(o.lastHeard, e)
--- a/coordination/placement/roster.go
+++ b/coordination/placement/roster.go
@@ -12,39 +12,41 @@
 	// flapHalfLife is the time in which the penalty of an endpoint halves.
 	flapHalfLife = 30 * time.Second
 
-	// flapPenalty is the penalty, one for each disappearance or restart, from
-	// which on an endpoint is damped.
+	// flapPenalty is the penalty from which an endpoint is damped. Each
+	// disappearance or restart adds one.
 	flapPenalty = 2.5
 
-	// flapShare is the share of its chats that a damped endpoint keeps. It is
-	// not nothing: if all endpoints flap, all are damped, and serve.
+	// flapShare is the fraction of its chats that a damped endpoint keeps. It
+	// is not zero, so that a pool in which all endpoints flap still serves
+	// requests.
 	flapShare = 1.0 / 8
 
-	// absentRetention is how long an endpoint that has gone is remembered.
+	// absentRetention is how long an endpoint that is no longer listed is
+	// remembered.
 	absentRetention = 10 * time.Minute
 )
 
-// Roster makes one list of endpoints out of what a router learns from the
-// instance list, from rumours and from the endpoints themselves. The first sign
-// that an incarnation is leaving is final, whichever source still calls it
-// live; and an endpoint that comes and goes gets few chats until it is steady.
+// Roster merges what a router learns about endpoints from the instance list,
+// from gossip and from the endpoints themselves. The first sign that an
+// incarnation is leaving is final, even if another source still reports it
+// live. An endpoint that restarts repeatedly gets few chats until it is stable.
 // The zero value is empty and ready for use.
 type Roster struct {
 	mu      sync.Mutex
 	tracked map[coordination.Endpoint]*trackedEndpoint
 }
 
-// trackedEndpoint is what is known of one endpoint.
+// trackedEndpoint is the state of one endpoint.
 type trackedEndpoint struct {
 	desc    Descriptor
 	present bool
-	leaving coordination.Incarnation // the latest one seen to leave
+	leaving coordination.Incarnation // latest incarnation known to be leaving
 	suspect bool
 	penalty float64
-	changed time.Time // of penalty, and when last present
+	changed time.Time // when penalty last changed; also when the endpoint was first seen
 }
 
-// Update takes the instance list and returns the endpoints as they stand.
+// Update applies an instance list and returns the resulting endpoints.
 func (r *Roster) Update(list []Descriptor) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,8 +65,8 @@
 	return r.set(now)
 }
 
-// MarkLeaving notes that an incarnation of an endpoint is leaving, from any source,
-// also before the instance list knows the endpoint.
+// MarkLeaving records that an incarnation of an endpoint is leaving. The
+// endpoint need not be listed yet. It returns the resulting endpoints.
 func (r *Roster) MarkLeaving(id coordination.Endpoint, n coordination.Incarnation) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +75,8 @@
 	return r.set(time.Now())
 }
 
-// SetSuspect notes whether an incarnation of an endpoint is suspected to be dead.
+// SetSuspect records whether an incarnation of an endpoint is suspected to be
+// dead. It returns the resulting endpoints.
 func (r *Roster) SetSuspect(id coordination.Endpoint, n coordination.Incarnation, suspect bool) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +98,7 @@
 	return l
 }
 
-// set returns the present endpoints. The caller holds r.mu.
+// set returns the listed endpoints. The caller holds r.mu.
 func (r *Roster) set(now time.Time) *Set {
 	var ds []Descriptor
 	for _, l := range r.tracked {
@@ -106,7 +109,7 @@
 	return NewSet(ds)
 }
 
-// observe takes a descriptor from a list, which may be older than what is known.
+// observe applies a descriptor from a list, which may be outdated.
 func (l *trackedEndpoint) observe(now time.Time, d Descriptor) {
 	if d.Incarnation < l.desc.Incarnation {
 		return
@@ -123,8 +126,8 @@
 	l.desc, l.present = d, true
 }
 
-// markListed notes whether the endpoint was in the list. One that had said it would
-// leave has not flapped.
+// markListed records whether the endpoint is in the list. A disappearance after
+// the endpoint announced that it is leaving is not penalized.
 func (l *trackedEndpoint) markListed(now time.Time, listed bool) {
 	if listed || !l.present {
 		return
@@ -144,7 +147,7 @@
 	return l.penalty * math.Exp2(-float64(now.Sub(l.changed))/float64(flapHalfLife))
 }
 
-// descriptor returns the endpoint as placement should see it.
+// descriptor returns the endpoint with its effective state and weight.
 func (l *trackedEndpoint) descriptor(now time.Time) Descriptor {
 	d := l.desc
 	switch {
--- a/coordination/placement/roster_test.go
+++ b/coordination/placement/roster_test.go
@@ -9,9 +9,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// An engine says that it is leaving while the instance list, which lags, still
-// calls it live. Were the list believed, requests would go on to an engine that
-// is about to stop.
+// Guards against requests sent to an engine that is about to stop. The engine
+// announces that it is leaving while the lagging instance list still reports it
+// live.
 func TestFirstLeavingSignalIsFinal(t *testing.T) {
 	var r Roster
 	es := testEndpoints(2)
@@ -20,7 +20,7 @@
 	assert.Equal(t, r.Update(es).Find("e0").State, Leaving)
 	es[0].Incarnation = 2
 	assert.Equal(t, r.Update(es).Find("e0").State, Live)
-	// A list from before the restart comes late.
+	// A list from before the restart arrives late.
 	es[0].Incarnation = 1
 	assert.Equal(t, int(r.Update(es).Find("e0").Incarnation), 2)
 }
@@ -31,8 +31,8 @@
 	assert.Equal(t, r.Update(testEndpoints(1)).Find("e0").State, Leaving)
 }
 
-// An endpoint crashes and restarts every few seconds. Chats placed there lose
-// their cache each time, so it should get few until it stays up.
+// Guards against an endpoint that restarts every few seconds and gets a full
+// share of chats, which lose their cache each time.
 func TestFlappingEndpointIsDamped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r Roster
--- a/coordination/placement/routers.go
+++ b/coordination/placement/routers.go
@@ -11,10 +11,10 @@
 	"wisteriaspool/coordination"
 )
 
-// DefaultOwnerLimit is the number of routers that own endpoints in a large
-// fleet. An entry keeps a connection to every owner, so the number must not
-// grow with the fleet; docs/ROUTING.md works it out from the bytes that an
-// admission costs its owner.
+// DefaultOwnerLimit is the default number of routers that own endpoints. Every
+// entry keeps a connection to every owner, so that the number must not grow
+// with the fleet. docs/ROUTING.md derives it from the bytes that an admission
+// costs its owner.
 const DefaultOwnerLimit = 150
 
 // Router describes a live router.
@@ -24,8 +24,8 @@
 	Zone        coordination.Zone
 }
 
-// Routers is a snapshot of the live routers and of those that own endpoints.
-// It never changes. Two snapshots of the same members choose the same owners.
+// Routers is an immutable snapshot of the live routers and of those that own
+// endpoints. Snapshots of the same members select the same owners.
 type Routers struct {
 	members map[coordination.Instance]Router
 	owners  []ownerRouter
@@ -37,10 +37,10 @@
 	hash uint64
 }
 
-// NewRouters returns a snapshot of members of which at most limit own
+// NewRouters returns a snapshot of members, of which at most limit own
 // endpoints; zero means [DefaultOwnerLimit]. Owners are spread evenly over the
-// zones and are those whose ids hash lowest, so a router that joins or leaves
-// changes at most one owner.
+// zones and are those whose IDs have the lowest hashes, so that a router that
+// joins or leaves changes at most one owner.
 func NewRouters(members []Router, limit int) *Routers {
 	if limit <= 0 {
 		limit = DefaultOwnerLimit
@@ -57,8 +57,8 @@
 	return r
 }
 
-// limitOwners keeps at most limit owners, an equal number in each zone as far as the
-// zone has them.
+// limitOwners keeps at most limit owners, an equal number in each zone that has
+// enough routers.
 func (r *Routers) limitOwners(limit int) {
 	names := lo.Keys(r.zones)
 	slices.SortFunc(names, func(a, b coordination.Zone) int {
@@ -84,19 +84,19 @@
 // Len returns the number of live routers.
 func (r *Routers) Len() int { return len(r.members) }
 
-// Owners returns the routers that own endpoints, sorted by id.
+// Owners returns the routers that own endpoints, sorted by ID.
 func (r *Routers) Owners() []coordination.Instance {
 	return lo.Map(r.owners, func(o ownerRouter, _ int) coordination.Instance { return o.id })
 }
 
-// Find returns a live router by its id.
+// Find returns a live router by ID.
 func (r *Routers) Find(id coordination.Instance) (Router, bool) {
 	m, ok := r.members[id]
 	return m, ok
 }
 
-// Owner returns the router that owns an endpoint, one of the endpoint's zone
-// if there is any. It returns the empty instance if there are no routers.
+// Owner returns the router that owns an endpoint, preferring the endpoint's
+// zone. It returns the empty instance if there are no routers.
 func (r *Routers) Owner(id coordination.Endpoint, zone coordination.Zone) coordination.Instance {
 	among := r.zones[zone]
 	if len(among) == 0 {
@@ -105,15 +105,16 @@
 	return highestHash(among, xxhash.Sum64String(string(id)))
 }
 
-// Root returns the router that sums the load of a pool, the next one in line
-// if the first has been found silent.
+// Root returns the router that aggregates the load of a pool. Routers for which
+// silent returns true are skipped. It returns the empty instance if none is
+// left.
 func (r *Routers) Root(name coordination.Pool, silent func(coordination.Instance) bool) coordination.Instance {
 	among := lo.Reject(r.owners, func(o ownerRouter, _ int) bool { return silent(o.id) })
 	return highestHash(among, xxhash.Sum64String(string(name)))
 }
 
-// Place returns the owner on which all routers agree for a hash, such as a
-// content fingerprint.
+// OwnerOfHash returns the owner for a hash, such as a content fingerprint. All
+// routers with the same members select the same owner.
 func (r *Routers) Place(hash uint64) coordination.Instance {
 	return highestHash(r.owners, hash)
 }
--- a/coordination/placement/short_test.go
+++ b/coordination/placement/short_test.go
@@ -13,16 +13,17 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// The load of a pool whose endpoints have an owner each.
+// The load of a pool in which every endpoint has a different owner.
 const (
 	shortRouters   = 16
 	shortEndpoints = 4
 	shortCallers   = 32
 	shortRun       = 75 * time.Millisecond
-	shortPause     = 400 * time.Millisecond // at most, between two requests of a caller
+	shortPause     = 400 * time.Millisecond // maximum pause of a caller between two requests
 )
 
-// Guards against loads far over the mean where requests are shorter than sums are old.
+// Guards against loads far over the mean when requests are shorter than the
+// sums are old.
 func TestBoundHoldsForShortRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(testRouters(shortRouters), testEndpoints(shortEndpoints), Config{Bound: 1.8, Slack: 2, Grace: 250 * time.Millisecond, FallbackLimit: 3})
@@ -43,7 +44,7 @@
 	})
 }
 
-// shortLoad counts the requests of callers who all send the same prompt.
+// shortLoad counts the requests of callers that all send the same prompt.
 type shortLoad struct {
 	mu           sync.Mutex
 	running      map[coordination.Endpoint]int
@@ -51,7 +52,7 @@
 	placed, over int
 }
 
-// loop sends the requests of one caller through any router.
+// loop sends the requests of one caller through random routers.
 func (s *shortLoad) loop(ctx context.Context, f *fleet, rng *rand.Rand) {
 	routers := testRouters(shortRouters)
 	for ctx.Err() == nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// begin counts a request that begins, against twice the mean load and three.
+// begin counts a request that starts and checks it against twice the mean load
+// plus three.
 func (s *shortLoad) begin(id coordination.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/placement/status.go
+++ b/coordination/placement/status.go
@@ -9,7 +9,7 @@
 	"wisteriaspool/coordination"
 )
 
-// decisionCounts counts what an owner has answered.
+// decisionCounts counts an owner's decisions by code.
 type decisionCounts [Next + 1][len(codeNames)]atomic.Uint64
 
 func (c *decisionCounts) add(r AdmitReply) {
@@ -18,14 +18,16 @@
 	}
 }
 
-// DecisionCount is how often an owner has given an answer.
+// DecisionCount is the number of times that an owner made a decision with a
+// code.
 type DecisionCount struct {
 	Decision Decision
 	Code     Code
 	Count    uint64
 }
 
-// Decisions returns how often this owner has given each answer.
+// Decisions returns how often this owner made each decision. Zero counts are
+// omitted.
 func (o *Owner) Decisions() []DecisionCount {
 	var all []DecisionCount
 	for d := range o.decisions {
@@ -38,17 +40,17 @@
 	return all
 }
 
-// LoadStatus is what an owner counts at one endpoint.
+// LoadStatus is an owner's count of the requests at one endpoint.
 type LoadStatus struct {
 	Endpoint coordination.Endpoint
 	Pool     coordination.Pool
-	Count    int // requests that count against the bound
-	Held     int // of these, grants
-	Queued   int // requests that wait
+	Count    int // requests that count towards the bound
+	Held     int // the part of Count that has grants
+	Queued   int // waiting requests
 	State    State
 }
 
-// Loads returns what this owner counts, by endpoint.
+// Loads returns the load of the owned endpoints, sorted by endpoint.
 func (o *Owner) Loads() []LoadStatus {
 	now, cfg := time.Now(), o.cfg.Load()
 	var all []LoadStatus
--- a/coordination/placement/sums.go
+++ b/coordination/placement/sums.go
@@ -12,21 +12,22 @@
 	"wisteriaspool/coordination"
 )
 
-// Transport carries requests to other routers. A call that fails tells nothing
-// of whether it was received.
+// Transport sends requests to other routers. After an error it is unknown
+// whether the request was received.
 type Transport interface {
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
 }
 
-// PoolSum is the load of a pool over the endpoints of one owner, or of all.
+// PoolSum is the load of a pool over the endpoints of one owner or of all
+// owners.
 type PoolSum struct {
 	_         struct{} `cbor:",toarray"`
 	Pool      coordination.Pool
 	Count     int // requests
-	Endpoints int // that take new work
+	Endpoints int // endpoints that accept new requests
 }
 
-// SumReport tells the root of pools what one owner counts.
+// SumReport tells the root of a pool the load that one owner counts.
 type SumReport struct {
 	From coordination.Instance `cbor:"1,keyasint"`
 	Sums []PoolSum             `cbor:"2,keyasint"`
@@ -43,47 +44,48 @@
 // Encode returns m as CBOR.
 func (m SumReply) Encode() []byte { return encode(m) }
 
-// DecodeSumReport returns the report in b.
+// DecodeSumReport returns the report in b. The error is of type [ErrMalformed].
 func DecodeSumReport(b []byte) (m SumReport, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// DecodeSumReply returns the reply in b.
+// DecodeSumReply returns the reply in b. The error is of type [ErrMalformed].
 func DecodeSumReply(b []byte) (m SumReply, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// The interval between two exchanges of a pool's sums grows with the number of
-// its owners, so that its root receives about as much at any size.
+// The interval between exchanges of a pool's sums grows with the number of its
+// owners, so that the message rate at its root is about constant.
 const (
 	minSumInterval      = 100 * time.Millisecond
 	maxSumInterval      = 2 * time.Second
 	sumIntervalPerOwner = 8 * time.Millisecond
 
-	// partialSpeedup is how much more often sums are exchanged while they do not fit
-	// the list of endpoints.
+	// partialSpeedup is how many times more often sums are exchanged while they
+	// do not cover the listed endpoints.
 	partialSpeedup = 4
 
-	// sumTTL is how many intervals the sum of a silent owner counts.
+	// sumTTL is the number of intervals for which the sum of a silent owner
+	// counts.
 	sumTTL = 4
 )
 
-// sumInterval returns how often owners exchange the sums of a pool. No more of
-// them report a pool than it has endpoints.
+// sumInterval returns the interval between exchanges of a pool's sums. The
+// number of owners that report a pool is at most the number of its endpoints.
 func (v *view) sumInterval(name coordination.Pool) time.Duration {
 	return SumInterval(min(len(v.routers.owners), v.set.Len(name)))
 }
 
-// SumInterval returns how often a pool's sums are exchanged when this number of
-// owners report to its root.
+// SumInterval returns the interval between exchanges of a pool's sums if this
+// number of owners reports to its root.
 func SumInterval(owners int) time.Duration {
 	d := time.Duration(owners) * sumIntervalPerOwner
 	return min(max(d, minSumInterval), maxSumInterval)
 }
 
-// poolSums is what the root of a pool knows of its owners' sums.
+// poolSums holds the owners' sums that the root of a pool has received.
 type poolSums struct {
 	from map[coordination.Instance]receivedSum
 }
@@ -93,7 +95,7 @@
 	at time.Time
 }
 
-// total returns the sum over the owners heard from of late.
+// total returns the sum over the owners heard from within ttl.
 func (s *poolSums) total(now time.Time, name coordination.Pool, ttl time.Duration) PoolSum {
 	sum := PoolSum{Pool: name}
 	for id, h := range s.from {
@@ -107,9 +109,10 @@
 	return sum
 }
 
-// CollectSums takes an owner's report as the root of its pools. Any router answers: an
-// owner with another list of routers asks another root, which then knows only
-// a part, and says how many endpoints that part has.
+// CollectSums stores an owner's report and returns the totals of its pools. Any
+// router answers: an owner with a different list of routers may select a
+// different root, which then returns a partial total and the number of
+// endpoints it covers.
 func (o *Owner) CollectSums(m SumReport) SumReply { return o.collectSums(time.Now(), m) }
 
 func (o *Owner) collectSums(now time.Time, m SumReport) SumReply {
@@ -128,7 +131,7 @@
 	return SumReply{Totals: totals}
 }
 
-// sumCall is one report on its way to a root.
+// sumCall is one report to a root.
 type sumCall struct {
 	owner   *Owner
 	to      coordination.Instance
@@ -136,9 +139,9 @@
 	timeout time.Duration // for the answer
 }
 
-// sumCalls returns the reports that are due, one for each root. An owner that has
-// lost its last endpoint of a pool says so, or its root would count it as well as
-// the new owner.
+// sumCalls returns the reports that are due, one for each root. An owner that
+// has lost its last endpoint of a pool still reports this; otherwise the root
+// would count the endpoint both for this owner and for the new one.
 func (o *Owner) sumCalls(now time.Time) []sumCall {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -164,8 +167,8 @@
 	return calls
 }
 
-// due returns when the root is next told of a pool. The caller holds the owner's
-// lock.
+// due returns when the pool is next reported to its root. The caller holds the
+// owner's lock.
 func (p *poolLoad) due(now time.Time, v *view) time.Time {
 	interval := v.sumInterval(p.name)
 	if p.unsettled(now) {
@@ -174,7 +177,8 @@
 	return p.lastReport.Add(interval)
 }
 
-// markReported notes that the roots are told of the pools of the calls.
+// markReported records that the pools of calls have been reported to their
+// roots.
 func (o *Owner) markReported(now time.Time, calls []sumCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -203,7 +207,7 @@
 	return max(next, 0)
 }
 
-// applyTotals takes the root's reply to a report.
+// applyTotals stores the totals in the root's reply to a report.
 func (o *Owner) applyTotals(now time.Time, sent SumReport, reply SumReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -216,9 +220,9 @@
 	}
 }
 
-// Exchange reports this owner's sums that are due to the pools' roots and learns
-// the pools' totals. It returns when all roots have answered, or when the next
-// reports to those that have not are due.
+// Exchange reports the sums that are due to the pools' roots and stores the
+// totals they return. It returns when all roots have answered or timed out. A
+// root times out when its next report is due.
 func (o *Owner) Exchange(ctx context.Context, t Transport) {
 	var wg sync.WaitGroup
 	calls := o.sumCalls(time.Now())
@@ -234,23 +238,24 @@
 }
 
 const (
-	// rootFailureTimeout is for how long a root may leave reports unanswered before it
-	// is passed over. A lost packet holds a connection up for 0.2 s, a few of them
-	// for longer than an exchange. Another root knows only the sums of those who
-	// ask it: an owner that turned to it at once took its own endpoints for the
-	// whole pool 3 s later and had no bound. In 3 of 33 runs of 7 routers with
-	// lossy links, beside load, 31 of 524, 24 of 607 and 55 of 1,517 requests of
-	// five seconds came to endpoints with over twice the mean and three. A root that has died is off the list of
-	// routers within half a second, so that patience costs nothing then.
+	// rootFailureTimeout is how long a root may leave reports unanswered before
+	// it is skipped. A lost packet delays a connection by 0.2 s, several of
+	// them by more than one exchange. Another root knows only the sums of the
+	// owners that ask it: an owner that switched at once took its own endpoints
+	// for the whole pool 3 s later and had no bound. In 3 of 33 runs of 7
+	// routers with lossy links and background load, 31 of 524, 24 of 607 and 55
+	// of 1,517 requests in a 5 s period were placed at endpoints over twice the
+	// mean plus three. A dead root is removed from the list of routers within
+	// 0.5 s, so that the timeout costs nothing in that case.
 	rootFailureTimeout = time.Second
 
-	// rootSkipTime is how long a root that did not answer is passed over.
+	// rootSkipTime is how long a root that did not answer is skipped.
 	rootSkipTime = 3 * time.Second
 )
 
-// run makes one call. A root that goes on not to answer is passed over for a
-// while; the held mean makes up for the time until it answers, or until the next
-// in line has heard from all owners.
+// run makes one call. A root that keeps failing to answer is skipped for
+// rootSkipTime. Until it answers, or the next root has heard from all owners,
+// the last mean is used.
 func (c sumCall) run(ctx context.Context, t Transport) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -264,7 +269,7 @@
 	}
 }
 
-// recordAnswer notes whether a root has recordAnswer a report.
+// recordAnswer records whether a root answered a report.
 func (o *Owner) recordAnswer(now time.Time, root coordination.Instance, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/coordination/placement/sums_test.go
+++ b/coordination/placement/sums_test.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// rootTransport leads reports to owners, but for a root that does not answer in
-// some span.
+// rootTransport delivers reports to owners, except to one root that does not
+// answer between two times.
 type rootTransport struct {
 	owners       map[coordination.Instance]*Owner
 	unresponsive coordination.Instance
@@ -31,7 +31,8 @@
 	return r.owners[to].HandleSum(ctx, payload)
 }
 
-// newSumOwners is owners of a pool of twelve endpoints, each of which runs 15.
+// newSumOwners returns seven owners of a pool of twelve endpoints, each of
+// which runs 15 requests, and the root of the pool.
 func newSumOwners() (owners map[coordination.Instance]*Owner, root coordination.Instance) {
 	members := make([]Router, 7)
 	owners = make(map[coordination.Instance]*Owner)
@@ -54,7 +55,7 @@
 	return owners, routers.Root("p", func(coordination.Instance) bool { return false })
 }
 
-// highestLimit returns the highest limit that any owner would grant by at a moment.
+// highestLimit returns the highest current limit of any owner.
 func highestLimit(owners map[coordination.Instance]*Owner) (limit int) {
 	for _, o := range owners {
 		if p := o.pools["p"]; p != nil && p.endpoints > 0 {
@@ -64,16 +65,15 @@
 	return limit
 }
 
-// A packet to the root of a pool is lost, and one report goes unanswered. If
-// its owner turned to another router at once, it would hear of nobody else's
-// load there, and three seconds later take its own endpoints for the whole
-// pool: one hot endpoint would get all that asks for it, and its streams would
-// slow down for everybody on it.
+// Guards against a single lost report that lifts the bound. An owner that
+// switched to another root after one unanswered report would hear of no other
+// load there, and 3 s later take its own endpoints for the whole pool. One hot
+// endpoint would then get all requests for it, and its streams would slow down.
 func TestLostReportLeavesTheBound(t *testing.T) {
 	for _, silence := range []time.Duration{250 * time.Millisecond, 800 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			owners, root := newSumOwners()
-			var hot *Owner // of one endpoint, and cut off from the root for a moment
+			var hot *Owner // owner of one endpoint, temporarily cut off from the root
 			for id, o := range owners {
 				if p := o.pools["p"]; id != root && p != nil && p.endpoints == 1 {
 					hot = o
@@ -95,15 +95,15 @@
 				}
 				time.Sleep(minSumInterval)
 				if time.Since(start) > 500*time.Millisecond {
-					assert.Assert(t, highestLimit(owners) <= 40, "limit %d, %v after the start, with a silence of %v", highestLimit(owners), time.Since(start), silence)
+					assert.Assert(t, highestLimit(owners) <= 40, "limit %d, %v after the start, with the root silent for %v", highestLimit(owners), time.Since(start), silence)
 				}
 			}
 		})
 	}
 }
 
-// A root that is gone for good is passed over, so that the mean does not stay
-// what it was.
+// Guards against a mean that stays outdated because a dead root is never
+// skipped.
 func TestRootThatIsGoneIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owners, root := newSumOwners()
@@ -119,15 +119,15 @@
 			ctx, cancel := context.WithTimeout(t.Context(), minSumInterval)
 			asking.Exchange(ctx, transport)
 			cancel()
-			assert.Assert(t, time.Since(start) <= rootFailureTimeout+2*minSumInterval, "the root is still asked")
+			assert.Assert(t, time.Since(start) <= rootFailureTimeout+2*minSumInterval, "the dead root is still asked")
 		}
 	})
 }
 
 const smallPool = coordination.Pool("small")
 
-// largeFleet is a fleet of 150 owners of a pool of 240 endpoints and of a small
-// one of 10.
+// largeFleet returns a fleet of 150 routers with a pool of 240 endpoints and a
+// small pool of 10.
 func largeFleet(cfg Config) (f *fleet, set *Set, routers *Routers) {
 	es := testEndpoints(240)
 	for i, d := range testEndpoints(10) {
@@ -138,7 +138,7 @@
 	return newFleet(members, es, cfg), NewSet(es), NewRouters(members, 0)
 }
 
-// placeRequests has n requests run in a pool, which come from all routers.
+// placeRequests runs n requests in a pool, from all routers in turn.
 func (f *fleet) placeRequests(t *testing.T, pool coordination.Pool, n int) (release func()) {
 	t.Helper()
 	var grants []*Grant
@@ -155,7 +155,7 @@
 	}
 }
 
-// lowestLimit returns the lowest limit by which any owner of the small pool grants.
+// lowestLimit returns the lowest limit of any owner of the small pool.
 func (f *fleet) lowestLimit() int {
 	var limits []int
 	for _, n := range f.nodes {
@@ -176,8 +176,8 @@
 	return o.pools[name]
 }
 
-// The owners of a small pool in a large fleet hear of a rising load a second late,
-// and send requests away from endpoints that could take them.
+// Guards against owners of a small pool in a large fleet that learn of a rising
+// load a second late and send requests away from endpoints with free capacity.
 func TestSmallPoolInLargeFleetFollowsItsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _, _ := largeFleet(Config{Slack: 2})
@@ -199,8 +199,8 @@
 	})
 }
 
-// startTogether returns a large fleet whose routers have started together and have
-// just met each other.
+// startTogether returns a large fleet whose routers have started at the same
+// time and have just discovered each other.
 func startTogether() (f *fleet, stop func()) {
 	f, meet, stop := startIsolated()
 	time.Sleep(300 * time.Millisecond)
@@ -208,8 +208,8 @@
 	return f, stop
 }
 
-// startIsolated returns a large fleet whose routers have started together and know
-// only themselves until they meet.
+// startIsolated returns a large fleet whose routers have started at the same
+// time and know only themselves until meet is called.
 func startIsolated() (f *fleet, meet, stop func()) {
 	f, set, routers := largeFleet(Config{Bound: 1.8, Slack: 2, Grace: 250 * time.Millisecond})
 	for id, n := range f.nodes {
@@ -224,8 +224,9 @@
 	return f, meet, f.start()
 }
 
-// A fleet that starts anew counts endpoints of routers that owned them before they
-// had met the others, and bounds the endpoints by half of the mean for seconds.
+// Guards against a bound that is based on half of the mean for seconds after a
+// start, because endpoints are counted for routers that owned them before the
+// routers had discovered each other.
 func TestSmallPoolIsCountedSoonAfterAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, stop := startTogether()
@@ -237,9 +238,9 @@
 	})
 }
 
-// A fleet that starts anew knows the load of a part of a large pool for seconds,
-// takes it for that of the whole, and sends requests away from the endpoints that
-// have their prompts.
+// Guards against taking the load of a part of a large pool for that of the
+// whole pool for seconds after a start, which sends requests away from the
+// endpoints with their prompts.
 func TestLargePoolIsCountedSoonAfterAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, stop := startTogether()
@@ -253,7 +254,7 @@
 			p.mu.Lock()
 			own, summed := p.endpoints, p.endpoints+p.othersEndpoints
 			p.mu.Unlock()
-			assert.Assert(t, own == 0 || summed >= 210, "%s knows the load of %d of 240 endpoints", id, summed)
+			assert.Assert(t, own == 0 || summed >= 210, "%s has the load of %d of 240 endpoints", id, summed)
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -262,8 +263,9 @@
 	})
 }
 
-// A fleet that starts anew takes the growth of what its sums cover for a load that
-// changes as much, and bounds endpoints by three quarters of the mean for seconds.
+// Guards against taking the growing coverage of the sums after a start for a
+// change of the load, which bases the bound on three quarters of the mean for
+// seconds.
 func TestMeanHoldsWhileSumsGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, meet, stop := startIsolated()
@@ -276,15 +278,16 @@
 			p := n.owner.poolLoadOf(testPool)
 			if _, endpoints := p.ownSums(); endpoints > 0 {
 				mean := p.mean(time.Now(), n.owner.cfg.Load())
-				assert.Assert(t, mean >= 3.6 && mean <= 4.1, "%s takes %.2f for the mean, which is 4", id, mean)
+				assert.Assert(t, mean >= 3.6 && mean <= 4.1, "%s computes a mean of %.2f, want 4", id, mean)
 			}
 		}
 	})
 }
 
-// Routers that start together own many endpoints until they have met the others, and
-// few or none later. A root that goes on to count what they owned takes the load for
-// a fraction of what it is, and requests are sent away from their endpoints.
+// Guards against a root that still counts endpoints for former owners. Routers
+// that start together own many endpoints until they discover each other, and
+// few or none later. The load would be underestimated, and requests sent away
+// from their endpoints.
 func TestRootForgetsWhatFormerOwnersOwned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		members, es := testRouters(300), testEndpoints(240)
--- a/coordination/placement/unanswered_test.go
+++ b/coordination/placement/unanswered_test.go
@@ -11,8 +11,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// lossyTransport is a transport to one owner that loses the answers to the first
-// admissions.
+// lossyTransport is a transport to one owner that loses the replies to the
+// first admissions.
 type lossyTransport struct {
 	owner *Owner
 	lost  int
@@ -31,9 +31,9 @@
 	return b, err
 }
 
-// An owner's answer is lost, and the request asks it again a moment later. The
-// owner has been told that nobody uses the first grant, and refuses the request for
-// good if the second question looks the same.
+// Guards against a request that is refused for good after its owner's reply was
+// lost. The owner has been told to release the first grant, so that the second
+// attempt must be distinguishable from the first.
 func TestRequestAsksAgainAfterALostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOwner("other", Config{})
@@ -58,27 +58,27 @@
 	})
 }
 
-// An owner that does not answer for a moment, as behind a lost packet, is asked
-// again soon, by one request: were it left alone for a second, its endpoints would
-// take almost nothing meanwhile.
+// Guards against an owner that is not asked for a full second after one lost
+// packet, so that its endpoints get almost no requests. One request asks it
+// again soon.
 func TestSilentOwnerIsAskedAgainByOneRequest(t *testing.T) {
 	var f fallbackTable
 	now := testStart
 	f.lost(now, "o")
-	f.lost(now.Add(90*time.Millisecond), "o") // put to it side by side
+	f.lost(now.Add(90*time.Millisecond), "o") // sent concurrently
 	assert.Assert(t, f.silent(now.Add(leastMute-time.Millisecond), "o"))
 	now = now.Add(leastMute)
 	assert.Assert(t, !f.silent(now, "o"))
-	assert.Assert(t, f.silent(now.Add(time.Millisecond), "o"), "the others wait for the first")
+	assert.Assert(t, f.silent(now.Add(time.Millisecond), "o"), "only one request may ask the silent owner")
 	f.lost(now.Add(admitTimeout), "o")
-	assert.Assert(t, f.silent(now.Add(admitTimeout+2*leastMute-time.Millisecond), "o"), "the pause grows")
+	assert.Assert(t, f.silent(now.Add(admitTimeout+2*leastMute-time.Millisecond), "o"), "the pause must grow after another failure")
 	assert.Assert(t, !f.silent(now.Add(admitTimeout+2*leastMute), "o"))
 	f.heard("o")
 	assert.Assert(t, !f.silent(now.Add(admitTimeout), "o"))
 }
 
-// Endpoints are dead and stay listed, and their owner does not answer. A router that
-// has seen that they are dead must not take them for idle.
+// Guards against taking dead endpoints for idle ones. They are still listed and
+// their owner does not answer, but the router has found them dead.
 func TestEntryAvoidsDeadEndpointsWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := Config{FallbackLimit: 3, LostTTL: time.Second}
@@ -91,6 +91,6 @@
 		assert.Equal(t, r.Code, EndpointLost)
 		time.Sleep(time.Second)
 		g, _ = e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
-		assert.Assert(t, g != nil, "it may be back")
+		assert.Assert(t, g != nil, "the endpoint must be tried again after LostTTL")
 	})
 }
--- a/coordination/placement/unlisted_test.go
+++ b/coordination/placement/unlisted_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// All endpoints of a pool have lost their entries. An operator who is told that
-// the pool is overloaded adds endpoints, though none of them is listed.
+// Guards against reporting a pool without listed endpoints as overloaded, which
+// would make operators add endpoints that are not listed either.
 func TestEmptyPoolIsNotReportedAsOverloaded(t *testing.T) {
 	cfg := Config{}.withDefaults()
 	w := newWalk(time.Now(), Request{Pool: "m@1"}, &cfg, NewSet(nil), NewRouters(nil, 0))
