--- a/coordination/placement/config.go
+++ b/coordination/placement/config.go
@@ -6,8 +6,8 @@
 	"wisteriaspool/coordination"
 )
 
-// DefaultWarmWait is the recommended Config.WarmWait. It was measured with 60
-// endpoints and 30 routers; see docs/ROUTING.md.
+// DefaultWarmWait is the wait for a warm endpoint that is worth its cost,
+// measured with 60 endpoints and 30 routers; see docs/ROUTING.md.
 const DefaultWarmWait = 50 * time.Millisecond
 
 // Config holds the placement settings. A zero field selects its default.
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -54,8 +54,7 @@
 	ended           []grantSpan // recently ended grants, oldest first
 
 	// released holds ended grants. Without it, an admission or a registration
-	// that arrives after the release would be counted until the entry's lease
-	// expires.
+	// that arrives after the release would be counted forever.
 	released       map[GrantID]time.Time
 	releasedPruned time.Time
 	lastSweep      time.Time
--- a/coordination/placement/routers.go
+++ b/coordination/placement/routers.go
@@ -113,7 +113,7 @@
 	return highestHash(among, xxhash.Sum64String(string(name)))
 }
 
-// OwnerOfHash returns the owner for a hash, such as a content fingerprint. All
+// Place returns the owner for a hash, such as a content fingerprint. All
 // routers with the same members select the same owner.
 func (r *Routers) Place(hash uint64) coordination.Instance {
 	return highestHash(r.owners, hash)
