--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -87,7 +87,7 @@
 		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
 		r := e.put(ctx, g, req, a, cfg)
 		if r.Code == Outlier {
-			e.doubts.note(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.Once}, r.RetryAfter.Duration())
+			e.doubts.add(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.Once}, r.RetryAfter.Duration())
 		}
 		if !w.take(a, r) {
 			continue
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -129,7 +129,7 @@
 // that a new owner, which has no record of failures, is asked soon.
 const maxAvoidTime = time.Second
 
-func (t *avoidTable) note(now time.Time, d avoidKey, wait time.Duration) {
+func (t *avoidTable) add(now time.Time, d avoidKey, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.until == nil {
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -15,9 +15,9 @@
 // clearFailure is the weight of an unambiguous failure.
 const clearFailure outlier.Weight = 390
 
-// fail makes requests fail at an endpoint until its owner ejects it. It returns
+// ejectByFailures makes requests ejectByFailures at an endpoint until its owner ejects it. It returns
 // the time of the ejection.
-func fail(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
+func ejectByFailures(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
 	t.Helper()
 	for seq := Sequence(1000); ; seq++ {
 		now = now.Add(50 * time.Millisecond)
@@ -38,7 +38,7 @@
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	var told []OutlierChange
 	o.OnOutlier(func(j OutlierChange) { told = append(told, j) })
-	now = fail(t, o, now, "e0")
+	now = ejectByFailures(t, o, now, "e0")
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, told[0].Endpoint, coordination.Endpoint("e0"))
 
@@ -54,7 +54,7 @@
 // does not take.
 func TestOutlierCountsInTheMean(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(2), Config{})
-	now = fail(t, o, now, "e0")
+	now = ejectByFailures(t, o, now, "e0")
 	// Each of two endpoints may run ceil(1.25 * mean) requests. That allows two
 	// requests, but not a third, for which the mean is 1.5.
 	assert.Equal(t, admit(o, now, 1, "e1").Decision, Granted)
@@ -98,7 +98,7 @@
 		es := testEndpoints(2)
 		o, now := newTestOwner(t, es, Config{})
 		admit(o, now, 1, "e0")
-		now = fail(t, o, now, "e0")
+		now = ejectByFailures(t, o, now, "e0")
 		if leaves {
 			o.MarkLeaving("e0", 1)
 		} else {
@@ -136,7 +136,7 @@
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
 	batch := ReleaseBatch{Entry: testEntry, Notices: []Notice{{Endpoint: "e0", Sequence: 1, Evidence: clearFailure}}}
 	assert.Equal(t, len(o.release(now.Add(time.Millisecond), batch).Ejected), 0)
-	now = fail(t, o, now.Add(time.Second), "e0")
+	now = ejectByFailures(t, o, now.Add(time.Second), "e0")
 	assert.DeepEqual(t, o.release(now, batch).Ejected, []coordination.Endpoint{"e0"})
 }
 
--- a/coordination/placement/sums_test.go
+++ b/coordination/placement/sums_test.go
@@ -69,7 +69,7 @@
 // switched to another root after one unanswered report would hear of no other
 // load there, and 3 s later take its own endpoints for the whole pool. One hot
 // endpoint would then get all requests for it, and its streams would slow down.
-func TestLostReportLeavesTheBound(t *testing.T) {
+func TestLostReportKeepsTheBound(t *testing.T) {
 	for _, silence := range []time.Duration{250 * time.Millisecond, 800 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			owners, root := newSumOwners()
@@ -104,7 +104,7 @@
 
 // Guards against a mean that stays outdated because a dead root is never
 // skipped.
-func TestRootThatIsGoneIsPassedOver(t *testing.T) {
+func TestDeadRootIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owners, root := newSumOwners()
 		var asking *Owner
