--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -15,8 +15,8 @@
 // clearFailure is the weight of an unambiguous failure.
 const clearFailure outlier.Weight = 390
 
-// ejectByFailures makes requests ejectByFailures at an endpoint until its owner ejects it. It returns
-// the time of the ejection.
+// ejectByFailures makes requests fail at an endpoint until its owner ejects it.
+// It returns the time of the ejection.
 func ejectByFailures(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
 	t.Helper()
 	for seq := Sequence(1000); ; seq++ {
