--- a/coordination/placement/model_test.go
+++ b/coordination/placement/model_test.go
@@ -15,32 +15,33 @@
 	"wisteriaspool/coordination"
 )
 
-// scheme is a way to place requests.
+// scheme is a placement algorithm.
 type scheme string
 
 const (
 	rendezvousOnly scheme = "rendezvous"
-	routerLocal    scheme = "router-local" // each router keeps the bound among its own requests
-	laggedReports  scheme = "lagged"       // endpoints' reports up to 1 s old, and own requests since
+	routerLocal    scheme = "router-local" // each router applies the bound to its own requests
+	laggedReports  scheme = "lagged"       // endpoint reports up to 1 s old plus own requests since
 	ownerAdmission scheme = "owner"
-	ownerWait      scheme = "owner-wait" // the same, with the default wait for a warm endpoint
+	ownerWait      scheme = "owner-wait" // owner admission with the default WarmWait
 )
 
-// weather is what happens to the pool meanwhile.
-type weather string
+// scenario is the change applied to the pool during a run.
+type scenario string
 
 const (
-	steady   weather = "steady"
-	churn    weather = "churn" // one endpoint in twelve is replaced every 20 s
-	flapping weather = "flap"  // each endpoint restarts every 20 s
-	surge    weather = "surge" // three of ten accounts at ten times their rate
+	steady   scenario = "steady"
+	churn    scenario = "churn" // one endpoint in twelve is replaced every 20 s
+	flapping scenario = "flap"  // each endpoint restarts every 20 s
+	surge    scenario = "surge" // three of ten accounts at ten times their rate
 )
 
-// setup is one run of the model: the decisions themselves, driven by a small
-// event loop before fake engines that have a cache and a running count.
+// setup configures one run of the model. The model runs the actual placement
+// code in an event loop with simulated engines that have a cache and a request
+// count.
 type setup struct {
 	scheme    scheme
-	weather   weather
+	scenario  scenario
 	hint      bool
 	endpoints int
 	routers   int
@@ -51,27 +52,27 @@
 }
 
 const (
-	modelMeanLoad = 10                     // requests at an endpoint, on average
-	modelHold     = 2 * time.Second        // mean time that a request runs
-	modelHop      = 1 * time.Millisecond   // one way
-	modelCache    = 120                    // chats that an engine has cached
-	modelChats    = 100                    // chats for each endpoint
-	modelCapacity = 16                     // requests that an engine runs in a surge
-	modelReport   = 1 * time.Second        // lag of reports
-	modelListLag  = 2 * time.Second        // longest lag of a router's list
-	modelSample   = 100 * time.Millisecond // between two samples of the skew
-	modelWarmUp   = 10 * time.Second       // not measured
-	modelEnvelope = 12                     // bytes around each payload
+	modelMeanLoad = 10                     // mean number of requests at an endpoint
+	modelHold     = 2 * time.Second        // mean duration of a request
+	modelHop      = 1 * time.Millisecond   // one-way network delay
+	modelCache    = 120                    // chats in the cache of an engine
+	modelChats    = 100                    // chats per endpoint
+	modelCapacity = 16                     // concurrent requests of an engine in a surge
+	modelReport   = 1 * time.Second        // interval of load reports
+	modelListLag  = 2 * time.Second        // maximum lag of a router's endpoint list
+	modelSample   = 100 * time.Millisecond // interval between samples of the skew
+	modelWarmUp   = 10 * time.Second       // excluded from the results
+	modelEnvelope = 12                     // framing overhead of each message, in bytes
 )
 
-// engine is a fake endpoint.
+// engine is a simulated endpoint.
 type engine struct {
 	Descriptor
 	running int
-	cache   *list.List // of chats, latest first
+	cache   *list.List // chats, most recently used first
 	where   map[int]*list.Element
-	reports []int    // running, by report tick
-	broken  []func() // what the entries of its requests do when it dies
+	reports []int    // running requests at the last two reports
+	onDeath []func() // called for each of its requests when the engine dies
 }
 
 func (e *engine) touch(chat int) (warm bool) {
@@ -107,14 +108,14 @@
 	return last
 }
 
-// modelRouter is a router of the model.
+// modelRouter is a simulated router.
 type modelRouter struct {
 	Router
 	owner    *Owner
 	set      *Set
 	sequence Sequence
-	own      map[coordination.Endpoint]int // own requests running
-	since    map[coordination.Endpoint]int // begun since the last report
+	own      map[coordination.Endpoint]int // running requests of this router
+	since    map[coordination.Endpoint]int // started since the last report
 	releases map[coordination.Instance][]Release
 	waiting  []modelWaiter
 	bytes    int // sent and received
@@ -126,7 +127,7 @@
 	then func(AdmitReply)
 }
 
-// model runs a setup.
+// model is the state of a run.
 type model struct {
 	setup
 	cfg     Config
@@ -145,7 +146,7 @@
 
 	placed, over, reused, refused, lost int
 	skew                                []float64
-	waits                               map[bool]*hdrhistogram.Histogram // by surging
+	waits                               map[bool]*hdrhistogram.Histogram // in milliseconds, by whether the account surges
 	asked, served                       map[bool]int
 }
 
@@ -195,7 +196,7 @@
 		Pool:        testPool,
 		Incarnation: coordination.Incarnation(testStart.UnixMilli()),
 	}
-	if m.weather == surge {
+	if m.scenario == surge {
 		d.Capacity = modelCapacity
 	}
 	m.next++
@@ -207,13 +208,13 @@
 	return NewSet(lo.Map(m.live, func(id coordination.Endpoint, _ int) Descriptor { return m.engines[id].Descriptor }))
 }
 
-// after runs do after d.
+// after schedules do to run after d.
 func (m *model) after(d time.Duration, do func()) {
 	m.order++
 	heap.Push(&m.queue, task{at: m.now.Add(d), order: m.order, do: do})
 }
 
-// every runs do again and again.
+// every schedules do to run repeatedly at interval d.
 func (m *model) every(d time.Duration, do func()) {
 	m.after(d, func() {
 		do()
@@ -230,7 +231,7 @@
 		m.every(releaseInterval, m.flush)
 		m.every((&view{set: m.list(), routers: m.view}).sumInterval(testPool), m.exchange)
 	}
-	switch m.weather {
+	switch m.scenario {
 	case churn:
 		m.every(20*time.Second, func() {
 			for range max(m.setup.endpoints/12, 1) {
@@ -249,7 +250,7 @@
 	}
 }
 
-// reset forgets what was measured while the load came up from nothing.
+// reset discards the results of the warm-up.
 func (m *model) reset() {
 	m.placed, m.over, m.reused, m.refused, m.lost = 0, 0, 0, 0, 0
 	m.skew = nil
@@ -269,8 +270,8 @@
 // arrive schedules the arrivals of all accounts.
 func (m *model) arrive() {
 	base := modelHold / time.Duration(modelMeanLoad*m.setup.endpoints)
-	if m.weather == surge {
-		base *= 2 // half loaded before the surge
+	if m.scenario == surge {
+		base *= 2 // half the load before the surge
 	}
 	for account := range 10 {
 		m.arriveOf(account, base*10)
@@ -279,7 +280,7 @@
 
 func (m *model) arriveOf(account int, mean time.Duration) {
 	gap := mean
-	surging := m.weather == surge && account < 3
+	surging := m.scenario == surge && account < 3
 	if at := m.now.Sub(testStart); surging && at > m.length/3 && at < m.length*2/3 {
 		gap /= 10
 	}
@@ -289,7 +290,7 @@
 	})
 }
 
-// request is one request of a chat that returns.
+// request simulates one request of a random chat.
 func (m *model) request(account int, surging bool) {
 	chat := m.rng.IntN(modelChats * m.setup.endpoints)
 	r := m.routers[m.rng.IntN(len(m.routers))]
@@ -321,7 +322,7 @@
 
 func xxhashInt(n int) uint64 { return mix(uint64(n), 1) }
 
-// choose places by one of the schemes that ask nobody.
+// choose selects an endpoint by one of the schemes without an owner.
 func (m *model) choose(r *modelRouter, req Request) *Descriptor {
 	all := r.set.Candidates(nil, testPool, req.Key, req.Hint, r.set.Len(testPool))
 	load := func(*Descriptor) int { return -1 }
@@ -340,8 +341,7 @@
 	return d
 }
 
-// latest returns the engine's load as of its last report, which is up to a
-// second old.
+// latest returns the engine's load at its last report, which is up to 1 s old.
 func (e *engine) latest() int {
 	if len(e.reports) == 0 {
 		return 0
@@ -349,8 +349,8 @@
 	return e.reports[len(e.reports)-1]
 }
 
-// reported returns the engine's load as of the last report but one, as its
-// owner learns it.
+// reported returns the engine's load at its second to last report, which is the
+// one that its owner has received.
 func (e *engine) reported() int {
 	if len(e.reports) == 0 {
 		return 0
@@ -358,7 +358,7 @@
 	return e.reports[0]
 }
 
-// step asks the next question of a walk.
+// step asks the next candidate of a walk.
 func (m *model) step(r *modelRouter, w *walk, seq Sequence, done func(*Descriptor, func())) {
 	a, _, ok := w.next(m.now)
 	if !ok {
@@ -407,7 +407,7 @@
 	return EntryID{Instance: r.ID, Incarnation: 1_800_000_000_000}
 }
 
-// hop carries a message from one router to another.
+// hop sends a message from one router to another.
 func (m *model) hop(from, to *modelRouter, size int, then func()) {
 	if from == to {
 		then()
@@ -420,7 +420,7 @@
 	m.after(modelHop, then)
 }
 
-// settle passes on the answers that waiting requests have got.
+// settle delivers the replies to requests that were queued.
 func (m *model) settle(r *modelRouter) {
 	ready := lo.Filter(r.waiting, func(w modelWaiter, _ int) bool { return len(w.w.done) > 0 })
 	if len(ready) == 0 {
@@ -473,8 +473,8 @@
 		for _, c := range r.owner.sumCalls(m.now) {
 			root := m.byID[c.to]
 			m.hop(r, root, len(c.report.Encode()), func() {
-				reply := root.owner.sum(m.now, c.report)
-				m.hop(root, r, len(reply.Encode()), func() { r.owner.learn(m.now, c.report, reply) })
+				reply := root.owner.collectSums(m.now, c.report)
+				m.hop(root, r, len(reply.Encode()), func() { r.owner.applyTotals(m.now, c.report, reply) })
 			})
 		}
 	})
@@ -508,7 +508,7 @@
 			release()
 		}
 	}
-	e.broken = append(e.broken, end)
+	e.onDeath = append(e.onDeath, end)
 	m.after(time.Duration(m.rng.ExpFloat64()*float64(modelHold)), end)
 }
 
@@ -523,7 +523,8 @@
 	}
 }
 
-// report lets all engines report. The report before is what has arrived.
+// report records a load report of every engine. Owners receive the previous
+// one.
 func (m *model) report() {
 	for _, e := range m.engines {
 		e.reports = append(e.reports, e.running)
@@ -544,16 +545,16 @@
 	})
 }
 
-// replace lets the oldest endpoint leave, and another one join.
+// replace removes the oldest endpoint and adds a new one.
 func (m *model) replace() {
 	old := m.live[0]
 	m.live = m.live[1:]
 	m.join()
-	m.spread()
+	m.distributeList()
 	m.after(30*time.Second, func() { delete(m.engines, old) })
 }
 
-// flap restarts an endpoint: it loses what runs and its cache.
+// flap restarts an endpoint, which loses its running requests and its cache.
 func (m *model) flap() {
 	id := m.live[0]
 	old := m.engines[id]
@@ -562,24 +563,24 @@
 	d.Incarnation++
 	m.engines[id] = &engine{Descriptor: d, cache: list.New(), where: make(map[int]*list.Element)}
 	m.after(modelHop, func() {
-		for _, end := range old.broken {
+		for _, end := range old.onDeath {
 			end()
 		}
-		m.tellLost(old.Descriptor)
+		m.reportLost(old.Descriptor)
 	})
-	m.spread()
+	m.distributeList()
 }
 
-// tellLost is what the entries that lost a request there tell the owner.
-func (m *model) tellLost(d Descriptor) {
+// reportLost tells the owner of an endpoint that the endpoint was found dead.
+func (m *model) reportLost(d Descriptor) {
 	owner := m.byID[m.view.Owner(d.ID, d.Zone)]
 	lost := []LostEndpoint{{Endpoint: d.ID, Incarnation: d.Incarnation}}
 	owner.owner.release(m.now, ReleaseBatch{Entry: owner.entryID(), Lost: lost})
 	m.settle(owner)
 }
 
-// spread gives each router the list after a lag of its own.
-func (m *model) spread() {
+// distributeList gives each router the endpoint list after a random lag.
+func (m *model) distributeList() {
 	set := m.list()
 	m.each(func(r *modelRouter) {
 		m.after(time.Duration(m.rng.Int64N(int64(modelListLag))), func() {
