--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -37,9 +37,9 @@
 // lasts, and routers would serve on with old ones.
 var reserved = [classes]float64{Settings: 0.10, Lists: 0.05}
 
-// floor is the part of the common bucket that a class leaves to the classes
+// classFloor is the part of the common bucket that a class leaves to the classes
 // before it.
-var floor = [classes]float64{Settings: 0.25, Lists: 0.50}
+var classFloor = [classes]float64{Settings: 0.25, Lists: 0.50}
 
 const (
 	// commonBurst is the least burst of the common bucket in calls. It has to
@@ -52,18 +52,18 @@
 // Budget is one router's share of the fleet's calls. It is safe for use by
 // several goroutines.
 type Budget struct {
-	mu     sync.Mutex
-	fleet  float64
-	common *rate.Limiter
-	own    [classes]*rate.Limiter
+	mu       sync.Mutex
+	fleet    float64
+	common   *rate.Limiter
+	perClass [classes]*rate.Limiter
 }
 
 // New returns a budget of fleetPerSecond calls a second for the whole fleet,
 // for a router that knows no other yet.
 func New(fleetPerSecond float64) *Budget {
 	b := &Budget{fleet: fleetPerSecond, common: rate.NewLimiter(0, commonBurst)}
-	for c := range b.own {
-		b.own[c] = rate.NewLimiter(0, 1)
+	for c := range b.perClass {
+		b.perClass[c] = rate.NewLimiter(0, 1)
 	}
 	b.SetMembers(1)
 	return b
@@ -77,7 +77,7 @@
 	left := 1.0
 	for c, part := range reserved {
 		left -= part
-		setRate(b.own[c], share*part, 1)
+		setRate(b.perClass[c], share*part, 1)
 	}
 	setRate(b.common, share*left, commonBurst)
 }
@@ -93,17 +93,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if reserved[class] > 0 && b.own[class].AllowN(now, 1) {
+	if reserved[class] > 0 && b.perClass[class].AllowN(now, 1) {
 		return true, 0
 	}
-	need := 1 + floor[class]*float64(b.common.Burst()-1)
+	need := 1 + classFloor[class]*float64(b.common.Burst()-1)
 	missing := need - b.common.TokensAt(now)
 	if missing <= 0 && b.common.AllowN(now, 1) {
 		return true, 0
 	}
 	wait := after(b.common, missing)
 	if reserved[class] > 0 {
-		wait = min(wait, after(b.own[class], 1-b.own[class].TokensAt(now)))
+		wait = min(wait, after(b.perClass[class], 1-b.perClass[class].TokensAt(now)))
 	}
 	return false, wait
 }
--- a/coordination/mirror/follower.go
+++ b/coordination/mirror/follower.go
@@ -91,7 +91,7 @@
 			f.wait(ctx, f.Gather)
 		}
 		if u.Lost {
-			coordination.Sleep(ctx, coordination.Spread(firstPause))
+			coordination.Sleep(ctx, coordination.Jitter(firstPause))
 		}
 		if f.lost.Swap(err != nil) != (err != nil) {
 			f.Mirror.Wake()
@@ -107,7 +107,7 @@
 	if d <= 0 {
 		return
 	}
-	t := time.NewTimer(coordination.Spread(d))
+	t := time.NewTimer(coordination.Jitter(d))
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/coordination/moment_test.go
+++ b/coordination/moment_test.go
@@ -9,8 +9,8 @@
 	"wisteriaspool/coordination"
 )
 
-func TestMoment(t *testing.T) {
-	var m coordination.Moment
+func TestMonotonicTime(t *testing.T) {
+	var m coordination.MonotonicTime
 	now := time.Now()
 	m.Set(now)
 	assert.Equal(t, m.Ago(now.Add(time.Second)), time.Second)
--- a/coordination/outcome/evidence.go
+++ b/coordination/outcome/evidence.go
@@ -42,31 +42,31 @@
 // Written records that bytes of the attempt were handed to a connection. They
 // may have reached the endpoint even if the connection broke right after.
 func (e *Evidence) Written(a coordination.Attempt) {
-	e.move(a, written, begun, unsent)
+	e.transition(a, written, begun, unsent)
 }
 
 // NothingSent records that no byte of the attempt left this process, for
 // example because no connection could be made. It is ignored once bytes were
 // written, or the endpoint has spoken.
 func (e *Evidence) NothingSent(a coordination.Attempt) {
-	e.move(a, unsent, begun)
+	e.transition(a, unsent, begun)
 }
 
 // Declined records that the endpoint itself said that it did not and will not
 // run the attempt.
 func (e *Evidence) Declined(a coordination.Attempt) {
-	e.move(a, declined, begun, written, unsent)
+	e.transition(a, declined, begun, written, unsent)
 }
 
 // Answered records that the endpoint answered the attempt whole. Nothing takes
 // that back.
 func (e *Evidence) Answered(a coordination.Attempt) {
-	e.move(a, answered, begun, written, unsent, declined)
+	e.transition(a, answered, begun, written, unsent, declined)
 }
 
-// move sets the state of a to next if it is one of from. An attempt that was
+// transition sets the state of a to next if it is one of from. An attempt that was
 // never begun counts as begun: evidence about it shows that it exists.
-func (e *Evidence) move(a coordination.Attempt, next attemptState, from ...attemptState) {
+func (e *Evidence) transition(a coordination.Attempt, next attemptState, from ...attemptState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.attempts == nil {
--- a/coordination/outcome/outcome_test.go
+++ b/coordination/outcome/outcome_test.go
@@ -58,14 +58,14 @@
 				reports[a] = map[report]bool{}
 			}
 			reports[a][r] = true
-			tell(&e, a, r)
+			apply(&e, a, r)
 		}
-		assert.Equal(t, e.Outcome(), judge(reports))
+		assert.Equal(t, e.Outcome(), expectedOutcome(reports))
 		assert.Equal(t, e.Attempts(), len(reports))
 	})
 }
 
-func tell(e *outcome.Evidence, a coordination.Attempt, r report) {
+func apply(e *outcome.Evidence, a coordination.Attempt, r report) {
 	e.Begin(a)
 	switch r {
 	case wrote:
@@ -79,8 +79,8 @@
 	}
 }
 
-// judge decides from the set of all reports, whatever their order.
-func judge(reports map[coordination.Attempt]map[report]bool) outcome.Outcome {
+// expectedOutcome decides from the set of all reports, whatever their order.
+func expectedOutcome(reports map[coordination.Attempt]map[report]bool) outcome.Outcome {
 	uncertain := false
 	for _, seen := range reports {
 		if seen[answered] {
--- a/coordination/outlier/detector.go
+++ b/coordination/outlier/detector.go
@@ -30,10 +30,10 @@
 
 // The standings of an endpoint. The zero value is that of a good one.
 const (
-	In      Standing = iota // all requests
-	Doubted                 // requests of which a failure can be mended
-	Probed                  // a few of these, to see whether it serves again
-	Ejected                 // none
+	InService Standing = iota // all requests
+	Doubted                   // requests of which a failure can be mended
+	Probed                    // a few of these, to see whether it serves again
+	Ejected                   // none
 )
 
 var standings = [...]string{"in", "doubted", "probed", "ejected"}
@@ -42,42 +42,42 @@
 func (s Standing) String() string { return standings[s] }
 
 const (
-	// credit bounds how much served requests count for an endpoint: one that has
+	// maxCredit bounds how much served requests count for an endpoint: one that has
 	// served for hours must not be given longer to fail than one that has just
 	// come up.
-	credit = -Served
+	maxCredit = -SuccessWeight
 	// scoreHalfLife is the half-life of a sum, so that a few failures far apart
 	// eject nobody.
 	scoreHalfLife = 10 * time.Second
-	// firstPause is how long an endpoint that was taken out gets nothing. Each
+	// basePause is how long an endpoint that was taken out gets nothing. Each
 	// time that a probe fails it is doubled, up to longestPause: a wrong
 	// ejection costs an endpoint a second, and one that goes on failing costs
 	// one request in eight seconds.
-	firstPause   = time.Second
-	longestPause = 8 * time.Second
-	// probesAtOnce is how many probes run at the same time behind the first,
+	basePause = time.Second
+	maxPause  = 8 * time.Second
+	// maxConcurrentProbes is how many probes run at the same time behind the first,
 	// which runs alone: while an endpoint fails, one caller has to wait for each
 	// try. probesServed is how many have to be served before the endpoint is
 	// taken back; one that fails half of its requests passes once in eight times.
-	probesAtOnce = 3
-	probesServed = 3
-	// steadyAfter is how long an endpoint has to serve behind its return before
+	maxConcurrentProbes = 3
+	probesToRestore     = 3
+	// backoffResetAfter is how long an endpoint has to serve behind its return before
 	// its next pause is the first one again.
-	steadyAfter = 10 * time.Second
-	// unprobed is for how long an endpoint waits for probes. Where no request
+	backoffResetAfter = 10 * time.Second
+	// maxUnprobed is for how long an endpoint waits for probes. Where no request
 	// may be sent twice nothing can probe it, and it is taken back untried.
-	unprobed = 5 * time.Second
+	maxUnprobed = 5 * time.Second
 )
 
 // zoneState is what routers of one availability zone saw of the endpoint.
 type zoneState struct {
-	score   float64 // sum of weights, in units of Weight
-	aged    time.Time
-	out     bool
-	probeAt time.Time // when probes may begin
-	pause   time.Duration
-	served  int // probes
-	back    time.Time
+	score        float64 // sum of weights, in units of Weight
+	decayedAt    time.Time
+	ejected      bool
+	probesFrom   time.Time // when probes may begin
+	pause        time.Duration
+	probesPassed int // probes
+	restoredAt   time.Time
 }
 
 // Change tells that an endpoint's standing changes for a zone.
@@ -88,13 +88,13 @@
 	Pause    time.Duration // before probes begin
 }
 
-// Hear takes in what a request of a zone showed that was begun at a time.
-func (d *Detector) Hear(now time.Time, zone coordination.Zone, begun time.Time, w Weight) {
+// Observe takes in what a request of a zone showed that was begun at a time.
+func (d *Detector) Observe(now time.Time, zone coordination.Zone, begun time.Time, w Weight) {
 	if w == 0 {
 		return
 	}
-	z := d.zone(zone)
-	if z.out {
+	z := d.stateOf(zone)
+	if z.ejected {
 		d.probe(now, zone, z, begun, w)
 		return
 	}
@@ -104,50 +104,50 @@
 	if w > 0 {
 		d.failed = now
 	}
-	z.age(now)
-	z.score = max(z.score+float64(w), float64(-credit))
+	z.decay(now)
+	z.score = max(z.score+float64(w), float64(-maxCredit))
 	d.eject(now, zone, z)
 }
 
-// Runs tells how many requests run at the endpoint that were begun since a time.
+// RunningRequests tells how many requests run at the endpoint that were begun since a time.
 // Those that were begun before it was taken out are no probes: they may hang there
 // until their callers leave.
-type Runs interface {
+type RunningRequests interface {
 	Since(begun time.Time) int
 }
 
 // Standing returns what the endpoint may be sent by routers of a zone. If a
 // request is to wait for its turn, it also returns for how long.
-func (d *Detector) Standing(now time.Time, zone coordination.Zone, runs Runs) (Standing, time.Duration) {
+func (d *Detector) Standing(now time.Time, zone coordination.Zone, runs RunningRequests) (Standing, time.Duration) {
 	if len(d.zones) == 0 {
-		return In, 0
+		return InService, 0
 	}
-	z := d.zone(zone)
-	z.age(now)
+	z := d.stateOf(zone)
+	z.decay(now)
 	d.eject(now, zone, z)
-	if z.out {
-		return d.probing(now, zone, z, runs)
+	if z.ejected {
+		return d.ejectedStanding(now, zone, z, runs)
 	}
 	switch {
-	case z.score >= float64(DoubtAt):
+	case z.score >= float64(DoubtThreshold):
 		return Doubted, doubtWait
 	default:
-		return In, 0
+		return InService, 0
 	}
 }
 
-// probing returns the standing of an endpoint that is taken out.
-func (d *Detector) probing(now time.Time, zone coordination.Zone, z *zoneState, runs Runs) (Standing, time.Duration) {
-	if now.Before(z.probeAt) {
-		return Ejected, z.probeAt.Sub(now)
+// ejectedStanding returns the standing of an endpoint that is taken out.
+func (d *Detector) ejectedStanding(now time.Time, zone coordination.Zone, z *zoneState, runs RunningRequests) (Standing, time.Duration) {
+	if now.Before(z.probesFrom) {
+		return Ejected, z.probesFrom.Sub(now)
 	}
-	running := runs.Since(z.probeAt)
+	running := runs.Since(z.probesFrom)
 	switch {
 	case running >= z.probes():
 		return Ejected, probeWait
-	case running == 0 && z.served == 0 && now.Sub(z.probeAt) > unprobed:
+	case running == 0 && z.probesPassed == 0 && now.Sub(z.probesFrom) > maxUnprobed:
 		d.restore(now, zone, z)
-		return In, 0
+		return InService, 0
 	default:
 		return Probed, 0
 	}
@@ -160,13 +160,13 @@
 	doubtWait = 500 * time.Millisecond
 )
 
-// OutFor reports whether the endpoint is taken out for a zone.
-func (d *Detector) OutFor(zone coordination.Zone) bool {
+// EjectedFor reports whether the endpoint is taken out for a zone.
+func (d *Detector) EjectedFor(zone coordination.Zone) bool {
 	z := d.zones[zone]
-	return z != nil && z.out
+	return z != nil && z.ejected
 }
 
-func (d *Detector) zone(zone coordination.Zone) *zoneState {
+func (d *Detector) stateOf(zone coordination.Zone) *zoneState {
 	z := d.zones[zone]
 	if z == nil {
 		if d.zones == nil {
@@ -181,44 +181,44 @@
 // eject takes the endpoint out for a zone if what all zones saw suffices and
 // the zone's own requests do not speak for the endpoint.
 func (d *Detector) eject(now time.Time, zone coordination.Zone, z *zoneState) {
-	if z.out || z.score < 0 {
+	if z.ejected || z.score < 0 {
 		return
 	}
 	others := 0.0
 	for _, o := range d.zones {
 		if o != z {
-			o.age(now)
+			o.decay(now)
 			others += max(o.score, 0)
 		}
 	}
-	score := z.score + min(others, float64(EjectAt))
-	if score < float64(EjectAt) {
+	score := z.score + min(others, float64(EjectThreshold))
+	if score < float64(EjectThreshold) {
 		return
 	}
-	if z.pause == 0 || now.Sub(z.back) > steadyAfter {
-		z.pause = firstPause
+	if z.pause == 0 || now.Sub(z.restoredAt) > backoffResetAfter {
+		z.pause = basePause
 	} else {
-		z.pause = min(2*z.pause, longestPause)
+		z.pause = min(2*z.pause, maxPause)
 	}
-	z.out = true
-	z.rest(now)
-	d.tell(Change{Zone: zone, Standing: Ejected, Score: Weight(min(score, float64(2*EjectAt))), Pause: z.pause})
+	z.ejected = true
+	z.startPause(now)
+	d.notify(Change{Zone: zone, Standing: Ejected, Score: Weight(min(score, float64(2*EjectThreshold))), Pause: z.pause})
 }
 
 // probe takes in what a request showed while the endpoint is out. Those that
 // were begun before say nothing new.
 func (d *Detector) probe(now time.Time, zone coordination.Zone, z *zoneState, begun time.Time, w Weight) {
-	if begun.Before(z.probeAt) {
+	if begun.Before(z.probesFrom) {
 		return
 	}
 	if w > 0 {
-		z.pause = min(2*z.pause, longestPause)
-		z.rest(now)
-		d.tell(Change{Zone: zone, Standing: Ejected, Score: w, Pause: z.pause})
+		z.pause = min(2*z.pause, maxPause)
+		z.startPause(now)
+		d.notify(Change{Zone: zone, Standing: Ejected, Score: w, Pause: z.pause})
 		return
 	}
-	z.served++
-	if z.served == probesServed {
+	z.probesPassed++
+	if z.probesPassed == probesToRestore {
 		d.restore(now, zone, z)
 	}
 }
@@ -226,12 +226,12 @@
 // restore takes the endpoint back. Its probes speak for it, so that it is not
 // taken out again on the word of zones that have not probed it yet.
 func (d *Detector) restore(now time.Time, zone coordination.Zone, z *zoneState) {
-	z.out, z.back = false, now
-	z.score, z.aged = float64(probesServed*Served), now
-	d.tell(Change{Zone: zone, Standing: In})
+	z.ejected, z.restoredAt = false, now
+	z.score, z.decayedAt = float64(probesToRestore*SuccessWeight), now
+	d.notify(Change{Zone: zone, Standing: InService})
 }
 
-func (d *Detector) tell(c Change) {
+func (d *Detector) notify(c Change) {
 	if d.OnChange != nil {
 		d.OnChange(c)
 	}
@@ -239,18 +239,18 @@
 
 // probes returns how many probes may run now.
 func (z *zoneState) probes() int {
-	if z.served == 0 {
+	if z.probesPassed == 0 {
 		return 1
 	}
-	return probesAtOnce
+	return maxConcurrentProbes
 }
 
-// rest begins a pause without requests.
-func (z *zoneState) rest(now time.Time) {
-	z.served, z.probeAt = 0, now.Add(z.pause)
+// startPause begins a pause without requests.
+func (z *zoneState) startPause(now time.Time) {
+	z.probesPassed, z.probesFrom = 0, now.Add(z.pause)
 }
 
-func (z *zoneState) age(now time.Time) {
-	z.score *= halving(now.Sub(z.aged), scoreHalfLife)
-	z.aged = now
+func (z *zoneState) decay(now time.Time) {
+	z.score *= decayFactor(now.Sub(z.decayedAt), scoreHalfLife)
+	z.decayedAt = now
 }
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -2,7 +2,7 @@
 // while the others of their pool serve the same requests well, and while the
 // endpoint's own word says that it is healthy.
 //
-// Each router watches the requests that it sends ([Watch]). It knows how often
+// Each router watches the requests that it sends ([Monitor]). It knows how often
 // each kind of request fails at the pool's other endpoints, and how soon they
 // answer, and so what one failure says: a kind that fails everywhere says
 // nothing of an endpoint, nor does a failure of all endpoints at once. What a
@@ -23,35 +23,35 @@
 // Zero says nothing; below zero speaks for the endpoint.
 type Weight int16
 
-// Served is the weight of a request that was served. An endpoint that fails is
+// SuccessWeight is the weight of a request that was served. An endpoint that fails is
 // taken to fail, of the requests that a good one serves, every second one, so
 // that each served request halves the odds.
-const Served Weight = -69
+const SuccessWeight Weight = -69
 
-// EjectAt is the sum of weights at which an endpoint is taken out: it is then
+// EjectThreshold is the sum of weights at which an endpoint is taken out: it is then
 // four hundred times likelier that it fails than that it is as good as the others.
 // Two failures of a kind that seldom fails say so, behind a request that was
 // served, or five of one of which 14 in 100 fail anyway.
-const EjectAt Weight = 600
+const EjectThreshold Weight = 600
 
-// DoubtAt is the sum of weights at which an endpoint gets no more requests of
+// DoubtThreshold is the sum of weights at which an endpoint gets no more requests of
 // which a failure cannot be mended. One failure of a kind that seldom fails
 // raises it: other endpoints of the pool cost such a request nothing.
-const DoubtAt Weight = 300
+const DoubtThreshold Weight = 300
 
-// leastRate is the lowest share of failures that is taken for a good endpoint's.
+// minFailureRate is the lowest share of failures that is taken for a good endpoint's.
 // Lower ones would eject by a single failure.
-const leastRate = 0.01
+const minFailureRate = 0.01
 
-// weightOf returns what a failure says if a share of such requests fails at good
+// failureWeight returns what a failure says if a share of such requests fails at good
 // endpoints anyway.
-func weightOf(rate float64) Weight {
-	rate = min(max(rate, leastRate), 1)
+func failureWeight(rate float64) Weight {
+	rate = min(max(rate, minFailureRate), 1)
 	return Weight(100 * math.Log((1+rate)/(2*rate)))
 }
 
-// halving returns what is left of a quantity that halves in every half-life.
-func halving(age, halfLife time.Duration) float64 {
+// decayFactor returns what is left of a quantity that halves in every half-life.
+func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
--- a/coordination/outlier/watch_test.go
+++ b/coordination/outlier/watch_test.go
@@ -10,19 +10,19 @@
 	"wisteriaspool/coordination"
 )
 
-func sight(endpoint coordination.Endpoint, kind string) Sight {
-	return Sight{Pool: "p", Endpoint: endpoint, Kind: kind}
+func request(endpoint coordination.Endpoint, kind string) Request {
+	return Request{Pool: "p", Endpoint: endpoint, Kind: kind}
 }
 
 // fill has endpoints e0 to e4 answer requests of a kind, of which some fail.
-func fill(w *Watch, now time.Time, kind string, n, failEvery int) {
+func fill(w *Monitor, now time.Time, kind string, n, failEvery int) {
 	for i := range n {
-		s := sight(coordination.Endpoint(fmt.Sprintf("e%d", i%5)), kind)
+		s := request(coordination.Endpoint(fmt.Sprintf("e%d", i%5)), kind)
 		if failEvery > 0 && i%failEvery == 0 {
-			w.Failed(now, s)
+			w.RecordFailure(now, s)
 			continue
 		}
-		w.Served(now, s)
+		w.RecordSuccess(now, s)
 	}
 }
 
@@ -43,9 +43,9 @@
 		{"few requests elsewhere", 0, 2, 100, 200},
 	}
 	for _, test := range tests {
-		var w Watch
+		var w Monitor
 		fill(&w, now, "k", test.n, test.failEvery)
-		got := w.Failed(now, sight("bad", "k"))
+		got := w.RecordFailure(now, request("bad", "k"))
 		assert.Assert(t, got >= test.least && got <= test.most, "%s: %d", test.name, got)
 	}
 }
@@ -54,41 +54,41 @@
 // down. Nothing is gained by taking any out: after the first few failures each
 // says next to nothing.
 func TestFailureOfAWholePoolSaysLittle(t *testing.T) {
-	var w Watch
+	var w Monitor
 	now := time.Unix(1000, 0)
 	fill(&w, now, "k", 100, 0)
 	for range 60 {
 		now = now.Add(10 * time.Millisecond)
 		fill(&w, now, "k", 5, 1)
 	}
-	got := w.Failed(now, sight("e0", "k"))
+	got := w.RecordFailure(now, request("e0", "k"))
 	assert.Assert(t, got < 20, "%d", got)
 }
 
 // An endpoint's own failures are not held against the others, nor do they make
 // its next failure look usual.
-func TestOwnFailuresAreNoMeasure(t *testing.T) {
-	var w Watch
+func TestOwnFailuresAreExcluded(t *testing.T) {
+	var w Monitor
 	now := time.Unix(1000, 0)
 	fill(&w, now, "k", 100, 0)
 	var last Weight
 	for range 50 {
-		last = w.Failed(now, sight("bad", "k"))
+		last = w.RecordFailure(now, request("bad", "k"))
 	}
 	assert.Assert(t, last > 350, "%d", last)
-	assert.Assert(t, w.Failed(now, sight("e0", "k")) < last)
+	assert.Assert(t, w.RecordFailure(now, request("e0", "k")) < last)
 }
 
 // A lookup that fails one time in seven does not make an order's failure usual.
-func TestKindsAreApart(t *testing.T) {
-	var w Watch
+func TestKindsAreSeparate(t *testing.T) {
+	var w Monitor
 	now := time.Unix(1000, 0)
 	fill(&w, now, "lookup", 100, 7)
 	fill(&w, now, "order", 100, 0)
-	assert.Assert(t, w.Failed(now, sight("e0", "order")) > 2*w.Failed(now, sight("e0", "lookup")))
+	assert.Assert(t, w.RecordFailure(now, request("e0", "order")) > 2*w.RecordFailure(now, request("e0", "lookup")))
 }
 
-func TestPatience(t *testing.T) {
+func TestFirstByteLimit(t *testing.T) {
 	start := time.Unix(1000, 0)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	tests := []struct {
@@ -102,28 +102,28 @@
 		{"old ones are forgotten", append([]int{900, 50, 50, 50, 50, 50, 50, 50}, repeat(70, 40)...), ms(140)},
 	}
 	for _, test := range tests {
-		var w Watch
+		var w Monitor
 		now := start
 		for _, n := range test.times {
 			now = now.Add(time.Second)
-			w.Answered(now, sight("e", "k"), ms(n))
+			w.RecordFirstByte(now, request("e", "k"), ms(n))
 		}
-		assert.Equal(t, w.Patience(now, sight("f", "k")), test.want, test.name)
+		assert.Equal(t, w.FirstByteLimit(now, request("f", "k")), test.want, test.name)
 	}
 }
 
 // One answer that a lost packet held up does not set the limit for all.
-func TestPatienceLeavesOutTheFewLongest(t *testing.T) {
-	var w Watch
+func TestFirstByteLimitIgnoresFewLongest(t *testing.T) {
+	var w Monitor
 	now := time.Unix(1000, 0)
 	for n := range 100 {
 		took := 50 * time.Millisecond
 		if n == 30 {
 			took = 5 * time.Second
 		}
-		w.Answered(now, sight("e", "k"), took)
+		w.RecordFirstByte(now, request("e", "k"), took)
 	}
-	assert.Equal(t, w.Patience(now, sight("e", "k")), 100*time.Millisecond)
+	assert.Equal(t, w.FirstByteLimit(now, request("e", "k")), 100*time.Millisecond)
 }
 
 func repeat(n, times int) []int {
@@ -134,17 +134,17 @@
 	return all
 }
 
-func ExampleWatch() {
-	var w Watch
+func ExampleMonitor() {
+	var w Monitor
 	now := time.Unix(1000, 0)
 	for range 100 {
-		w.Served(now, Sight{Pool: "engines", Endpoint: "e1", Kind: "draft"})
+		w.RecordSuccess(now, Request{Pool: "engines", Endpoint: "e1", Kind: "draft"})
 	}
 	var j Detector
 	for range 2 {
 		begun := now.Add(50 * time.Millisecond)
 		now = begun.Add(50 * time.Millisecond)
-		j.Hear(now, "zone-a", begun, w.Failed(now, Sight{Pool: "engines", Endpoint: "e2", Kind: "draft"}))
+		j.Observe(now, "zone-a", begun, w.RecordFailure(now, Request{Pool: "engines", Endpoint: "e2", Kind: "draft"}))
 	}
 	standing, wait := j.Standing(now, "zone-a", nRuns(0))
 	fmt.Println(standing, wait)
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -57,9 +57,9 @@
 		return false
 	}
 	if g, ok := l.grants[GrantID{Entry: from, Sequence: n.Sequence}]; ok {
-		l.detector.Hear(now, zone, g.start, n.Seen)
+		l.detector.Observe(now, zone, g.start, n.Seen)
 	}
-	return l.detector.OutFor(zone)
+	return l.detector.EjectedFor(zone)
 }
 
 // outlierChanged follows a change of the endpoint's standing. Requests that wait
@@ -93,7 +93,7 @@
 	}
 }
 
-// Since implements outlier.Runs.
+// Since implements outlier.RunningRequests.
 func (l *endpointLoad) Since(begun time.Time) int {
 	n := 0
 	for _, g := range l.grants {
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -26,8 +26,8 @@
 	spent float64 // of the burst
 }
 
-// Request notes a request, which earns a share of a retry.
-func (b *Budget) Request() {
+// RecordRequest notes a request, which earns a share of a retry.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-b.share(), 0)
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -29,7 +29,7 @@
 				got++
 			}
 			for range 1000 {
-				b.Request()
+				b.RecordRequest()
 				for b.Take() {
 					got++
 				}
@@ -43,7 +43,7 @@
 func TestSavedRetriesAreBounded(t *testing.T) {
 	b := &Budget{Share: 1, Burst: 5}
 	for range 100 {
-		b.Request()
+		b.RecordRequest()
 	}
 	assert.Equal(t, b.Left(), 5)
 }
@@ -67,7 +67,7 @@
 
 func ExampleBudget() {
 	var b Budget
-	b.Request()
+	b.RecordRequest()
 	if b.Take() {
 		fmt.Println("try again elsewhere")
 	}
--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -52,19 +52,19 @@
 
 // Route says how the requests of one host and path prefix are served.
 type Route struct {
-	Name        string
-	Host        string // without a port, in lower case
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // longest time that a caller is kept waiting; zero for none
-	FirstTarget time.Duration // to the first byte or event, within which an answer has its full worth
-	GapTarget   time.Duration // longest pause between two events of a stream; zero for none
-	Attempts    int           // endpoints to which one request may be sent, at least 1
-	Priority    coordination.Priority
-	Shares      []Share
-	Public      bool // needs no key
-	Sticky      bool // its requests name the parts of their prompts
-	Resumable   bool // a stream that broke may go on elsewhere
+	Name            string
+	Host            string // without a port, in lower case
+	Prefix          string // begins and ends with a slash
+	Kind            Kind
+	Timeout         time.Duration // longest time that a caller is kept waiting; zero for none
+	FirstByteTarget time.Duration // to the first byte or event, within which an answer has its full worth
+	GapTarget       time.Duration // longest pause between two events of a stream; zero for none
+	Attempts        int           // endpoints to which one request may be sent, at least 1
+	Priority        coordination.Priority
+	Shares          []Share
+	Public          bool // needs no key
+	Sticky          bool // its requests name the parts of their prompts
+	Resumable       bool // a stream that broke may go on elsewhere
 }
 
 // Idempotent reports whether a request of the route may run more than once.
--- a/coordination/settings/editor.go
+++ b/coordination/settings/editor.go
@@ -155,7 +155,7 @@
 		default:
 			lost = true
 		}
-		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
+		if !coordination.Sleep(ctx, coordination.Jitter(wait)) {
 			return Outcome{Status: Undecided, Err: res.Err, RetryAfter: unwrittenWait}
 		}
 	}
--- a/coordination/settings/fetch.go
+++ b/coordination/settings/fetch.go
@@ -86,7 +86,7 @@
 	defer f.s.group.Done()
 	defer f.done()
 	members := len(f.s.peers.Members())
-	if !coordination.Sleep(f.s.ctx, coordination.Spread(min(time.Duration(max(members, 1))*spreadEach, spreadMost))) {
+	if !coordination.Sleep(f.s.ctx, coordination.Jitter(min(time.Duration(max(members, 1))*spreadEach, spreadMost))) {
 		return
 	}
 	for attempt := range maxAttempts {
@@ -98,7 +98,7 @@
 		if f.s.holds(f.team, f.position()) {
 			return
 		}
-		if !coordination.Sleep(f.s.ctx, coordination.Spread(fetchPause)) {
+		if !coordination.Sleep(f.s.ctx, coordination.Jitter(fetchPause)) {
 			return
 		}
 	}
@@ -217,7 +217,7 @@
 	defer l.s.group.Done()
 	start := time.Now()
 	for !l.fromPeers() && !l.fromPlatform(time.Since(start)) {
-		if !coordination.Sleep(l.s.ctx, coordination.Spread(loadPause)) {
+		if !coordination.Sleep(l.s.ctx, coordination.Jitter(loadPause)) {
 			return
 		}
 	}
@@ -271,7 +271,7 @@
 		if lo.EveryBy(teams, func(e indexEntry) bool { return l.s.holds(e.Team, e.Position) }) {
 			return true
 		}
-		if !coordination.Sleep(l.s.ctx, coordination.Spread(fetchPause/2)) {
+		if !coordination.Sleep(l.s.ctx, coordination.Jitter(fetchPause/2)) {
 			return false
 		}
 	}
--- a/coordination/settings/watch.go
+++ b/coordination/settings/watch.go
@@ -24,7 +24,7 @@
 		if w.follow(ctx) {
 			wait = firstBackoff
 		}
-		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
+		if !coordination.Sleep(ctx, coordination.Jitter(wait)) {
 			return
 		}
 		wait = min(2*wait, 2*time.Second)
--- a/coordination/sleep.go
+++ b/coordination/sleep.go
@@ -21,17 +21,17 @@
 	}
 }
 
-// Spread returns a time between half of d and one and a half of it, so that those
+// Jitter returns a time between half of d and one and a half of it, so that those
 // who failed together do not come back together.
-func Spread(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 const (
-	restShare   = 20
-	longestRest = 200 * time.Millisecond
+	cooldownFactor = 20
+	maxCooldown    = 200 * time.Millisecond
 )
 
-// Rest returns for how long to leave off work that has taken some time before it
+// Cooldown returns for how long to leave off work that has taken some time before it
 // begins again, so that it takes one part in twenty of all time at most. It is for
 // work that grows with the fleet and that each change asks for: while a large fleet
 // starts, hundreds of changes come within seconds. In a small fleet it is nothing.
-func Rest(took time.Duration) time.Duration { return min(restShare*took, longestRest) }
+func Cooldown(took time.Duration) time.Duration { return min(cooldownFactor*took, maxCooldown) }
--- a/coordination/sleep_test.go
+++ b/coordination/sleep_test.go
@@ -25,20 +25,20 @@
 	})
 }
 
-func TestRest(t *testing.T) {
+func TestCooldown(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{
 		0:                     0,
 		time.Millisecond:      20 * time.Millisecond,
 		10 * time.Millisecond: 200 * time.Millisecond,
 		time.Second:           200 * time.Millisecond,
 	} {
-		assert.Equal(t, coordination.Rest(took), want)
+		assert.Equal(t, coordination.Cooldown(took), want)
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestJitter(t *testing.T) {
 	for range 1000 {
-		d := coordination.Spread(time.Second)
+		d := coordination.Jitter(time.Second)
 		assert.Assert(t, d >= time.Second/2 && d < 3*time.Second/2)
 	}
 }
--- a/coordination/suspicion/fleet_test.go
+++ b/coordination/suspicion/fleet_test.go
@@ -17,63 +17,63 @@
 
 // outcome is what one seeded run of the world showed.
 type outcome struct {
-	lost      map[Fingerprint]int // endpoints, by crashing request
-	innocents int                 // refused as poison
-	served    int                 // innocents that ran to their end
-	sent      int                 // innocents
-	runs      []runRecord
+	crashes          map[Fingerprint]int // endpoints, by crashing request
+	falseConvictions int                 // refused as poison
+	served           int                 // innocents that ran to their end
+	sent             int                 // innocents
+	runs             []runRecord
 }
 
 // scenario is a seeded run: innocents arrive all the time, and crashing
 // requests are sent through one router and, again and again, through all.
 type scenario struct {
-	seed    uint64
-	poisons int
-	spacing time.Duration // between two crashing requests
-	planted plant
-	cfg     Config
-	rekeyed bool // each copy of a crashing request comes as another chat
+	seed     uint64
+	crashing int
+	spacing  time.Duration // between two crashing requests
+	fault    injectedFault
+	cfg      Config
+	rekeyed  bool // each copy of a crashing request comes as another chat
 }
 
-// play runs the scenario in the paused clock.
-func (s scenario) play(t *testing.T) (o outcome) {
+// run runs the scenario in the paused clock.
+func (s scenario) run(t *testing.T) (o outcome) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(s.seed, 7, 12, s.planted, s.cfg)
+		w := newFleetSim(s.seed, 7, 12, s.fault, s.cfg)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for i, m := range w.members {
 			wg.Go(func() { w.routers[m.ID].loop(ctx, time.Duration(200+250*i)*time.Millisecond) })
 		}
 		time.Sleep(3 * time.Second)
-		length := time.Duration(s.poisons)*s.spacing + 20*time.Second
+		length := time.Duration(s.crashing)*s.spacing + 20*time.Second
 		var jobs sync.WaitGroup
-		jobs.Go(func() { s.innocents(ctx, w, length, &o) })
-		for i := range s.poisons {
+		jobs.Go(func() { s.sendHarmless(ctx, w, length, &o) })
+		for i := range s.crashing {
 			jobs.Go(func() {
 				time.Sleep(time.Duration(i) * s.spacing)
-				s.poison(ctx, w, i, length)
+				s.sendCrashing(ctx, w, i, length)
 			})
 		}
 		jobs.Wait()
 		cancel()
 		wg.Wait()
 		w.stop()
-		o.lost, o.runs = w.lost(), w.runs
-		o.innocents = lo.CountBy(w.convicted, func(f Fingerprint) bool { return !isPoison(f, s.poisons) })
+		o.crashes, o.runs = w.crashCounts(), w.runs
+		o.falseConvictions = lo.CountBy(w.convicted, func(f Fingerprint) bool { return !isCrashing(f, s.crashing) })
 		time.Sleep(time.Minute)
 	})
 	return o
 }
 
-func poisonOf(i int) Fingerprint { return FingerprintOf("poison", fmt.Sprint(i)) }
+func crashingFingerprint(i int) Fingerprint { return FingerprintOf("poison", fmt.Sprint(i)) }
 
-func isPoison(f Fingerprint, n int) bool {
-	return lo.Contains(lo.Times(n, poisonOf), f)
+func isCrashing(f Fingerprint, n int) bool {
+	return lo.Contains(lo.Times(n, crashingFingerprint), f)
 }
 
-// innocents sends 15 requests a second, one in twenty with the same common
+// sendHarmless sends 15 requests a second, one in twenty with the same common
 // prompt.
-func (s scenario) innocents(ctx context.Context, w *world, length time.Duration, o *outcome) {
+func (s scenario) sendHarmless(ctx context.Context, w *fleetSim, length time.Duration, o *outcome) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -103,12 +103,12 @@
 	wg.Wait()
 }
 
-// poison sends a crashing request, and sends it again through every router at
+// sendCrashing sends a crashing request, and sends it again through every router at
 // once when its first try has ended, and every few seconds after that.
-func (s scenario) poison(ctx context.Context, w *world, i int, length time.Duration) {
+func (s scenario) sendCrashing(ctx context.Context, w *fleetSim, i int, length time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(i+3)))
 	j := job{
-		fingerprint: poisonOf(i),
+		fingerprint: crashingFingerprint(i),
 		key:         placement.Key(1_000_000 + i),
 		length:      time.Duration(50+rng.IntN(2000)) * time.Millisecond,
 		crashes:     true,
@@ -119,7 +119,7 @@
 	var wg sync.WaitGroup
 	original := j
 	wg.Go(func() { first.serve(ctx, original) })
-	for w.lost()[j.fingerprint] == 0 && time.Now().Before(until) {
+	for w.crashCounts()[j.fingerprint] == 0 && time.Now().Before(until) {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(time.Duration(10+rng.IntN(300)) * time.Millisecond)
@@ -151,10 +151,10 @@
 		scenario
 		seeds uint64
 	}{
-		{"one", scenario{poisons: 1, spacing: 10 * time.Second}, 5},
-		{"several apart", scenario{poisons: 3, spacing: 10 * time.Second}, 1},
+		{"one", scenario{crashing: 1, spacing: 10 * time.Second}, 5},
+		{"several apart", scenario{crashing: 3, spacing: 10 * time.Second}, 1},
 		{"as other chats, always asking", scenario{
-			poisons: 1, spacing: 10 * time.Second, rekeyed: true, cfg: Config{Always: true},
+			crashing: 1, spacing: 10 * time.Second, rekeyed: true, cfg: Config{Always: true},
 		}, 3},
 	}
 	for _, test := range tests {
@@ -162,12 +162,12 @@
 			for seed := range test.seeds {
 				s := test.scenario
 				s.seed = seed
-				o := s.play(t)
-				for i := range s.poisons {
-					n := o.lost[poisonOf(i)]
+				o := s.run(t)
+				for i := range s.crashing {
+					n := o.crashes[crashingFingerprint(i)]
 					assert.Assert(t, n >= 1 && n <= 2, "seed %d: request %d took %d endpoints", seed, i, n)
 				}
-				assert.Equal(t, o.innocents, 0, "seed %d", seed)
+				assert.Equal(t, o.falseConvictions, 0, "seed %d", seed)
 				assert.Assert(t, o.served >= o.sent*99/100, "seed %d: %d of %d innocents served", seed, o.served, o.sent)
 			}
 		})
@@ -176,12 +176,12 @@
 
 // The check above must be able to fail. Routers that retry without asking, or
 // that each ask only themselves, let a crashing request take many endpoints.
-func TestCheckFindsPlantedFaults(t *testing.T) {
-	for _, planted := range []plant{ungated, ownGateOnly} {
+func TestCrashLimitCheckDetectsInjectedFaults(t *testing.T) {
+	for _, planted := range []injectedFault{noGate, ownGateOnly} {
 		found := false
 		for seed := range uint64(2) {
-			o := scenario{seed: seed, poisons: 1, spacing: 10 * time.Second, planted: planted}.play(t)
-			found = found || o.lost[poisonOf(0)] > 2
+			o := scenario{seed: seed, crashing: 1, spacing: 10 * time.Second, fault: planted}.run(t)
+			found = found || o.crashes[crashingFingerprint(0)] > 2
 		}
 		assert.Assert(t, found, "fault %d goes unnoticed", planted)
 	}
--- a/coordination/suspicion/gate.go
+++ b/coordination/suspicion/gate.go
@@ -15,9 +15,9 @@
 	cfg   Config
 	table *Table
 
-	mu      sync.Mutex
-	moved   time.Time
-	running map[Fingerprint]map[Copy]time.Time // until when
+	mu               sync.Mutex
+	membersChangedAt time.Time
+	running          map[Fingerprint]map[Copy]time.Time // until when
 }
 
 // NewGate returns the gate of a router with this table.
@@ -29,22 +29,22 @@
 	}
 }
 
-// Moved tells that the list of routers has changed, so that this gate may have
+// MembersChanged tells that the list of routers has changed, so that this gate may have
 // got fingerprints of another one. It lets no suspect start until the entries
 // that run copies have had time to claim them.
-func (g *Gate) Moved(now time.Time) {
+func (g *Gate) MembersChanged(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.moved = now
+	g.membersChangedAt = now
 }
 
-// Dead drops the copies of an instance that has died. Endpoints cancel an
+// InstanceDied drops the copies of an instance that has died. Endpoints cancel an
 // attempt that nobody reads, but not at once, so the copies hold their place a
 // while longer.
-func (g *Gate) Dead(now time.Time, id coordination.Instance) {
+func (g *Gate) InstanceDied(now time.Time, id coordination.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	until := now.Add(abandonedRun)
+	until := now.Add(cancelDelay)
 	for _, copies := range g.running {
 		for c, old := range copies {
 			if c.Instance == id && until.Before(old) {
@@ -54,9 +54,9 @@
 	}
 }
 
-// abandonedRun is how long an endpoint may go on with an attempt that has lost
+// cancelDelay is how long an endpoint may go on with an attempt that has lost
 // its reader.
-const abandonedRun = 15 * time.Second
+const cancelDelay = 15 * time.Second
 
 // Handle takes a step of a copy. If the record has changed, it returns it for
 // spreading.
@@ -67,16 +67,16 @@
 	case Enter:
 		return g.enter(now, m), nil
 	case Claim:
-		g.hold(now, m)
+		g.trackCopy(now, m)
 		return g.verdict(now, m), nil
 	case Crashed:
-		g.drop(m)
-		return g.crashed(now, m)
+		g.untrackCopy(m)
+		return g.recordCrash(now, m)
 	case Finished:
-		g.drop(m)
-		return g.finished(now, m)
+		g.untrackCopy(m)
+		return g.clearFinished(now, m)
 	default:
-		g.drop(m)
+		g.untrackCopy(m)
 		return GateReply{}, nil
 	}
 }
@@ -85,8 +85,8 @@
 // another copy runs.
 func (g *Gate) enter(now time.Time, m GateRequest) GateReply {
 	v := g.verdict(now, m)
-	if v.Verdict == Alone || v.Verdict == Free {
-		g.hold(now, m)
+	if v.Verdict == AllowedAlone || v.Verdict == Allowed {
+		g.trackCopy(now, m)
 	}
 	return v
 }
@@ -98,23 +98,23 @@
 	case Convicted:
 		return GateReply{Verdict: Poison, RetryAfter: millis(r.Expires.Time().Sub(now))}
 	case Clear:
-		return GateReply{Verdict: Free}
+		return GateReply{Verdict: Allowed}
 	}
 	ready := r.Crashes[len(r.Crashes)-1].At.Time().Add(g.cfg.Hold)
-	if after := g.moved.Add(g.cfg.Hold); after.After(ready) {
+	if after := g.membersChangedAt.Add(g.cfg.Hold); after.After(ready) {
 		ready = after
 	}
 	if now.Before(ready) {
 		return GateReply{Verdict: Busy, RetryAfter: millis(ready.Sub(now))}
 	}
-	if g.others(now, m) {
+	if g.otherCopyRunning(now, m) {
 		return GateReply{Verdict: Busy, RetryAfter: millis(g.cfg.Hold)}
 	}
-	return GateReply{Verdict: Alone}
+	return GateReply{Verdict: AllowedAlone}
 }
 
-// others reports whether another copy runs.
-func (g *Gate) others(now time.Time, m GateRequest) bool {
+// otherCopyRunning reports whether another copy runs.
+func (g *Gate) otherCopyRunning(now time.Time, m GateRequest) bool {
 	copies := g.running[m.Fingerprint]
 	for c, until := range copies {
 		if !now.Before(until) {
@@ -124,8 +124,8 @@
 	return lo.SomeBy(lo.Keys(copies), func(c Copy) bool { return c != m.Copy })
 }
 
-// hold notes that a copy runs.
-func (g *Gate) hold(now time.Time, m GateRequest) {
+// trackCopy notes that a copy runs.
+func (g *Gate) trackCopy(now time.Time, m GateRequest) {
 	copies := g.running[m.Fingerprint]
 	if copies == nil {
 		if len(g.running) >= g.cfg.Limit {
@@ -151,8 +151,8 @@
 	}
 }
 
-// drop notes that a copy runs no more.
-func (g *Gate) drop(m GateRequest) {
+// untrackCopy notes that a copy runs no more.
+func (g *Gate) untrackCopy(m GateRequest) {
 	copies := g.running[m.Fingerprint]
 	delete(copies, m.Copy)
 	if len(copies) == 0 {
@@ -160,20 +160,20 @@
 	}
 }
 
-// crashed takes the death of a copy's endpoint.
-func (g *Gate) crashed(now time.Time, m GateRequest) (GateReply, *Record) {
+// recordCrash takes the death of a copy's endpoint.
+func (g *Gate) recordCrash(now time.Time, m GateRequest) (GateReply, *Record) {
 	if m.Crash == nil {
 		return GateReply{}, nil
 	}
-	r, _ := g.table.crash(now, m.Fingerprint, *m.Crash)
+	r, _ := g.table.addCrash(now, m.Fingerprint, *m.Crash)
 	return g.verdict(now, m), &r
 }
 
-// finished clears a suspect: it has run to its end and its endpoint lives.
-func (g *Gate) finished(now time.Time, m GateRequest) (GateReply, *Record) {
+// clearFinished clears a suspect: it has run to its end and its endpoint lives.
+func (g *Gate) clearFinished(now time.Time, m GateRequest) (GateReply, *Record) {
 	if _, state := g.table.Find(now, m.Fingerprint); state != Suspect {
 		return GateReply{}, nil
 	}
-	r, _ := g.table.clear(now, m.Fingerprint)
+	r, _ := g.table.clearCrashes(now, m.Fingerprint)
 	return GateReply{}, &r
 }
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -37,9 +37,9 @@
 	spreader    Spreader
 	placer      atomic.Value // placerBox
 
-	mu   sync.Mutex
-	last uint64
-	runs map[Fingerprint][]*Follow
+	mu         sync.Mutex
+	lastNumber uint64
+	tracked    map[Fingerprint][]*TrackedRequest
 }
 
 type placerBox struct{ Placer }
@@ -53,7 +53,7 @@
 		gate:        gate,
 		transport:   t,
 		spreader:    s,
-		runs:        make(map[Fingerprint][]*Follow),
+		tracked:     make(map[Fingerprint][]*TrackedRequest),
 	}
 }
 
@@ -61,25 +61,25 @@
 // their gates, which may be new.
 func (g *Guard) Update(ctx context.Context, p Placer) {
 	g.placer.Store(placerBox{p})
-	g.gate.Moved(time.Now())
+	g.gate.MembersChanged(time.Now())
 	g.Renew(ctx)
 }
 
 // Renew claims the suspects that run here once more. The router calls it twice
 // in each Config.MaxRun.
 func (g *Guard) Renew(ctx context.Context) {
-	for _, f := range g.known() {
+	for _, f := range g.registeredRequests() {
 		g.step(ctx, f, Claim, nil)
 	}
 }
 
-// known returns the runs that their gates know, or should know.
-func (g *Guard) known() []*Follow {
+// registeredRequests returns the runs that their gates know, or should know.
+func (g *Guard) registeredRequests() []*TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := lo.Flatten(lo.Values(g.runs))
-	all = lo.Filter(all, func(f *Follow, _ int) bool { return f.asked })
-	slices.SortFunc(all, func(a, b *Follow) int { return int(a.copy.Number) - int(b.copy.Number) })
+	all := lo.Flatten(lo.Values(g.tracked))
+	all = lo.Filter(all, func(f *TrackedRequest, _ int) bool { return f.registered })
+	slices.SortFunc(all, func(a, b *TrackedRequest) int { return int(a.copy.Number) - int(b.copy.Number) })
 	return all
 }
 
@@ -104,19 +104,19 @@
 	if _, state := g.table.Find(time.Now(), fp); state != Suspect {
 		return
 	}
-	for _, f := range g.claimable(fp) {
+	for _, f := range g.registerAll(fp) {
 		g.step(ctx, f, Claim, nil)
 	}
 }
 
-// claimable marks the runs of a fingerprint as known to the gate and returns
+// registerAll marks the runs of a fingerprint as known to the gate and returns
 // those that were not.
-func (g *Guard) claimable(f Fingerprint) []*Follow {
+func (g *Guard) registerAll(f Fingerprint) []*TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	unaware := lo.Filter(g.runs[f], func(r *Follow, _ int) bool { return !r.asked })
+	unaware := lo.Filter(g.tracked[f], func(r *TrackedRequest, _ int) bool { return !r.registered })
 	for _, r := range unaware {
-		r.asked = true
+		r.registered = true
 	}
 	return unaware
 }
@@ -127,12 +127,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return g.handle(ctx, m).Encode(), nil
+	return g.handleStep(ctx, m).Encode(), nil
 }
 
-// handle answers a step. What it changes is news to this router too, whose own
+// handleStep answers a step. What it changes is news to this router too, whose own
 // copies no rumour reaches.
-func (g *Guard) handle(ctx context.Context, m GateRequest) GateReply {
+func (g *Guard) handleStep(ctx context.Context, m GateRequest) GateReply {
 	reply, r := g.gate.Handle(time.Now(), m)
 	if r != nil {
 		g.spreader.Spread(TopicRecord, r.Encode())
@@ -147,30 +147,30 @@
 	RetryAfter time.Duration
 }
 
-// Follow follows one request from its admission to its end.
-type Follow struct {
+// TrackedRequest follows one request from its admission to its end.
+type TrackedRequest struct {
 	guard       *Guard
 	fingerprint Fingerprint
 	copy        Copy
 	alone       atomic.Bool
-	entered     atomic.Bool // its gate has let it run
-	asked       bool        // its gate knows of it; Guard.mu guards it
+	admitted    atomic.Bool // its gate has let it run
+	registered  bool        // its gate knows of it; Guard.mu guards it
 }
 
-// Asked reports whether the gate has let the request run. A request that a
+// Admitted reports whether the gate has let the request run. A request that a
 // rumour made this router claim has not been let run: it may be on its way to
 // an endpoint, and has to ask like any other.
-func (f *Follow) Asked() bool { return f.entered.Load() }
+func (f *TrackedRequest) Admitted() bool { return f.admitted.Load() }
 
 // Alone reports whether the request must run with no other suspect beside it.
-func (f *Follow) Alone() bool { return f.alone.Load() }
+func (f *TrackedRequest) Alone() bool { return f.alone.Load() }
 
 // Begin starts to follow a request. For a suspect it waits until no other copy
 // runs, or ctx ends; it returns nil and a refusal if the request must not run.
-func (g *Guard) Begin(ctx context.Context, fp Fingerprint, p coordination.Pool) (*Follow, Refusal) {
+func (g *Guard) Begin(ctx context.Context, fp Fingerprint, p coordination.Pool) (*TrackedRequest, Refusal) {
 	// Followed before it is checked, so that a rumour that comes meanwhile finds
 	// either a copy to claim or a suspect that has to ask.
-	f := g.open(fp)
+	f := g.track(fp)
 	advice, after := g.table.Check(time.Now(), fp, p)
 	if advice == Refuse {
 		f.Abandoned(context.WithoutCancel(ctx))
@@ -179,7 +179,7 @@
 	if advice == Run {
 		return f, Refusal{}
 	}
-	g.mark(f)
+	g.register(f)
 	if refusal, ok := f.enter(ctx); !ok {
 		f.Abandoned(context.WithoutCancel(ctx))
 		return nil, refusal
@@ -187,48 +187,48 @@
 	return f, Refusal{}
 }
 
-func (g *Guard) open(fp Fingerprint) *Follow {
+func (g *Guard) track(fp Fingerprint) *TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.last++
-	f := &Follow{
+	g.lastNumber++
+	f := &TrackedRequest{
 		guard:       g,
 		fingerprint: fp,
-		copy:        Copy{Instance: g.instance, Incarnation: g.incarnation, Number: g.last},
+		copy:        Copy{Instance: g.instance, Incarnation: g.incarnation, Number: g.lastNumber},
 	}
-	g.runs[fp] = append(g.runs[fp], f)
+	g.tracked[fp] = append(g.tracked[fp], f)
 	return f
 }
 
-// close stops following and reports whether the gate knew of the run.
-func (g *Guard) close(f *Follow) (known bool) {
+// untrack stops following and reports whether the gate knew of the run.
+func (g *Guard) untrack(f *TrackedRequest) (known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rest := lo.Without(g.runs[f.fingerprint], f)
+	rest := lo.Without(g.tracked[f.fingerprint], f)
 	if len(rest) == 0 {
-		delete(g.runs, f.fingerprint)
+		delete(g.tracked, f.fingerprint)
 	} else {
-		g.runs[f.fingerprint] = rest
+		g.tracked[f.fingerprint] = rest
 	}
-	return f.asked
+	return f.registered
 }
 
 // enter asks the gate until it lets the request run.
-func (f *Follow) enter(ctx context.Context) (Refusal, bool) {
+func (f *TrackedRequest) enter(ctx context.Context) (Refusal, bool) {
 	for {
 		reply := f.guard.step(ctx, f, Enter, nil)
 		switch reply.Verdict {
-		case Free:
-			f.entered.Store(true)
+		case Allowed:
+			f.admitted.Store(true)
 			return Refusal{}, true
-		case Alone:
+		case AllowedAlone:
 			f.alone.Store(true)
-			f.entered.Store(true)
+			f.admitted.Store(true)
 			return Refusal{}, true
 		case Poison:
 			return Refusal{Poison: true, RetryAfter: reply.RetryAfter.Duration()}, false
 		}
-		wait := max(reply.RetryAfter.Duration(), minPause)
+		wait := max(reply.RetryAfter.Duration(), minRetryWait)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -238,16 +238,16 @@
 }
 
 const (
-	minPause    = 10 * time.Millisecond
-	gateTimeout = 200 * time.Millisecond
+	minRetryWait = 10 * time.Millisecond
+	gateTimeout  = 200 * time.Millisecond
 )
 
-// Crashed tells that the endpoint which ran the request has died. It returns
+// EndpointCrashed tells that the endpoint which ran the request has died. It returns
 // once the request may run again, then alone; or the refusal.
-func (f *Follow) Crashed(ctx context.Context, p coordination.Pool, e coordination.Endpoint, n coordination.Incarnation) (Refusal, bool) {
+func (f *TrackedRequest) EndpointCrashed(ctx context.Context, p coordination.Pool, e coordination.Endpoint, n coordination.Incarnation) (Refusal, bool) {
 	now := time.Now()
-	mass := f.guard.table.Lost(now, p, e)
-	f.guard.mark(f)
+	mass := f.guard.table.RecordLoss(now, p, e)
+	f.guard.register(f)
 	crash := Crash{Endpoint: e, Incarnation: n, At: unixMillis(now), Alone: f.Alone()}
 	crash.Mass = mass && !crash.Alone
 	reply := f.guard.step(ctx, f, Crashed, &crash)
@@ -257,31 +257,31 @@
 	return f.enter(ctx)
 }
 
-// FoundDead tells that an endpoint was dead before the request reached it.
+// EndpointFoundDead tells that an endpoint was dead before the request reached it.
 // Something took it, and perhaps a copy of this very request, of which this
 // router has not heard yet; so the gate is asked. It returns once the request
 // may go elsewhere, or the refusal.
-func (f *Follow) FoundDead(ctx context.Context, p coordination.Pool, e coordination.Endpoint) (Refusal, bool) {
-	f.guard.table.Lost(time.Now(), p, e)
-	f.guard.mark(f)
+func (f *TrackedRequest) EndpointFoundDead(ctx context.Context, p coordination.Pool, e coordination.Endpoint) (Refusal, bool) {
+	f.guard.table.RecordLoss(time.Now(), p, e)
+	f.guard.register(f)
 	return f.enter(ctx)
 }
 
-func (g *Guard) mark(f *Follow) {
+func (g *Guard) register(f *TrackedRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f.asked = true
+	f.registered = true
 }
 
 // Finished tells that the request has run to its end, which clears it.
-func (f *Follow) Finished(ctx context.Context) { f.end(ctx, Finished) }
+func (f *TrackedRequest) Finished(ctx context.Context) { f.end(ctx, Finished) }
 
 // Abandoned tells that the request has ended in a way that says nothing of it:
 // refused, cancelled by its caller, or failed with its endpoint alive.
-func (f *Follow) Abandoned(ctx context.Context) { f.end(ctx, Gave) }
+func (f *TrackedRequest) Abandoned(ctx context.Context) { f.end(ctx, Abandoned) }
 
-func (f *Follow) end(ctx context.Context, s Step) {
-	if f.guard.close(f) {
+func (f *TrackedRequest) end(ctx context.Context, s Step) {
+	if f.guard.untrack(f) {
 		f.guard.step(ctx, f, s, nil)
 	}
 }
@@ -289,11 +289,11 @@
 // step tells the gate of a step. If the gate cannot be reached, this router's
 // own one answers: a crash is recorded and spread all the same, and a suspect
 // waits, since another copy might run.
-func (g *Guard) step(ctx context.Context, f *Follow, s Step, c *Crash) GateReply {
+func (g *Guard) step(ctx context.Context, f *TrackedRequest, s Step, c *Crash) GateReply {
 	m := GateRequest{Fingerprint: f.fingerprint, Copy: f.copy, Step: s, Crash: c}
-	to := g.place(f.fingerprint)
+	to := g.gateOf(f.fingerprint)
 	if to == g.instance || to == "" {
-		return g.handle(ctx, m)
+		return g.handleStep(ctx, m)
 	}
 	ctx, cancel := context.WithTimeout(ctx, gateTimeout)
 	defer cancel()
@@ -303,20 +303,20 @@
 			return reply
 		}
 	}
-	return g.withoutGate(ctx, m)
+	return g.answerLocally(ctx, m)
 }
 
-func (g *Guard) place(f Fingerprint) coordination.Instance {
+func (g *Guard) gateOf(f Fingerprint) coordination.Instance {
 	if b, ok := g.placer.Load().(placerBox); ok {
 		return b.Place(uint64(f))
 	}
 	return ""
 }
 
-// withoutGate answers a step whose gate is silent.
-func (g *Guard) withoutGate(ctx context.Context, m GateRequest) GateReply {
+// answerLocally answers a step whose gate is silent.
+func (g *Guard) answerLocally(ctx context.Context, m GateRequest) GateReply {
 	if m.Step != Enter {
-		return g.handle(ctx, m)
+		return g.handleStep(ctx, m)
 	}
 	switch r, state := g.table.Find(time.Now(), m.Fingerprint); state {
 	case Convicted:
@@ -324,6 +324,6 @@
 	case Suspect:
 		return GateReply{Verdict: Busy, RetryAfter: millis(gateTimeout)}
 	default:
-		return GateReply{Verdict: Free}
+		return GateReply{Verdict: Allowed}
 	}
 }
--- a/coordination/suspicion/guard_test.go
+++ b/coordination/suspicion/guard_test.go
@@ -48,7 +48,7 @@
 		f, _ := other.Begin(t.Context(), 1, "m")
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		refusal, ok := f.Crashed(ctx, "m", "e1", 1)
+		refusal, ok := f.EndpointCrashed(ctx, "m", "e1", 1)
 		assert.Assert(t, !ok, "a second copy starts while the first one runs")
 		assert.Assert(t, !refusal.Poison)
 		own.Finished(t.Context())
@@ -58,7 +58,7 @@
 // A rumour of a crash that comes between the look at what is known and the entry
 // into the runs finds no copy to claim, so that the gate lets another one start
 // beside it.
-func TestRumourBesideBeginIsNotMissed(t *testing.T) {
+func TestRecordDuringBeginIsNotMissed(t *testing.T) {
 	all := make(gates)
 	entry := all.add("entry", "entry")
 	entry.table.mu.Lock() // Begin cannot look at what is known
@@ -67,7 +67,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		entry.mu.Lock()
 		defer entry.mu.Unlock()
-		if len(entry.runs[1]) == 0 {
+		if len(entry.tracked[1]) == 0 {
 			return poll.Continue("a rumour would find no copy to claim")
 		}
 		return poll.Success()
@@ -84,14 +84,14 @@
 		gate, other := all.add("gate", "gate"), all.add("other", "gate")
 		f, _ := other.Begin(t.Context(), 1, "m")
 		now := time.Now()
-		r, _ := gate.table.crash(now, 1, Crash{Endpoint: "e1", Incarnation: 1, At: unixMillis(now)})
+		r, _ := gate.table.addCrash(now, 1, Crash{Endpoint: "e1", Incarnation: 1, At: unixMillis(now)})
 		_, err := other.HandleRecord(t.Context(), r.Encode())
 		assert.NilError(t, err)
-		assert.Assert(t, f.asked, "the gate does not know of it")
-		assert.Assert(t, !f.Asked(), "it takes itself for let run")
+		assert.Assert(t, f.registered, "the gate does not know of it")
+		assert.Assert(t, !f.Admitted(), "it takes itself for let run")
 		ctx, cancel := context.WithTimeout(t.Context(), gate.gate.cfg.Hold/2)
 		defer cancel()
-		refusal, ok := f.FoundDead(ctx, "m", "e1")
+		refusal, ok := f.EndpointFoundDead(ctx, "m", "e1")
 		assert.Assert(t, !ok, "it starts before all routers have heard of the crash")
 		assert.Assert(t, !refusal.Poison)
 		f.Abandoned(t.Context())
--- a/coordination/suspicion/messages.go
+++ b/coordination/suspicion/messages.go
@@ -36,11 +36,11 @@
 
 // The steps of a copy.
 const (
-	Enter    Step = iota // asks to run
-	Claim                // runs already, or still
-	Crashed              // its endpoint died
-	Finished             // it ran to its end
-	Gave                 // it ended without telling anything
+	Enter     Step = iota // asks to run
+	Claim                 // runs already, or still
+	Crashed               // its endpoint died
+	Finished              // it ran to its end
+	Abandoned             // it ended without telling anything
 )
 
 // GateRequest is a step of a copy.
@@ -56,9 +56,9 @@
 
 // The verdicts of a gate.
 const (
-	Free  Verdict = iota // nothing is known against it
-	Alone                // it may run, with no other suspect beside it
-	Busy                 // another copy runs, or the crash is too recent
+	Allowed      Verdict = iota // nothing is known against it
+	AllowedAlone                // it may run, with no other suspect beside it
+	Busy                        // another copy runs, or the crash is too recent
 	Poison
 )
 
--- a/coordination/suspicion/suspicion.go
+++ b/coordination/suspicion/suspicion.go
@@ -120,17 +120,17 @@
 	Mass        bool // many endpoints died at that moment
 }
 
-func (c Crash) life() lifeOf {
-	return lifeOf{endpoint: c.Endpoint, incarnation: c.Incarnation}
+func (c Crash) incarnationKey() incarnationKey {
+	return incarnationKey{endpoint: c.Endpoint, incarnation: c.Incarnation}
 }
 
-func (c Crash) same(d Crash) bool {
+func (c Crash) sameIncarnation(d Crash) bool {
 	return c.Endpoint == d.Endpoint && c.Incarnation == d.Incarnation
 }
 
 const (
-	// convictingCrashes is the number of endpoints that a request may take.
-	convictingCrashes = 2
+	// crashesToConvict is the number of endpoints that a request may take.
+	crashesToConvict = 2
 
 	// maxCrashes is the number of crashes kept in a record. Some may turn out
 	// to be another request's doing.
@@ -176,7 +176,7 @@
 	r.Cleared = max(r.Cleared, s.Cleared)
 	r.Expires = max(r.Expires, s.Expires)
 	for _, c := range s.Crashes {
-		i := slices.IndexFunc(r.Crashes, c.same)
+		i := slices.IndexFunc(r.Crashes, c.sameIncarnation)
 		if i < 0 {
 			r.Crashes = append(r.Crashes, c)
 			continue
@@ -187,7 +187,9 @@
 	r.Crashes = slices.DeleteFunc(r.Crashes, func(c Crash) bool { return c.At <= r.Cleared })
 	slices.SortFunc(r.Crashes, func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
 	r.Crashes = r.Crashes[:min(len(r.Crashes), maxCrashes)]
-	return r.Cleared != before.Cleared || !slices.EqualFunc(r.Crashes, before.Crashes, alike)
+	return r.Cleared != before.Cleared || !slices.EqualFunc(r.Crashes, before.Crashes, equalCrashes)
 }
 
-func alike(a, b Crash) bool { return a.same(b) && a.Alone == b.Alone && a.Mass == b.Mass }
+func equalCrashes(a, b Crash) bool {
+	return a.sameIncarnation(b) && a.Alone == b.Alone && a.Mass == b.Mass
+}
--- a/coordination/suspicion/table.go
+++ b/coordination/suspicion/table.go
@@ -13,15 +13,15 @@
 type Table struct {
 	cfg Config
 
-	mu      sync.Mutex
-	records map[Fingerprint]*Record
-	decided map[lifeOf]Fingerprint // convicted of this crash, alone there
-	losses  map[coordination.Endpoint]time.Time
-	pools   map[coordination.Pool]time.Time // of the last loss
+	mu         sync.Mutex
+	records    map[Fingerprint]*Record
+	attributed map[incarnationKey]Fingerprint // convicted of this crash, alone there
+	losses     map[coordination.Endpoint]time.Time
+	lastLoss   map[coordination.Pool]time.Time // of the last loss
 }
 
-// lifeOf names one incarnation of an endpoint.
-type lifeOf struct {
+// incarnationKey names one incarnation of an endpoint.
+type incarnationKey struct {
 	endpoint    coordination.Endpoint
 	incarnation coordination.Incarnation
 }
@@ -29,19 +29,19 @@
 // NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
 	return &Table{
-		cfg:     cfg.withDefaults(),
-		records: make(map[Fingerprint]*Record),
-		decided: make(map[lifeOf]Fingerprint),
-		losses:  make(map[coordination.Endpoint]time.Time),
-		pools:   make(map[coordination.Pool]time.Time),
+		cfg:        cfg.withDefaults(),
+		records:    make(map[Fingerprint]*Record),
+		attributed: make(map[incarnationKey]Fingerprint),
+		losses:     make(map[coordination.Endpoint]time.Time),
+		lastLoss:   make(map[coordination.Pool]time.Time),
 	}
 }
 
-// Lost notes the death of an endpoint from any source, and reports whether many
+// RecordLoss notes the death of an endpoint from any source, and reports whether many
 // died at the same moment. Isolating all that a lost zone ran would take hours.
 // Endpoints are counted, not their lives: a list may name the next incarnation
 // of one that has not come back yet, and one death would look like two.
-func (t *Table) Lost(now time.Time, p coordination.Pool, e coordination.Endpoint) (mass bool) {
+func (t *Table) RecordLoss(now time.Time, p coordination.Pool, e coordination.Endpoint) (mass bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for l, at := range t.losses {
@@ -50,7 +50,7 @@
 		}
 	}
 	t.losses[e] = now
-	t.pools[p] = now
+	t.lastLoss[p] = now
 	return len(t.losses) >= t.cfg.MassLoss
 }
 
@@ -59,9 +59,9 @@
 
 // The kinds of advice.
 const (
-	Run    Advice = iota
-	Ask           // ask the gate first
-	Refuse        // convicted
+	Run     Advice = iota
+	AskGate        // ask the gate first
+	Refuse         // convicted
 )
 
 // Check advises on a request; retryAfter goes with Refuse.
@@ -73,11 +73,11 @@
 	case Convicted:
 		return Refuse, r.Expires.Time().Sub(now)
 	case Suspect:
-		return Ask, 0
+		return AskGate, 0
 	}
-	lost, ok := t.pools[p]
+	lost, ok := t.lastLoss[p]
 	if t.cfg.Always || ok && now.Sub(lost) < t.cfg.LossWindow {
-		return Ask, 0
+		return AskGate, 0
 	}
 	return Run, 0
 }
@@ -108,7 +108,7 @@
 	for _, c := range r.Crashes {
 		switch {
 		case c.Mass:
-		case !excused && t.excuses(c, r.Fingerprint):
+		case !excused && t.attributedToOther(c, r.Fingerprint):
 			excused = true
 		default:
 			own++
@@ -117,9 +117,9 @@
 		}
 	}
 	switch {
-	case own >= convictingCrashes && !alone && now.Before(last.Time().Add(t.cfg.Hold)):
+	case own >= crashesToConvict && !alone && now.Before(last.Time().Add(t.cfg.Hold)):
 		return Suspect
-	case own >= convictingCrashes:
+	case own >= crashesToConvict:
 		return Convicted
 	case own > 0:
 		return Suspect
@@ -128,20 +128,20 @@
 	}
 }
 
-// excuses reports whether another request is known to have caused a crash.
-func (t *Table) excuses(c Crash, f Fingerprint) bool {
-	by, decided := t.decided[c.life()]
+// attributedToOther reports whether another request is known to have caused a crash.
+func (t *Table) attributedToOther(c Crash, f Fingerprint) bool {
+	by, decided := t.attributed[c.incarnationKey()]
 	return decided && by != f && !c.Alone
 }
 
-// decide notes the crashes that a convicted record explains.
-func (t *Table) decide(r *Record) {
-	if len(r.Crashes) < convictingCrashes {
+// attributeCrashes notes the crashes that a convicted record explains.
+func (t *Table) attributeCrashes(r *Record) {
+	if len(r.Crashes) < crashesToConvict {
 		return
 	}
 	for _, c := range r.Crashes {
 		if c.Alone {
-			t.decided[c.life()] = r.Fingerprint
+			t.attributed[c.incarnationKey()] = r.Fingerprint
 		}
 	}
 }
@@ -150,8 +150,8 @@
 func (t *Table) forget(r *Record) {
 	delete(t.records, r.Fingerprint)
 	for _, c := range r.Crashes {
-		if t.decided[c.life()] == r.Fingerprint {
-			delete(t.decided, c.life())
+		if t.attributed[c.incarnationKey()] == r.Fingerprint {
+			delete(t.attributed, c.incarnationKey())
 		}
 	}
 }
@@ -192,28 +192,28 @@
 		t.evict(now, r.Fingerprint)
 	}
 	news := known.merge(r)
-	t.decide(known)
+	t.attributeCrashes(known)
 	return news
 }
 
-// crash adds a crash and returns the merged record.
-func (t *Table) crash(now time.Time, f Fingerprint, c Crash) (Record, State) {
+// addCrash adds a addCrash and returns the merged record.
+func (t *Table) addCrash(now time.Time, f Fingerprint, c Crash) (Record, State) {
 	r, _ := t.Find(now, f)
 	// Only one crash is forgiven. Were each, a crashing request could keep up
 	// by itself the losses that excuse it.
-	if lo.SomeBy(r.Crashes, func(old Crash) bool { return old.Mass && !old.same(c) }) {
+	if lo.SomeBy(r.Crashes, func(old Crash) bool { return old.Mass && !old.sameIncarnation(c) }) {
 		c.Mass = false
 	}
 	ttl := t.cfg.SuspectTTL
-	if len(r.Crashes) > 0 && !r.Crashes[0].same(c) {
+	if len(r.Crashes) > 0 && !r.Crashes[0].sameIncarnation(c) {
 		ttl = t.cfg.ConvictTTL
 	}
 	t.Merge(now, Record{Fingerprint: f, Crashes: []Crash{c}, Expires: unixMillis(now.Add(ttl))})
 	return t.Find(now, f)
 }
 
-// clear forgives all crashes of a suspect until now and returns the record.
-func (t *Table) clear(now time.Time, f Fingerprint) (Record, State) {
+// clearCrashes forgives all crashes of a suspect until now and returns the record.
+func (t *Table) clearCrashes(now time.Time, f Fingerprint) (Record, State) {
 	expires := unixMillis(now.Add(t.cfg.SuspectTTL))
 	t.Merge(now, Record{Fingerprint: f, Cleared: unixMillis(now), Expires: expires})
 	return t.Find(now, f)
@@ -231,7 +231,7 @@
 			t.forget(r)
 			continue
 		}
-		if f != keep && (worst == nil || t.lesser(now, r, worst)) {
+		if f != keep && (worst == nil || t.lessImportant(now, r, worst)) {
 			worst = r
 		}
 	}
@@ -240,8 +240,8 @@
 	}
 }
 
-// lesser reports whether a matters less than b.
-func (t *Table) lesser(now time.Time, a, b *Record) bool {
+// lessImportant reports whether a matters less than b.
+func (t *Table) lessImportant(now time.Time, a, b *Record) bool {
 	if x, y := t.state(now, *a), t.state(now, *b); x != y {
 		return x < y
 	}
--- a/coordination/suspicion/table_test.go
+++ b/coordination/suspicion/table_test.go
@@ -23,11 +23,11 @@
 
 func TestSecondCrashConvictsUntilExpiry(t *testing.T) {
 	table := NewTable(Config{})
-	_, state := table.crash(testNow, 1, crashAt("e1", false))
+	_, state := table.addCrash(testNow, 1, crashAt("e1", false))
 	assert.Equal(t, state, Suspect)
-	_, state = table.crash(testNow, 1, crashAt("e1", false))
+	_, state = table.addCrash(testNow, 1, crashAt("e1", false))
 	assert.Equal(t, state, Suspect, "one crash, told twice")
-	_, state = table.crash(testNow, 1, crashAt("e2", true))
+	_, state = table.addCrash(testNow, 1, crashAt("e2", true))
 	assert.Equal(t, state, Convicted)
 	advice, after := table.Check(testNow, 1, "m")
 	assert.Equal(t, advice, Refuse)
@@ -40,19 +40,19 @@
 // request takes. Were it convicted with it, nobody could say hello any more.
 func TestBystanderAtBothEndpointsIsNotConvicted(t *testing.T) {
 	table := NewTable(Config{})
-	table.crash(testNow, 1, crashAt("e1", false))
-	table.crash(testNow, 2, crashAt("e1", false))
-	table.crash(testNow, 2, crashAt("e2", false))
+	table.addCrash(testNow, 1, crashAt("e1", false))
+	table.addCrash(testNow, 2, crashAt("e1", false))
+	table.addCrash(testNow, 2, crashAt("e2", false))
 	_, state := table.Find(testNow, 2)
 	assert.Equal(t, state, Suspect, "something better may become known")
 	_, state = table.Find(testNow.Add(time.Second), 2)
 	assert.Equal(t, state, Convicted, "nothing better is known")
-	table.crash(testNow, 1, crashAt("e2", true))
+	table.addCrash(testNow, 1, crashAt("e2", true))
 	_, state = table.Find(testNow, 1)
 	assert.Equal(t, state, Convicted)
 	_, state = table.Find(testNow.Add(time.Second), 2)
 	assert.Equal(t, state, Suspect)
-	table.clear(testNow.Add(time.Second), 2)
+	table.clearCrashes(testNow.Add(time.Second), 2)
 	_, state = table.Find(testNow.Add(time.Second), 2)
 	assert.Equal(t, state, Clear)
 }
@@ -60,25 +60,25 @@
 // An availability zone fails and takes many endpoints with it. Were all that
 // they ran suspected, the rest of the fleet would run them one by one. But a
 // request that goes on crashing must not be excused by its own trail.
-func TestMassLossIsForgivenOnce(t *testing.T) {
+func TestMassLossIsDiscountedOnce(t *testing.T) {
 	table := NewTable(Config{})
-	assert.Assert(t, !table.Lost(testNow, "m", "e1"))
-	assert.Assert(t, !table.Lost(testNow, "m", "e1"))
-	assert.Assert(t, !table.Lost(testNow, "m", "e2"))
-	assert.Assert(t, !table.Lost(testNow, "m", "e3"))
-	assert.Assert(t, table.Lost(testNow, "m", "e4"))
-	assert.Assert(t, !table.Lost(testNow.Add(time.Minute), "m", "e5"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e2"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e3"))
+	assert.Assert(t, table.RecordLoss(testNow, "m", "e4"))
+	assert.Assert(t, !table.RecordLoss(testNow.Add(time.Minute), "m", "e5"))
 
 	mass := func(e coordination.Endpoint) Crash {
 		c := crashAt(e, false)
 		c.Mass = true
 		return c
 	}
-	_, state := table.crash(testNow, 1, mass("e1"))
+	_, state := table.addCrash(testNow, 1, mass("e1"))
 	assert.Equal(t, state, Clear)
-	_, state = table.crash(testNow, 1, mass("e2"))
+	_, state = table.addCrash(testNow, 1, mass("e2"))
 	assert.Equal(t, state, Suspect)
-	_, state = table.crash(testNow, 1, mass("e3"))
+	_, state = table.addCrash(testNow, 1, mass("e3"))
 	assert.Equal(t, state, Suspect, "it did not run alone")
 	_, state = table.Find(testNow.Add(time.Second), 1)
 	assert.Equal(t, state, Convicted)
@@ -87,7 +87,7 @@
 // A common prompt runs beside a crashing request at both endpoints that it
 // takes. That router hears of the conviction a rumour later than of its own
 // second crash; whoever says hello in between would be refused for good.
-func TestBystanderIsHeldUntilTheRumourHasCome(t *testing.T) {
+func TestBystanderWaitsForOtherConviction(t *testing.T) {
 	gate := NewGate(NewTable(Config{}))
 	step := func(at time.Duration, s Step, number uint64, c *Crash) Verdict {
 		m := GateRequest{Fingerprint: 2, Copy: Copy{Instance: "r1", Incarnation: 1, Number: number}, Step: s, Crash: c}
@@ -101,16 +101,16 @@
 	assert.Equal(t, step(3100*time.Millisecond, Enter, 3, nil), Busy)
 	other := crashAt("e2", true)
 	other.At = second.At
-	gate.table.crash(testNow.Add(3500*time.Millisecond), 1, crashAt("e1", false))
-	gate.table.crash(testNow.Add(3500*time.Millisecond), 1, other)
+	gate.table.addCrash(testNow.Add(3500*time.Millisecond), 1, crashAt("e1", false))
+	gate.table.addCrash(testNow.Add(3500*time.Millisecond), 1, other)
 	assert.Equal(t, step(3600*time.Millisecond, Enter, 3, nil), Busy)
-	assert.Equal(t, step(4*time.Second, Enter, 3, nil), Alone)
+	assert.Equal(t, step(4*time.Second, Enter, 3, nil), AllowedAlone)
 }
 
 // The clock of one router is an hour ahead, and it tells of a crash. Believed,
 // the request would be held for an hour; forgiven by such a clock, it could
 // crash endpoints for an hour and not be suspected.
-func TestClockAheadNeitherHoldsNorForgives(t *testing.T) {
+func TestFutureTimesAreLimited(t *testing.T) {
 	gate := NewGate(NewTable(Config{}))
 	ahead := crashAt("e1", false)
 	ahead.At = unixMillis(testNow.Add(time.Hour))
@@ -118,20 +118,20 @@
 	gate.table.Merge(testNow, Record{Fingerprint: 1, Crashes: []Crash{ahead}, Expires: expires})
 	m := GateRequest{Fingerprint: 1, Copy: Copy{Instance: "r1", Incarnation: 1, Number: 1}, Step: Enter}
 	reply, _ := gate.Handle(testNow.Add(time.Second), m)
-	assert.Equal(t, reply.Verdict, Alone)
+	assert.Equal(t, reply.Verdict, AllowedAlone)
 	gate.table.Merge(testNow.Add(2*time.Second), Record{Fingerprint: 1, Cleared: ahead.At, Expires: expires})
 	late := crashAt("e2", true)
 	late.At = unixMillis(testNow.Add(3 * time.Second))
-	_, state := gate.table.crash(testNow.Add(3*time.Second), 1, late)
+	_, state := gate.table.addCrash(testNow.Add(3*time.Second), 1, late)
 	assert.Equal(t, state, Suspect)
 }
 
 func TestTableIsBoundedAndKeepsConvictions(t *testing.T) {
 	table := NewTable(Config{Limit: 8})
-	table.crash(testNow, 1, crashAt("e1", false))
-	table.crash(testNow, 1, crashAt("e2", true))
+	table.addCrash(testNow, 1, crashAt("e1", false))
+	table.addCrash(testNow, 1, crashAt("e2", true))
 	for f := Fingerprint(10); f < 100; f++ {
-		table.crash(testNow, f, crashAt("e3", false))
+		table.addCrash(testNow, f, crashAt("e3", false))
 	}
 	suspects, convicted := table.Counts(testNow)
 	assert.Equal(t, suspects+convicted, 8)
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	crash := crashAt("e1", true)
 	m := GateRequest{Fingerprint: 7, Copy: Copy{Instance: "r1", Incarnation: 2, Number: 3}, Step: Crashed, Crash: &crash}
 	got, err := DecodeGateRequest(m.Encode())
@@ -181,7 +181,7 @@
 // like the loss of a zone, and the request that crashes engines goes free.
 func TestDeathOfOneEndpointCountsOnce(t *testing.T) {
 	table := NewTable(Config{MassLoss: 2})
-	assert.Assert(t, !table.Lost(testNow, "m", "e1"))
-	assert.Assert(t, !table.Lost(testNow, "m", "e1"))
-	assert.Assert(t, table.Lost(testNow, "m", "e2"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
+	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
+	assert.Assert(t, table.RecordLoss(testNow, "m", "e2"))
 }
--- a/coordination/suspicion/world_test.go
+++ b/coordination/suspicion/world_test.go
@@ -14,31 +14,31 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// world is a few routers before a pool of endpoints, some of whose requests
+// fleetSim is a few routers before a pool of endpoints, some of whose requests
 // crash the endpoint that runs them. It counts from the endpoints' side.
-type world struct {
+type fleetSim struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
-	endpoints map[coordination.Endpoint]*machine
+	endpoints map[coordination.Endpoint]*simEndpoint
 	routers   map[coordination.Instance]*router
 	members   []placement.Router
 	runs      []runRecord
 	convicted []Fingerprint // refused as poison
-	planted   plant
+	fault     injectedFault
 	cfg       Config
 }
 
-// plant is a fault put into the routers, to see that the checker finds it.
-type plant int
+// injectedFault is a fault put into the routers, to see that the checker finds it.
+type injectedFault int
 
 const (
-	sound       plant = iota
-	ungated           // retries at once, without asking the gate
-	ownGateOnly       // each router is the gate of all its requests
+	noFault     injectedFault = iota
+	noGate                    // retries at once, without asking the gate
+	ownGateOnly               // each router is the gate of all its requests
 )
 
-// machine is one endpoint.
-type machine struct {
+// simEndpoint is one endpoint.
+type simEndpoint struct {
 	incarnation coordination.Incarnation
 	up          bool
 	died        chan struct{}
@@ -54,7 +54,7 @@
 }
 
 type router struct {
-	world *world
+	sim   *fleetSim
 	id    coordination.Instance
 	owner *placement.Owner
 	entry *placement.Entry
@@ -65,23 +65,23 @@
 }
 
 const (
-	worldPool    = coordination.Pool("m@1")
-	worldRestart = 6 * time.Second
+	simPool    = coordination.Pool("m@1")
+	simRestart = 6 * time.Second
 )
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
-func newWorld(seed uint64, routers, endpoints int, planted plant, cfg Config) *world {
-	w := &world{
+func newFleetSim(seed uint64, routers, endpoints int, planted injectedFault, cfg Config) *fleetSim {
+	w := &fleetSim{
 		rng:       rand.New(rand.NewPCG(seed, 1)),
-		endpoints: make(map[coordination.Endpoint]*machine),
+		endpoints: make(map[coordination.Endpoint]*simEndpoint),
 		routers:   make(map[coordination.Instance]*router),
-		planted:   planted,
+		fault:     planted,
 		cfg:       cfg,
 	}
 	for i := range endpoints {
 		id := coordination.Endpoint(fmt.Sprintf("e%d", i))
-		w.endpoints[id] = &machine{incarnation: 1, up: true, died: make(chan struct{})}
+		w.endpoints[id] = &simEndpoint{incarnation: 1, up: true, died: make(chan struct{})}
 	}
 	w.members = lo.Times(routers, func(i int) placement.Router {
 		return placement.Router{ID: coordination.Instance(fmt.Sprintf("r%d", i)), Incarnation: 1}
@@ -95,8 +95,8 @@
 	return w
 }
 
-func newRouter(w *world, id coordination.Instance) *router {
-	r := &router{world: w, id: id, table: NewTable(w.cfg), set: placement.NewSet(nil)}
+func newRouter(w *fleetSim, id coordination.Instance) *router {
+	r := &router{sim: w, id: id, table: NewTable(w.cfg), set: placement.NewSet(nil)}
 	r.owner = placement.NewOwner(id, placement.Config{})
 	r.entry = placement.NewEntry(placement.EntryID{Instance: id, Incarnation: 1}, r.owner, r, nil, placement.Config{})
 	r.guard = NewGuard(id, 1, NewGate(r.table), r, r)
@@ -104,20 +104,20 @@
 	return r
 }
 
-func (w *world) stop() {
+func (w *fleetSim) stop() {
 	for _, r := range w.routers {
 		r.stop()
 	}
 }
 
 // list returns the endpoints that are up.
-func (w *world) list() *placement.Set {
+func (w *fleetSim) list() *placement.Set {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ds []placement.Descriptor
 	for id, m := range w.endpoints {
 		if m.up {
-			ds = append(ds, placement.Descriptor{ID: id, Pool: worldPool, Incarnation: m.incarnation, Capacity: 16})
+			ds = append(ds, placement.Descriptor{ID: id, Pool: simPool, Incarnation: m.incarnation, Capacity: 16})
 		}
 	}
 	return placement.NewSet(ds)
@@ -125,14 +125,14 @@
 
 // update gives the router a list.
 func (r *router) update(set *placement.Set) {
-	routers := placement.NewRouters(r.world.members, 0)
+	routers := placement.NewRouters(r.sim.members, 0)
 	for _, d := range set.LostSince(r.set) {
-		r.table.Lost(time.Now(), d.Pool, d.ID)
+		r.table.RecordLoss(time.Now(), d.Pool, d.ID)
 	}
 	r.set = set
 	r.owner.Update(set, routers)
 	r.entry.Update(set, routers)
-	switch r.world.planted {
+	switch r.sim.fault {
 	case ownGateOnly:
 		r.guard.placer.Store(placerBox{ownGate(r.id)})
 	default:
@@ -147,7 +147,7 @@
 // loop gives the routers new lists with a lag of their own each.
 func (r *router) loop(ctx context.Context, lag time.Duration) {
 	for ctx.Err() == nil {
-		set := r.world.list()
+		set := r.sim.list()
 		time.Sleep(lag)
 		r.update(set)
 	}
@@ -156,9 +156,9 @@
 // Call implements Transport.
 func (r *router) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
 	time.Sleep(time.Millisecond)
-	peer := r.world.routers[to]
+	peer := r.sim.routers[to]
 	if peer == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	switch topic {
 	case TopicGate:
@@ -172,16 +172,16 @@
 	case placement.TopicSum:
 		return peer.owner.HandleSum(ctx, payload)
 	}
-	return nil, errCut
+	return nil, errUnreachable
 }
 
 // Spread implements Spreader: a rumour takes up to 600 ms to each router.
 func (r *router) Spread(_ string, payload []byte) {
-	for _, m := range r.world.members {
-		peer := r.world.routers[m.ID]
-		r.world.mu.Lock()
-		delay := time.Duration(r.world.rng.IntN(600)) * time.Millisecond
-		r.world.mu.Unlock()
+	for _, m := range r.sim.members {
+		peer := r.sim.routers[m.ID]
+		r.sim.mu.Lock()
+		delay := time.Duration(r.sim.rng.IntN(600)) * time.Millisecond
+		r.sim.mu.Unlock()
 		time.AfterFunc(delay, func() { _, _ = peer.guard.HandleRecord(context.Background(), payload) })
 	}
 }
@@ -197,7 +197,7 @@
 
 // run runs a request at an endpoint for d. A crashing one takes the endpoint
 // with it at its end.
-func (w *world) run(d placement.Descriptor, f Fingerprint, length time.Duration, crashes bool) end {
+func (w *fleetSim) run(d placement.Descriptor, f Fingerprint, length time.Duration, crashes bool) end {
 	w.mu.Lock()
 	m := w.endpoints[d.ID]
 	if !m.up || m.incarnation != d.Incarnation {
@@ -225,7 +225,7 @@
 }
 
 // kill ends an incarnation of an endpoint; it restarts a while later.
-func (w *world) kill(id coordination.Endpoint, n coordination.Incarnation) bool {
+func (w *fleetSim) kill(id coordination.Endpoint, n coordination.Incarnation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.endpoints[id]
@@ -234,11 +234,11 @@
 	}
 	m.up = false
 	close(m.died)
-	time.AfterFunc(worldRestart, func() { w.restart(id) })
+	time.AfterFunc(simRestart, func() { w.restart(id) })
 	return true
 }
 
-func (w *world) restart(id coordination.Endpoint) {
+func (w *fleetSim) restart(id coordination.Endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.endpoints[id]
@@ -257,12 +257,12 @@
 // serve takes a request through the router, as the daemon does, and reports
 // whether it ran to its end.
 func (r *router) serve(ctx context.Context, j job) bool {
-	if r.world.planted == ungated {
+	if r.sim.fault == noGate {
 		return r.serveUngated(ctx, j)
 	}
-	f, refusal := r.guard.Begin(ctx, j.fingerprint, worldPool)
+	f, refusal := r.guard.Begin(ctx, j.fingerprint, simPool)
 	if f == nil {
-		r.world.note(j, refusal)
+		r.sim.recordRefusal(j, refusal)
 		return false
 	}
 	defer f.Abandoned(context.WithoutCancel(ctx))
@@ -270,11 +270,11 @@
 	for range 1 + j.retries {
 		g, refusal := r.acquire(ctx, f, j, avoid)
 		if g == nil {
-			r.world.note(j, refusal)
+			r.sim.recordRefusal(j, refusal)
 			return false
 		}
 		d := g.Endpoint
-		result := r.world.run(d, j.fingerprint, j.length, j.crashes)
+		result := r.sim.run(d, j.fingerprint, j.length, j.crashes)
 		g.Release()
 		if result == finished {
 			f.Finished(ctx)
@@ -284,12 +284,12 @@
 		r.entry.Lost(ctx, d)
 		ok := false
 		if result == died {
-			refusal, ok = f.Crashed(ctx, worldPool, d.ID, d.Incarnation)
+			refusal, ok = f.EndpointCrashed(ctx, simPool, d.ID, d.Incarnation)
 		} else {
-			refusal, ok = f.FoundDead(ctx, worldPool, d.ID)
+			refusal, ok = f.EndpointFoundDead(ctx, simPool, d.ID)
 		}
 		if !ok {
-			r.world.note(j, refusal)
+			r.sim.recordRefusal(j, refusal)
 			return false
 		}
 	}
@@ -298,18 +298,18 @@
 
 // acquire gets a grant. If a candidate turns out to be dead on the way, the
 // gate is asked before the request goes elsewhere.
-func (r *router) acquire(ctx context.Context, f *Follow, j job, avoid []coordination.Endpoint) (*placement.Grant, Refusal) {
+func (r *router) acquire(ctx context.Context, f *TrackedRequest, j job, avoid []coordination.Endpoint) (*placement.Grant, Refusal) {
 	for {
 		alone := f.Alone()
-		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: worldPool, Key: j.key, Alone: alone, Avoid: avoid})
+		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: simPool, Key: j.key, Alone: alone, Avoid: avoid})
 		if g == nil {
 			return nil, Refusal{}
 		}
-		if len(g.Lost) == 0 || f.Asked() {
+		if len(g.Lost) == 0 || f.Admitted() {
 			return g, Refusal{}
 		}
 		lost := g.Lost[0]
-		refusal, ok := f.FoundDead(ctx, worldPool, lost.Endpoint)
+		refusal, ok := f.EndpointFoundDead(ctx, simPool, lost.Endpoint)
 		if ok && f.Alone() == alone {
 			return g, Refusal{}
 		}
@@ -323,11 +323,11 @@
 func (r *router) serveUngated(ctx context.Context, j job) bool {
 	var avoid []coordination.Endpoint
 	for range 1 + j.retries {
-		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: worldPool, Key: j.key, Avoid: avoid})
+		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: simPool, Key: j.key, Avoid: avoid})
 		if g == nil {
 			return false
 		}
-		result := r.world.run(g.Endpoint, j.fingerprint, j.length, j.crashes)
+		result := r.sim.run(g.Endpoint, j.fingerprint, j.length, j.crashes)
 		g.Release()
 		avoid = append(avoid, g.Endpoint.ID)
 		if result == finished {
@@ -337,7 +337,7 @@
 	return false
 }
 
-func (w *world) note(j job, r Refusal) {
+func (w *fleetSim) recordRefusal(j job, r Refusal) {
 	if !r.Poison {
 		return
 	}
@@ -346,8 +346,8 @@
 	w.convicted = append(w.convicted, j.fingerprint)
 }
 
-// lost returns how many endpoints each fingerprint has crashed.
-func (w *world) lost() map[Fingerprint]int {
+// crashCounts returns how many endpoints each fingerprint has crashed.
+func (w *fleetSim) crashCounts() map[Fingerprint]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	killed := lo.Filter(w.runs, func(r runRecord, _ int) bool { return r.killed })
--- a/coordination/synctest/synctest.go
+++ b/coordination/synctest/synctest.go
@@ -32,9 +32,9 @@
 
 // processors limits a process to one processor while something runs.
 type processors struct {
-	mu      sync.Mutex
-	running int
-	usual   int // processors while nothing runs
+	mu       sync.Mutex
+	running  int
+	previous int // processors while nothing runs
 }
 
 // enter sets the limit, and returns what lifts it when the last has left.
@@ -42,7 +42,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running == 0 {
-		p.usual = runtime.GOMAXPROCS(1)
+		p.previous = runtime.GOMAXPROCS(1)
 	}
 	p.running++
 	return p.leave
@@ -53,6 +53,6 @@
 	defer p.mu.Unlock()
 	p.running--
 	if p.running == 0 {
-		runtime.GOMAXPROCS(p.usual)
+		runtime.GOMAXPROCS(p.previous)
 	}
 }
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -14,34 +14,34 @@
 // this router has seen elsewhere in the pool, and has the grant tell the
 // endpoint's owner.
 type observer struct {
-	watch *outlier.Watch
+	watch *outlier.Monitor
 	grant *placement.Grant
-	sight outlier.Sight
+	sight outlier.Request
 	told  atomic.Bool // that the answer is overdue; an attempt speaks once
 }
 
 // Answered implements relay.Observer.
-func (o *observer) Answered(took time.Duration) { o.watch.Answered(time.Now(), o.sight, took) }
+func (o *observer) Answered(took time.Duration) { o.watch.RecordFirstByte(time.Now(), o.sight, took) }
 
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
 	if o.told.Swap(true) {
 		return o.grant.Tell(ctx, 0)
 	}
-	return o.grant.Tell(ctx, o.watch.Failed(time.Now(), o.sight))
+	return o.grant.Tell(ctx, o.watch.RecordFailure(time.Now(), o.sight))
 }
 
 // Served implements relay.Observer.
 func (o *observer) Served() {
 	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Served(time.Now(), o.sight))
+		o.grant.Saw(o.watch.RecordSuccess(time.Now(), o.sight))
 	}
 }
 
 // Failed implements relay.Observer.
 func (o *observer) Failed() {
 	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Failed(time.Now(), o.sight))
+		o.grant.Saw(o.watch.RecordFailure(time.Now(), o.sight))
 	}
 }
 
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -149,7 +149,7 @@
 		}
 		begun := time.Now()
 		p.update()
-		coordination.Sleep(ctx, coordination.Rest(time.Since(begun)))
+		coordination.Sleep(ctx, coordination.Cooldown(time.Since(begun)))
 	}
 }
 
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -77,7 +77,7 @@
 type relayPlacer struct {
 	*placing
 	holders atomic.Pointer[placement.Holders]
-	watched outlier.Watch
+	watched outlier.Monitor
 
 	near     placement.Key // this router's
 	affinity placement.Affinity
@@ -128,9 +128,9 @@
 	if refusal != nil {
 		return relay.Place{}, refusal
 	}
-	seen := &observer{watch: &p.watched, grant: g, sight: outlier.Sight{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
+	seen := &observer{watch: &p.watched, grant: g, sight: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
 	place := relay.Place{
-		Patience:    p.watched.Patience(time.Now(), seen.sight),
+		Patience:    p.watched.FirstByteLimit(time.Now(), seen.sight),
 		Observer:    seen,
 		Endpoint:    k.ID,
 		Incarnation: g.Endpoint.Incarnation,
@@ -217,7 +217,7 @@
 }
 
 // Request implements relay.Retries.
-func (r *poolRetries) Request(p coordination.Pool) { r.budget(p).Request() }
+func (r *poolRetries) Request(p coordination.Pool) { r.budget(p).RecordRequest() }
 
 // Take implements relay.Retries.
 func (r *poolRetries) Take(p coordination.Pool) bool { return r.budget(p).Take() }
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -104,7 +104,7 @@
 	s.mu.Unlock()
 	now := time.Now()
 	for _, d := range next.LostSince(before) {
-		s.table.Lost(now, d.Pool, d.ID)
+		s.table.RecordLoss(now, d.Pool, d.ID)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	for id := range s.known {
 		if !live[id] {
-			s.gate.Dead(now, id)
+			s.gate.InstanceDied(now, id)
 		}
 	}
 	s.known = live
@@ -172,7 +172,7 @@
 // trail implements caller.Trail.
 type trail struct {
 	*suspects
-	follow      *suspicion.Follow
+	follow      *suspicion.TrackedRequest
 	pool        coordination.Pool
 	fingerprint uint64
 }
@@ -181,11 +181,11 @@
 
 func (t *trail) Crashed(ctx context.Context, e coordination.Endpoint, n coordination.Incarnation) *outcome.Refusal {
 	t.log.Emit(event.RequestSuspected, event.F("fingerprint", suspicion.Fingerprint(t.fingerprint).String()), event.F("endpoint", e))
-	return t.result(t.follow.Crashed(ctx, t.pool, e, n))
+	return t.result(t.follow.EndpointCrashed(ctx, t.pool, e, n))
 }
 
 func (t *trail) FoundDead(ctx context.Context, e coordination.Endpoint) *outcome.Refusal {
-	return t.result(t.follow.FoundDead(ctx, t.pool, e))
+	return t.result(t.follow.EndpointFoundDead(ctx, t.pool, e))
 }
 
 // result turns the guard's word into a refusal, or nil if the request may go on.
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -77,7 +77,7 @@
 }
 
 // Request implements caller.Retries.
-func (r *teamRetries) Request(team coordination.Team) { r.budget(team).Request() }
+func (r *teamRetries) Request(team coordination.Team) { r.budget(team).RecordRequest() }
 
 // Take implements caller.Retries.
 func (r *teamRetries) Take(team coordination.Team) bool { return r.budget(team).Take() }
--- a/wisteriarouter/engine/silence.go
+++ b/wisteriarouter/engine/silence.go
@@ -26,8 +26,8 @@
 	idle   time.Duration
 	alive  func(context.Context) bool // nil for no question
 	wrote  atomic.Bool
-	last   coordination.Moment // of the last event
-	pace   atomic.Int64        // nanoseconds between two events, as a moving mean
+	last   coordination.MonotonicTime // of the last event
+	pace   atomic.Int64               // nanoseconds between two events, as a moving mean
 	events atomic.Int32
 	asked  atomic.Int32 // questions since the last event
 }
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -27,12 +27,12 @@
 	cancel context.CancelCauseFunc
 
 	queue   chan *frame
-	queued  atomic.Int64        // bytes
-	heard   coordination.Moment // of the last message
-	used    coordination.Moment // of the last call
-	asked   coordination.Moment // of the first message behind the last one heard that wants a sign of life
-	pinged  coordination.Moment // of the last ping
-	serving atomic.Int64        // calls being handled for the peer
+	queued  atomic.Int64               // bytes
+	heard   coordination.MonotonicTime // of the last message
+	used    coordination.MonotonicTime // of the last call
+	asked   coordination.MonotonicTime // of the first message behind the last one heard that wants a sign of life
+	pinged  coordination.MonotonicTime // of the last ping
+	serving atomic.Int64               // calls being handled for the peer
 
 	mu       sync.Mutex
 	calls    map[uint64]*call
--- a/wisteriarouter/peer/dispatch.go
+++ b/wisteriarouter/peer/dispatch.go
@@ -108,7 +108,7 @@
 	d.compare(d.seen, members)
 	d.seen = members
 	now := time.Now()
-	d.nextChange = now.Add(coordination.Rest(now.Sub(begun)))
+	d.nextChange = now.Add(coordination.Cooldown(now.Sub(begun)))
 }
 
 // compare tells of what differs between two lists, both in order of their
--- a/wisteriarouter/peer/idle_test.go
+++ b/wisteriarouter/peer/idle_test.go
@@ -122,6 +122,6 @@
 	begun := time.Now()
 	crowd(t, r)
 	eventually(t, "all members", func() bool { return last.Load() == manyPeers+1 })
-	most := int64(3 + time.Since(begun)/coordination.Rest(work))
+	most := int64(3 + time.Since(begun)/coordination.Cooldown(work))
 	assert.Assert(t, told.Load() <= most, "%d in %v", told.Load(), time.Since(begun))
 }
--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -262,7 +262,7 @@
 		first = x.stream.first
 	}
 	switch {
-	case x.route.FirstTarget > 0 && first.Sub(x.arrived) > x.route.FirstTarget:
+	case x.route.FirstByteTarget > 0 && first.Sub(x.arrived) > x.route.FirstByteTarget:
 		return "first"
 	case x.route.GapTarget > 0 && x.stream.pause > x.route.GapTarget:
 		return "pause"
--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -262,7 +262,7 @@
 		Account:  x.account,
 		Priority: x.rank,
 		Start:    x.until,
-		Target:   x.route.FirstTarget,
+		Target:   x.route.FirstByteTarget,
 		Arrived:  x.arrived,
 		Exclude:  slices.Clip(x.exclude),
 		Cached:   x.route.Sticky,
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -51,7 +51,7 @@
 	s.again = x.policy().again(silent, x.sends+1, len(x.exclude)+1)
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
 	x.silence = s
-	s.due = dueOf(p.Patience, x.route.FirstTarget)
+	s.due = dueOf(p.Patience, x.route.FirstByteTarget)
 	if s.due > 0 {
 		s.timer = time.AfterFunc(s.due, s.run)
 	}
@@ -150,7 +150,7 @@
 	if s.place.Patience == 0 {
 		return false
 	}
-	enough := max(s.place.Patience, s.exchange.route.FirstTarget/targetShare)
+	enough := max(s.place.Patience, s.exchange.route.FirstByteTarget/targetShare)
 	if s.want.Cached {
 		enough = max(enough, engineFactor*s.place.Patience)
 	}
