--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -1,8 +1,8 @@
-// Package budget divides the fleet's budget of calls to the platform among its
-// routers. The platform's rates grow more slowly than the fleet, so that a
-// router may spend only its share: the fleet's rate over the number of routers
-// it knows. A call beyond that is refused at once, with the time after which
-// it would be let through.
+// Package budget divides the fleet's budget of platform calls among its
+// routers. The platform's call rates grow more slowly than the fleet, so each
+// router may use only its share: the fleet's rate divided by the number of
+// routers that it knows. A call beyond the share is refused at once with the
+// time after which it would be allowed.
 package budget
 
 import (
@@ -12,18 +12,19 @@
 	"golang.org/x/time/rate"
 )
 
-// Class ranks calls to the platform; a lower one goes first.
+// Class is the priority class of a call to the platform; lower values come
+// first.
 type Class int
 
-// The classes of calls, most important first.
+// Classes of calls, highest priority first.
 const (
 	Actions  Class = iota // execution records of non-idempotent actions
 	Settings              // settings of teams
-	Lists                 // lists of instances
+	Lists                 // instance lists
 	classes
 )
 
-// String returns the name of c as metrics show it.
+// String returns the name of c used in metrics.
 func (c Class) String() string {
 	names := [...]string{"actions", "settings", "lists"}
 	if c < 0 || c >= classes {
@@ -32,25 +33,25 @@
 	return names[c]
 }
 
-// reserved is the part of a router's share that only one class may use.
-// Without it a surge of actions would hold back settings for as long as it
-// lasts, and routers would serve on with old ones.
+// reserved is the share of a router's calls that only one class may use.
+// Without it a surge of actions would block settings for its whole duration,
+// and routers would keep serving with outdated settings.
 var reserved = [classes]float64{Settings: 0.10, Lists: 0.05}
 
-// classFloor is the part of the common bucket that a class leaves to the classes
-// before it.
+// classFloor is the share of the common bucket that a class leaves to classes
+// of higher priority.
 var classFloor = [classes]float64{Settings: 0.25, Lists: 0.50}
 
 const (
-	// commonBurst is the least burst of the common bucket in calls. It has to
-	// be above one, or the floors of all classes would be the same.
+	// commonBurst is the minimum burst of the common bucket in calls. It has to
+	// exceed one, or the floors of all classes would be equal.
 	commonBurst = 10
-	// burstTime bounds a burst to what the share yields in this time.
+	// burstTime bounds a burst to the calls that the share earns in this time.
 	burstTime = time.Second
 )
 
-// Budget is one router's share of the fleet's calls. It is safe for use by
-// several goroutines.
+// Budget is one router's share of the fleet's calls. It is safe for concurrent
+// use.
 type Budget struct {
 	mu       sync.Mutex
 	fleet    float64
@@ -58,8 +59,8 @@
 	perClass [classes]*rate.Limiter
 }
 
-// New returns a budget of fleetPerSecond calls a second for the whole fleet,
-// for a router that knows no other yet.
+// New returns a budget of fleetPerSecond calls per second for the whole fleet,
+// for a router that knows no other routers yet.
 func New(fleetPerSecond float64) *Budget {
 	b := &Budget{fleet: fleetPerSecond, common: rate.NewLimiter(0, commonBurst)}
 	for c := range b.perClass {
@@ -87,8 +88,8 @@
 	l.SetBurst(max(least, int(perSecond*burstTime.Seconds())))
 }
 
-// Allow reports whether a call of this class may be made now, and if so counts
-// it. If not, retryAfter tells when to try again.
+// Allow reports whether a call of a class may be made now, and counts it if so.
+// Otherwise retryAfter is the time after which to try again.
 func (b *Budget) Allow(class Class) (ok bool, retryAfter time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +109,7 @@
 	return false, wait
 }
 
-// after returns how long l takes to gain the missing calls.
+// after returns the time in which l gains the missing calls, at most one hour.
 func after(l *rate.Limiter, missing float64) time.Duration {
 	const never = time.Hour
 	if l.Limit() <= 0 {
--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -10,8 +10,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// allowed counts the calls let through when each class asks every
-// millisecond, in the order given, for d.
+// allowed counts the allowed calls of each class when all classes ask once a
+// millisecond, in the given order, for d.
 func allowed(b *budget.Budget, d time.Duration, order ...budget.Class) map[budget.Class]int {
 	n := make(map[budget.Class]int)
 	for range d / time.Millisecond {
@@ -25,8 +25,9 @@
 	return n
 }
 
-// A fleet that grows while each router keeps its rate would overrun the
-// platform, which then refuses everybody.
+// Guards against routers that keep their rate while the fleet grows: together
+// they would exceed the platform's rate, and the platform would refuse all of
+// them.
 func TestShareShrinksWithMembers(t *testing.T) {
 	for _, tt := range []struct{ members, seconds, atMost, atLeast int }{
 		{1, 10, 10*700 + 700, 10*595 - 10},
@@ -47,9 +48,9 @@
 	}
 }
 
-// A surge of actions asks for the whole budget without end. Settings still
-// have to reach the routers, or operators would see an accepted change that
-// is in force nowhere.
+// Guards against actions that use up the whole budget during a surge: settings
+// would not reach the routers, and an accepted change would take effect
+// nowhere.
 func TestActionsDoNotStarveSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := budget.New(700)
@@ -61,8 +62,8 @@
 	})
 }
 
-// A refused caller that comes back when it was told must be let through, or
-// it would be sent away twice.
+// Guards against a refused caller that is refused again after waiting for the
+// returned time.
 func TestRetryAfterHolds(t *testing.T) {
 	for _, class := range []budget.Class{budget.Actions, budget.Settings, budget.Lists} {
 		synctest.Test(t, func(t *testing.T) {
--- a/coordination/coordination.go
+++ b/coordination/coordination.go
@@ -1,29 +1,29 @@
-// Package coordination names the things that a fleet of routers has to
-// coordinate. Its subpackages hold the decisions themselves: they do no I/O,
-// so that they can be embedded, tested and measured directly.
+// Package coordination defines the identifiers shared by the components that
+// coordinate a fleet of routers. Its subpackages hold the decision logic; they
+// do no I/O, so that they can be embedded, tested and benchmarked directly.
 package coordination
 
-// Instance identifies one router process for as long as its address lasts.
+// Instance identifies one router process by its address.
 type Instance string
 
-// Incarnation orders the lives of one instance or endpoint: a restart has a
-// higher one. Its source is the wall clock in milliseconds at start.
+// Incarnation orders the restarts of one instance or endpoint: each restart has
+// a higher one. It is the wall-clock time of the start in milliseconds.
 type Incarnation uint64
 
 // Zone names an availability zone.
 type Zone string
 
-// Account names a client account, the unit of fairness and of billing.
+// Account names a client account, the unit of fair sharing and billing.
 type Account string
 
-// Team names a team of operators, who own one subtree of settings.
+// Team names a team of operators, which owns one subtree of settings.
 type Team string
 
 // Endpoint identifies a back end: a model engine or a plain service.
 type Endpoint string
 
-// Pool names a set of interchangeable endpoints, as model@version or as the
-// name of a plain service.
+// Pool names a set of interchangeable endpoints: model@version, or the name of
+// a plain service.
 type Pool string
 
 // Model names a model without its version.
@@ -32,22 +32,24 @@
 // Service names a plain service.
 type Service string
 
-// Action names one call of a plain service.
+// Action names one operation of a plain service.
 type Action string
 
-// Chat identifies a conversation that may return.
+// Chat identifies a conversation that may continue with further requests.
 type Chat string
 
-// Attempt identifies one try of a request at one endpoint. It is unguessable.
+// Attempt identifies one attempt to run a request at one endpoint. Its value
+// cannot be guessed.
 type Attempt string
 
-// Tokens counts tokens of a model.
+// Tokens is a number of model tokens.
 type Tokens int
 
-// Priority ranks requests; a higher one goes first. Zero is the default.
+// Priority ranks requests; higher ones are served first. Zero is the default.
 type Priority int
 
-// PoolOf returns the pool that serves version of model.
+// PoolOf returns the pool that serves a version of a model, or the model
+// without a version if version is empty.
 func PoolOf(model Model, version string) Pool {
 	if version == "" {
 		return Pool(model)
--- a/coordination/moment.go
+++ b/coordination/moment.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// processStart is the time from which moments are counted.
+// processStart is the reference from which monotonic times are measured.
 var processStart = time.Now()
 
-// MonotonicTime is a time on the steady clock that several goroutines set and read. The
-// time of day may jump by hours, and would have all that is watched look silent, or
-// alive for good. The zero value is the start of the process.
-type MonotonicTime struct{ offset atomic.Int64 } // nanoseconds behind steadyStart
+// MonotonicTime is a time on the monotonic clock that several goroutines may
+// set and read. The wall clock may jump by hours, which would make everything
+// that is monitored appear silent, or alive indefinitely. The zero value is the
+// start of the process.
+type MonotonicTime struct{ offset atomic.Int64 } // nanoseconds since processStart
 
-// Set sets m, and returns how long the former value was before that.
+// Set sets m and returns the time elapsed since the previous value.
 func (m *MonotonicTime) Set(at time.Time) (since time.Duration) {
 	offset := at.Sub(processStart)
 	return offset - time.Duration(m.offset.Swap(int64(offset)))
 }
 
-// Ago returns how long m was before now.
+// Ago returns the time elapsed from m to now.
 func (m *MonotonicTime) Ago(now time.Time) time.Duration {
 	return now.Sub(processStart) - m.Offset()
 }
 
-// Offset returns m by the process's start; two equal ones are the same moment.
+// Offset returns the time from the start of the process to m. Equal offsets are
+// equal times.
 func (m *MonotonicTime) Offset() time.Duration { return time.Duration(m.offset.Load()) }
--- a/coordination/outcome/outcome.go
+++ b/coordination/outcome/outcome.go
@@ -1,29 +1,30 @@
-// Package outcome says truthfully what became of a request: it ran, it was not
-// run, or nobody can tell. The rules stand here only, so that no path of a
-// router can word them differently.
+// Package outcome determines what became of a request: it ran, it did not run,
+// or that is unknown. All parts of a router use these rules, so that they
+// cannot report outcomes differently.
 package outcome
 
 import "fmt"
 
-// Header carries the outcome of a request, in answers to callers as in answers
-// of endpoints.
+// Header is the HTTP header that carries the outcome of a request, in answers
+// to callers and in answers from endpoints.
 const Header = "X-Outcome"
 
-// Outcome tells what became of a request. Its zero value is Unknown, so that a
-// forgotten case claims nothing.
+// Outcome says what became of a request. The zero value is Unknown, so that an
+// unhandled case makes no false claim.
 type Outcome int
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
-	// Unknown means that the request may have run, wholly or in part.
+	// Unknown means that the request may have run, completely or in part.
 	Unknown Outcome = iota
-	// Ran means that an endpoint answered the request whole.
+	// Ran means that an endpoint answered the request completely.
 	Ran
-	// NotRun means that no endpoint ran or will run any of the request.
+	// NotRun means that no endpoint has run or will run any part of the
+	// request.
 	NotRun
 )
 
-// String returns the name of o as headers, bodies, logs and metrics show it.
+// String returns the name of o used in headers, bodies, logs and metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Ran:
@@ -40,8 +41,8 @@
 	return []byte(o.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. Only the exact names are
-// accepted.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts the exact names
+// only.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	parsed, err := Parse(string(text))
 	if err != nil {
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// Parse returns the outcome named s. It returns Unknown and an error for
-// anything but the exact names.
+// Parse returns the outcome named s, or Unknown and an error if s is not
+// exactly the name of an outcome.
 func Parse(s string) (Outcome, error) {
 	switch s {
 	case "ran":
--- a/coordination/outcome/outcome_test.go
+++ b/coordination/outcome/outcome_test.go
@@ -32,7 +32,8 @@
 	assert.ErrorContains(t, err, `"Not-Run" is none of`)
 }
 
-// report is one thing that the transport or the endpoint says about an attempt.
+// report is an event that the transport or the endpoint reports about an
+// attempt.
 type report int
 
 const (
@@ -43,9 +44,10 @@
 	answered
 )
 
-// A router tries several endpoints, and its reports about them come in any
-// order and more than once. A caller who is told not-run sends the order again
-// under a new key: were one byte out, the order could be booked twice.
+// Guards against a wrong not-run. Reports about the attempts at several
+// endpoints arrive in any order and more than once. A caller that is told
+// not-run sends an order again under a new key, so if a byte was sent after
+// all, the order could be booked twice.
 func TestNotRunOnlyIfCertain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e outcome.Evidence
@@ -79,7 +81,8 @@
 	}
 }
 
-// expectedOutcome decides from the set of all reports, whatever their order.
+// expectedOutcome derives the outcome from the set of all reports, independent
+// of their order.
 func expectedOutcome(reports map[coordination.Attempt]map[report]bool) outcome.Outcome {
 	uncertain := false
 	for _, seen := range reports {
--- a/coordination/outcome/refusal.go
+++ b/coordination/outcome/refusal.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Code names the reason of a refusal, as docs/PROTOCOLS.md lists them.
+// Code is the reason for a refusal. docs/PROTOCOLS.md lists the codes.
 type Code string
 
-// The reasons for which a request is refused.
+// Reasons for a refusal.
 const (
 	Malformed           Code = "malformed"
 	TooLarge            Code = "too-large"
@@ -29,7 +29,7 @@
 	Conflict            Code = "conflict"
 )
 
-// statuses holds the HTTP status of each code.
+// statuses maps each code to its HTTP status.
 var statuses = map[Code]int{
 	Malformed:           http.StatusBadRequest,
 	TooLarge:            http.StatusRequestEntityTooLarge,
@@ -49,7 +49,7 @@
 	Conflict:            http.StatusConflict,
 }
 
-// HTTPStatus returns the HTTP status that goes with c; 500 if c is none of the
+// HTTPStatus returns the HTTP status of c, or 500 if c is not one of the
 // package's codes.
 func (c Code) HTTPStatus() int {
 	if status, ok := statuses[c]; ok {
@@ -58,13 +58,13 @@
 	return http.StatusInternalServerError
 }
 
-// Refusal is the typed answer to a request that gets no answer of an endpoint.
-// It implements error, so that errors.As finds it.
+// Refusal is the error returned for a request that gets no answer from an
+// endpoint. It can be found with errors.As.
 type Refusal struct {
 	Code       Code
-	Message    string        // for people; says what to do
+	Message    string        // human-readable; says what to do
 	Outcome    Outcome       // Unknown unless set
-	RetryAfter time.Duration // when to come back; callers see whole seconds, at least one
+	RetryAfter time.Duration // time after which to retry; sent in whole seconds, at least one
 }
 
 // Error implements error.
@@ -73,7 +73,7 @@
 }
 
 // RetryAfterSeconds returns the value of the Retry-After header: RetryAfter in
-// whole seconds, rounded up, at least one.
+// seconds, rounded up, and at least one.
 func (r *Refusal) RetryAfterSeconds() int {
 	return max(1, int((r.RetryAfter+time.Second-1)/time.Second))
 }
@@ -83,7 +83,7 @@
 	Error EnvelopeError `json:"error"`
 }
 
-// EnvelopeError is what an Envelope holds.
+// EnvelopeError is the error object of an Envelope.
 type EnvelopeError struct {
 	Code         Code    `json:"code"`
 	Message      string  `json:"message"`
--- a/coordination/outlier/detector.go
+++ b/coordination/outlier/detector.go
@@ -6,89 +6,93 @@
 	"wisteriaspool/coordination"
 )
 
-// Detector adds up what the requests of all routers showed at one endpoint, and
-// decides which requests it gets. Endpoints have been seen to fail for callers
-// of one availability zone only, so that each zone of routers has its own sum.
-// A zone follows what the others found unless its own requests were served of
-// late.
+// Detector sums up the evidence from all routers about one endpoint and decides
+// which requests the endpoint gets. An endpoint can fail for callers of a
+// single availability zone, so each zone of routers has its own sum. A zone
+// also counts the evidence of other zones unless its own recent requests were
+// successful.
 //
-// The zero value takes the endpoint for good. Whoever owns a Detector guards it.
+// The zero value regards the endpoint as good. A Detector is not safe for
+// concurrent use.
 type Detector struct {
-	// OnChange, if set, is told of each change of standing.
+	// OnChange, if set, is called for each change of standing.
 	OnChange func(Change)
 
 	zones map[coordination.Zone]*zoneState
-	// failed is when the last failure was heard of. One long prompt holds up all
-	// requests at an engine, and one reset breaks all its streams: requests that
-	// were begun before such a moment say it once. Nor do those that were begun
-	// before and are served speak for the endpoint as it is now.
+	// failed is the time of the last reported failure. One long prompt delays all
+	// requests at an engine, and one reset breaks all its streams, so requests that
+	// were started before a failure count only once. Successes of such requests do
+	// not count either: they say nothing about the endpoint since the failure.
 	failed time.Time
 }
 
-// Standing is what an endpoint may be sent.
+// Standing says which requests an endpoint may be sent.
 type Standing uint8
 
-// The standings of an endpoint. The zero value is that of a good one.
+// Standings of an endpoint. The zero value is that of a good one.
 const (
 	InService Standing = iota // all requests
-	Doubted                   // requests of which a failure can be mended
-	Probed                    // a few of these, to see whether it serves again
+	Doubted                   // requests whose failure can be repaired by a retry
+	Probed                    // a few of these, to test whether it works again
 	Ejected                   // none
 )
 
 var standings = [...]string{"in", "doubted", "probed", "ejected"}
 
-// String returns the name of s as logs show it.
+// String returns the name of s used in logs.
 func (s Standing) String() string { return standings[s] }
 
 const (
-	// maxCredit bounds how much served requests count for an endpoint: one that has
-	// served for hours must not be given longer to fail than one that has just
-	// come up.
+	// maxCredit bounds the evidence for an endpoint: one that has been good for
+	// hours must not take longer to be ejected than one that has just started.
 	maxCredit = -SuccessWeight
-	// scoreHalfLife is the half-life of a sum, so that a few failures far apart
-	// eject nobody.
+	// scoreHalfLife is the half-life of a sum, so that occasional failures do
+	// not eject an endpoint.
 	scoreHalfLife = 10 * time.Second
-	// basePause is how long an endpoint that was taken out gets nothing. Each
-	// time that a probe fails it is doubled, up to longestPause: a wrong
-	// ejection costs an endpoint a second, and one that goes on failing costs
-	// one request in eight seconds.
+	// basePause is how long an ejected endpoint gets no requests at first. The
+	// pause doubles with each failed probe, up to maxPause: a wrong ejection
+	// costs an endpoint one second, and one that keeps failing costs one
+	// request in eight seconds.
 	basePause = time.Second
 	maxPause  = 8 * time.Second
-	// maxConcurrentProbes is how many probes run at the same time behind the first,
-	// which runs alone: while an endpoint fails, one caller has to wait for each
-	// try. probesServed is how many have to be served before the endpoint is
-	// taken back; one that fails half of its requests passes once in eight times.
+	// maxConcurrentProbes is the number of concurrent probes once the first,
+	// which runs alone, has succeeded: while an endpoint fails, one caller has
+	// to wait for each probe. probesToRestore is the number of successful
+	// probes after which the endpoint is restored; one that fails half of its
+	// requests passes with a chance of one in eight.
 	maxConcurrentProbes = 3
 	probesToRestore     = 3
-	// backoffResetAfter is how long an endpoint has to serve behind its return before
-	// its next pause is the first one again.
+	// backoffResetAfter is how long an endpoint has to stay in service after it
+	// was restored for its next pause to be basePause again.
 	backoffResetAfter = 10 * time.Second
-	// maxUnprobed is for how long an endpoint waits for probes. Where no request
-	// may be sent twice nothing can probe it, and it is taken back untried.
+	// maxUnprobed is how long an endpoint waits for probes. In a pool whose
+	// requests may not be retried nothing can probe it, and it is restored
+	// untested.
 	maxUnprobed = 5 * time.Second
 )
 
-// zoneState is what routers of one availability zone saw of the endpoint.
+// zoneState holds what the routers of one availability zone observed of the
+// endpoint.
 type zoneState struct {
 	score        float64 // sum of weights, in units of Weight
 	decayedAt    time.Time
 	ejected      bool
-	probesFrom   time.Time // when probes may begin
+	probesFrom   time.Time // start of probing
 	pause        time.Duration
-	probesPassed int // probes
+	probesPassed int // successful probes
 	restoredAt   time.Time
 }
 
-// Change tells that an endpoint's standing changes for a zone.
+// Change describes a change of an endpoint's standing for a zone.
 type Change struct {
 	Zone     coordination.Zone
 	Standing Standing
-	Score    Weight        // what decided it
-	Pause    time.Duration // before probes begin
+	Score    Weight        // sum or weight that caused the change
+	Pause    time.Duration // before probing starts
 }
 
-// Observe takes in what a request of a zone showed that was begun at a time.
+// Observe processes the weight w of a request from a router of zone that was
+// started at begun.
 func (d *Detector) Observe(now time.Time, zone coordination.Zone, begun time.Time, w Weight) {
 	if w == 0 {
 		return
@@ -109,15 +113,16 @@
 	d.eject(now, zone, z)
 }
 
-// RunningRequests tells how many requests run at the endpoint that were begun since a time.
-// Those that were begun before it was taken out are no probes: they may hang there
-// until their callers leave.
+// RunningRequests counts the requests running at the endpoint that were started
+// since a time. Requests started before the ejection are not probes: they may
+// hang until their callers leave.
 type RunningRequests interface {
 	Since(begun time.Time) int
 }
 
-// Standing returns what the endpoint may be sent by routers of a zone. If a
-// request is to wait for its turn, it also returns for how long.
+// Standing returns the standing of the endpoint for routers of a zone. For a
+// request that has to wait, it also returns how long to wait before asking
+// again.
 func (d *Detector) Standing(now time.Time, zone coordination.Zone, runs RunningRequests) (Standing, time.Duration) {
 	if len(d.zones) == 0 {
 		return InService, 0
@@ -136,7 +141,7 @@
 	}
 }
 
-// ejectedStanding returns the standing of an endpoint that is taken out.
+// ejectedStanding returns the standing of an ejected endpoint.
 func (d *Detector) ejectedStanding(now time.Time, zone coordination.Zone, z *zoneState, runs RunningRequests) (Standing, time.Duration) {
 	if now.Before(z.probesFrom) {
 		return Ejected, z.probesFrom.Sub(now)
@@ -154,13 +159,14 @@
 }
 
 const (
-	// probeWait is when to look again at an endpoint that runs its probes.
+	// probeWait is the interval before asking again for an endpoint whose
+	// probes are running.
 	probeWait = 200 * time.Millisecond
-	// doubtWait is when to look again at an endpoint in doubt.
+	// doubtWait is the interval before asking again for a doubted endpoint.
 	doubtWait = 500 * time.Millisecond
 )
 
-// EjectedFor reports whether the endpoint is taken out for a zone.
+// EjectedFor reports whether the endpoint is ejected for a zone.
 func (d *Detector) EjectedFor(zone coordination.Zone) bool {
 	z := d.zones[zone]
 	return z != nil && z.ejected
@@ -178,8 +184,8 @@
 	return z
 }
 
-// eject takes the endpoint out for a zone if what all zones saw suffices and
-// the zone's own requests do not speak for the endpoint.
+// eject ejects the endpoint for a zone if the evidence from all zones suffices
+// and the zone's own evidence is not in favour of the endpoint.
 func (d *Detector) eject(now time.Time, zone coordination.Zone, z *zoneState) {
 	if z.ejected || z.score < 0 {
 		return
@@ -205,8 +211,8 @@
 	d.notify(Change{Zone: zone, Standing: Ejected, Score: Weight(min(score, float64(2*EjectThreshold))), Pause: z.pause})
 }
 
-// probe takes in what a request showed while the endpoint is out. Those that
-// were begun before say nothing new.
+// probe processes the weight of a request that ended while the endpoint is
+// ejected. Requests started before probing began are ignored.
 func (d *Detector) probe(now time.Time, zone coordination.Zone, z *zoneState, begun time.Time, w Weight) {
 	if begun.Before(z.probesFrom) {
 		return
@@ -223,8 +229,9 @@
 	}
 }
 
-// restore takes the endpoint back. Its probes speak for it, so that it is not
-// taken out again on the word of zones that have not probed it yet.
+// restore puts the endpoint back into service. The score starts with the
+// evidence of the successful probes, so that evidence from zones that have not
+// probed the endpoint yet does not eject it again.
 func (d *Detector) restore(now time.Time, zone coordination.Zone, z *zoneState) {
 	z.ejected, z.restoredAt = false, now
 	z.score, z.decayedAt = float64(probesToRestore*SuccessWeight), now
@@ -237,7 +244,7 @@
 	}
 }
 
-// probes returns how many probes may run now.
+// probes returns the number of probes that may run concurrently.
 func (z *zoneState) probes() int {
 	if z.probesPassed == 0 {
 		return 1
@@ -245,7 +252,7 @@
 	return maxConcurrentProbes
 }
 
-// startPause begins a pause without requests.
+// startPause starts a pause without requests.
 func (z *zoneState) startPause(now time.Time) {
 	z.probesPassed, z.probesFrom = 0, now.Add(z.pause)
 }
--- a/coordination/outlier/detector_test.go
+++ b/coordination/outlier/detector_test.go
@@ -10,7 +10,7 @@
 	"wisteriaspool/coordination"
 )
 
-// detectorTest plays requests to one endpoint, one after the other.
+// detectorTest feeds a Detector with consecutive requests to one endpoint.
 type detectorTest struct {
 	detector Detector
 	now      time.Time
@@ -23,14 +23,15 @@
 	return r
 }
 
-// observe plays a request of 50 ms, 50 ms behind the last one.
+// observe reports a request that starts 50 ms after the last one and takes 50
+// ms.
 func (r *detectorTest) observe(zone coordination.Zone, w Weight) {
 	begun := r.now.Add(50 * time.Millisecond)
 	r.now = begun.Add(50 * time.Millisecond)
 	r.detector.Observe(r.now, zone, begun, w)
 }
 
-// nRuns implements Runs.
+// nRuns implements RunningRequests with a constant number.
 type nRuns int
 
 func (n nRuns) Since(time.Time) int { return int(n) }
@@ -41,17 +42,17 @@
 }
 
 const (
-	rareFailure     = Weight(390) // a failure of a kind that fails once in a hundred times
-	frequentFailure = Weight(140) // of one that fails 14 times
+	rareFailure     = Weight(390) // failure of a kind of which 1 in 100 requests fails
+	frequentFailure = Weight(140) // failure of a kind of which 14 in 100 requests fail
 )
 
-// An endpoint fails half of its requests while its health check is good. Callers
-// get its failures until it is taken out.
+// Guards against sending requests to an endpoint that fails half of them while
+// its health check passes.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	tests := []struct {
 		name   string
 		weight Weight
-		most   int // requests until it is out
+		most   int // requests until the ejection
 	}{
 		{"of a kind that seldom fails", rareFailure, 6},
 		{"of a kind that often fails", frequentFailure, 30},
@@ -66,12 +67,12 @@
 			}
 			r.observe("a", w)
 		}
-		assert.Assert(t, n <= test.most, "%s: out after %d requests", test.name, n)
+		assert.Assert(t, n <= test.most, "%s: ejected after %d requests", test.name, n)
 	}
 }
 
-// A good endpoint fails as often as the others of its pool. Taken out, it would
-// be missed, and its callers would find their prompts uncached elsewhere.
+// Guards against the ejection of an endpoint that fails as often as the others
+// of its pool, which costs capacity and the prompts that it has cached.
 func TestEndpointAsGoodAsOthersStays(t *testing.T) {
 	r := newDetectorTest()
 	for n := range 2000 {
@@ -84,9 +85,9 @@
 	assert.Equal(t, len(r.changes), 0)
 }
 
-// One long prompt holds up all that runs at an engine, and one reset breaks all
-// its streams. Each of these requests tells of the same moment, and an engine
-// taken out for it would lose what it has cached.
+// Guards against counting one incident several times. A long prompt delays
+// everything that runs at an engine, and a reset breaks all its streams; an
+// ejection for it would lose the engine's cache.
 func TestIncidentCountsOnce(t *testing.T) {
 	r := newDetectorTest()
 	begun := r.now
@@ -98,8 +99,8 @@
 	assert.Equal(t, r.standing("a"), Doubted)
 }
 
-// An endpoint fails only for routers of one availability zone. The others' own
-// requests are served, and they go on sending them.
+// An endpoint that fails only for routers of one availability zone stays in
+// service for zones whose own requests succeed.
 func TestFailureForOneZoneConcernsThatZone(t *testing.T) {
 	r := newDetectorTest()
 	for range 3 {
@@ -112,8 +113,8 @@
 	assert.Assert(t, r.detector.EjectedFor("a") && !r.detector.EjectedFor("b"))
 }
 
-// Routers of another zone that have not met the endpoint of late go by those
-// that have.
+// A zone without recent requests to the endpoint uses the evidence of the other
+// zones.
 func TestZoneWithoutRequestsUsesOtherZones(t *testing.T) {
 	r := newDetectorTest()
 	r.observe("a", rareFailure)
@@ -123,8 +124,8 @@
 	assert.Assert(t, r.detector.EjectedFor("a") && r.detector.EjectedFor("b"))
 }
 
-// An endpoint that serves again is taken back by a few probes; one that goes on
-// failing is probed more and more seldom, so that few callers meet it.
+// A recovered endpoint is restored after a few probes. One that keeps failing
+// is probed at growing intervals, so that few callers are affected.
 func TestProbesRestoreEndpoint(t *testing.T) {
 	r := newDetectorTest()
 	r.observe("a", rareFailure)
@@ -140,7 +141,7 @@
 	r.observe("a", rareFailure)
 	assert.Equal(t, r.changes[1].Pause, 2*basePause)
 	r.observe("a", SuccessWeight)
-	assert.Equal(t, len(r.changes), 2, "a request from before the pause says nothing")
+	assert.Equal(t, len(r.changes), 2, "a request from before the pause is ignored")
 
 	r.now = r.now.Add(2 * basePause)
 	r.observe("a", SuccessWeight)
@@ -154,8 +155,8 @@
 	assert.Equal(t, r.standing("a"), InService)
 }
 
-// Where no request may be sent twice nothing can probe an endpoint. It comes
-// back untried after a while.
+// In a pool whose requests may not be retried nothing can probe an endpoint,
+// which is then restored untested after maxUnprobed.
 func TestUnprobedEndpointIsRestored(t *testing.T) {
 	r := newDetectorTest()
 	r.observe("a", rareFailure)
@@ -164,9 +165,10 @@
 	assert.Equal(t, r.standing("a"), InService)
 }
 
-// Requests that may run only once hang at a mute endpoint until their callers
-// leave, 3 s later. They are no probes: taken for such, they kept real ones away,
-// and the endpoint came back untried while it was still mute.
+// Guards against counting requests from before the ejection as probes. Requests
+// that may run only once hang at an unresponsive endpoint until their callers
+// leave after 3 s; counted as probes, they kept out real ones, and the endpoint
+// was restored untested while it still did not respond.
 func TestRequestsBeforeEjectionAreNoProbes(t *testing.T) {
 	r := newDetectorTest()
 	r.observe("a", rareFailure)
@@ -179,14 +181,14 @@
 	assert.Equal(t, s, Ejected, "a probe still runs")
 }
 
-// runsBegun implements Runs by the times of their beginning.
+// runsBegun implements RunningRequests by start times.
 type runsBegun []time.Time
 
 func (r runsBegun) Since(begun time.Time) int {
 	return lo.CountBy(r, func(at time.Time) bool { return !at.Before(begun) })
 }
 
-// A failure each minute is chance, however long it goes on.
+// One failure a minute does not eject an endpoint, however long that continues.
 func TestFailuresFarApartEjectNobody(t *testing.T) {
 	r := newDetectorTest()
 	for range 60 {
--- a/coordination/outlier/pace.go
+++ b/coordination/outlier/pace.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// latencyTail holds the longest times until the first byte of an answer, over the
-// current span and the one before. Mean and deviation, as TCP takes them for its
-// time-outs, are no measure here: a long prompt holds up all requests at its
-// engine for half a second, and the few that wait ten times the mean belong to
-// the usual. The zero value has seen nothing.
+// latencyTail keeps the longest times to the first byte of an answer over the
+// current and the previous window. A limit from mean and deviation, as TCP uses
+// for its retransmission timeout, does not fit: a long prompt delays all
+// requests at its engine for half a second, so that a few normal requests take
+// ten times the mean. The zero value has no observations.
 type latencyTail struct {
 	current, previous latencyWindow
 }
 
-// latencyWindow is what was seen in one span of time.
+// latencyWindow holds the observations of one time window.
 type latencyWindow struct {
 	start   time.Time
 	n       int
-	longest [tailSize]time.Duration // in falling order
+	longest [tailSize]time.Duration // in descending order
 }
 
 const (
-	// windowLength is the length of a span. A router of a large fleet sees a kind
-	// of request about once a second.
+	// windowLength is the length of a window. A router of a large fleet sees a
+	// kind of request about once a second.
 	windowLength = 15 * time.Second
-	// tailSize is how many of the longest times are kept.
+	// tailSize is the number of longest times that are kept.
 	tailSize = 4
-	// tailShare is one in how many answers may take longer than the limit, so
-	// that a single one that was held up by a lost packet does not set it.
+	// tailShare is the number of answers of which one may exceed the limit, so
+	// that a single answer delayed by a lost packet does not set it.
 	tailShare = 50
-	// limitMargin is how many times the limit an answer may take before it is
-	// overdue. On a calm day, 24 requests of 2,000 were taken for overdue
-	// without it and answered within twice the time; a lookup that was sent
-	// again then had no attempt left for a failure.
+	// limitMargin is the factor by which an answer may exceed the tail before
+	// it is overdue. Without it, 24 of 2,000 requests without any fault were
+	// taken for overdue and answered within twice the limit; a lookup that was
+	// resent for that reason then had no attempt left for a failure.
 	limitMargin = 2
-	// minAnswers is the number of answers below which nothing is known.
+	// minAnswers is the number of answers below which there is no limit.
 	minAnswers = 8
 )
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// rotate begins a new span when the current one is over.
+// rotate starts a new window when the current one is over.
 func (p *latencyTail) rotate(now time.Time) {
 	age := now.Sub(p.current.start)
 	switch {
@@ -64,8 +64,9 @@
 	p.current = latencyWindow{start: now}
 }
 
-// limit returns paceMargin times the time that one answer in paceShare has
-// exceeded, or the longest if there were fewer; zero if too few were seen.
+// limit returns limitMargin times the time that one answer in tailShare has
+// exceeded, or the longest time if there were fewer answers than that. It
+// returns zero below minAnswers.
 func (p *latencyTail) limit(now time.Time) time.Duration {
 	p.rotate(now)
 	n := p.current.n + p.previous.n
--- a/coordination/outlier/watch.go
+++ b/coordination/outlier/watch.go
@@ -7,28 +7,29 @@
 	"wisteriaspool/coordination"
 )
 
-// Request says which request is spoken of: what it asked for, and where.
+// Request describes a monitored request.
 type Request struct {
 	Pool     coordination.Pool
 	Endpoint coordination.Endpoint
-	// Kind names requests that are alike, such as those of one route.
+	// Kind groups similar requests, such as those of one route.
 	Kind string
 }
 
-// Monitor is what one router knows of the endpoints from its own requests. The
-// zero value knows nothing and is ready for use.
+// Monitor keeps the statistics of the requests that one router sends to
+// endpoints. The zero value is empty and ready for use. It is safe for
+// concurrent use.
 type Monitor struct {
 	mu    sync.Mutex
 	pools map[coordination.Pool]*poolStats
 }
 
-// poolStats is what was seen in one pool, under a lock of its own.
+// poolStats holds the statistics of one pool under a lock of its own.
 type poolStats struct {
 	mu    sync.Mutex
 	kinds map[string]*kindStats
 }
 
-// kindStats is what was seen of one kind of request in one pool.
+// kindStats holds the statistics of one kind of request in one pool.
 type kindStats struct {
 	all        tally
 	byEndpoint map[coordination.Endpoint]*tally
@@ -36,23 +37,26 @@
 }
 
 const (
-	// rateHalfLife is the half-life of what counts for the usual share of
-	// failures. A router of a large fleet sees a kind about once a second.
+	// rateHalfLife is the half-life of the counts from which failure rates are
+	// computed. A router of a large fleet sees a kind of request about once a
+	// second.
 	rateHalfLife = 30 * time.Second
-	// priorRequests is how many requests at other endpoints give a failure half of its
-	// weight: with none there is nothing to compare it to.
+	// priorRequests is the number of requests at other endpoints at which a
+	// failure has half of its weight. With no such requests there is nothing to
+	// compare it with.
 	priorRequests = 3
-	// maxKinds bounds the kinds of a pool; requests beyond it are not watched.
+	// maxKinds is the maximum number of kinds in a pool; requests of further
+	// kinds are not monitored.
 	maxKinds = 1024
-	// pruneEndpointsAt is the number of endpoints of a kind from which on those
-	// that were not seen for long are dropped.
+	// pruneEndpointsAt is the number of endpoints of a kind from which on idle
+	// ones are removed.
 	pruneEndpointsAt = 64
 	// minTally is the decayed number of requests below which an endpoint is
-	// dropped.
+	// removed.
 	minTally = 0.05
 )
 
-// RecordSuccess takes in that a request was served, and returns what that says.
+// RecordSuccess records a successful request and returns its weight.
 func (w *Monitor) RecordSuccess(now time.Time, s Request) Weight {
 	v := w.pool(s.Pool)
 	v.mu.Lock()
@@ -65,8 +69,8 @@
 	return SuccessWeight
 }
 
-// RecordFailure takes in that a request failed at its endpoint, and returns what that
-// says, by how the same kind fares at the others.
+// RecordFailure records a failed request and returns its weight, which depends
+// on the failure rate of the same kind at the other endpoints.
 func (w *Monitor) RecordFailure(now time.Time, s Request) Weight {
 	v := w.pool(s.Pool)
 	v.mu.Lock()
@@ -81,7 +85,8 @@
 	return Weight(known * float64(failureWeight(others.rate())))
 }
 
-// RecordFirstByte takes in how long an endpoint took for the first byte of an answer.
+// RecordFirstByte records the time that an endpoint took to the first byte of
+// an answer.
 func (w *Monitor) RecordFirstByte(now time.Time, s Request, took time.Duration) {
 	v := w.pool(s.Pool)
 	v.mu.Lock()
@@ -91,8 +96,9 @@
 	}
 }
 
-// FirstByteLimit returns for how long a request of this kind is likely to get the
-// first byte of its answer at a good endpoint; zero if that is not known yet.
+// FirstByteLimit returns the time within which a request of this kind is
+// expected to get the first byte of its answer from a good endpoint, or zero if
+// there are too few observations.
 func (w *Monitor) FirstByteLimit(now time.Time, s Request) time.Duration {
 	v := w.pool(s.Pool)
 	v.mu.Lock()
@@ -117,7 +123,7 @@
 	return v
 }
 
-// kind returns the view of a kind, or nil if there are too many.
+// kind returns the statistics of a kind, or nil if there are too many kinds.
 func (v *poolStats) kind(name string) *kindStats {
 	k := v.kinds[name]
 	if k == nil && len(v.kinds) < maxKinds {
@@ -127,7 +133,7 @@
 	return k
 }
 
-// add counts a request, with 1 for failed.
+// add counts a request; failed is 1 for a failure and 0 otherwise.
 func (k *kindStats) add(now time.Time, e coordination.Endpoint, failed float64) {
 	k.all.add(now, failed)
 	t := k.byEndpoint[e]
@@ -139,8 +145,8 @@
 	t.add(now, failed)
 }
 
-// pruneEndpoints drops endpoints that have not been seen for long, such as those that
-// are gone.
+// pruneEndpoints removes endpoints that have had no requests for long, such as
+// those that no longer exist.
 func (k *kindStats) pruneEndpoints(now time.Time) {
 	if len(k.byEndpoint) < pruneEndpointsAt {
 		return
@@ -153,7 +159,7 @@
 	}
 }
 
-// others returns the counts of all endpoints but one.
+// others returns the counts of all endpoints except e.
 func (k *kindStats) others(now time.Time, e coordination.Endpoint) tally {
 	k.all.decay(now)
 	sum := k.all
@@ -165,7 +171,7 @@
 	return sum
 }
 
-// tally counts requests, and those that failed, with a half-life.
+// tally counts all requests and failed ones, both decaying with rateHalfLife.
 type tally struct {
 	all, failed float64
 	decayedAt   time.Time
@@ -184,7 +190,7 @@
 	t.failed += failed
 }
 
-// rate returns the share of requests that failed.
+// rate returns the failure rate.
 func (t *tally) rate() float64 {
 	if t.all <= 0 {
 		return 0
--- a/coordination/outlier/watch_test.go
+++ b/coordination/outlier/watch_test.go
@@ -14,7 +14,8 @@
 	return Request{Pool: "p", Endpoint: endpoint, Kind: kind}
 }
 
-// fill has endpoints e0 to e4 answer requests of a kind, of which some fail.
+// fill records n requests of a kind, spread over endpoints e0 to e4; every
+// failEvery-th one fails.
 func fill(w *Monitor, now time.Time, kind string, n, failEvery int) {
 	for i := range n {
 		s := request(coordination.Endpoint(fmt.Sprintf("e%d", i%5)), kind)
@@ -26,12 +27,13 @@
 	}
 }
 
-// What a failure says depends on how the same kind of request fares elsewhere.
+// The weight of a failure depends on how the same kind of request fares at
+// other endpoints.
 func TestWeightOfAFailure(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name      string
-		failEvery int // of the requests at other endpoints
+		failEvery int // one in failEvery requests at other endpoints fails
 		n         int
 		least     Weight
 		most      Weight
@@ -50,9 +52,9 @@
 	}
 }
 
-// All endpoints of a pool fail at once, as when what stands behind them all is
-// down. Nothing is gained by taking any out: after the first few failures each
-// says next to nothing.
+// Guards against ejections when all endpoints of a pool fail at once, for
+// example because a shared dependency is down: after the first few failures,
+// further ones have almost no weight.
 func TestFailureOfAWholePoolSaysLittle(t *testing.T) {
 	var w Monitor
 	now := time.Unix(1000, 0)
@@ -65,8 +67,8 @@
 	assert.Assert(t, got < 20, "%d", got)
 }
 
-// An endpoint's own failures are not held against the others, nor do they make
-// its next failure look usual.
+// An endpoint's own failures neither count against the others nor raise the
+// failure rate that its next failure is compared with.
 func TestOwnFailuresAreExcluded(t *testing.T) {
 	var w Monitor
 	now := time.Unix(1000, 0)
@@ -79,7 +81,8 @@
 	assert.Assert(t, w.RecordFailure(now, request("e0", "k")) < last)
 }
 
-// A lookup that fails one time in seven does not make an order's failure usual.
+// A lookup that fails one time in seven does not reduce the weight of a failed
+// order.
 func TestKindsAreSeparate(t *testing.T) {
 	var w Monitor
 	now := time.Unix(1000, 0)
@@ -112,7 +115,7 @@
 	}
 }
 
-// One answer that a lost packet held up does not set the limit for all.
+// A single answer delayed by a lost packet does not set the limit.
 func TestFirstByteLimitIgnoresFewLongest(t *testing.T) {
 	var w Monitor
 	now := time.Unix(1000, 0)
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,39 +1,40 @@
 // Package retry limits retries to a share of the requests, so that a failure
-// which hits many requests at once is not made worse by all of them coming
-// back. A count per request would allow just that.
+// that affects many requests at once is not amplified by retries of all of
+// them. A limit of retries per request would not prevent that.
 package retry
 
 import "sync"
 
-// Defaults of a Budget.
+// Defaults of the fields of Budget.
 const (
 	DefaultShare = 0.1
 	DefaultBurst = 10
 )
 
-// Budget is a token bucket fed by requests. The zero value is full and allows
-// retries for DefaultShare of the requests. It is safe for concurrent use.
+// Budget is a token bucket of retries that is filled by requests. The zero
+// value is full and allows retries for DefaultShare of the requests. It is safe
+// for concurrent use.
 type Budget struct {
-	// Share is the number of retries that each request earns. Zero means
-	// DefaultShare; a negative share allows none beyond the burst.
+	// Share is the number of retries that each request adds. Zero means
+	// DefaultShare; a negative share adds none, which leaves only the burst.
 	Share float64
 
-	// Burst is the number of retries that may be saved up. Zero means
-	// DefaultBurst; a negative burst allows no retry at all.
+	// Burst is the maximum number of retries that accumulate. Zero means
+	// DefaultBurst; a negative burst allows no retries.
 	Burst float64
 
 	mu    sync.Mutex
-	spent float64 // of the burst
+	spent float64 // retries taken and not yet refilled
 }
 
-// RecordRequest notes a request, which earns a share of a retry.
+// RecordRequest counts a request, which adds Share of a retry.
 func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-b.share(), 0)
 }
 
-// Take spends one retry and reports whether there was one left.
+// Take takes one retry and reports whether one was available.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +45,7 @@
 	return true
 }
 
-// Left returns the number of retries that could be taken now.
+// Left returns the number of retries available now.
 func (b *Budget) Left() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// All endpoints of a pool fail for a while. Were each request tried again, the
-// endpoints would get twice the load just when they can take the least.
+// Guards against retry amplification: if every request were retried while all
+// endpoints of a pool fail, the load would double when they can handle the
+// least.
 func TestRetriesAreAShareOfRequests(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the operators' desired state as routers apply it: which
-// pool serves a request, who may send it, and what may be repeated. It does no
-// I/O.
+// Package route holds the operators' desired state in the form that routers
+// apply: which pool serves a request, who may send it, and whether it may be
+// retried. The package does no I/O.
 package route
 
 import (
@@ -11,19 +11,20 @@
 	"wisteriaspool/coordination"
 )
 
-// Key is what a caller shows to prove which client account it acts for.
+// Key is the credential by which a caller proves which client account it acts
+// for.
 type Key string
 
-// Version numbers the desired states; a later one has a higher number.
+// Version numbers the versions of the desired state; later ones are higher.
 type Version int64
 
-// Kind tells what may be repeated of a route's requests.
+// Kind says how often a request of a route may run.
 type Kind uint8
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	// Unsafe requests run at most once for each attempt of a caller. It is the
-	// zero value, so that a kind that nobody knows repeats nothing.
+	// zero value, so that requests of an unknown kind are never retried.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
@@ -32,7 +33,7 @@
 	Stream
 )
 
-// String returns the name of k as logs and metrics show it.
+// String returns the name of k used in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -44,27 +45,27 @@
 	}
 }
 
-// Share is one pool's part of a route's requests.
+// Share is the share of a route's requests that one pool serves.
 type Share struct {
 	Pool   coordination.Pool
-	Weight int // against the other shares of the route
+	Weight int // relative to the other shares of the route
 }
 
-// Route says how the requests of one host and path prefix are served.
+// Route describes how requests with a given host and path prefix are served.
 type Route struct {
 	Name            string
-	Host            string // without a port, in lower case
+	Host            string // lower case, without a port
 	Prefix          string // begins and ends with a slash
 	Kind            Kind
-	Timeout         time.Duration // longest time that a caller is kept waiting; zero for none
-	FirstByteTarget time.Duration // to the first byte or event, within which an answer has its full worth
-	GapTarget       time.Duration // longest pause between two events of a stream; zero for none
-	Attempts        int           // endpoints to which one request may be sent, at least 1
+	Timeout         time.Duration // maximum time that a caller waits; zero for no limit
+	FirstByteTarget time.Duration // time to the first byte or event within which an answer has its full value
+	GapTarget       time.Duration // maximum pause between two events of a stream; zero for no target
+	Attempts        int           // maximum number of endpoints a request is sent to, at least 1
 	Priority        coordination.Priority
 	Shares          []Share
-	Public          bool // needs no key
-	Sticky          bool // its requests name the parts of their prompts
-	Resumable       bool // a stream that broke may go on elsewhere
+	Public          bool // requires no key
+	Sticky          bool // requests name the parts of their prompts
+	Resumable       bool // a broken stream may be continued at another endpoint
 }
 
 // Idempotent reports whether a request of the route may run more than once.
@@ -72,8 +73,9 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Pool returns the pool that serves a request whose hash is h, by the weights
-// of the shares. The same hash always falls on the same pool.
+// Pool returns the pool for a request with hash h, chosen in proportion to the
+// weights of the shares. Equal hashes get the same pool. If no weight is
+// positive, it returns the pool of the first share.
 func (r *Route) Pool(h uint64) coordination.Pool {
 	total := 0
 	for _, s := range r.Shares {
@@ -92,38 +94,38 @@
 	return r.Shares[len(r.Shares)-1].Pool
 }
 
-// Pool describes the endpoints that serve the same requests.
+// Pool describes a set of endpoints that serve the same requests.
 type Pool struct {
 	Name coordination.Pool
-	// Engine says that they are model engines, which keep cached what they
-	// have read of prompts; otherwise they are of a plain service.
+	// Engine reports whether the endpoints are model engines, which cache the
+	// prompts that they have processed, rather than a plain service.
 	Engine bool
 }
 
 // Tenant is a client account that holds keys.
 type Tenant struct {
 	Account  coordination.Account
-	Priority *coordination.Priority // goes before the route's, see [Table.Priority]; nil if the account has none
+	Priority *coordination.Priority // takes precedence over the route's, see [Table.Priority]; nil for none
 }
 
-// State is one version of the desired state in full.
+// State is one complete version of the desired state.
 type State struct {
 	Version  Version
 	Routes   []Route
 	Pools    map[coordination.Pool]Pool
-	Accounts map[Key]Tenant // nil if requests need no key
-	// BodyBytes is the size of the largest body that a caller may send; zero
-	// for no limit of the operators.
+	Accounts map[Key]Tenant // nil if requests require no key
+	// BodyBytes is the maximum size of a request body in bytes; zero if the
+	// operators set no limit.
 	BodyBytes int
 }
 
-// Table answers from one version of the desired state. It never changes, so it
-// may be shared without locks. The zero Table has no routes.
+// Table looks up routes and keys in one version of the desired state. It is
+// immutable, so it may be shared without locks. The zero Table has no routes.
 type Table struct {
 	State
-	hosts map[string][]*Route // by host, the longest prefix first
+	hosts map[string][]*Route // by host, longest prefix first
 
-	lowest, highest coordination.Priority // of the routes
+	lowest, highest coordination.Priority // route priorities
 }
 
 // NewTable returns the table of a state.
@@ -143,9 +145,10 @@
 	return t
 }
 
-// Priority returns the priority of a request on a route, for a client account
-// whose own priority is own, or nil if it has none. The account's goes before the
-// route's: between requests of accounts of the same priority the route's decides.
+// Priority returns the priority of a request on a route for a client account
+// whose own priority is own, or nil if it has none. The account's priority
+// takes precedence: the route's decides only between requests of accounts with
+// equal priority.
 func (t *Table) Priority(r *Route, own *coordination.Priority) coordination.Priority {
 	first := r.Priority
 	if own != nil {
@@ -154,8 +157,8 @@
 	return first*(t.highest-t.lowest+1) + r.Priority - t.highest
 }
 
-// Match returns the route of a request: among those of its host the one with
-// the longest prefix of its path. It returns nil if there is none.
+// Match returns the route of a request: of the routes of its host, the one with
+// the longest matching path prefix. It returns nil if there is none.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// hostname returns a host header without its port, in lower case.
+// hostname returns a Host header in lower case without its port.
 func hostname(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -173,7 +176,7 @@
 	return strings.ToLower(host)
 }
 
-// Tenant returns the client account that holds a key.
+// Tenant returns the client account that holds a key, and whether there is one.
 func (t *Table) Tenant(key Key) (Tenant, bool) {
 	tenant, ok := t.Accounts[key]
 	return tenant, ok
--- a/coordination/route/route_test.go
+++ b/coordination/route/route_test.go
@@ -47,8 +47,9 @@
 	assert.Assert(t, (&route.Table{}).Match("a.example", "/x/") == nil)
 }
 
-// An account has a priority of its own. Were the routes' priorities of no account
-// then, its most urgent requests would wait behind its least urgent ones.
+// Guards against accounts whose routes' priorities have no effect: the most
+// urgent requests of an account with its own priority would wait behind its
+// least urgent ones.
 func TestAccountsPriorityGoesBeforeTheRoutes(t *testing.T) {
 	urgent, plain := to("urgent", "a.example", "/u/"), to("plain", "a.example", "/p/")
 	plain.Priority = -2
@@ -76,8 +77,8 @@
 	assert.Equal(t, got["b"], 100)
 }
 
-// An operator drains a service by setting its weight to zero. A request that
-// still went there would meet endpoints that are being taken away.
+// Guards against requests to a pool that an operator drains by setting its
+// weight to zero; its endpoints may be about to be removed.
 func TestShareOfZeroGetsNothing(t *testing.T) {
 	r := route.Route{Shares: []route.Share{{Pool: "a", Weight: 0}, {Pool: "b", Weight: 5}}}
 	for h := range uint64(100) {
--- a/coordination/sleep.go
+++ b/coordination/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d or until ctx ends, and reports whether ctx goes on.
+// Sleep waits for d or until ctx is done, and reports whether ctx is not done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,8 +21,9 @@
 	}
 }
 
-// Jitter returns a time between half of d and one and a half of it, so that those
-// who failed together do not come back together.
+// Jitter returns a random duration between half of d and one and a half times
+// d, so that clients that failed together do not retry together. It panics if d
+// is not positive.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 const (
@@ -30,8 +31,10 @@
 	maxCooldown    = 200 * time.Millisecond
 )
 
-// Cooldown returns for how long to leave off work that has taken some time before it
-// begins again, so that it takes one part in twenty of all time at most. It is for
-// work that grows with the fleet and that each change asks for: while a large fleet
-// starts, hundreds of changes come within seconds. In a small fleet it is nothing.
+// Cooldown returns how long to wait after work that took some time before
+// repeating it, so that the work takes at most one twentieth of the time,
+// unless the wait reaches its limit of 200 ms. It is meant for work whose cost
+// grows with the fleet and that every change triggers: while a large fleet
+// starts, hundreds of changes arrive within seconds. In a small fleet the wait
+// is negligible.
 func Cooldown(took time.Duration) time.Duration { return min(cooldownFactor*took, maxCooldown) }
--- a/coordination/suspicion/excused_test.go
+++ b/coordination/suspicion/excused_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against copies of a crashing request that run at once as its crash is excused.
+// Guards against concurrent copies of a crashing request whose only crash is
+// attributed to another request.
 func TestExcusedSuspectRunsOneCopyAtATime(t *testing.T) {
 	now := testNow
 	g := NewGate(NewTable(Config{}))
@@ -26,5 +27,5 @@
 		return reply.Verdict
 	}
 	assert.Assert(t, enter(4) != Poison)
-	assert.Equal(t, enter(5), Busy, "a second copy runs beside the first")
+	assert.Equal(t, enter(5), Busy, "a second copy runs concurrently with the first")
 }
--- a/coordination/suspicion/fleet_test.go
+++ b/coordination/suspicion/fleet_test.go
@@ -15,27 +15,28 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// outcome is what one seeded run of the world showed.
+// outcome is the result of one seeded simulation.
 type outcome struct {
-	crashes          map[Fingerprint]int // endpoints, by crashing request
-	falseConvictions int                 // refused as poison
-	served           int                 // innocents that ran to their end
-	sent             int                 // innocents
+	crashes          map[Fingerprint]int // crashed endpoints by request
+	falseConvictions int                 // harmless requests refused as poison
+	served           int                 // harmless requests that ran to completion
+	sent             int                 // harmless requests sent
 	runs             []runRecord
 }
 
-// scenario is a seeded run: innocents arrive all the time, and crashing
-// requests are sent through one router and, again and again, through all.
+// scenario is a seeded simulation: harmless requests arrive all the time, and
+// crashing requests are sent through one router first and then repeatedly
+// through all.
 type scenario struct {
 	seed     uint64
 	crashing int
-	spacing  time.Duration // between two crashing requests
+	spacing  time.Duration // time between two crashing requests
 	fault    injectedFault
 	cfg      Config
-	rekeyed  bool // each copy of a crashing request comes as another chat
+	rekeyed  bool // each copy of a crashing request has another placement key
 }
 
-// run runs the scenario in the paused clock.
+// run simulates the scenario in a synctest bubble.
 func (s scenario) run(t *testing.T) (o outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFleetSim(s.seed, 7, 12, s.fault, s.cfg)
@@ -103,8 +104,8 @@
 	wg.Wait()
 }
 
-// sendCrashing sends a crashing request, and sends it again through every router at
-// once when its first try has ended, and every few seconds after that.
+// sendCrashing sends a crashing request, and resends it through every router at
+// once when its first run has ended, and every 3 s after that.
 func (s scenario) sendCrashing(ctx context.Context, w *fleetSim, i int, length time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(i+3)))
 	j := job{
@@ -140,11 +141,10 @@
 	wg.Wait()
 }
 
-// A request crashes each endpoint that runs it. Its caller takes the broken
-// answer for a hiccup and sends it again through every router at once, before
-// they have told each other. Users of the pool would lose endpoint after
-// endpoint; and if suspicion were hasty, those whose requests merely ran there
-// would be refused as well.
+// A request crashes each endpoint that runs it. Its caller retries through
+// every router at once, before the routers have exchanged records. Without
+// coordination the pool would lose one endpoint after another; with hasty
+// convictions, requests that merely ran on the same endpoints would be refused.
 func TestCrashingRequestTakesAtMostTwoEndpoints(t *testing.T) {
 	tests := []struct {
 		name string
@@ -165,17 +165,17 @@
 				o := s.run(t)
 				for i := range s.crashing {
 					n := o.crashes[crashingFingerprint(i)]
-					assert.Assert(t, n >= 1 && n <= 2, "seed %d: request %d took %d endpoints", seed, i, n)
+					assert.Assert(t, n >= 1 && n <= 2, "seed %d: request %d crashed %d endpoints", seed, i, n)
 				}
 				assert.Equal(t, o.falseConvictions, 0, "seed %d", seed)
-				assert.Assert(t, o.served >= o.sent*99/100, "seed %d: %d of %d innocents served", seed, o.served, o.sent)
+				assert.Assert(t, o.served >= o.sent*99/100, "seed %d: %d of %d harmless requests served", seed, o.served, o.sent)
 			}
 		})
 	}
 }
 
-// The check above must be able to fail. Routers that retry without asking, or
-// that each ask only themselves, let a crashing request take many endpoints.
+// Checks that the limit of two endpoints is exceeded by routers that retry
+// without asking the gate, or that each ask only their own.
 func TestCrashLimitCheckDetectsInjectedFaults(t *testing.T) {
 	for _, planted := range []injectedFault{noGate, ownGateOnly} {
 		found := false
@@ -183,6 +183,6 @@
 			o := scenario{seed: seed, crashing: 1, spacing: 10 * time.Second, fault: planted}.run(t)
 			found = found || o.crashes[crashingFingerprint(0)] > 2
 		}
-		assert.Assert(t, found, "fault %d goes unnoticed", planted)
+		assert.Assert(t, found, "fault %d is not detected", planted)
 	}
 }
--- a/coordination/suspicion/gate.go
+++ b/coordination/suspicion/gate.go
@@ -9,18 +9,18 @@
 	"wisteriaspool/coordination"
 )
 
-// Gate serialises the copies of suspects whose fingerprints all routers place
-// on this router.
+// Gate serializes the copies of suspects whose fingerprints are assigned to
+// this router.
 type Gate struct {
 	cfg   Config
 	table *Table
 
 	mu               sync.Mutex
 	membersChangedAt time.Time
-	running          map[Fingerprint]map[Copy]time.Time // until when
+	running          map[Fingerprint]map[Copy]time.Time // expiry of each copy's claim
 }
 
-// NewGate returns the gate of a router with this table.
+// NewGate returns the gate of the router that owns table.
 func NewGate(table *Table) *Gate {
 	return &Gate{
 		cfg:     table.cfg,
@@ -29,18 +29,18 @@
 	}
 }
 
-// MembersChanged tells that the list of routers has changed, so that this gate may have
-// got fingerprints of another one. It lets no suspect start until the entries
-// that run copies have had time to claim them.
+// MembersChanged records a change of the list of routers, after which this gate
+// may be responsible for fingerprints of another one. No suspect is admitted
+// for Config.Hold, so that routers that are running copies have time to claim
+// them.
 func (g *Gate) MembersChanged(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.membersChangedAt = now
 }
 
-// InstanceDied drops the copies of an instance that has died. Endpoints cancel an
-// attempt that nobody reads, but not at once, so the copies hold their place a
-// while longer.
+// InstanceDied shortens the claims of a dead instance's copies to cancelDelay:
+// endpoints cancel an attempt whose reader is gone, but not at once.
 func (g *Gate) InstanceDied(now time.Time, id coordination.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,12 +54,12 @@
 	}
 }
 
-// cancelDelay is how long an endpoint may go on with an attempt that has lost
-// its reader.
+// cancelDelay is how long an endpoint may continue an attempt after its reader
+// is gone.
 const cancelDelay = 15 * time.Second
 
-// Handle takes a step of a copy. If the record has changed, it returns it for
-// spreading.
+// Handle processes a step of a copy. If the record of the fingerprint has
+// changed, Handle returns it for gossiping; otherwise the record is nil.
 func (g *Gate) Handle(now time.Time, m GateRequest) (GateReply, *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// enter lets a copy run unless its content is convicted, or a suspect of which
-// another copy runs.
+// enter admits a copy unless its content is convicted, or suspect and not yet
+// allowed to run.
 func (g *Gate) enter(now time.Time, m GateRequest) GateReply {
 	v := g.verdict(now, m)
 	if v.Verdict == AllowedAlone || v.Verdict == Allowed {
@@ -91,7 +91,7 @@
 	return v
 }
 
-// verdict returns what is known against a copy.
+// verdict returns the decision on a copy.
 func (g *Gate) verdict(now time.Time, m GateRequest) GateReply {
 	r, state := g.table.Find(now, m.Fingerprint)
 	switch state {
@@ -113,7 +113,7 @@
 	return GateReply{Verdict: AllowedAlone}
 }
 
-// otherCopyRunning reports whether another copy runs.
+// otherCopyRunning reports whether another copy of the request is running.
 func (g *Gate) otherCopyRunning(now time.Time, m GateRequest) bool {
 	copies := g.running[m.Fingerprint]
 	for c, until := range copies {
@@ -124,7 +124,7 @@
 	return lo.SomeBy(lo.Keys(copies), func(c Copy) bool { return c != m.Copy })
 }
 
-// trackCopy notes that a copy runs.
+// trackCopy registers a copy as running for Config.MaxRun.
 func (g *Gate) trackCopy(now time.Time, m GateRequest) {
 	copies := g.running[m.Fingerprint]
 	if copies == nil {
@@ -137,7 +137,7 @@
 	copies[m.Copy] = now.Add(g.cfg.MaxRun)
 }
 
-// prune drops the copies whose time is up.
+// prune removes copies whose claims have expired.
 func (g *Gate) prune(now time.Time) {
 	for f, copies := range g.running {
 		for c, until := range copies {
@@ -151,7 +151,7 @@
 	}
 }
 
-// untrackCopy notes that a copy runs no more.
+// untrackCopy removes a copy that is no longer running.
 func (g *Gate) untrackCopy(m GateRequest) {
 	copies := g.running[m.Fingerprint]
 	delete(copies, m.Copy)
@@ -160,7 +160,7 @@
 	}
 }
 
-// recordCrash takes the death of a copy's endpoint.
+// recordCrash records the death of the endpoint that ran a copy.
 func (g *Gate) recordCrash(now time.Time, m GateRequest) (GateReply, *Record) {
 	if m.Crash == nil {
 		return GateReply{}, nil
@@ -169,7 +169,8 @@
 	return g.verdict(now, m), &r
 }
 
-// clearFinished clears a suspect: it has run to its end and its endpoint lives.
+// clearFinished clears a suspect: it has run to completion and its endpoint is
+// alive.
 func (g *Gate) clearFinished(now time.Time, m GateRequest) (GateReply, *Record) {
 	if _, state := g.table.Find(now, m.Fingerprint); state != Suspect {
 		return GateReply{}, nil
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -12,22 +12,23 @@
 	"wisteriaspool/coordination"
 )
 
-// Transport carries requests to the gates on other routers.
+// Transport carries requests to the gates of other routers.
 type Transport interface {
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
 }
 
-// Spreader spreads a rumour to all routers.
+// Spreader gossips a message to all routers.
 type Spreader interface {
 	Spread(topic string, payload []byte)
 }
 
-// Placer tells which router is the gate of a fingerprint.
+// Placer maps the hash of a fingerprint to the router that is its gate.
 type Placer interface {
 	Place(hash uint64) coordination.Instance
 }
 
-// Guard is the entry side: it follows the requests of one router.
+// Guard tracks the requests that enter through one router and reports them to
+// their gates.
 type Guard struct {
 	instance    coordination.Instance
 	incarnation coordination.Incarnation
@@ -35,7 +36,7 @@
 	gate        *Gate
 	transport   Transport
 	spreader    Spreader
-	placer      atomic.Value // placerBox
+	placer      atomic.Value // holds a placerBox
 
 	mu         sync.Mutex
 	lastNumber uint64
@@ -44,7 +45,7 @@
 
 type placerBox struct{ Placer }
 
-// NewGuard returns the guard of a router, with its own gate.
+// NewGuard returns the guard of the router whose own gate is given.
 func NewGuard(id coordination.Instance, n coordination.Incarnation, gate *Gate, t Transport, s Spreader) *Guard {
 	return &Guard{
 		instance:    id,
@@ -57,23 +58,24 @@
 	}
 }
 
-// Update takes a new list of routers. Suspects that run here are claimed at
-// their gates, which may be new.
+// Update sets a new list of routers and claims the suspects running on this
+// router at their gates, which may have changed.
 func (g *Guard) Update(ctx context.Context, p Placer) {
 	g.placer.Store(placerBox{p})
 	g.gate.MembersChanged(time.Now())
 	g.Renew(ctx)
 }
 
-// Renew claims the suspects that run here once more. The router calls it twice
-// in each Config.MaxRun.
+// Renew renews the claims of the suspects running on this router. The router
+// has to call it twice within each Config.MaxRun.
 func (g *Guard) Renew(ctx context.Context) {
 	for _, f := range g.registeredRequests() {
 		g.step(ctx, f, Claim, nil)
 	}
 }
 
-// registeredRequests returns the runs that their gates know, or should know.
+// registeredRequests returns the requests that their gates know of, or should
+// know of.
 func (g *Guard) registeredRequests() []*TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,9 +85,10 @@
 	return all
 }
 
-// HandleRecord takes a rumour on [TopicRecord] and reports whether it is news.
-// A copy that runs here unaware is claimed at the gate, so that no other one
-// starts beside it.
+// HandleRecord processes a record received on [TopicRecord] and reports whether
+// it was new. Copies of the request running here that the gate does not know of
+// are claimed, so that it admits no other copy at the same time. The error is
+// of type [ErrMalformed].
 func (g *Guard) HandleRecord(ctx context.Context, payload []byte) (news bool, err error) {
 	r, err := DecodeRecord(payload)
 	if err != nil {
@@ -98,8 +101,8 @@
 	return true, nil
 }
 
-// claim claims at the gate the copies of a suspect that run here and of which
-// the gate does not know.
+// claim registers with the gate the copies of a suspect that run here and that
+// the gate does not know of.
 func (g *Guard) claim(ctx context.Context, fp Fingerprint) {
 	if _, state := g.table.Find(time.Now(), fp); state != Suspect {
 		return
@@ -109,8 +112,8 @@
 	}
 }
 
-// registerAll marks the runs of a fingerprint as known to the gate and returns
-// those that were not.
+// registerAll marks the requests of a fingerprint as known to the gate and
+// returns those that were not.
 func (g *Guard) registerAll(f Fingerprint) []*TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,7 +124,8 @@
 	return unaware
 }
 
-// HandleGate answers a message on [TopicGate].
+// HandleGate answers a message received on [TopicGate]. The error is of type
+// [ErrMalformed].
 func (g *Guard) HandleGate(ctx context.Context, payload []byte) ([]byte, error) {
 	m, err := DecodeGateRequest(payload)
 	if err != nil {
@@ -130,8 +134,8 @@
 	return g.handleStep(ctx, m).Encode(), nil
 }
 
-// handleStep answers a step. What it changes is news to this router too, whose own
-// copies no rumour reaches.
+// handleStep processes a step at the own gate. A changed record also applies to
+// copies on this router, which gossip does not reach.
 func (g *Guard) handleStep(ctx context.Context, m GateRequest) GateReply {
 	reply, r := g.gate.Handle(time.Now(), m)
 	if r != nil {
@@ -141,35 +145,38 @@
 	return reply
 }
 
-// Refusal tells that a request must not run, or not now.
+// Refusal says why a request must not run, and when to retry.
 type Refusal struct {
-	Poison     bool // convicted; otherwise another copy of a suspect runs
+	Poison     bool // convicted; otherwise the request is a suspect that has to wait
 	RetryAfter time.Duration
 }
 
-// TrackedRequest follows one request from its admission to its end.
+// TrackedRequest is a request from its arrival to its end.
 type TrackedRequest struct {
 	guard       *Guard
 	fingerprint Fingerprint
 	copy        Copy
 	alone       atomic.Bool
-	admitted    atomic.Bool // its gate has let it run
-	registered  bool        // its gate knows of it; Guard.mu guards it
+	admitted    atomic.Bool // by its gate
+	registered  bool        // known to its gate; guarded by Guard.mu
 }
 
-// Admitted reports whether the gate has let the request run. A request that a
-// rumour made this router claim has not been let run: it may be on its way to
-// an endpoint, and has to ask like any other.
+// Admitted reports whether the gate has admitted the request. A claim made on
+// receipt of a gossiped record is no admission: the request may be on its way
+// to an endpoint, and still has to ask the gate.
 func (f *TrackedRequest) Admitted() bool { return f.admitted.Load() }
 
-// Alone reports whether the request must run with no other suspect beside it.
+// Alone reports whether the request has to run on an endpoint without other
+// suspects.
 func (f *TrackedRequest) Alone() bool { return f.alone.Load() }
 
-// Begin starts to follow a request. For a suspect it waits until no other copy
-// runs, or ctx ends; it returns nil and a refusal if the request must not run.
+// Begin starts tracking a request. For a suspect it waits until the gate admits
+// it or ctx ends. If the request must not run, Begin returns nil and the
+// refusal.
 func (g *Guard) Begin(ctx context.Context, fp Fingerprint, p coordination.Pool) (*TrackedRequest, Refusal) {
-	// Followed before it is checked, so that a rumour that comes meanwhile finds
-	// either a copy to claim or a suspect that has to ask.
+	// Tracking starts before the check, so that a record that arrives in
+	// between finds either a copy to claim or a suspect that has to ask the
+	// gate.
 	f := g.track(fp)
 	advice, after := g.table.Check(time.Now(), fp, p)
 	if advice == Refuse {
@@ -200,7 +207,7 @@
 	return f
 }
 
-// untrack stops following and reports whether the gate knew of the run.
+// untrack stops tracking a request and reports whether the gate knew of it.
 func (g *Guard) untrack(f *TrackedRequest) (known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -213,7 +220,7 @@
 	return f.registered
 }
 
-// enter asks the gate until it lets the request run.
+// enter asks the gate until it admits or refuses the request, or ctx ends.
 func (f *TrackedRequest) enter(ctx context.Context) (Refusal, bool) {
 	for {
 		reply := f.guard.step(ctx, f, Enter, nil)
@@ -242,8 +249,9 @@
 	gateTimeout  = 200 * time.Millisecond
 )
 
-// EndpointCrashed tells that the endpoint which ran the request has died. It returns
-// once the request may run again, then alone; or the refusal.
+// EndpointCrashed reports that the endpoint running the request has died. It
+// returns true once the request may run again, on an endpoint without other
+// suspects if Alone reports so; otherwise it returns the refusal and false.
 func (f *TrackedRequest) EndpointCrashed(ctx context.Context, p coordination.Pool, e coordination.Endpoint, n coordination.Incarnation) (Refusal, bool) {
 	now := time.Now()
 	mass := f.guard.table.RecordLoss(now, p, e)
@@ -257,10 +265,10 @@
 	return f.enter(ctx)
 }
 
-// EndpointFoundDead tells that an endpoint was dead before the request reached it.
-// Something took it, and perhaps a copy of this very request, of which this
-// router has not heard yet; so the gate is asked. It returns once the request
-// may go elsewhere, or the refusal.
+// EndpointFoundDead reports that the endpoint was dead before the request
+// reached it. A copy of the same request that this router does not know of yet
+// may have crashed it, so the gate is asked. It returns true once the request
+// may be sent to another endpoint; otherwise it returns the refusal and false.
 func (f *TrackedRequest) EndpointFoundDead(ctx context.Context, p coordination.Pool, e coordination.Endpoint) (Refusal, bool) {
 	f.guard.table.RecordLoss(time.Now(), p, e)
 	f.guard.register(f)
@@ -273,11 +281,12 @@
 	f.registered = true
 }
 
-// Finished tells that the request has run to its end, which clears it.
+// Finished reports that the request has run to completion, which clears it of
+// suspicion.
 func (f *TrackedRequest) Finished(ctx context.Context) { f.end(ctx, Finished) }
 
-// Abandoned tells that the request has ended in a way that says nothing of it:
-// refused, cancelled by its caller, or failed with its endpoint alive.
+// Abandoned reports that the request ended without evidence for or against it:
+// refused, cancelled by its caller, or failed while its endpoint stayed alive.
 func (f *TrackedRequest) Abandoned(ctx context.Context) { f.end(ctx, Abandoned) }
 
 func (f *TrackedRequest) end(ctx context.Context, s Step) {
@@ -286,9 +295,9 @@
 	}
 }
 
-// step tells the gate of a step. If the gate cannot be reached, this router's
-// own one answers: a crash is recorded and spread all the same, and a suspect
-// waits, since another copy might run.
+// step reports a step to the gate. If the gate cannot be reached, this router's
+// own gate answers instead: crashes are still recorded and gossiped, and a
+// suspect waits, since another copy might be running.
 func (g *Guard) step(ctx context.Context, f *TrackedRequest, s Step, c *Crash) GateReply {
 	m := GateRequest{Fingerprint: f.fingerprint, Copy: f.copy, Step: s, Crash: c}
 	to := g.gateOf(f.fingerprint)
@@ -313,7 +322,7 @@
 	return ""
 }
 
-// answerLocally answers a step whose gate is silent.
+// answerLocally answers a step whose gate cannot be reached.
 func (g *Guard) answerLocally(ctx context.Context, m GateRequest) GateReply {
 	if m.Step != Enter {
 		return g.handleStep(ctx, m)
--- a/coordination/suspicion/guard_test.go
+++ b/coordination/suspicion/guard_test.go
@@ -13,7 +13,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// gates carries messages between guards at once.
+// gates delivers messages between guards without delay.
 type gates map[coordination.Instance]*Guard
 
 // Call implements Transport.
@@ -21,16 +21,16 @@
 	return g[to].HandleGate(ctx, payload)
 }
 
-// Spread implements Spreader. Rumours reach nobody.
+// Spread implements Spreader. Messages are discarded.
 func (g gates) Spread(string, []byte) {}
 
-// gateAt places all fingerprints on one router.
+// gateAt assigns all fingerprints to one router.
 type gateAt coordination.Instance
 
 // Place implements Placer.
 func (g gateAt) Place(uint64) coordination.Instance { return coordination.Instance(g) }
 
-// add adds a router whose gate for all fingerprints is at.
+// add adds a router for which the gate of all fingerprints is at.
 func (g gates) add(id, at coordination.Instance) *Guard {
 	guard := NewGuard(id, 1, NewGate(NewTable(Config{})), g, g)
 	guard.placer.Store(placerBox{gateAt(at)})
@@ -38,8 +38,8 @@
 	return guard
 }
 
-// A copy that runs on the router of its gate, begun before anybody knew of a
-// crash, goes unnoticed by the gate, which lets another copy start beside it.
+// Guards against a gate that admits a second copy beside one that runs on its
+// own router and was started before any crash was known.
 func TestGateCountsCopiesOfItsOwnRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := make(gates)
@@ -55,20 +55,20 @@
 	})
 }
 
-// A rumour of a crash that comes between the look at what is known and the entry
-// into the runs finds no copy to claim, so that the gate lets another one start
-// beside it.
+// Guards against a missed claim: a record that arrives after a new request was
+// checked but before it is tracked finds no copy to claim, and the gate admits
+// another copy beside it.
 func TestRecordDuringBeginIsNotMissed(t *testing.T) {
 	all := make(gates)
 	entry := all.add("entry", "entry")
-	entry.table.mu.Lock() // Begin cannot look at what is known
+	entry.table.mu.Lock() // blocks the check in Begin
 	var begun sync.WaitGroup
 	begun.Go(func() { _, _ = entry.Begin(t.Context(), 1, "m") })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		entry.mu.Lock()
 		defer entry.mu.Unlock()
 		if len(entry.tracked[1]) == 0 {
-			return poll.Continue("a rumour would find no copy to claim")
+			return poll.Continue("a record would find no copy to claim")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Second))
@@ -76,8 +76,9 @@
 	begun.Wait()
 }
 
-// A rumour claims a copy that is still looking for an endpoint. Taken for let run,
-// the copies sent behind the first crash run beside each other and each takes one.
+// Guards against a claim that passes for an admission. A received record claims
+// a copy that is still being placed. If that counted as admitted, the copies
+// sent after the first crash would run concurrently and each crash an endpoint.
 func TestClaimedCopyHasToAsk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := make(gates)
@@ -87,12 +88,12 @@
 		r, _ := gate.table.addCrash(now, 1, Crash{Endpoint: "e1", Incarnation: 1, At: unixMillis(now)})
 		_, err := other.HandleRecord(t.Context(), r.Encode())
 		assert.NilError(t, err)
-		assert.Assert(t, f.registered, "the gate does not know of it")
-		assert.Assert(t, !f.Admitted(), "it takes itself for let run")
+		assert.Assert(t, f.registered, "the request is not registered")
+		assert.Assert(t, !f.Admitted(), "the claim counts as an admission")
 		ctx, cancel := context.WithTimeout(t.Context(), gate.gate.cfg.Hold/2)
 		defer cancel()
 		refusal, ok := f.EndpointFoundDead(ctx, "m", "e1")
-		assert.Assert(t, !ok, "it starts before all routers have heard of the crash")
+		assert.Assert(t, !ok, "it starts before all routers have the record of the crash")
 		assert.Assert(t, !refusal.Poison)
 		f.Abandoned(t.Context())
 	})
--- a/coordination/suspicion/messages.go
+++ b/coordination/suspicion/messages.go
@@ -9,21 +9,21 @@
 	"wisteriaspool/coordination"
 )
 
-// The topics of the messages. TopicGate is a request to the gate of a
-// fingerprint, TopicRecord a rumour for all.
+// Message topics. TopicGate carries a request to the gate of a fingerprint,
+// TopicRecord a record gossiped to all routers.
 const (
 	TopicGate   = "suspicion-gate"
 	TopicRecord = "suspicion-record"
 )
 
-// Errors is the namespace of this package's errors.
+// Errors is the namespace of the package's errors.
 var Errors = errorx.NewNamespace("suspicion")
 
 // ErrMalformed is the type of the error for a message that cannot be decoded.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Copy names one copy of a request: the entry that runs it and its number
-// there.
+// Copy identifies one copy of a request: the router instance that handles it
+// and its number there.
 type Copy struct {
 	_           struct{} `cbor:",toarray"`
 	Instance    coordination.Instance
@@ -31,19 +31,19 @@
 	Number      uint64
 }
 
-// Step is what an entry tells or asks the gate.
+// Step is an event in the life of a copy that its router reports to the gate.
 type Step uint8
 
-// The steps of a copy.
+// Steps of a copy.
 const (
-	Enter     Step = iota // asks to run
-	Claim                 // runs already, or still
+	Enter     Step = iota // requests admission
+	Claim                 // is already running, or still running
 	Crashed               // its endpoint died
-	Finished              // it ran to its end
-	Abandoned             // it ended without telling anything
+	Finished              // ran to completion
+	Abandoned             // ended without evidence for or against the request
 )
 
-// GateRequest is a step of a copy.
+// GateRequest reports a step of a copy to the gate.
 type GateRequest struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Copy        Copy        `cbor:"2,keyasint"`
@@ -51,27 +51,27 @@
 	Crash       *Crash      `cbor:"4,keyasint,omitempty"`
 }
 
-// Verdict is the gate's answer.
+// Verdict is the gate's decision on a copy.
 type Verdict uint8
 
-// The verdicts of a gate.
+// Verdicts of a gate.
 const (
-	Allowed      Verdict = iota // nothing is known against it
-	AllowedAlone                // it may run, with no other suspect beside it
-	Busy                        // another copy runs, or the crash is too recent
+	Allowed      Verdict = iota // not a suspect; may run
+	AllowedAlone                // may run on an endpoint that runs no other suspect
+	Busy                        // another copy is running, or a crash or a change of routers is too recent
 	Poison
 )
 
-// GateReply answers a GateRequest. RetryAfter goes with Busy and Poison.
+// GateReply answers a GateRequest. RetryAfter is set for Busy and Poison.
 type GateReply struct {
 	Verdict    Verdict `cbor:"1,keyasint,omitempty"`
 	RetryAfter Millis  `cbor:"2,keyasint,omitempty"`
 }
 
-// Millis is a span of time in milliseconds.
+// Millis is a duration in milliseconds.
 type Millis uint32
 
-// Duration returns m as a duration.
+// Duration returns m as a [time.Duration].
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 func millis(d time.Duration) Millis {
@@ -87,26 +87,26 @@
 // Encode returns r as CBOR.
 func (r Record) Encode() []byte { return encode(r) }
 
-// DecodeGateRequest returns the request in b.
+// DecodeGateRequest decodes a request. The error is of type [ErrMalformed].
 func DecodeGateRequest(b []byte) (m GateRequest, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// DecodeGateReply returns the reply in b.
+// DecodeGateReply decodes a reply. The error is of type [ErrMalformed].
 func DecodeGateReply(b []byte) (m GateReply, err error) {
 	err = decode(b, &m)
 	return m, err
 }
 
-// DecodeRecord returns the record in b.
+// DecodeRecord decodes a record. The error is of type [ErrMalformed].
 func DecodeRecord(b []byte) (r Record, err error) {
 	err = decode(b, &r)
 	return r, err
 }
 
 // encode panics on failure: the messages are plain data, so a failure is a
-// mistake in their declaration.
+// mistake in their type declarations.
 func encode(m any) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
--- a/coordination/suspicion/suspicion.go
+++ b/coordination/suspicion/suspicion.go
@@ -1,13 +1,14 @@
-// Package suspicion keeps requests that crash the endpoints they run on from
-// taking one endpoint after another, while the requests that merely ran beside
-// them lose nothing but a little time.
+// Package suspicion limits the damage done by requests that crash every
+// endpoint they run on. Requests that merely ran on the same endpoint are
+// delayed briefly and lose nothing else.
 //
-// When an endpoint dies, each request that it ran is a suspect by its content
-// [Fingerprint]. One router, on which all agree, is the [Gate] of a
-// fingerprint: it lets one copy of a suspect run at a time, wherever its caller
-// sends it, and placement lets no other suspect run beside it. A suspect that
-// finishes is cleared; one whose endpoint dies again is convicted, and is then
-// refused at once everywhere. Records spread as rumours and expire.
+// When an endpoint dies, each request that was running on it becomes a suspect,
+// identified by its content [Fingerprint]. All routers agree on one router as
+// the [Gate] of a fingerprint. The gate admits one copy of a suspect at a time,
+// whichever router it arrives at, and placement keeps other suspects off the
+// endpoint of that copy. A suspect that finishes is cleared. A suspect whose
+// endpoint dies again is convicted, and all routers then refuse it at once.
+// Records spread by gossip and expire.
 package suspicion
 
 import (
@@ -22,18 +23,19 @@
 	"wisteriaspool/coordination"
 )
 
-// Fingerprint identifies the content of a request, whichever chat, account or
-// pool it comes with.
+// Fingerprint identifies the content of a request, independent of its chat,
+// client account and pool.
 type Fingerprint uint64
 
 // FingerprintOf returns the fingerprint of the parts of a request that an
-// endpoint computes on: the roles and texts of a conversation, in order, or the
+// endpoint processes: the roles and texts of a conversation, in order, or the
 // body of a call.
 func FingerprintOf(parts ...string) Fingerprint {
 	d := xxhash.New()
 	var size [8]byte
 	for _, p := range parts {
-		// The length keeps ("ab", "c") and ("a", "bc") apart.
+		// The length prefix gives ("ab", "c") and ("a", "bc") different
+		// fingerprints.
 		binary.LittleEndian.PutUint64(size[:], uint64(len(p)))
 		_, _ = d.Write(size[:])
 		_, _ = d.WriteString(p)
@@ -44,39 +46,39 @@
 // String returns f in hexadecimal.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// Config holds the settings of suspicion. A zero field means its default.
+// Config holds the settings of crash suspicion. A zero field means its default.
 type Config struct {
-	// SuspectTTL is how long a suspicion lasts, default 5 min.
+	// SuspectTTL is how long a request stays a suspect, 5 min by default.
 	SuspectTTL time.Duration
 
-	// ConvictTTL is how long a conviction lasts, default 15 min.
+	// ConvictTTL is how long a conviction lasts, 15 min by default.
 	ConvictTTL time.Duration
 
-	// Hold is how long after a crash no copy of its suspects starts: long
-	// enough for the rumour to reach every router that may run a copy without
-	// knowing; default 1 s.
+	// Hold is how long after a crash no copy of its suspects starts, 1 s by
+	// default. It has to be long enough for the record to reach every router
+	// that may be running a copy without knowing of the crash.
 	Hold time.Duration
 
 	// LossWindow is how long after the loss of an endpoint a router asks the
-	// gate about every request of the pool, default 30 s.
+	// gate about every request of the pool, 30 s by default.
 	LossWindow time.Duration
 
-	// MassLoss is the number of endpoints that, lost within MassWindow, show
-	// that something other than a request takes them, such as the loss of a
-	// zone. A fingerprint is forgiven one crash in such a moment. Defaults 4
-	// and 500 ms.
+	// MassLoss is the number of endpoints lost within MassWindow that indicates
+	// a cause other than a request, such as the failure of an availability
+	// zone. One crash of a fingerprint during a mass loss is not counted.
+	// Defaults are 4 and 500 ms.
 	MassLoss   int
 	MassWindow time.Duration
 
-	// MaxRun is how long a copy may run without its entry renewing the claim,
-	// default 1 min.
+	// MaxRun is how long the gate regards a copy as running after its router
+	// last renewed the claim, 1 min by default.
 	MaxRun time.Duration
 
-	// Limit is the number of records kept, default 4096.
+	// Limit is the maximum number of records, 4096 by default.
 	Limit int
 
-	// Always makes routers ask the gate about every request, not only after
-	// the loss of an endpoint.
+	// Always makes routers ask the gate about every request, not only after the
+	// loss of an endpoint.
 	Always bool
 }
 
@@ -102,22 +104,22 @@
 	}
 }
 
-// UnixMillis is a time in milliseconds since 1970.
+// UnixMillis is a Unix time in milliseconds.
 type UnixMillis int64
 
 func unixMillis(t time.Time) UnixMillis { return UnixMillis(t.UnixMilli()) }
 
-// Time returns m as a time.
+// Time returns m as a [time.Time].
 func (m UnixMillis) Time() time.Time { return time.UnixMilli(int64(m)) }
 
-// Crash is the death of an endpoint that ran the request.
+// Crash describes the death of an endpoint that was running the request.
 type Crash struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
 	At          UnixMillis
-	Alone       bool // it was the only suspect there
-	Mass        bool // many endpoints died at that moment
+	Alone       bool // no other suspect was running on the endpoint
+	Mass        bool // part of a mass loss, see Config.MassLoss
 }
 
 func (c Crash) incarnationKey() incarnationKey {
@@ -129,35 +131,37 @@
 }
 
 const (
-	// crashesToConvict is the number of endpoints that a request may take.
+	// crashesToConvict is the number of endpoint crashes after which a request
+	// is convicted.
 	crashesToConvict = 2
 
-	// maxCrashes is the number of crashes kept in a record. Some may turn out
-	// to be another request's doing.
+	// maxCrashes is the number of crashes kept in a record. It exceeds
+	// crashesToConvict because some may turn out to be caused by another
+	// request.
 	maxCrashes = 4
 )
 
-// Record is what is known against a fingerprint. Two records of the same
-// fingerprint are merged by union, so they may spread in any order and any
-// number of times. The zero record knows nothing.
+// Record holds the crashes attributed to a fingerprint. Merging two records of
+// the same fingerprint takes their union, so records may arrive in any order
+// and any number of times. The zero Record has no crashes.
 type Record struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Crashes     []Crash     `cbor:"2,keyasint,omitempty"`
-	Cleared     UnixMillis  `cbor:"3,keyasint,omitempty"` // of all crashes until then
+	Cleared     UnixMillis  `cbor:"3,keyasint,omitempty"` // crashes up to this time do not count
 	Expires     UnixMillis  `cbor:"4,keyasint"`
 }
 
-// State is what follows from the records.
+// State is the state of a fingerprint derived from its record.
 type State int
 
-// The states of a fingerprint.
+// States of a fingerprint.
 const (
 	Clear State = iota
 	Suspect
 	Convicted
 )
 
-// String returns the name of s as logs and metrics show it.
+// String returns the name of s used in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Suspect:
@@ -169,10 +173,10 @@
 	}
 }
 
-// merge adds what s knows and reports whether that was news.
+// merge adds the content of s to r and reports whether r changed.
 func (r *Record) merge(s Record) bool {
 	before := *r
-	r.Crashes = slices.Clone(r.Crashes) // copies of the record may share it
+	r.Crashes = slices.Clone(r.Crashes) // copies of the record may share the array
 	r.Cleared = max(r.Cleared, s.Cleared)
 	r.Expires = max(r.Expires, s.Expires)
 	for _, c := range s.Crashes {
--- a/coordination/suspicion/table.go
+++ b/coordination/suspicion/table.go
@@ -9,18 +9,19 @@
 	"wisteriaspool/coordination"
 )
 
-// Table holds what one router knows of fingerprints and of lost endpoints.
+// Table holds the records of fingerprints and the recent endpoint losses that
+// one router knows of.
 type Table struct {
 	cfg Config
 
 	mu         sync.Mutex
 	records    map[Fingerprint]*Record
-	attributed map[incarnationKey]Fingerprint // convicted of this crash, alone there
+	attributed map[incarnationKey]Fingerprint // convicted request that ran alone when it crashed the endpoint
 	losses     map[coordination.Endpoint]time.Time
-	lastLoss   map[coordination.Pool]time.Time // of the last loss
+	lastLoss   map[coordination.Pool]time.Time // time of the last loss
 }
 
-// incarnationKey names one incarnation of an endpoint.
+// incarnationKey identifies one incarnation of an endpoint.
 type incarnationKey struct {
 	endpoint    coordination.Endpoint
 	incarnation coordination.Incarnation
@@ -37,10 +38,12 @@
 	}
 }
 
-// RecordLoss notes the death of an endpoint from any source, and reports whether many
-// died at the same moment. Isolating all that a lost zone ran would take hours.
-// Endpoints are counted, not their lives: a list may name the next incarnation
-// of one that has not come back yet, and one death would look like two.
+// RecordLoss records the death of an endpoint from any source, and reports
+// whether it is part of a mass loss. After the loss of an availability zone,
+// running all affected requests in isolation would take hours. Losses are
+// counted by endpoint rather than by incarnation: a list may name the next
+// incarnation of an endpoint that is not back yet, and a single death would be
+// counted twice.
 func (t *Table) RecordLoss(now time.Time, p coordination.Pool, e coordination.Endpoint) (mass bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,17 +57,18 @@
 	return len(t.losses) >= t.cfg.MassLoss
 }
 
-// Advice tells an entry what to do with a request.
+// Advice tells a router how to handle a request.
 type Advice int
 
-// The kinds of advice.
+// Kinds of advice.
 const (
 	Run     Advice = iota
 	AskGate        // ask the gate first
 	Refuse         // convicted
 )
 
-// Check advises on a request; retryAfter goes with Refuse.
+// Check returns how to handle a request. With Refuse, retryAfter is the time
+// until the conviction expires.
 func (t *Table) Check(now time.Time, f Fingerprint, p coordination.Pool) (a Advice, retryAfter time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +86,7 @@
 	return Run, 0
 }
 
-// Find returns what is known of a fingerprint, and what follows from it.
+// Find returns the record of a fingerprint and the state derived from it.
 func (t *Table) Find(now time.Time, f Fingerprint) (Record, State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,17 +94,19 @@
 	return r, t.state(now, r)
 }
 
-// state returns what follows from a record. A crash beside a suspect that ran
-// alone there and was convicted of it is that one's doing: a common prompt may
-// well have run at both endpoints that a crashing request took. One such crash
-// is excused and no more, since several crashing requests at a time can seem to
-// excuse one another for ever.
+// state derives the state of a fingerprint from its record. A crash is
+// attributed to another request if that request ran without other suspects on
+// the same endpoint and was convicted of it: a common prompt may well have run
+// on both endpoints that a crashing request took down. Only one such crash is
+// discounted, since several concurrent crashing requests could otherwise
+// discount each other's crashes indefinitely.
 //
-// A request that never ran alone when it crashed is convicted only once the
-// rumour of another one's conviction has had time to come. Until then a common
-// prompt that ran beside the crashing request both times would be refused to
-// those who ask it meanwhile: in 2 of 2,100 seeded runs of 7 routers one or two
-// callers were. It stays a suspect, of which no copy starts.
+// A request that never ran without other suspects when it crashed is convicted
+// only after Config.Hold, so that the record of another request's conviction
+// has time to arrive. Otherwise a common prompt that ran beside the crashing
+// request both times would be refused to its callers in the meantime, as
+// happened to one or two callers in 2 of 2,100 seeded runs with 7 routers.
+// Until then the request stays a suspect, of which no copy starts.
 func (t *Table) state(now time.Time, r Record) State {
 	own := 0
 	alone, excused := false, false
@@ -128,13 +134,15 @@
 	}
 }
 
-// attributedToOther reports whether another request is known to have caused a crash.
+// attributedToOther reports whether another request is known to have caused a
+// crash.
 func (t *Table) attributedToOther(c Crash, f Fingerprint) bool {
 	by, decided := t.attributed[c.incarnationKey()]
 	return decided && by != f && !c.Alone
 }
 
-// attributeCrashes notes the crashes that a convicted record explains.
+// attributeCrashes attributes the crashes of a record with enough crashes for a
+// conviction to its fingerprint, if it ran without other suspects.
 func (t *Table) attributeCrashes(r *Record) {
 	if len(r.Crashes) < crashesToConvict {
 		return
@@ -146,7 +154,7 @@
 	}
 }
 
-// forget drops a record and what it explains.
+// forget removes a record and the attribution of its crashes.
 func (t *Table) forget(r *Record) {
 	delete(t.records, r.Fingerprint)
 	for _, c := range r.Crashes {
@@ -168,16 +176,18 @@
 	return *r
 }
 
-// Merge takes a record from a rumour and reports whether it was news, which is
-// to be passed on.
+// Merge adds a record received by gossip and reports whether it changed the
+// table and has to be passed on.
 func (t *Table) Merge(now time.Time, r Record) bool {
-	// A forged or mistaken expiry must not keep a record for ever.
+	// The limit keeps a forged or wrong expiry from retaining a record
+	// indefinitely.
 	r.Expires = min(r.Expires, unixMillis(now.Add(t.cfg.ConvictTTL)))
 	if r.Expires <= unixMillis(now) {
 		return false
 	}
-	// The clock of the router that told may be ahead. A crash in the future would
-	// hold its suspects for as long, and one forgiven there would never count.
+	// The clock of the sending router may be ahead. A crash time in the future
+	// would hold its suspects until then, and a clear time in the future would
+	// discount later crashes.
 	r.Cleared = min(r.Cleared, unixMillis(now))
 	r.Crashes = lo.Map(r.Crashes, func(c Crash, _ int) Crash {
 		c.At = min(c.At, unixMillis(now))
@@ -196,11 +206,11 @@
 	return news
 }
 
-// addCrash adds a addCrash and returns the merged record.
+// addCrash adds a crash and returns the merged record with its state.
 func (t *Table) addCrash(now time.Time, f Fingerprint, c Crash) (Record, State) {
 	r, _ := t.Find(now, f)
-	// Only one crash is forgiven. Were each, a crashing request could keep up
-	// by itself the losses that excuse it.
+	// Only one crash is discounted as part of a mass loss. Otherwise a crashing
+	// request could itself keep up the losses that excuse it.
 	if lo.SomeBy(r.Crashes, func(old Crash) bool { return old.Mass && !old.sameIncarnation(c) }) {
 		c.Mass = false
 	}
@@ -212,15 +222,16 @@
 	return t.Find(now, f)
 }
 
-// clearCrashes forgives all crashes of a suspect until now and returns the record.
+// clearCrashes discounts all crashes of a suspect up to now and returns the
+// record with its state.
 func (t *Table) clearCrashes(now time.Time, f Fingerprint) (Record, State) {
 	expires := unixMillis(now.Add(t.cfg.SuspectTTL))
 	t.Merge(now, Record{Fingerprint: f, Cleared: unixMillis(now), Expires: expires})
 	return t.Find(now, f)
 }
 
-// evict keeps the table within its limit: it drops what has expired, then the
-// record that matters least. The caller holds t.mu.
+// evict keeps the table within its limit: it removes expired records, then the
+// least important one. The caller holds t.mu.
 func (t *Table) evict(now time.Time, keep Fingerprint) {
 	if len(t.records) <= t.cfg.Limit {
 		return
@@ -240,7 +251,8 @@
 	}
 }
 
-// lessImportant reports whether a matters less than b.
+// lessImportant reports whether a is to be evicted before b: by state, then by
+// expiry, then by fingerprint so that the order is total.
 func (t *Table) lessImportant(now time.Time, a, b *Record) bool {
 	if x, y := t.state(now, *a), t.state(now, *b); x != y {
 		return x < y
@@ -251,7 +263,7 @@
 	return a.Fingerprint < b.Fingerprint
 }
 
-// Counts returns the number of suspects and convictions that are known.
+// Counts returns the numbers of suspects and of convicted requests.
 func (t *Table) Counts(now time.Time) (suspects, convicted int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/suspicion/table_test.go
+++ b/coordination/suspicion/table_test.go
@@ -26,7 +26,7 @@
 	_, state := table.addCrash(testNow, 1, crashAt("e1", false))
 	assert.Equal(t, state, Suspect)
 	_, state = table.addCrash(testNow, 1, crashAt("e1", false))
-	assert.Equal(t, state, Suspect, "one crash, told twice")
+	assert.Equal(t, state, Suspect, "one crash, reported twice")
 	_, state = table.addCrash(testNow, 1, crashAt("e2", true))
 	assert.Equal(t, state, Convicted)
 	advice, after := table.Check(testNow, 1, "m")
@@ -36,17 +36,18 @@
 	assert.Equal(t, advice, Run)
 }
 
-// A common prompt runs everywhere, so also at both endpoints that a crashing
-// request takes. Were it convicted with it, nobody could say hello any more.
+// Guards against the conviction of a common prompt that ran on both endpoints
+// that a crashing request took down, which would refuse that prompt to all
+// callers.
 func TestBystanderAtBothEndpointsIsNotConvicted(t *testing.T) {
 	table := NewTable(Config{})
 	table.addCrash(testNow, 1, crashAt("e1", false))
 	table.addCrash(testNow, 2, crashAt("e1", false))
 	table.addCrash(testNow, 2, crashAt("e2", false))
 	_, state := table.Find(testNow, 2)
-	assert.Equal(t, state, Suspect, "something better may become known")
+	assert.Equal(t, state, Suspect, "another request's conviction may still arrive")
 	_, state = table.Find(testNow.Add(time.Second), 2)
-	assert.Equal(t, state, Convicted, "nothing better is known")
+	assert.Equal(t, state, Convicted, "no other request's conviction has arrived")
 	table.addCrash(testNow, 1, crashAt("e2", true))
 	_, state = table.Find(testNow, 1)
 	assert.Equal(t, state, Convicted)
@@ -57,9 +58,10 @@
 	assert.Equal(t, state, Clear)
 }
 
-// An availability zone fails and takes many endpoints with it. Were all that
-// they ran suspected, the rest of the fleet would run them one by one. But a
-// request that goes on crashing must not be excused by its own trail.
+// Guards against suspecting all requests that ran in a failed availability
+// zone, which the rest of the fleet would then run one by one. A request that
+// keeps crashing endpoints must not be excused by the losses that it causes
+// itself.
 func TestMassLossIsDiscountedOnce(t *testing.T) {
 	table := NewTable(Config{})
 	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
@@ -79,14 +81,15 @@
 	_, state = table.addCrash(testNow, 1, mass("e2"))
 	assert.Equal(t, state, Suspect)
 	_, state = table.addCrash(testNow, 1, mass("e3"))
-	assert.Equal(t, state, Suspect, "it did not run alone")
+	assert.Equal(t, state, Suspect, "it did not run without other suspects")
 	_, state = table.Find(testNow.Add(time.Second), 1)
 	assert.Equal(t, state, Convicted)
 }
 
-// A common prompt runs beside a crashing request at both endpoints that it
-// takes. That router hears of the conviction a rumour later than of its own
-// second crash; whoever says hello in between would be refused for good.
+// Guards against an early conviction of a common prompt that ran beside a
+// crashing request on both endpoints it took down. The gate of the prompt
+// learns of the other request's conviction only after the second crash; callers
+// in between would be refused.
 func TestBystanderWaitsForOtherConviction(t *testing.T) {
 	gate := NewGate(NewTable(Config{}))
 	step := func(at time.Duration, s Step, number uint64, c *Crash) Verdict {
@@ -107,9 +110,9 @@
 	assert.Equal(t, step(4*time.Second, Enter, 3, nil), AllowedAlone)
 }
 
-// The clock of one router is an hour ahead, and it tells of a crash. Believed,
-// the request would be held for an hour; forgiven by such a clock, it could
-// crash endpoints for an hour and not be suspected.
+// Guards against records from a router whose clock is an hour ahead: a crash
+// time in the future would hold the request for an hour, and a clear time in
+// the future would discount its crashes for an hour.
 func TestFutureTimesAreLimited(t *testing.T) {
 	gate := NewGate(NewTable(Config{}))
 	ahead := crashAt("e1", false)
@@ -138,14 +141,14 @@
 	assert.Equal(t, convicted, 1)
 }
 
-// Rumours arrive in any order and more than once. If the order mattered, two
-// routers would hold different opinions of a request for ever.
+// Guards against results that depend on the order or number of received
+// records, with which two routers would disagree about a request indefinitely.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Record {
 			r := Record{Fingerprint: 1, Expires: unixMillis(testNow.Add(time.Minute))}
 			r.Cleared = UnixMillis(rapid.Int64Range(0, 3).Draw(rt, "cleared"))
-			// At most as many lives as a record keeps.
+			// At most as many incarnations as a record keeps crashes.
 			at := rapid.Int64Range(1, 4).Draw(rt, "at")
 			r.Crashes = []Crash{{Endpoint: "e", Incarnation: coordination.Incarnation(at), At: UnixMillis(at)}}
 			return r
@@ -176,9 +179,10 @@
 	assert.DeepEqual(t, reply, GateReply{Verdict: Busy, RetryAfter: 250})
 }
 
-// The list names the next incarnation of a dead engine before that serves, and
-// requests sent there meet it dead. Taken for a second death, a few of them look
-// like the loss of a zone, and the request that crashes engines goes free.
+// Guards against counting one death twice. The list names the next incarnation
+// of a dead engine before that one serves, and requests sent there find it
+// dead. If these counted as deaths, they would look like a mass loss, and the
+// crash of the request that caused it would be discounted.
 func TestDeathOfOneEndpointCountsOnce(t *testing.T) {
 	table := NewTable(Config{MassLoss: 2})
 	assert.Assert(t, !table.RecordLoss(testNow, "m", "e1"))
--- a/coordination/suspicion/world_test.go
+++ b/coordination/suspicion/world_test.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// fleetSim is a few routers before a pool of endpoints, some of whose requests
-// crash the endpoint that runs them. It counts from the endpoints' side.
+// fleetSim simulates a few routers and a pool of endpoints. Some requests crash
+// the endpoint that runs them. Runs are counted at the endpoints.
 type fleetSim struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -23,28 +23,28 @@
 	routers   map[coordination.Instance]*router
 	members   []placement.Router
 	runs      []runRecord
-	convicted []Fingerprint // refused as poison
+	convicted []Fingerprint // fingerprints of requests refused as poison
 	fault     injectedFault
 	cfg       Config
 }
 
-// injectedFault is a fault put into the routers, to see that the checker finds it.
+// injectedFault is a fault injected into the routers to test the checks.
 type injectedFault int
 
 const (
 	noFault     injectedFault = iota
-	noGate                    // retries at once, without asking the gate
+	noGate                    // retries at once without asking the gate
 	ownGateOnly               // each router is the gate of all its requests
 )
 
-// simEndpoint is one endpoint.
+// simEndpoint is the state of one endpoint.
 type simEndpoint struct {
 	incarnation coordination.Incarnation
 	up          bool
 	died        chan struct{}
 }
 
-// runRecord is one run as the endpoint saw it.
+// runRecord describes one run at an endpoint.
 type runRecord struct {
 	fingerprint Fingerprint
 	endpoint    coordination.Endpoint
@@ -123,7 +123,7 @@
 	return placement.NewSet(ds)
 }
 
-// update gives the router a list.
+// update gives the router a new list of endpoints.
 func (r *router) update(set *placement.Set) {
 	routers := placement.NewRouters(r.sim.members, 0)
 	for _, d := range set.LostSince(r.set) {
@@ -144,7 +144,7 @@
 
 func (g ownGate) Place(uint64) coordination.Instance { return coordination.Instance(g) }
 
-// loop gives the routers new lists with a lag of their own each.
+// loop updates the router's list periodically, delayed by lag.
 func (r *router) loop(ctx context.Context, lag time.Duration) {
 	for ctx.Err() == nil {
 		set := r.sim.list()
@@ -175,7 +175,7 @@
 	return nil, errUnreachable
 }
 
-// Spread implements Spreader: a rumour takes up to 600 ms to each router.
+// Spread implements Spreader with a delay of up to 600 ms for each router.
 func (r *router) Spread(_ string, payload []byte) {
 	for _, m := range r.sim.members {
 		peer := r.sim.routers[m.ID]
@@ -186,7 +186,7 @@
 	}
 }
 
-// end tells how a run at an endpoint ended.
+// end is the result of a run at an endpoint.
 type end int
 
 const (
@@ -195,8 +195,8 @@
 	refused
 )
 
-// run runs a request at an endpoint for d. A crashing one takes the endpoint
-// with it at its end.
+// run runs a request at an endpoint for length. A crashing request then kills
+// the endpoint.
 func (w *fleetSim) run(d placement.Descriptor, f Fingerprint, length time.Duration, crashes bool) end {
 	w.mu.Lock()
 	m := w.endpoints[d.ID]
@@ -224,7 +224,8 @@
 	return result
 }
 
-// kill ends an incarnation of an endpoint; it restarts a while later.
+// kill ends an incarnation of an endpoint, which restarts after simRestart, and
+// reports whether that incarnation was up.
 func (w *fleetSim) kill(id coordination.Endpoint, n coordination.Incarnation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -245,7 +246,7 @@
 	m.up, m.incarnation, m.died = true, m.incarnation+1, make(chan struct{})
 }
 
-// job is a request of the world.
+// job is a simulated request.
 type job struct {
 	fingerprint Fingerprint
 	key         placement.Key
@@ -254,8 +255,8 @@
 	retries     int
 }
 
-// serve takes a request through the router, as the daemon does, and reports
-// whether it ran to its end.
+// serve passes a request through the router in the same steps as the daemon,
+// and reports whether it ran to completion.
 func (r *router) serve(ctx context.Context, j job) bool {
 	if r.sim.fault == noGate {
 		return r.serveUngated(ctx, j)
@@ -296,8 +297,8 @@
 	return false
 }
 
-// acquire gets a grant. If a candidate turns out to be dead on the way, the
-// gate is asked before the request goes elsewhere.
+// acquire gets a grant. If a candidate endpoint was found dead, it asks the
+// gate before the request goes to another one.
 func (r *router) acquire(ctx context.Context, f *TrackedRequest, j job, avoid []coordination.Endpoint) (*placement.Grant, Refusal) {
 	for {
 		alone := f.Alone()
@@ -346,7 +347,7 @@
 	w.convicted = append(w.convicted, j.fingerprint)
 }
 
-// crashCounts returns how many endpoints each fingerprint has crashed.
+// crashCounts returns the number of endpoints crashed by each fingerprint.
 func (w *fleetSim) crashCounts() map[Fingerprint]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/synctest/synctest.go
+++ b/coordination/synctest/synctest.go
@@ -1,11 +1,11 @@
-// Package synctest runs tests on a clock that stands still while they work, as
-// testing/synctest does, and keeps them from a crash of the runtime.
+// Package synctest wraps testing/synctest, which runs tests on a fake clock,
+// and works around a crash of the Go runtime.
 //
-// A goroutine that polls a channel of a timer which has expired runs the timer
-// itself. With the race detector, all timers of a bubble run in one context of the
-// detector, which must not be used by two processors at once; if it is, the process
-// may end with a segmentation violation in the runtime. This package therefore has
-// bubbles run on one processor with the race detector. Without it they run on all.
+// A goroutine that polls the channel of an expired timer runs the timer itself.
+// With the race detector, all timers of a bubble run in one context of the
+// detector, which must not be used by two processors at once; otherwise the
+// process may end with a segmentation violation in the runtime. With the race
+// detector, bubbles therefore run on one processor; without it they run on all.
 package synctest
 
 import (
@@ -24,20 +24,23 @@
 	synctest.Test(t, f)
 }
 
-// Wait returns when all other goroutines of the caller's bubble are durably blocked.
+// Wait waits until all other goroutines of the caller's bubble are durably
+// blocked.
 func Wait() { synctest.Wait() }
 
-// bubbles are those of this process that run now.
+// bubbles limits the processors while any bubble of this process runs.
 var bubbles processors
 
-// processors limits a process to one processor while something runs.
+// processors limits the process to one processor while at least one user is
+// active.
 type processors struct {
 	mu       sync.Mutex
 	running  int
-	previous int // processors while nothing runs
+	previous int // GOMAXPROCS while nothing is running
 }
 
-// enter sets the limit, and returns what lifts it when the last has left.
+// enter applies the limit and returns a function that lifts it once the last
+// user has left.
 func (p *processors) enter() (leave func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coordination/synctest/synctest_test.go
+++ b/coordination/synctest/synctest_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a crash of the runtime in goroutines that poll expired timers.
+// Guards against a runtime crash when goroutines poll expired timers
+// concurrently.
 func TestExpiredTimersArePolledSideBySide(t *testing.T) {
 	const bubbles, pollers = 5000, 8
 	for range bubbles {
@@ -27,7 +28,8 @@
 	}
 }
 
-// Guards against a limit that outlasts its bubble, or that holds without the race detector.
+// Guards against a limit that remains after its bubble, or that applies without
+// the race detector.
 func TestProcessorsWhileABubbleRuns(t *testing.T) {
 	usual := runtime.GOMAXPROCS(0)
 	want := usual
@@ -38,7 +40,7 @@
 	assert.Equal(t, runtime.GOMAXPROCS(0), usual)
 }
 
-// Guards against a limit that ends with the first of several bubbles.
+// Guards against a limit that is lifted when the first of several bubbles ends.
 func TestLimitHoldsUntilTheLastHasLeft(t *testing.T) {
 	usual := runtime.GOMAXPROCS(0)
 	var p processors
