--- a/coordination/coordination.go
+++ b/coordination/coordination.go
@@ -3,7 +3,7 @@
 // do no I/O, so that they can be embedded, tested and benchmarked directly.
 package coordination
 
-// Instance identifies one router process by its address.
+// Instance identifies one router process for as long as it keeps its address.
 type Instance string
 
 // Incarnation orders the restarts of one instance or endpoint: each restart has
--- a/coordination/outlier/detector.go
+++ b/coordination/outlier/detector.go
@@ -7,10 +7,10 @@
 )
 
 // Detector sums up the evidence from all routers about one endpoint and decides
-// which requests the endpoint gets. An endpoint can fail for callers of a
-// single availability zone, so each zone of routers has its own sum. A zone
-// also counts the evidence of other zones unless its own recent requests were
-// successful.
+// which requests the endpoint gets. Endpoints have been observed to fail for
+// callers of a single availability zone only, so each zone of routers has its
+// own sum. A zone also counts the evidence of other zones unless its own recent
+// requests were successful.
 //
 // The zero value regards the endpoint as good. A Detector is not safe for
 // concurrent use.
--- a/coordination/outlier/detector_test.go
+++ b/coordination/outlier/detector_test.go
@@ -23,8 +23,7 @@
 	return r
 }
 
-// observe reports a request that starts 50 ms after the last one and takes 50
-// ms.
+// observe reports a request of 50 ms that starts 50 ms after the last one.
 func (r *detectorTest) observe(zone coordination.Zone, w Weight) {
 	begun := r.now.Add(50 * time.Millisecond)
 	r.now = begun.Add(50 * time.Millisecond)
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -48,8 +48,8 @@
 // endpoint. With a lower one, a single failure would eject an endpoint.
 const minFailureRate = 0.01
 
-// failureWeight returns the weight of a failure if a share of rate of such
-// requests fails at good endpoints.
+// failureWeight returns the weight of a failure of a kind of request that fails
+// at good endpoints at the given rate.
 func failureWeight(rate float64) Weight {
 	rate = min(max(rate, minFailureRate), 1)
 	return Weight(100 * math.Log((1+rate)/(2*rate)))
--- a/coordination/outlier/watch.go
+++ b/coordination/outlier/watch.go
@@ -48,8 +48,8 @@
 	// maxKinds is the maximum number of kinds in a pool; requests of further
 	// kinds are not monitored.
 	maxKinds = 1024
-	// pruneEndpointsAt is the number of endpoints of a kind from which on idle
-	// ones are removed.
+	// pruneEndpointsAt is the number of endpoints of a kind at which idle ones
+	// are removed.
 	pruneEndpointsAt = 64
 	// minTally is the decayed number of requests below which an endpoint is
 	// removed.
--- a/coordination/suspicion/fleet_test.go
+++ b/coordination/suspicion/fleet_test.go
@@ -143,7 +143,7 @@
 
 // A request crashes each endpoint that runs it. Its caller retries through
 // every router at once, before the routers have exchanged records. Without
-// coordination the pool would lose one endpoint after another; with hasty
+// coordination the pool would lose one endpoint after another; with premature
 // convictions, requests that merely ran on the same endpoints would be refused.
 func TestCrashingRequestTakesAtMostTwoEndpoints(t *testing.T) {
 	tests := []struct {
--- a/coordination/suspicion/gate.go
+++ b/coordination/suspicion/gate.go
@@ -81,8 +81,7 @@
 	}
 }
 
-// enter admits a copy unless its content is convicted, or suspect and not yet
-// allowed to run.
+// enter admits a copy unless its verdict is Poison or Busy.
 func (g *Gate) enter(now time.Time, m GateRequest) GateReply {
 	v := g.verdict(now, m)
 	if v.Verdict == AllowedAlone || v.Verdict == Allowed {
--- a/coordination/suspicion/suspicion.go
+++ b/coordination/suspicion/suspicion.go
@@ -141,9 +141,9 @@
 	maxCrashes = 4
 )
 
-// Record holds the crashes attributed to a fingerprint. Merging two records of
-// the same fingerprint takes their union, so records may arrive in any order
-// and any number of times. The zero Record has no crashes.
+// Record holds the known crashes of a fingerprint. Merging two records of the
+// same fingerprint takes their union, so records may arrive in any order and
+// any number of times. The zero Record has no crashes.
 type Record struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Crashes     []Crash     `cbor:"2,keyasint,omitempty"`
--- a/coordination/suspicion/table.go
+++ b/coordination/suspicion/table.go
@@ -141,8 +141,9 @@
 	return decided && by != f && !c.Alone
 }
 
-// attributeCrashes attributes the crashes of a record with enough crashes for a
-// conviction to its fingerprint, if it ran without other suspects.
+// attributeCrashes attributes crashes to the request of a record if it has
+// enough crashes for a conviction: those in which it ran without other
+// suspects.
 func (t *Table) attributeCrashes(r *Record) {
 	if len(r.Crashes) < crashesToConvict {
 		return
--- a/coordination/suspicion/table_test.go
+++ b/coordination/suspicion/table_test.go
@@ -39,7 +39,7 @@
 // Guards against the conviction of a common prompt that ran on both endpoints
 // that a crashing request took down, which would refuse that prompt to all
 // callers.
-func TestBystanderAtBothEndpointsIsNotConvicted(t *testing.T) {
+func TestCommonPromptAtBothEndpointsIsNotConvicted(t *testing.T) {
 	table := NewTable(Config{})
 	table.addCrash(testNow, 1, crashAt("e1", false))
 	table.addCrash(testNow, 2, crashAt("e1", false))
@@ -90,7 +90,7 @@
 // crashing request on both endpoints it took down. The gate of the prompt
 // learns of the other request's conviction only after the second crash; callers
 // in between would be refused.
-func TestBystanderWaitsForOtherConviction(t *testing.T) {
+func TestCommonPromptWaitsForOtherConviction(t *testing.T) {
 	gate := NewGate(NewTable(Config{}))
 	step := func(at time.Duration, s Step, number uint64, c *Crash) Verdict {
 		m := GateRequest{Fingerprint: 2, Copy: Copy{Instance: "r1", Incarnation: 1, Number: number}, Step: s, Crash: c}
--- a/coordination/suspicion/world_test.go
+++ b/coordination/suspicion/world_test.go
@@ -144,7 +144,7 @@
 
 func (g ownGate) Place(uint64) coordination.Instance { return coordination.Instance(g) }
 
-// loop updates the router's list periodically, delayed by lag.
+// loop updates the router's list repeatedly, each time delayed by lag.
 func (r *router) loop(ctx context.Context, lag time.Duration) {
 	for ctx.Err() == nil {
 		set := r.sim.list()
