--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -57,9 +57,9 @@
 		return false
 	}
 	if g, ok := l.grants[GrantID{Entry: from, Sequence: n.Sequence}]; ok {
-		l.detector.Hear(now, zone, g.start, n.Evidence)
+		l.detector.Observe(now, zone, g.start, n.Evidence)
 	}
-	return l.detector.OutFor(zone)
+	return l.detector.EjectedFor(zone)
 }
 
 // outlierChanged handles a change of the endpoint's outlier state. Requests
@@ -94,7 +94,7 @@
 	}
 }
 
-// Since implements outlier.Runs.
+// Since implements outlier.RunningRequests.
 func (l *endpointLoad) Since(begun time.Time) int {
 	n := 0
 	for _, g := range l.grants {
