--- a/coordination/kv/kvtest/kvtest.go
+++ b/coordination/kv/kvtest/kvtest.go
@@ -30,19 +30,19 @@
 // Store is a fake of the platform's service. The zero value is not usable;
 // call New.
 type Store struct {
-	mu       sync.Mutex
-	faults   Faults
-	revision kv.Revision
-	pairs    map[string]kv.Pair
-	leases   map[kv.Lease]lease
-	next     kv.Lease
-	watches  map[*watch]struct{}
-	calls    map[string]int
+	mu        sync.Mutex
+	faults    Faults
+	revision  kv.Revision
+	pairs     map[string]kv.Pair
+	leases    map[kv.Lease]lease
+	lastLease kv.Lease
+	watches   map[*watch]struct{}
+	calls     map[string]int
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl    time.Duration
+	expiry time.Time
 }
 
 type watch struct {
@@ -116,7 +116,7 @@
 func (s *Store) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.Before(l.until) {
+		if now.Before(l.expiry) {
 			continue
 		}
 		delete(s.leases, id)
@@ -241,13 +241,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["grant"]++
-	s.next++
-	s.leases[s.next] = lease{ttl: ttl, until: time.Now().Add(ttl)}
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl: ttl, expiry: time.Now().Add(ttl)}
 	res := s.end("grant", "", kv.Result{Status: kv.Applied, Revision: s.revision})
 	if res.Status != kv.Applied {
 		return 0, res
 	}
-	return s.next, res
+	return s.lastLease, res
 }
 
 // KeepAlive implements kv.Store.
@@ -263,7 +263,7 @@
 	if !ok {
 		return s.end("keepalive", "", kv.Result{Status: kv.Conflict, Revision: s.revision})
 	}
-	l.until = time.Now().Add(l.ttl)
+	l.expiry = time.Now().Add(l.ttl)
 	s.leases[id] = l
 	return s.end("keepalive", "", kv.Result{Status: kv.Applied, Revision: s.revision})
 }
@@ -281,21 +281,21 @@
 	w.notify()
 	s.watches[w] = struct{}{}
 	out := make(chan kv.Batch)
-	go s.run(ctx, w, out)
+	go s.deliver(ctx, w, out)
 	return out, kv.Result{Status: kv.Applied, Revision: s.revision}
 }
 
-// run delivers the batches of one watch until ctx ends.
-func (s *Store) run(ctx context.Context, w *watch, out chan<- kv.Batch) {
+// deliver delivers the batches of one watch until ctx ends.
+func (s *Store) deliver(ctx context.Context, w *watch, out chan<- kv.Batch) {
 	defer close(out)
-	defer s.forget(w)
+	defer s.removeWatch(w)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.wake:
 		}
-		b, ok := s.take(w)
+		b, ok := s.nextBatch(w)
 		if !ok {
 			continue
 		}
@@ -307,13 +307,13 @@
 	}
 }
 
-func (s *Store) forget(w *watch) {
+func (s *Store) removeWatch(w *watch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.watches, w)
 }
 
-func (s *Store) take(w *watch) (kv.Batch, bool) {
+func (s *Store) nextBatch(w *watch) (kv.Batch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := kv.Batch{Events: w.pending, Revision: s.revision, Gap: w.gap}
--- a/coordination/mirror/asked.go
+++ b/coordination/mirror/asked.go
@@ -9,24 +9,24 @@
 	"wisteriaspool/coordination"
 )
 
-// askedKept is how many calls an Asked keeps: those of the last few seconds.
-const askedKept = 4
+// maxRecentCalls is how many calls an Asked keeps: those of the last few seconds.
+const maxRecentCalls = 4
 
-// Asked remembers the latest calls to other routers: whom a router asked, how
+// CallLog remembers the latest calls to other routers: whom a router asked, how
 // long it was kept waiting, and what came of it. It tells afterwards where the
-// time went when a change came late. The zero Asked is empty and ready to use.
-type Asked struct {
-	mu   sync.Mutex
-	last []askedCall // the oldest first
+// time went when a change came late. The zero CallLog is empty and ready to use.
+type CallLog struct {
+	mu     sync.Mutex
+	recent []peerCall // the oldest first
 }
 
-type askedCall struct {
-	to     coordination.Instance
-	took   time.Duration
-	result string
+type peerCall struct {
+	to       coordination.Instance
+	duration time.Duration
+	result   string
 }
 
-func (a *Asked) note(to coordination.Instance, took time.Duration, u Update, err error) {
+func (l *CallLog) record(to coordination.Instance, duration time.Duration, u Update, err error) {
 	result := "nothing"
 	switch {
 	case err != nil:
@@ -36,21 +36,21 @@
 	case len(u.Items) > 0:
 		result = "news"
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.last = append(a.last, askedCall{to: to, took: took, result: result})
-	if len(a.last) > askedKept {
-		a.last = a.last[1:]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.recent = append(l.recent, peerCall{to: to, duration: duration, result: result})
+	if len(l.recent) > maxRecentCalls {
+		l.recent = l.recent[1:]
 	}
 }
 
 // String lists the calls, the oldest first: router, milliseconds, result.
-func (a *Asked) String() string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	calls := make([]string, 0, len(a.last))
-	for _, c := range a.last {
-		calls = append(calls, fmt.Sprintf("%s %d %s", c.to, c.took.Milliseconds(), c.result))
+func (l *CallLog) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	calls := make([]string, 0, len(l.recent))
+	for _, c := range l.recent {
+		calls = append(calls, fmt.Sprintf("%s %d %s", c.to, c.duration.Milliseconds(), c.result))
 	}
 	return strings.Join(calls, ", ")
 }
--- a/coordination/mirror/asked_test.go
+++ b/coordination/mirror/asked_test.go
@@ -12,64 +12,66 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// serverOf is one other router.
-type serverOf struct{ server *mirror.Server }
+// serverTransport is one other router.
+type serverTransport struct{ server *mirror.Server }
 
 // Call implements mirror.Transport.
-func (s serverOf) Call(ctx context.Context, _ coordination.Instance, _ string, payload []byte) ([]byte, error) {
+func (s serverTransport) Call(ctx context.Context, _ coordination.Instance, _ string, payload []byte) ([]byte, error) {
 	return s.server.Handle(ctx, payload)
 }
 
 // Notify implements mirror.Transport.
-func (s serverOf) Notify(context.Context, coordination.Instance, string, []byte) error { return nil }
+func (s serverTransport) Notify(context.Context, coordination.Instance, string, []byte) error {
+	return nil
+}
 
 // A change came late, and callers were answered by what went before. Whoever
 // looks for the cause has to see from the late router alone how long another
 // one had known, which one told, and where this one had waited instead.
-func TestNewsTellsHowFarBehindItIsAndWhoWasAsked(t *testing.T) {
+func TestChangesReportDelayAndRecentCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, late := mirror.New(), mirror.New()
-		first.Take(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1)}, AsOf: 1})
-		late.Take(first.Since(0))
-		var news []mirror.News
-		late.Observe(func(n mirror.News) { news = append(news, n) })
-		asked := new(mirror.Asked)
+		first.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1)}, AsOf: 1})
+		late.Apply(first.Since(0))
+		var changes []mirror.Changes
+		late.Observe(func(n mirror.Changes) { changes = append(changes, n) })
+		callLog := new(mirror.CallLog)
 		source := mirror.PeerSource{
-			Transport: serverOf{&mirror.Server{Mirrors: map[string]*mirror.Mirror{"": first}}},
+			Transport: serverTransport{&mirror.Server{Mirrors: map[string]*mirror.Mirror{"": first}}},
 			Choose:    func() (coordination.Instance, bool) { return "one", true },
 			Wait:      func() time.Duration { return time.Second },
 			Timeout:   time.Second,
-			Asked:     asked,
+			CallLog:   callLog,
 		}
 		_, err := source.Fetch(t.Context(), late.AsOf())
 		assert.NilError(t, err)
-		first.Take(mirror.Update{Items: []mirror.Item{put("a", "2", 2)}, AsOf: 2})
+		first.Apply(mirror.Update{Items: []mirror.Item{put("a", "2", 2)}, AsOf: 2})
 		time.Sleep(700 * time.Millisecond)
-		first.Take(mirror.Update{Items: []mirror.Item{put("b", "1", 3)}, AsOf: 3})
+		first.Apply(mirror.Update{Items: []mirror.Item{put("b", "1", 3)}, AsOf: 3})
 		u, err := source.Fetch(t.Context(), late.AsOf())
 		assert.NilError(t, err)
-		late.Take(u)
+		late.Apply(u)
 
-		assert.Equal(t, len(news), 1)
-		assert.Equal(t, news[0].From, coordination.Instance("one"))
-		assert.Equal(t, news[0].Behind, 700*time.Millisecond)
-		assert.Equal(t, news[0].Unconfirmed, 1700*time.Millisecond)
-		assert.Equal(t, asked.String(), "one 1000 nothing, one 0 news")
+		assert.Equal(t, len(changes), 1)
+		assert.Equal(t, changes[0].From, coordination.Instance("one"))
+		assert.Equal(t, changes[0].Behind, 700*time.Millisecond)
+		assert.Equal(t, changes[0].Unconfirmed, 1700*time.Millisecond)
+		assert.Equal(t, callLog.String(), "one 1000 nothing, one 0 news")
 	})
 }
 
 // A router that was told late tells the next one, which is later still: the
 // time counts from the store's word to the first of them.
-func TestBehindAddsUpFromRouterToRouter(t *testing.T) {
+func TestBehindAccumulatesAcrossRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*mirror.Mirror{mirror.New(), mirror.New(), mirror.New()}
-		mirrors[0].Take(mirror.Update{Items: []mirror.Item{put("a", "1", 1)}, AsOf: 1})
+		mirrors[0].Apply(mirror.Update{Items: []mirror.Item{put("a", "1", 1)}, AsOf: 1})
 		var behind time.Duration
-		mirrors[2].Observe(func(n mirror.News) { behind = n.Behind })
-		mirrors[0].Take(mirror.Update{Items: []mirror.Item{put("a", "2", 2)}, AsOf: 2})
+		mirrors[2].Observe(func(n mirror.Changes) { behind = n.Behind })
+		mirrors[0].Apply(mirror.Update{Items: []mirror.Item{put("a", "2", 2)}, AsOf: 2})
 		for i := range 2 {
 			time.Sleep(400 * time.Millisecond)
-			mirrors[i+1].Take(mirrors[i].Since(1))
+			mirrors[i+1].Apply(mirrors[i].Since(1))
 		}
 		assert.Equal(t, behind, 800*time.Millisecond)
 	})
--- a/coordination/mirror/burst_test.go
+++ b/coordination/mirror/burst_test.go
@@ -24,14 +24,14 @@
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var updates int
-				f := newDistantFleet(t, routers, 4*time.Millisecond, func(router int, _ mirror.News) {
+				f := newFleetWithDelay(t, routers, 4*time.Millisecond, func(router int, _ mirror.Changes) {
 					if router == 0 {
 						updates++
 					}
 				})
 				f.store.put("a", "0")
 				time.Sleep(5 * time.Second)
-				f.store.forget()
+				f.store.resetCalls()
 				updates = 0
 				for i := range changes {
 					f.store.put(fmt.Sprint("servers/", i), "x")
@@ -43,9 +43,9 @@
 					assert.Equal(t, valueOf(m, last), "x", "router %d", i)
 				}
 				seconds := (changes * pause).Seconds()
-				watchers := len(mirror.Watchers(f.routers))
-				t.Logf("%d calls and %d updates at one router for %d changes in %.0f s", f.store.price(), updates, changes, seconds)
-				assert.Check(t, f.store.price() <= 10*watchers*int(seconds+1))
+				watchers := len(mirror.DefaultWatchers(f.routers))
+				t.Logf("%d calls and %d updates at one router for %d changes in %.0f s", f.store.cost(), updates, changes, seconds)
+				assert.Check(t, f.store.cost() <= 10*watchers*int(seconds+1))
 				assert.Check(t, updates <= 20*int(seconds+1))
 			})
 		})
--- a/coordination/mirror/fakestore_test.go
+++ b/coordination/mirror/fakestore_test.go
@@ -11,15 +11,15 @@
 
 // fakeStore is a store whose watches can fall silent.
 type fakeStore struct {
-	mu      sync.Mutex
-	asOf    kv.Revision
-	pairs   map[string]kv.Pair
-	changed chan struct{}
-	mute    bool
-	down    bool
-	forgot  kv.Revision // history up to here is gone
-	calls   int
-	pings   int
+	mu                sync.Mutex
+	asOf              kv.Revision
+	pairs             map[string]kv.Pair
+	changed           chan struct{}
+	dropNotifications bool
+	down              bool
+	compacted         kv.Revision // history up to here is gone
+	calls             int
+	pings             int
 }
 
 func newFakeStore() *fakeStore {
@@ -31,30 +31,30 @@
 	defer s.mu.Unlock()
 	s.asOf++
 	s.pairs[key] = kv.Pair{Key: key, Value: []byte(value), Revision: s.asOf}
-	if !s.mute {
+	if !s.dropNotifications {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 }
 
 func (s *fakeStore) revision() (n kv.Revision) {
-	s.set(func() { n = s.asOf })
+	s.withLock(func() { n = s.asOf })
 	return n
 }
 
-// price returns that of the calls so far, in calls. A ping has a tenth of the
-// price of any other.
-func (s *fakeStore) price() (n int) {
-	s.set(func() { n = s.calls + s.pings/10 })
+// cost returns that of the calls so far, in calls. A ping has a tenth of the
+// cost of any other.
+func (s *fakeStore) cost() (n int) {
+	s.withLock(func() { n = s.calls + s.pings/10 })
 	return n
 }
 
-// forget counts calls anew.
-func (s *fakeStore) forget() {
-	s.set(func() { s.calls, s.pings = 0, 0 })
+// resetCalls counts calls anew.
+func (s *fakeStore) resetCalls() {
+	s.withLock(func() { s.calls, s.pings = 0, 0 })
 }
 
-func (s *fakeStore) set(fn func()) {
+func (s *fakeStore) withLock(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn()
@@ -87,10 +87,10 @@
 }
 
 func (s *fakeStore) Watch(ctx context.Context, _ string, after kv.Revision, wait time.Duration) (kv.Batch, kv.Result) {
-	s.set(func() { s.calls++ })
+	s.withLock(func() { s.calls++ })
 	timeout := time.After(wait)
 	for {
-		b, res, done := s.look(after)
+		b, res, done := s.poll(after)
 		if done {
 			return b, res
 		}
@@ -99,7 +99,7 @@
 		s.mu.Unlock()
 		select {
 		case <-changed:
-			if b, res, _ := s.look(after); len(b.Events) == 0 {
+			if b, res, _ := s.poll(after); len(b.Events) == 0 {
 				return b, res
 			}
 		case <-timeout:
@@ -110,13 +110,13 @@
 	}
 }
 
-func (s *fakeStore) look(after kv.Revision) (kv.Batch, kv.Result, bool) {
+func (s *fakeStore) poll(after kv.Revision) (kv.Batch, kv.Result, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.down:
 		return kv.Batch{}, kv.Result{Status: kv.Unavailable, Err: errDown}, true
-	case after < s.forgot:
+	case after < s.compacted:
 		return kv.Batch{Gap: true}, kv.Result{Status: kv.Applied}, true
 	}
 	b := kv.Batch{Revision: s.asOf}
--- a/coordination/mirror/follower.go
+++ b/coordination/mirror/follower.go
@@ -22,20 +22,20 @@
 // longest keeps a store that is down from being called by the whole fleet, and
 // is well under the two seconds within which endpoints are back in its list.
 const (
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
 )
 
-// emptyPause is the longest pause of a follower whose mirror is still empty,
+// maxEmptyRetryPause is the longest pause of a follower whose mirror is still empty,
 // as on a router that started while the store was away. Without the desired
 // state it refuses every request, so each moment behind the store's return is
 // lost for all its callers; and it asks for one answer only, which it need not
 // wait for in turn.
-const emptyPause = 200 * time.Millisecond
+const maxEmptyRetryPause = 200 * time.Millisecond
 
-// idleCheck is how often a follower that has nothing to do looks again. It is a
+// idleCheckInterval is how often a follower that has nothing to do looks again. It is a
 // part of the time in which a change has to be in force.
-const idleCheck = 250 * time.Millisecond
+const idleCheckInterval = 250 * time.Millisecond
 
 // Follower feeds a mirror from a source.
 type Follower struct {
@@ -51,12 +51,12 @@
 	// OnState, if set, is told when the source is lost, with why, and when it
 	// is back.
 	OnState func(err error)
-	// Gather is the pause behind an update that brought news. Those of a burst come
+	// BatchDelay is the pause behind an update that brought news. Those of a burst come
 	// as one, and the first at once.
-	Gather time.Duration
-	// OnNews, if set, is told up to which revision the mirror is complete, each
+	BatchDelay time.Duration
+	// OnAdvance, if set, is told up to which revision the mirror is complete, each
 	// time that the source has brought it further. The first update is none.
-	OnNews func(kv.Revision)
+	OnAdvance func(kv.Revision)
 
 	lost atomic.Bool
 }
@@ -77,28 +77,28 @@
 
 func (f *Follower) run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	wait := time.Duration(0)
+	pause := time.Duration(0)
 	for ctx.Err() == nil {
 		if f.Idle != nil && !f.Lost() && f.Idle() {
-			f.wait(ctx, idleCheck)
+			f.wait(ctx, idleCheckInterval)
 			continue
 		}
 		u, err := f.Source.Fetch(ctx, f.Mirror.AsOf())
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && f.take(u) {
-			f.wait(ctx, f.Gather)
+		if err == nil && f.apply(u) {
+			f.wait(ctx, f.BatchDelay)
 		}
 		if u.Lost {
-			coordination.Sleep(ctx, coordination.Spread(firstPause))
+			coordination.Sleep(ctx, coordination.Spread(minRetryPause))
 		}
 		if f.lost.Swap(err != nil) != (err != nil) {
 			f.Mirror.Wake()
-			f.tell(err)
+			f.reportState(err)
 		}
-		wait = next(wait, f.longest(), err)
-		f.wait(ctx, wait)
+		pause = nextPause(pause, f.maxPause(), err)
+		f.wait(ctx, pause)
 	}
 }
 
@@ -116,35 +116,35 @@
 	}
 }
 
-// take takes in an update and reports whether it brought news.
-func (f *Follower) take(u Update) (news bool) {
+// apply takes in an update and reports whether it brought news.
+func (f *Follower) apply(u Update) (advanced bool) {
 	before := f.Mirror.AsOf()
-	f.Mirror.Take(u)
-	news = before > 0 && u.AsOf > before
-	if news && f.OnNews != nil {
-		f.OnNews(u.AsOf)
+	f.Mirror.Apply(u)
+	advanced = before > 0 && u.AsOf > before
+	if advanced && f.OnAdvance != nil {
+		f.OnAdvance(u.AsOf)
 	}
-	return news
+	return advanced
 }
 
-func (f *Follower) tell(err error) {
+func (f *Follower) reportState(err error) {
 	if f.OnState != nil {
 		f.OnState(err)
 	}
 }
 
-// longest returns the longest pause after a fetch that failed.
-func (f *Follower) longest() time.Duration {
+// maxPause returns the maxPause pause after a fetch that failed.
+func (f *Follower) maxPause() time.Duration {
 	if f.Mirror.AsOf() == 0 {
-		return emptyPause
+		return maxEmptyRetryPause
 	}
-	return longestPause
+	return maxRetryPause
 }
 
-// next returns the pause after a fetch.
-func next(last, longest time.Duration, err error) time.Duration {
+// nextPause returns the pause after a fetch.
+func nextPause(previous, limit time.Duration, err error) time.Duration {
 	if err == nil {
 		return 0
 	}
-	return min(max(2*last, firstPause), longest)
+	return min(max(2*previous, minRetryPause), limit)
 }
--- a/coordination/mirror/hint.go
+++ b/coordination/mirror/hint.go
@@ -37,100 +37,100 @@
 //
 // 0.2 s as a rule, and 0.4 s more if a packet is lost on the way.
 const (
-	// hintSpread is within which time a router tells. Several have the change
+	// hintJitter is within which time a router tells. Several have the change
 	// from the store at the same moment; those who tell later hear the first.
-	hintSpread = 50 * time.Millisecond
+	hintJitter = 50 * time.Millisecond
 	// enoughHints is how many others have told by when a router need not: one,
 	// and another in case that one is cut off from a part of the fleet.
 	enoughHints = 2
-	// hintGrace is for how long a change may still come from where this router
+	// hintFetchDelay is for how long a change may still come from where this router
 	// waits, before it is fetched from the one that has told.
-	hintGrace = 100 * time.Millisecond
+	hintFetchDelay = 100 * time.Millisecond
 	// hintTimeout bounds the sending of one hint, for which a connection may
 	// have to be made.
 	hintTimeout = time.Second
 )
 
-// teller tells the other routers how far this one's copy goes.
-type teller struct {
-	feed *Feed
-	due  chan struct{} // holds one if there is something to tell
-	turn chan struct{} // holds one if the store has been lost or is back
+// hintSender tells the other routers how far this one's copy goes.
+type hintSender struct {
+	feed            *Feed
+	revisionPending chan struct{} // holds one if there is something to tell
+	statePending    chan struct{} // holds one if the store has been lost or is back
 
-	toldLost bool // is known to the others; only run uses it
+	announcedLoss bool // is known to the others; only run uses it
 
-	mu    sync.Mutex
-	asOf  kv.Revision                           // to be told
-	heard map[coordination.Instance]kv.Revision // what others have told
-	has   map[coordination.Instance]kv.Revision // what others have been answered by this router
+	mu       sync.Mutex
+	asOf     kv.Revision                           // to be told
+	received map[coordination.Instance]kv.Revision // what others have told
+	replied  map[coordination.Instance]kv.Revision // what others have been answered by this router
 }
 
-func newTeller(f *Feed) *teller {
-	return &teller{
-		feed:  f,
-		due:   make(chan struct{}, 1),
-		turn:  make(chan struct{}, 1),
-		heard: make(map[coordination.Instance]kv.Revision),
-		has:   make(map[coordination.Instance]kv.Revision),
+func newHintSender(f *Feed) *hintSender {
+	return &hintSender{
+		feed:            f,
+		revisionPending: make(chan struct{}, 1),
+		statePending:    make(chan struct{}, 1),
+		received:        make(map[coordination.Instance]kv.Revision),
+		replied:         make(map[coordination.Instance]kv.Revision),
 	}
 }
 
-// tell has the others told of a revision that came from the store.
-func (t *teller) tell(asOf kv.Revision) {
-	t.mu.Lock()
-	t.asOf = max(t.asOf, asOf)
-	t.mu.Unlock()
-	signal(t.due)
+// announce has the others told of a revision that came from the store.
+func (s *hintSender) announce(asOf kv.Revision) {
+	s.mu.Lock()
+	s.asOf = max(s.asOf, asOf)
+	s.mu.Unlock()
+	signal(s.revisionPending)
 }
 
-// hear notes that another router has told of a revision.
-func (t *teller) hear(from coordination.Instance, asOf kv.Revision) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.heard[from] = max(t.heard[from], asOf)
+// recordHint notes that another router has told of a revision.
+func (s *hintSender) recordHint(from coordination.Instance, asOf kv.Revision) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.received[from] = max(s.received[from], asOf)
 }
 
-// answered notes that another router has been sent what is known up to a
+// recordReply notes that another router has been sent what is known up to a
 // revision.
-func (t *teller) answered(to coordination.Instance, asOf kv.Revision) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.has[to] = max(t.has[to], asOf)
+func (s *hintSender) recordReply(to coordination.Instance, asOf kv.Revision) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replied[to] = max(s.replied[to], asOf)
 }
 
-// tellState has the others told that the store has been lost or is back.
-func (t *teller) tellState() { signal(t.turn) }
+// announceState has the others told that the store has been lost or is back.
+func (s *hintSender) announceState() { signal(s.statePending) }
 
-func (t *teller) run(ctx context.Context, done chan<- struct{}) {
+func (s *hintSender) run(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
-	again := time.NewTicker(lostAgain)
-	defer again.Stop()
+	repeat := time.NewTicker(lossRepeatInterval)
+	defer repeat.Stop()
 	for ctx.Err() == nil {
 		select {
-		case <-t.due:
-			coordination.Sleep(ctx, rand.N(hintSpread))
-			t.sendNews(ctx)
-		case <-t.turn:
-			t.sendState(ctx)
-		case <-again.C:
-			t.sendState(ctx)
-			t.forget()
-			t.feed.forget()
+		case <-s.revisionPending:
+			coordination.Sleep(ctx, rand.N(hintJitter))
+			s.sendRevision(ctx)
+		case <-s.statePending:
+			s.sendState(ctx)
+		case <-repeat.C:
+			s.sendState(ctx)
+			s.dropAbsent()
+			s.feed.expireRecords()
 		case <-ctx.Done():
 		}
 	}
 }
 
-// sendNews tells those who may lack what this router has from the store.
-func (t *teller) sendNews(ctx context.Context) {
-	asOf, needed := t.take()
+// sendRevision tells those who may lack what this router has from the store.
+func (s *hintSender) sendRevision(ctx context.Context) {
+	asOf, needed := s.nextRevision()
 	if !needed {
 		return
 	}
-	t.feed.prove(t.feed.cfg.Self)
-	for _, r := range t.feed.cfg.Routers() {
-		if !t.knows(r.ID, asOf) {
-			t.send(ctx, r.ID, Hint{AsOf: asOf})
+	s.feed.recordConfirmation(s.feed.cfg.Self)
+	for _, r := range s.feed.cfg.Routers() {
+		if !s.hasRevision(r.ID, asOf) {
+			s.send(ctx, r.ID, Hint{AsOf: asOf})
 		}
 	}
 }
@@ -138,72 +138,72 @@
 // sendState tells all others that this router has lost the store or is back, if
 // they go by it: it is one of those that watch, or the others still count it
 // among the lost.
-func (t *teller) sendState(ctx context.Context) {
-	lost := t.feed.store.Lost()
-	if !lost && !t.toldLost || lost && !t.feed.counts() {
+func (s *hintSender) sendState(ctx context.Context) {
+	lost := s.feed.store.Lost()
+	if !lost && !s.announcedLoss || lost && !s.feed.wouldWatch() {
 		return
 	}
-	t.toldLost = lost
-	for _, r := range t.feed.cfg.Routers() {
-		t.send(ctx, r.ID, Hint{AsOf: t.feed.cfg.Mirror.AsOf(), Lost: lost})
+	s.announcedLoss = lost
+	for _, r := range s.feed.cfg.Routers() {
+		s.send(ctx, r.ID, Hint{AsOf: s.feed.cfg.Mirror.AsOf(), Lost: lost})
 	}
 }
 
-func (t *teller) send(ctx context.Context, to coordination.Instance, h Hint) {
-	if to == t.feed.cfg.Self {
+func (s *hintSender) send(ctx context.Context, to coordination.Instance, h Hint) {
+	if to == s.feed.cfg.Self {
 		return
 	}
-	h.Prefix = t.feed.cfg.Prefix
-	go notice{feed: t.feed, to: to, hint: h}.run(ctx)
-}
-
-// take returns what is to be told, and whether it is still needed.
-func (t *teller) take() (asOf kv.Revision, needed bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	told := 0
-	for _, n := range t.heard {
-		if n >= t.asOf {
-			told++
+	h.Prefix = s.feed.cfg.Prefix
+	go hintDelivery{feed: s.feed, to: to, hint: h}.run(ctx)
+}
+
+// nextRevision returns what is to be told, and whether it is still needed.
+func (s *hintSender) nextRevision() (asOf kv.Revision, needed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	informed := 0
+	for _, n := range s.received {
+		if n >= s.asOf {
+			informed++
 		}
 	}
-	return t.asOf, told < enoughHints
+	return s.asOf, informed < enoughHints
 }
 
-// knows reports whether another router is known to have a revision.
-func (t *teller) knows(id coordination.Instance, asOf kv.Revision) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.heard[id] >= asOf || t.has[id] >= asOf
+// hasRevision reports whether another router is known to have a revision.
+func (s *hintSender) hasRevision(id coordination.Instance, asOf kv.Revision) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.received[id] >= asOf || s.replied[id] >= asOf
 }
 
-// forget forgets what is known of routers that no longer answer.
-func (t *teller) forget() {
-	routers := t.feed.cfg.Routers()
-	gone := func(id coordination.Instance, _ kv.Revision) bool {
+// dropAbsent forgets what is known of routers that no longer answer.
+func (s *hintSender) dropAbsent() {
+	routers := s.feed.cfg.Routers()
+	absent := func(id coordination.Instance, _ kv.Revision) bool {
 		return !slices.ContainsFunc(routers, func(r placement.Router) bool { return r.ID == id })
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	maps.DeleteFunc(t.heard, gone)
-	maps.DeleteFunc(t.has, gone)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	maps.DeleteFunc(s.received, absent)
+	maps.DeleteFunc(s.replied, absent)
 }
 
-// notice is one hint on its way. Each has a goroutine, so that a router to which
+// hintDelivery is one hint on its way. Each has a goroutine, so that a router to which
 // no connection can be made holds up no other.
-type notice struct {
+type hintDelivery struct {
 	feed *Feed
 	to   coordination.Instance
 	hint Hint
 }
 
-func (n notice) run(ctx context.Context) {
+func (n hintDelivery) run(ctx context.Context) {
 	cfg := n.feed.cfg
-	within, cancel := context.WithTimeout(ctx, hintTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
-	err := cfg.Transport.Notify(within, n.to, TopicHint, encode(n.hint))
+	err := cfg.Transport.Notify(sendCtx, n.to, TopicHint, encode(n.hint))
 	if err != nil && ctx.Err() == nil {
-		n.feed.untold(n.to, err)
+		n.feed.reportHintFailure(n.to, err)
 	}
 }
 
@@ -216,18 +216,18 @@
 	if h.Prefix != f.cfg.Prefix {
 		return ErrMalformed.New("no mirror of %q", h.Prefix)
 	}
-	f.note(from, !h.Lost)
+	f.recordReachability(from, !h.Lost)
 	if !h.Lost {
-		f.prove(from)
+		f.recordConfirmation(from)
 	}
-	f.teller.hear(from, h.AsOf)
-	f.fetcher.want(from, h.AsOf)
+	f.hints.recordHint(from, h.AsOf)
+	f.fetcher.add(from, h.AsOf)
 	return nil
 }
 
-func (f *Feed) untold(id coordination.Instance, err error) {
-	if f.cfg.OnUntold != nil {
-		f.cfg.OnUntold(id, err)
+func (f *Feed) reportHintFailure(id coordination.Instance, err error) {
+	if f.cfg.OnHintFailure != nil {
+		f.cfg.OnHintFailure(id, err)
 	}
 }
 
--- a/coordination/mirror/late_test.go
+++ b/coordination/mirror/late_test.go
@@ -20,9 +20,9 @@
 // acknowledged it. The aims leave half a second of that for a router that is
 // busy or behind lost packets.
 const (
-	latestAfterAck   = 1500 * time.Millisecond
-	latestAfterFirst = 300 * time.Millisecond
-	mostLate         = 0.001 // of the applications, later than latestAfterFirst
+	maxAfterAck   = 1500 * time.Millisecond
+	maxAfterFirst = 300 * time.Millisecond
+	maxLateShare  = 0.001 // of the applications, later than latestAfterFirst
 )
 
 // arrivals notes when each router had each revision in force.
@@ -40,7 +40,7 @@
 	return a
 }
 
-func (a *arrivals) observe(router int, n mirror.News) {
+func (a *arrivals) observe(router int, n mirror.Changes) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, item := range n.Items {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (a *arrivals) ack(n kv.Revision) {
+func (a *arrivals) recordAck(n kv.Revision) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.acked[n] = time.Now()
@@ -88,88 +88,88 @@
 	return afterAck, afterFirst
 }
 
-// deafDay plays rounds in which the store falls silent to a part of a fleet for
+// silenceScenario plays rounds in which the store falls silent to a part of a fleet for
 // some seconds, without a word and in the middle of its watches, while an
 // operator makes changes.
-type deafDay struct {
+type silenceScenario struct {
 	routers, rounds int
 	share           float64 // of the routers that the store leaves without answers
 	watchers        bool    // all that watch the store are among them
-	soon            bool    // the next round begins within three seconds
-	swap            bool    // as a round ends, the store falls silent to the others
+	shortPause      bool    // the next round begins within three seconds
+	invert          bool    // as a round ends, the store falls silent to the others
 	seed            uint64
 }
 
-func (d deafDay) play(t *testing.T) *arrivals {
-	a := newArrivals(d.routers)
-	f := newDistantFleet(t, d.routers, 4*time.Millisecond, a.observe)
+func (s silenceScenario) run(t *testing.T) *arrivals {
+	a := newArrivals(s.routers)
+	f := newFleetWithDelay(t, s.routers, 4*time.Millisecond, a.observe)
 	f.store.put("a", "0")
-	f.within(t, 5*time.Second, "a", "0")
-	r := rand.New(rand.NewPCG(d.seed, 0))
-	for round := range d.rounds {
-		time.Sleep(d.pause(r))
-		deaf := d.choose(f, r)
-		d.change(f, r, a, fmt.Sprint(round, "a"), deaf)
-		if d.swap {
-			d.change(f, r, a, fmt.Sprint(round, "b"), f.others(deaf))
+	f.waitForValue(t, 5*time.Second, "a", "0")
+	r := rand.New(rand.NewPCG(s.seed, 0))
+	for round := range s.rounds {
+		time.Sleep(s.pause(r))
+		silent := s.chooseSilent(f, r)
+		s.change(f, r, a, fmt.Sprint(round, "a"), silent)
+		if s.invert {
+			s.change(f, r, a, fmt.Sprint(round, "b"), f.complement(silent))
 		}
-		f.store.set(func() { f.silent = nil })
+		f.store.withLock(func() { f.silent = nil })
 	}
 	time.Sleep(4 * time.Second)
 	return a
 }
 
 // pause returns the time until the next round.
-func (d deafDay) pause(r *rand.Rand) time.Duration {
+func (s silenceScenario) pause(r *rand.Rand) time.Duration {
 	least := 10 * time.Second
-	if d.soon {
+	if s.shortPause {
 		least = time.Second
 	}
 	return least + time.Duration(r.IntN(2_000))*time.Millisecond
 }
 
 // change makes changes while the store is silent to some routers.
-func (d deafDay) change(f *fleet, r *rand.Rand, a *arrivals, value string, deaf map[int]bool) {
-	f.store.set(func() { f.silent = deaf })
+func (s silenceScenario) change(f *fleet, r *rand.Rand, a *arrivals, value string, silent map[int]bool) {
+	f.store.withLock(func() { f.silent = silent })
 	for n := range 6 {
 		time.Sleep(time.Duration(r.IntN(900)) * time.Millisecond)
 		f.store.put("a", fmt.Sprint(value, n))
-		a.ack(f.store.revision())
+		a.recordAck(f.store.revision())
 	}
 	time.Sleep(4 * time.Second)
 }
 
-// others returns the routers that are not among these.
-func (f *fleet) others(these map[int]bool) map[int]bool {
+// complement returns the routers that are not among these.
+func (f *fleet) complement(set map[int]bool) map[int]bool {
 	rest := make(map[int]bool)
 	for i := range f.routers {
-		rest[i] = !these[i]
+		rest[i] = !set[i]
 	}
 	return rest
 }
 
-// choose returns the routers to which the store falls silent: never all, and
+// chooseSilent returns the routers to which the store falls silent: never all, and
 // all that watch it, or not all of these.
-func (d deafDay) choose(f *fleet, r *rand.Rand) map[int]bool {
-	watch := mirror.Watchers(f.routers)
-	deaf := make(map[int]bool)
-	for _, i := range r.Perm(d.routers)[:int(float64(d.routers)*d.share)] {
-		deaf[i] = true
+func (s silenceScenario) chooseSilent(f *fleet, r *rand.Rand) map[int]bool {
+	watchers := mirror.DefaultWatchers(f.routers)
+	silent := make(map[int]bool)
+	for _, i := range r.Perm(s.routers)[:int(float64(s.routers)*s.share)] {
+		silent[i] = true
 	}
 	for i, each := range f.routers {
-		if slices.Contains(watch, each.ID) && d.watchers {
-			deaf[i] = true
+		if slices.Contains(watchers, each.ID) && s.watchers {
+			silent[i] = true
 		}
 	}
-	if len(deaf) == d.routers || !d.watchers && f.allDeaf(deaf, watch) {
-		return d.choose(f, r)
+	if len(silent) == s.routers || !s.watchers && f.allSilent(silent, watchers) {
+		return s.chooseSilent(f, r)
 	}
-	return deaf
+	return silent
 }
 
-func (f *fleet) allDeaf(deaf map[int]bool, ids []coordination.Instance) bool {
+func (f *fleet) allSilent(silent map[int]bool, ids []coordination.Instance) bool {
 	for i, each := range f.routers {
-		if slices.Contains(ids, each.ID) && !deaf[i] {
+		if slices.Contains(ids, each.ID) && !silent[i] {
 			return false
 		}
 	}
@@ -187,23 +187,23 @@
 // 1,011 ms and 1,010 ms without a result at two routers, then the change within
 // 1 ms from a third that had had it for 1.94 s and had been asked by nobody.
 func TestChangeReachesAllWhileTheStoreIsSilentToSome(t *testing.T) {
-	days := []deafDay{
+	scenarios := []silenceScenario{
 		{routers: 7, rounds: 40, share: 0.35, seed: 1},
 		{routers: 7, rounds: 40, share: 0.6, seed: 2},
 		{routers: 64, rounds: 8, share: 0.5, seed: 3},
 		{routers: 330, rounds: 2, share: 0.6, seed: 4},
 	}
-	for _, d := range days {
-		t.Run(fmt.Sprintf("%d-%.2f", d.routers, d.share), func(t *testing.T) {
+	for _, s := range scenarios {
+		t.Run(fmt.Sprintf("%d-%.2f", s.routers, s.share), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				afterAck, afterFirst := d.play(t).delays(t)
-				late, _ := slices.BinarySearch(afterFirst, latestAfterFirst+1)
+				afterAck, afterFirst := s.run(t).delays(t)
+				late, _ := slices.BinarySearch(afterFirst, maxAfterFirst+1)
 				share := float64(len(afterFirst)-late) / float64(len(afterFirst))
 				t.Logf("%d applications, %.4f late, latest %v behind the first and %v behind the acknowledgement",
 					len(afterFirst), share, afterFirst[len(afterFirst)-1], afterAck[len(afterAck)-1])
-				assert.Check(t, share <= mostLate, "%.4f of the applications came more than %v behind the first", share, latestAfterFirst)
-				assert.Check(t, afterAck[len(afterAck)-1] <= latestAfterAck)
+				assert.Check(t, share <= maxLateShare, "%.4f of the applications came more than %v behind the first", share, maxAfterFirst)
+				assert.Check(t, afterAck[len(afterAck)-1] <= maxAfterAck)
 			})
 		})
 	}
@@ -218,22 +218,22 @@
 // ten changes for 1.94 s, until the third of three watches ran out; then another
 // router watched and had all ten within 0.3 s.
 func TestChangeReachesAllWhileTheStoreIsSilentToAllThatWatch(t *testing.T) {
-	days := []deafDay{
+	scenarios := []silenceScenario{
 		{routers: 7, rounds: 40, share: 0, watchers: true, seed: 5},
 		{routers: 7, rounds: 40, share: 0.6, watchers: true, seed: 6},
 		{routers: 64, rounds: 8, share: 0.5, watchers: true, seed: 7},
 		{routers: 330, rounds: 2, share: 0.6, watchers: true, seed: 8},
-		{routers: 7, rounds: 40, share: 0.6, watchers: true, soon: true, seed: 9},
-		{routers: 7, rounds: 40, share: 0.3, watchers: true, swap: true, seed: 10},
-		{routers: 15, rounds: 20, share: 0.8, watchers: true, soon: true, seed: 11},
+		{routers: 7, rounds: 40, share: 0.6, watchers: true, shortPause: true, seed: 9},
+		{routers: 7, rounds: 40, share: 0.3, watchers: true, invert: true, seed: 10},
+		{routers: 15, rounds: 20, share: 0.8, watchers: true, shortPause: true, seed: 11},
 	}
-	for _, d := range days {
-		t.Run(fmt.Sprintf("%d-%.2f", d.routers, d.share), func(t *testing.T) {
+	for _, s := range scenarios {
+		t.Run(fmt.Sprintf("%d-%.2f", s.routers, s.share), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				afterAck, _ := d.play(t).delays(t)
+				afterAck, _ := s.run(t).delays(t)
 				t.Logf("%d applications, latest %v behind the acknowledgement", len(afterAck), afterAck[len(afterAck)-1])
-				assert.Check(t, afterAck[len(afterAck)-1] <= latestAfterAck)
+				assert.Check(t, afterAck[len(afterAck)-1] <= maxAfterAck)
 			})
 		})
 	}
--- a/coordination/mirror/mirror.go
+++ b/coordination/mirror/mirror.go
@@ -42,8 +42,8 @@
 	Lost bool `cbor:"-"`
 }
 
-// News is what an update has changed, for those who observe a mirror.
-type News struct {
+// Changes is what an update has changed, for those who observe a mirror.
+type Changes struct {
 	Items []Item
 	// From is the router that told of it; empty for the store.
 	From coordination.Instance
@@ -55,50 +55,50 @@
 	Unconfirmed time.Duration
 }
 
-// tombstoneLife is how long a deleted key is remembered. It covers the longest
+// tombstoneTTL is how long a deleted key is remembered. It covers the longest
 // time for which a peer may be behind and still be told changes alone: its
 // fetch waits for a few seconds, and a pause of its process lasts longer.
-const tombstoneLife = time.Minute
+const tombstoneTTL = time.Minute
 
 // Mirror is the copy of one prefix. It is safe for concurrent use.
 type Mirror struct {
-	mu        sync.Mutex
-	items     map[string]Item
-	deleted   map[string]time.Time // when each tombstone was learned
-	learned   map[string]time.Time // when the store told the first router of each key's last change
-	asOf      kv.Revision
-	confirmed time.Time   // when the store said so, itself or through others
-	floor     kv.Revision // tombstones up to here may be forgotten
-	changed   chan struct{}
-	telling   sync.Mutex
-	observers []func(News)
-	onReturn  []func()
+	mu          sync.Mutex
+	items       map[string]Item
+	deletedAt   map[string]time.Time // when each tombstone was learned
+	learnedAt   map[string]time.Time // when the store told the first router of each key's last change
+	asOf        kv.Revision
+	confirmedAt time.Time   // when the store said so, itself or through others
+	prunedUpTo  kv.Revision // tombstones up to here may be forgotten
+	changed     chan struct{}
+	notifying   sync.Mutex
+	observers   []func(Changes)
+	onRecovery  []func()
 }
 
 // New returns an empty mirror, which knows nothing before its first update.
 func New() *Mirror {
 	return &Mirror{
-		items:   make(map[string]Item),
-		deleted: make(map[string]time.Time),
-		learned: make(map[string]time.Time),
-		changed: make(chan struct{}),
+		items:     make(map[string]Item),
+		deletedAt: make(map[string]time.Time),
+		learnedAt: make(map[string]time.Time),
+		changed:   make(chan struct{}),
 	}
 }
 
 // Observe has fn called with what each update has changed. It has to be set
 // before the first update.
-func (m *Mirror) Observe(fn func(News)) { m.observers = append(m.observers, fn) }
+func (m *Mirror) Observe(fn func(Changes)) { m.observers = append(m.observers, fn) }
 
-// OnReturn has fn called when the store answers again after it has been away
+// OnStoreRecovery has fn called when the store answers again after it has been away
 // for everybody that this router hears from. It has to be set before the first
 // update, and is called before the observers of that update.
-func (m *Mirror) OnReturn(fn func()) { m.onReturn = append(m.onReturn, fn) }
+func (m *Mirror) OnStoreRecovery(fn func()) { m.onRecovery = append(m.onRecovery, fn) }
 
-// AwayAfter is the time without a confirmation of the store, by any router,
+// OutageThreshold is the time without a confirmation of the store, by any router,
 // from which on it is taken to be away. A watch confirms when it ends, after
 // 2.1 s at most, and the word takes up to two waits of a second; an outage in
 // which the leases of entries run out is longer.
-const AwayAfter = 4200 * time.Millisecond
+const OutageThreshold = 4200 * time.Millisecond
 
 // AsOf returns the revision up to which the mirror is complete; zero before
 // the first update.
@@ -113,7 +113,7 @@
 func (m *Mirror) Age() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.confirmed)
+	return time.Since(m.confirmedAt)
 }
 
 // Find returns the item of a key that exists.
@@ -124,53 +124,53 @@
 	return item, ok && !item.Deleted
 }
 
-// Take applies an update and tells the observers what has changed. An update
+// Apply applies an update and tells the observers what has changed. An update
 // that is behind what is known changes nothing.
-func (m *Mirror) Take(u Update) {
-	m.telling.Lock()
-	defer m.telling.Unlock()
-	news, returned := m.apply(time.Now(), u)
-	if returned {
-		for _, fn := range m.onReturn {
+func (m *Mirror) Apply(u Update) {
+	m.notifying.Lock()
+	defer m.notifying.Unlock()
+	changes, recovered := m.merge(time.Now(), u)
+	if recovered {
+		for _, fn := range m.onRecovery {
 			fn()
 		}
 	}
-	if len(news.Items) == 0 {
+	if len(changes.Items) == 0 {
 		return
 	}
 	for _, fn := range m.observers {
-		fn(news)
+		fn(changes)
 	}
 }
 
-func (m *Mirror) apply(now time.Time, u Update) (news News, returned bool) {
+func (m *Mirror) merge(now time.Time, u Update) (changes Changes, recovered bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	news = News{From: u.From, Behind: time.Duration(u.BehindMs) * time.Millisecond}
-	if !m.confirmed.IsZero() {
-		news.Unconfirmed = now.Sub(m.confirmed)
+	changes = Changes{From: u.From, Behind: time.Duration(u.BehindMs) * time.Millisecond}
+	if !m.confirmedAt.IsZero() {
+		changes.Unconfirmed = now.Sub(m.confirmedAt)
 	}
-	learned := now.Add(-news.Behind)
+	learnedAt := now.Add(-changes.Behind)
 	for _, item := range u.Items {
 		if m.put(now, item) {
-			m.learned[item.Key] = learned
-			news.Items = append(news.Items, item)
+			m.learnedAt[item.Key] = learnedAt
+			changes.Items = append(changes.Items, item)
 		}
 	}
 	if u.Full {
-		news.Items = append(news.Items, m.sweep(now, u)...)
+		changes.Items = append(changes.Items, m.deleteUnlisted(now, u)...)
 	}
-	m.prune(now)
+	m.pruneTombstones(now)
 	advanced := u.AsOf > m.asOf
 	m.asOf = max(m.asOf, u.AsOf)
-	if at := now.Add(-time.Duration(u.AgeMs) * time.Millisecond); u.AsOf >= m.asOf && at.After(m.confirmed) {
-		returned = !m.confirmed.IsZero() && at.Sub(m.confirmed) > AwayAfter
-		m.confirmed = at
+	if at := now.Add(-time.Duration(u.AgeMs) * time.Millisecond); u.AsOf >= m.asOf && at.After(m.confirmedAt) {
+		recovered = !m.confirmedAt.IsZero() && at.Sub(m.confirmedAt) > OutageThreshold
+		m.confirmedAt = at
 	}
-	if advanced || len(news.Items) > 0 {
+	if advanced || len(changes.Items) > 0 {
 		m.wake()
 	}
-	return news, returned
+	return changes, recovered
 }
 
 // put takes an item if it is newer than what is known of its key.
@@ -179,41 +179,41 @@
 		return false
 	}
 	m.items[item.Key] = item
-	delete(m.deleted, item.Key)
+	delete(m.deletedAt, item.Key)
 	if item.Deleted {
-		m.deleted[item.Key] = now
+		m.deletedAt[item.Key] = now
 	}
 	return true
 }
 
-// sweep deletes the keys that a full update does not name, unless they are
+// deleteUnlisted deletes the keys that a full update does not name, unless they are
 // newer than the update.
-func (m *Mirror) sweep(now time.Time, u Update) []Item {
-	named := make(map[string]bool, len(u.Items))
+func (m *Mirror) deleteUnlisted(now time.Time, u Update) []Item {
+	listed := make(map[string]bool, len(u.Items))
 	for _, item := range u.Items {
-		named[item.Key] = true
+		listed[item.Key] = true
 	}
-	var gone []Item
+	var removed []Item
 	for key, item := range m.items {
-		if item.Deleted || named[key] || item.Revision > u.AsOf {
+		if item.Deleted || listed[key] || item.Revision > u.AsOf {
 			continue
 		}
 		tombstone := Item{Key: key, Revision: u.AsOf, Deleted: true}
 		m.put(now, tombstone)
-		m.learned[key] = now
-		gone = append(gone, tombstone)
+		m.learnedAt[key] = now
+		removed = append(removed, tombstone)
 	}
-	return gone
+	return removed
 }
 
-// prune forgets old tombstones.
-func (m *Mirror) prune(now time.Time) {
-	for key, at := range m.deleted {
-		if now.Sub(at) > tombstoneLife {
-			m.floor = max(m.floor, m.items[key].Revision)
+// pruneTombstones forgets old tombstones.
+func (m *Mirror) pruneTombstones(now time.Time) {
+	for key, at := range m.deletedAt {
+		if now.Sub(at) > tombstoneTTL {
+			m.prunedUpTo = max(m.prunedUpTo, m.items[key].Revision)
 			delete(m.items, key)
-			delete(m.deleted, key)
-			delete(m.learned, key)
+			delete(m.deletedAt, key)
+			delete(m.learnedAt, key)
 		}
 	}
 }
@@ -223,25 +223,25 @@
 func (m *Mirror) Since(after kv.Revision) Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := Update{Full: after == 0 || after < m.floor, AsOf: m.asOf, AgeMs: wireMs(m.confirmed)}
+	u := Update{Full: after == 0 || after < m.prunedUpTo, AsOf: m.asOf, AgeMs: elapsedMs(m.confirmedAt)}
 	for _, item := range m.items {
 		if u.Full && !item.Deleted || !u.Full && item.Revision > after {
 			u.Items = append(u.Items, item)
 		}
 		if !u.Full && item.Revision > after {
-			u.BehindMs = max(u.BehindMs, wireMs(m.learned[item.Key]))
+			u.BehindMs = max(u.BehindMs, elapsedMs(m.learnedAt[item.Key]))
 		}
 	}
 	slices.SortFunc(u.Items, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 	return u
 }
 
-// longestAgeMs stands for any longer age: some 50 days.
-const longestAgeMs = math.MaxUint32
+// maxAgeMs stands for any longer age: some 50 days.
+const maxAgeMs = math.MaxUint32
 
-// wireMs returns the time since t in milliseconds, for the wire.
-func wireMs(t time.Time) uint32 {
-	return uint32(min(time.Since(t).Milliseconds(), longestAgeMs))
+// elapsedMs returns the time since t in milliseconds, for the wire.
+func elapsedMs(t time.Time) uint32 {
+	return uint32(min(time.Since(t).Milliseconds(), maxAgeMs))
 }
 
 // Wait returns once the mirror is complete beyond a revision, giveUp reports
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -16,7 +16,7 @@
 	return mirror.Item{Key: key, Value: []byte(value), Revision: n}
 }
 
-func gone(key string, n kv.Revision) mirror.Item {
+func deletion(key string, n kv.Revision) mirror.Item {
 	return mirror.Item{Key: key, Revision: n, Deleted: true}
 }
 
@@ -32,12 +32,12 @@
 // from a peer that is behind. If the older one came into force again, a key
 // that was taken away would be good once more.
 func TestNothingReverts(t *testing.T) {
-	changes := []mirror.Item{put("a", "1", 2), put("a", "2", 5), gone("a", 7), put("a", "3", 9)}
+	changes := []mirror.Item{put("a", "1", 2), put("a", "2", 5), deletion("a", 7), put("a", "3", 9)}
 	for seed := range uint64(50) {
 		m := mirror.New()
 		highest := kv.Revision(0)
 		for _, i := range rand.New(rand.NewPCG(seed, 0)).Perm(len(changes)) {
-			m.Take(mirror.Update{Items: changes[i : i+1], AsOf: changes[i].Revision})
+			m.Apply(mirror.Update{Items: changes[i : i+1], AsOf: changes[i].Revision})
 			highest = max(highest, changes[i].Revision)
 			want := "none"
 			for _, c := range changes {
@@ -50,31 +50,31 @@
 	}
 }
 
-func TestFullUpdateDropsWhatItDoesNotName(t *testing.T) {
+func TestFullUpdateDeletesUnlistedKeys(t *testing.T) {
 	m := mirror.New()
-	var news []mirror.Item
-	m.Observe(func(n mirror.News) { news = n.Items })
-	m.Take(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("b", "1", 2)}, AsOf: 2})
-	m.Take(mirror.Update{Items: []mirror.Item{put("c", "1", 6)}, AsOf: 6})
+	var changes []mirror.Item
+	m.Observe(func(n mirror.Changes) { changes = n.Items })
+	m.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("b", "1", 2)}, AsOf: 2})
+	m.Apply(mirror.Update{Items: []mirror.Item{put("c", "1", 6)}, AsOf: 6})
 	// The list is of revision 4: it cannot know c, which is newer.
-	m.Take(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1)}, AsOf: 4})
+	m.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1)}, AsOf: 4})
 	assert.Equal(t, valueOf(m, "a"), "1")
 	assert.Equal(t, valueOf(m, "b"), "none")
 	assert.Equal(t, valueOf(m, "c"), "1")
-	assert.DeepEqual(t, news, []mirror.Item{gone("b", 4)})
+	assert.DeepEqual(t, changes, []mirror.Item{deletion("b", 4)})
 	assert.Equal(t, m.AsOf(), kv.Revision(6))
 }
 
 // A peer was cut off for longer than deletions are remembered. If it were told
 // changes alone, it would keep endpoints that are long gone.
-func TestPeerFarBehindIsToldEverything(t *testing.T) {
+func TestPeerFarBehindGetsFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mirror.New()
-		m.Take(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("b", "1", 2)}, AsOf: 2})
-		m.Take(mirror.Update{Items: []mirror.Item{gone("b", 3)}, AsOf: 3})
-		assert.DeepEqual(t, m.Since(2), mirror.Update{Items: []mirror.Item{gone("b", 3)}, AsOf: 3})
+		m.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("b", "1", 2)}, AsOf: 2})
+		m.Apply(mirror.Update{Items: []mirror.Item{deletion("b", 3)}, AsOf: 3})
+		assert.DeepEqual(t, m.Since(2), mirror.Update{Items: []mirror.Item{deletion("b", 3)}, AsOf: 3})
 		time.Sleep(2 * time.Minute)
-		m.Take(mirror.Update{Items: []mirror.Item{put("c", "1", 4)}, AsOf: 4})
+		m.Apply(mirror.Update{Items: []mirror.Item{put("c", "1", 4)}, AsOf: 4})
 		assert.DeepEqual(t, m.Since(2), mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("c", "1", 4)}, AsOf: 4})
 	})
 }
--- a/coordination/mirror/peers.go
+++ b/coordination/mirror/peers.go
@@ -28,8 +28,8 @@
 	ErrMalformed = Errors.NewType("malformed")
 )
 
-// Ask is a call to another router: what has changed after a revision?
-type Ask struct {
+// Request is a call to another router: what has changed after a revision?
+type Request struct {
 	Prefix string      `cbor:"1,keyasint"`
 	After  kv.Revision `cbor:"2,keyasint"`
 	WaitMs uint32      `cbor:"3,keyasint"`
@@ -51,11 +51,11 @@
 	Prefix    string
 	Wait      func() time.Duration // for which a peer waits for a change
 	Timeout   time.Duration        // beyond Wait
-	// OnReach, if set, is told whether a router that has answered reaches the
+	// OnReachability, if set, is told whether a router that has answered reaches the
 	// store itself. One that does not hears of changes no sooner than this one.
-	OnReach func(id coordination.Instance, reaches bool)
-	// Asked, if set, remembers the calls.
-	Asked *Asked
+	OnReachability func(id coordination.Instance, reaches bool)
+	// CallLog, if set, remembers the calls.
+	CallLog *CallLog
 }
 
 // Fetch implements Source.
@@ -65,23 +65,23 @@
 		return Update{}, ErrNoPeer.New("no other router is known")
 	}
 	start := time.Now()
-	u, err := s.ask(ctx, to, after, s.Wait())
-	if s.Asked != nil {
-		s.Asked.note(to, time.Since(start), u, err)
+	u, err := s.call(ctx, to, after, s.Wait())
+	if s.CallLog != nil {
+		s.CallLog.record(to, time.Since(start), u, err)
 	}
 	if err != nil {
 		return Update{}, err
 	}
-	if s.OnReach != nil {
-		s.OnReach(to, !u.Lost)
+	if s.OnReachability != nil {
+		s.OnReachability(to, !u.Lost)
 	}
 	return u, nil
 }
 
-func (s PeerSource) ask(ctx context.Context, to coordination.Instance, after kv.Revision, wait time.Duration) (Update, error) {
+func (s PeerSource) call(ctx context.Context, to coordination.Instance, after kv.Revision, wait time.Duration) (Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+s.Timeout)
 	defer cancel()
-	b, err := s.Transport.Call(ctx, to, Topic, encode(Ask{Prefix: s.Prefix, After: after, WaitMs: uint32(wait.Milliseconds())}))
+	b, err := s.Transport.Call(ctx, to, Topic, encode(Request{Prefix: s.Prefix, After: after, WaitMs: uint32(wait.Milliseconds())}))
 	if err != nil {
 		return Update{}, err
 	}
@@ -96,64 +96,64 @@
 // reply is the answer to an Ask: an update as it was packed for all who ask for
 // the same, and its age now.
 type reply struct {
-	Packed []byte `cbor:"1,keyasint,omitempty"` // compressed
-	AgeMs  uint32 `cbor:"2,keyasint"`
-	Plain  []byte `cbor:"3,keyasint,omitempty"` // in place of Packed
-	Lost   bool   `cbor:"4,keyasint,omitempty"` // this router does not reach the store
+	Compressed []byte `cbor:"1,keyasint,omitempty"` // compressed
+	AgeMs      uint32 `cbor:"2,keyasint"`
+	Plain      []byte `cbor:"3,keyasint,omitempty"` // in place of Packed
+	Lost       bool   `cbor:"4,keyasint,omitempty"` // this router does not reach the store
 	// BehindMs is that of the update, now.
 	BehindMs uint32 `cbor:"5,keyasint,omitempty"`
 }
 
-// mostUnpacked bounds an update that another router sends: all entries of 2,000
+// maxUpdateSize bounds an update that another router sends: all entries of 2,000
 // endpoints and the largest value of the store, several times over.
-const mostUnpacked = 16 << 20
+const maxUpdateSize = 16 << 20
 
 func decodeReply(b []byte) (Update, error) {
 	var r reply
 	if err := cbor.Unmarshal(b, &r); err != nil {
 		return Update{}, err
 	}
-	text := r.Plain
-	if len(r.Packed) > 0 {
+	encoded := r.Plain
+	if len(r.Compressed) > 0 {
 		var err error
-		text, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), mostUnpacked))
+		encoded, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Compressed)), maxUpdateSize))
 		if err != nil {
 			return Update{}, err
 		}
 	}
 	var u Update
-	if err := cbor.Unmarshal(text, &u); err != nil {
+	if err := cbor.Unmarshal(encoded, &u); err != nil {
 		return Update{}, err
 	}
 	u.AgeMs, u.BehindMs, u.Lost = r.AgeMs, r.BehindMs, r.Lost
 	return u, nil
 }
 
-// packFrom is the size in bytes from which on an update is compressed: below,
+// minCompressSize is the size in bytes from which on an update is compressed: below,
 // it fits a packet or two as it is.
-const packFrom = 2 << 10
+const minCompressSize = 2 << 10
 
-// pack returns an update for the wire, compressed if it is large. A desired
+// encodeUpdate returns an update for the wire, compressed if it is large. A desired
 // state of a thousand routes is 250 KB; a router on a link of 10 Mbit/s that
 // told it to 26 others as it is would need 5 s, and the change would be late
 // everywhere. It packs to a tenth.
-func pack(u Update) reply {
+func encodeUpdate(u Update) reply {
 	u.AgeMs = 0
-	text := encode(u)
-	if len(text) < packFrom {
-		return reply{Plain: text}
+	encoded := encode(u)
+	if len(encoded) < minCompressSize {
+		return reply{Plain: encoded}
 	}
 	var b bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&b)
-	_, _ = w.Write(text) // a Buffer takes all writes
+	_, _ = w.Write(encoded) // a Buffer takes all writes
 	_ = w.Close()
-	return reply{Packed: b.Bytes()}
+	return reply{Compressed: b.Bytes()}
 }
 
-// packers holds compressors, each of which takes a megabyte.
-var packers = sync.Pool{New: func() any {
+// compressors holds compressors, each of which takes a megabyte.
+var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic("mirror: packing an update: " + err.Error())
@@ -168,24 +168,24 @@
 	// then holds no caller back to wait for a change, which others hear first.
 	Lost func() bool
 
-	mu     sync.Mutex
-	packed []packedUpdate // the latest ones
+	mu    sync.Mutex
+	cache []cachedUpdate // the latest ones
 }
 
-// packedUpdate is an update as it was packed. Those who wait for a change ask
+// cachedUpdate is an update as it was packed. Those who wait for a change ask
 // for the same, so that it is packed once for all of them.
-type packedUpdate struct {
+type cachedUpdate struct {
 	prefix      string
 	after, asOf kv.Revision
 	reply       reply
 }
 
 const (
-	// longestWait bounds the time for which a call is held, whatever it asks
+	// maxHold bounds the time for which a call is held, whatever it asks
 	// for.
-	longestWait = 10 * time.Second
-	// packedKept is how many packed updates are kept.
-	packedKept = 4
+	maxHold = 10 * time.Second
+	// maxCachedUpdates is how many packed updates are kept.
+	maxCachedUpdates = 4
 )
 
 // Handle answers a call on [Topic].
@@ -196,37 +196,37 @@
 
 // handle also returns the revision up to which the answer tells all.
 func (s *Server) handle(ctx context.Context, payload []byte) ([]byte, kv.Revision, error) {
-	var a Ask
-	if err := cbor.Unmarshal(payload, &a); err != nil {
+	var req Request
+	if err := cbor.Unmarshal(payload, &req); err != nil {
 		return nil, 0, ErrMalformed.Wrap(err, "ask")
 	}
-	m := s.Mirrors[a.Prefix]
+	m := s.Mirrors[req.Prefix]
 	if m == nil {
-		return nil, 0, ErrMalformed.New("no mirror of %q", a.Prefix)
+		return nil, 0, ErrMalformed.New("no mirror of %q", req.Prefix)
 	}
-	wait := min(time.Duration(a.WaitMs)*time.Millisecond, longestWait)
+	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxHold)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	m.Wait(ctx, a.After, s.Lost)
-	u := m.Since(a.After)
-	r := s.pack(a, u)
+	m.Wait(ctx, req.After, s.Lost)
+	u := m.Since(req.After)
+	r := s.cachedReply(req, u)
 	r.AgeMs, r.BehindMs, r.Lost = u.AgeMs, u.BehindMs, s.Lost != nil && s.Lost()
 	return encode(r), u.AsOf, nil
 }
 
-// pack returns an update packed, from the kept ones if it is among them.
-func (s *Server) pack(a Ask, u Update) reply {
+// cachedReply returns an update packed, from the kept ones if it is among them.
+func (s *Server) cachedReply(req Request, u Update) reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.packed {
-		if p.prefix == a.Prefix && p.after == a.After && p.asOf == u.AsOf {
+	for _, p := range s.cache {
+		if p.prefix == req.Prefix && p.after == req.After && p.asOf == u.AsOf {
 			return p.reply
 		}
 	}
-	p := packedUpdate{prefix: a.Prefix, after: a.After, asOf: u.AsOf, reply: pack(u)}
-	s.packed = append(s.packed, p)
-	if len(s.packed) > packedKept {
-		s.packed = s.packed[1:]
+	p := cachedUpdate{prefix: req.Prefix, after: req.After, asOf: u.AsOf, reply: encodeUpdate(u)}
+	s.cache = append(s.cache, p)
+	if len(s.cache) > maxCachedUpdates {
+		s.cache = s.cache[1:]
 	}
 	return p.reply
 }
--- a/coordination/mirror/store.go
+++ b/coordination/mirror/store.go
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go pinger{store: s.Store, silent: cancel}.run(ctx)
+	go pinger{store: s.Store, cancel: cancel}.run(ctx)
 	b, res := s.Store.Watch(ctx, s.Prefix, after, s.Wait())
 	if res.Status != kv.Applied && errorx.IsOfType(context.Cause(ctx), ErrSilent) {
 		return Update{}, context.Cause(ctx)
@@ -60,9 +60,9 @@
 // fallen silent to this router. Those who wait at this router would hear of no
 // change before the watch has run out, up to three seconds. If all that watch
 // are cut off at once, nobody would; with these figures the others know it
-// after pingPace + pingTimeout and watch in their place.
+// after pingInterval + pingTimeout and watch in their place.
 const (
-	pingPace = 600 * time.Millisecond
+	pingInterval = 600 * time.Millisecond
 	// pingTimeout is enough for a store that takes 50 times as long as the few
 	// milliseconds that are usual, and for a packet that is sent again.
 	pingTimeout = 400 * time.Millisecond
@@ -71,17 +71,17 @@
 // pinger asks the store for signs of life while a watch waits.
 type pinger struct {
 	store  Store
-	silent context.CancelCauseFunc // ends the watch
+	cancel context.CancelCauseFunc // ends the watch
 }
 
 func (p pinger) run(ctx context.Context) {
 	for {
-		if !coordination.Sleep(ctx, pingPace) {
+		if !coordination.Sleep(ctx, pingInterval) {
 			return
 		}
 		err := p.ping(ctx)
 		if err != nil {
-			p.silent(ErrSilent.Wrap(err, "no sign of life while a watch waited"))
+			p.cancel(ErrSilent.Wrap(err, "no sign of life while a watch waited"))
 			return
 		}
 	}
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -22,7 +22,7 @@
 	table  atomic.Pointer[route.Table]
 	place  *placing
 	mirror *mirror.Mirror
-	asked  *mirror.Asked
+	asked  *mirror.CallLog
 	relay  atomic.Pointer[config.Relay]
 	ready  chan struct{} // closed with the first desired state
 }
@@ -31,7 +31,7 @@
 	d := &desired{
 		log:   logOf(i),
 		place: do.MustInvoke[*placing](i),
-		asked: new(mirror.Asked),
+		asked: new(mirror.CallLog),
 		ready: make(chan struct{}),
 	}
 	d.relay.Store(settingsOf(i).Relay)
@@ -57,7 +57,7 @@
 
 // take puts a new desired state in force. One that cannot be read, or that is
 // older than the one in force, changes nothing.
-func (d *desired) take(n mirror.News) {
+func (d *desired) take(n mirror.Changes) {
 	for _, item := range n.Items {
 		if item.Key == platform.StateKey && !item.Deleted {
 			d.apply(item, n)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *desired) apply(item mirror.Item, n mirror.News) {
+func (d *desired) apply(item mirror.Item, n mirror.Changes) {
 	s, err := platform.DecodeState(item.Value)
 	if err != nil {
 		d.log.Emit(event.SettingsInvalid, event.F("revision", item.Revision), event.F("error", err.Error()))
@@ -100,7 +100,7 @@
 
 // warnLate logs a version that other routers have had for long, with whom this
 // router asked meanwhile.
-func (d *desired) warnLate(v route.Version, n mirror.News) {
+func (d *desired) warnLate(v route.Version, n mirror.Changes) {
 	if n.Behind < lateAfter {
 		return
 	}
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -22,10 +22,10 @@
 	m := do.MustInvoke[*mirror.Mirror](i)
 	r := &endpoint.Register{
 		Directory: do.MustInvoke[*endpoint.Directory](i),
-		Away:      func() bool { return m.Age() > mirror.AwayAfter },
+		Away:      func() bool { return m.Age() > mirror.OutageThreshold },
 		Log:       logOf(i),
 	}
-	m.OnReturn(r.StoreBack)
+	m.OnStoreRecovery(r.StoreBack)
 	m.Observe(entryReader{register: r, log: logOf(i)}.take)
 	return r, nil
 }
@@ -42,7 +42,7 @@
 	log      event.Log
 }
 
-func (r entryReader) take(n mirror.News) {
+func (r entryReader) take(n mirror.Changes) {
 	changes := make([]endpoint.Change, 0, len(n.Items))
 	for _, item := range n.Items {
 		if !platform.IsEntry(item.Key) {
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -41,14 +41,14 @@
 
 // newBehindMetric returns what counts how late changes of the store reach this
 // router.
-func newBehindMetric(r *prometheus.Registry) func(mirror.News) {
+func newBehindMetric(r *prometheus.Registry) func(mirror.Changes) {
 	behind := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "wisteria_mirror_behind_seconds",
 		Help:    "Time from when the store told the first router of a change until this one had it.",
 		Buckets: behindBuckets,
 	})
 	r.MustRegister(behind)
-	return func(n mirror.News) { behind.Observe(n.Behind.Seconds()) }
+	return func(n mirror.Changes) { behind.Observe(n.Behind.Seconds()) }
 }
 
 // newDialMetrics returns what counts new connections to endpoints.
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -32,25 +32,25 @@
 
 // feed starts to feed the mirror, whose observers are set by then, from the
 // store and from other routers.
-func feed(i do.Injector, m *mirror.Mirror, asked *mirror.Asked) {
+func feed(i do.Injector, m *mirror.Mirror, asked *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
 	away := do.MustInvoke[*peer.Reach](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
-		Self:      node.Self().Instance,
-		Prefix:    platform.Prefix,
-		Mirror:    m,
-		Store:     do.MustInvoke[*platform.Store](i),
-		Transport: away,
-		Routers:   do.MustInvoke[*fleet](i).routers,
-		OnState:   storeLogger{logOf(i)}.told,
-		Asked:     asked,
-		OnUntold:  untoldLogger{logOf(i)}.told,
+		Self:          node.Self().Instance,
+		Prefix:        platform.Prefix,
+		Mirror:        m,
+		Store:         do.MustInvoke[*platform.Store](i),
+		Transport:     away,
+		Routers:       do.MustInvoke[*fleet](i).routers,
+		OnState:       storeLogger{logOf(i)}.told,
+		CallLog:       asked,
+		OnHintFailure: untoldLogger{logOf(i)}.told,
 	})
 	node.Handle(mirror.Topic, f.Handle)
 	node.Handle(mirror.TopicHint, func(_ context.Context, from coordination.Instance, payload []byte) ([]byte, error) {
 		return nil, f.HandleHint(from, payload)
 	})
-	away.Watch(f.Look)
+	away.Watch(f.RecheckStore)
 	onStop(i, f.Start())
 }
 
