--- a/coordination/kv/kv.go
+++ b/coordination/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv describes the platform's key-value service as the fleet uses it:
-// compare-and-swap, leases and watches, with answers that can be lost after
-// the write took effect.
+// Package kv describes the platform's key-value service as its clients see it:
+// compare-and-swap, leases and watches. A reply can be lost after the write
+// took effect.
 package kv
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Revision is the service's global, rising revision of a write. Zero means
-// that a key does not exist.
+// Revision numbers the writes to the service. It increases with every write,
+// across all keys. Zero means that a key does not exist.
 type Revision int64
 
-// Lease identifies a lease of the service. Zero means no lease.
+// Lease identifies a lease. Zero means no lease.
 type Lease int64
 
-// Pair is a key with its value.
+// Pair is a key with its value and the revision of its last write.
 type Pair struct {
 	Key      string
 	Value    []byte
@@ -23,26 +23,26 @@
 	Lease    Lease
 }
 
-// Status tells how a call to the service ended.
+// Status is the outcome of a call to the service.
 type Status int
 
-// The ways in which a call ends.
+// The outcomes of a call.
 const (
-	// Unknown means that no answer came: a write may have taken effect.
+	// Unknown means that no reply was received. A write may have taken effect.
 	Unknown Status = iota
-	// Applied means that the call took effect, or that a read was answered.
+	// Applied means that the call took effect or, for a read, was answered.
 	Applied
 	// Conflict means that the comparison failed and nothing was written.
 	Conflict
-	// Unavailable means that the call certainly never took effect: the
-	// service refused it, or no connection to it could be made.
+	// Unavailable means that the call did not take effect: the service refused
+	// it, or no connection could be made.
 	Unavailable
-	// Throttled means that the service or our own call budget refused the
-	// call for its rate, before it took effect.
+	// Throttled means that the service or the client's own rate limit rejected
+	// the call before it took effect.
 	Throttled
 )
 
-// String returns the name of s as logs and metrics show it.
+// String returns the name of s that logs and metrics use.
 func (s Status) String() string {
 	switch s {
 	case Applied:
@@ -58,45 +58,47 @@
 	}
 }
 
-// Result is the outcome of a call.
+// Result is the result of a call.
 type Result struct {
 	Status   Status
-	Revision Revision // of the write, or of the service at the read
-	Pairs    []Pair   // what was read; on Conflict, what stands there now
-	Err      error    // detail for logs when Status is not Applied or Conflict
+	Revision Revision // of the write, or of the service at the time of the read
+	Pairs    []Pair   // the pairs read; on Conflict, the current pair
+	Err      error    // details for logs if Status is neither Applied nor Conflict
 }
 
-// Event is one change that a watch reports.
+// Event is one change reported by a watch.
 type Event struct {
 	Pair    Pair
 	Deleted bool
 }
 
-// Batch is what a watch delivers at a time. Gap means that revisions before
-// these events may have been missed, so the watcher has to read again.
+// Batch is a set of events delivered together. Gap means that changes before
+// these events may have been missed, so that the watcher has to list the keys
+// again.
 type Batch struct {
 	Events   []Event
 	Revision Revision
 	Gap      bool
 }
 
-// Store is the service as the adapter in wisteriarouter/platform and the fake
-// in kvtest offer it. Users of the service declare the part that they need.
+// Store is the interface of the service. The adapter in wisteriarouter/platform
+// and the fake in kvtest implement it. Clients declare interfaces with only the
+// methods that they need.
 type Store interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) Result
 	// List reads all keys that start with prefix.
 	List(ctx context.Context, prefix string) Result
-	// CompareAndSwap writes value if the key's revision is expect; zero
+	// CompareAndSwap writes value if the revision of the key is expect. Zero
 	// expects that the key does not exist.
 	CompareAndSwap(ctx context.Context, key string, value []byte, expect Revision, lease Lease) Result
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect Revision) Result
-	// Grant makes a lease that lapses after ttl without KeepAlive.
+	// Grant creates a lease that expires after ttl unless KeepAlive renews it.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, Result)
 	// KeepAlive renews the lease.
 	KeepAlive(ctx context.Context, lease Lease) Result
-	// Watch reports changes under prefix after revision from, until ctx ends
-	// or the connection breaks; it then closes the channel.
+	// Watch reports changes under prefix after revision from. It closes the
+	// channel when ctx ends or the connection breaks.
 	Watch(ctx context.Context, prefix string, from Revision) (<-chan Batch, Result)
 }
--- a/coordination/kv/kvtest/kvtest.go
+++ b/coordination/kv/kvtest/kvtest.go
@@ -1,5 +1,5 @@
-// Package kvtest provides an in-memory key-value service with faults, for
-// tests of what is built on package kv. It runs under testing/synctest.
+// Package kvtest provides an in-memory key-value service with fault injection
+// for tests of packages that use package kv. It works under testing/synctest.
 package kvtest
 
 import (
@@ -13,22 +13,22 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Faults are the ways in which the next calls go wrong.
+// Faults are the faults injected into calls and watches.
 type Faults struct {
-	Down      bool          // refuse every call, without effect
-	Delay     time.Duration // wait this long before each call takes effect
-	LoseReply func(op, key string) bool
-	LoseCall  func(op, key string) bool
-	DropWatch bool // deliver no watch batches; lifting it marks a gap
+	Down      bool                      // reject every call without effect
+	Delay     time.Duration             // wait this long before each call takes effect
+	LoseReply func(op, key string) bool // lose the reply after the call took effect
+	LoseCall  func(op, key string) bool // lose the call before it takes effect
+	DropWatch bool                      // drop watch events; clearing it delivers a gap
 }
 
 var (
 	errDown = errors.New("kvtest: service is down")
-	errLost = errors.New("kvtest: no answer")
+	errLost = errors.New("kvtest: call or reply lost")
 )
 
-// Store is a fake of the platform's service. The zero value is not usable;
-// call New.
+// Store is an in-memory kv.Store. Use New to create one; the zero value is not
+// usable.
 type Store struct {
 	mu        sync.Mutex
 	faults    Faults
@@ -62,7 +62,7 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults in effect.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,15 +75,15 @@
 	s.faults = f
 }
 
-// Calls returns how many calls of op (get, list, cas, delete, grant,
-// keepalive, watch) reached the service.
+// Calls returns how many calls of op (get, list, cas, delete, grant, keepalive,
+// watch) reached the service.
 func (s *Store) Calls(op string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[op]
 }
 
-// begin applies the faults that come before a call's effect.
+// begin applies the faults that occur before a call takes effect.
 func (s *Store) begin(ctx context.Context, op, key string) (kv.Result, bool) {
 	s.mu.Lock()
 	f := s.faults
@@ -104,7 +104,8 @@
 	return kv.Result{}, true
 }
 
-// end applies the faults that come after a call's effect. Callers hold s.mu.
+// end applies the faults that occur after a call took effect. Callers hold
+// s.mu.
 func (s *Store) end(op, key string, res kv.Result) kv.Result {
 	if s.faults.LoseReply != nil && s.faults.LoseReply(op, key) {
 		return kv.Result{Status: kv.Unknown, Err: errLost}
@@ -112,7 +113,8 @@
 	return res
 }
 
-// expire removes what lapsed leases held. Callers hold s.mu.
+// expire removes expired leases and the keys attached to them. Callers hold
+// s.mu.
 func (s *Store) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
@@ -207,7 +209,7 @@
 		return s.end("cas", key, res)
 	}
 	if _, live := s.leases[id]; id != 0 && !live {
-		return kv.Result{Status: kv.Unavailable, Err: errors.New("kvtest: no such lease")}
+		return kv.Result{Status: kv.Unavailable, Err: errors.New("kvtest: lease does not exist")}
 	}
 	s.revision++
 	p := kv.Pair{Key: key, Value: append([]byte(nil), value...), Revision: s.revision, Lease: id}
@@ -268,8 +270,8 @@
 	return s.end("keepalive", "", kv.Result{Status: kv.Applied, Revision: s.revision})
 }
 
-// Watch implements kv.Store. It reports changes from now on, and a gap at the
-// start if from is older than the present revision.
+// Watch implements kv.Store. It reports changes from now on, preceded by a gap
+// if from is older than the current revision.
 func (s *Store) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	if res, ok := s.begin(ctx, "watch", prefix); !ok {
 		return nil, res
@@ -285,7 +287,7 @@
 	return out, kv.Result{Status: kv.Applied, Revision: s.revision}
 }
 
-// deliver delivers the batches of one watch until ctx ends.
+// deliver sends the batches of one watch until ctx ends.
 func (s *Store) deliver(ctx context.Context, w *watch, out chan<- kv.Batch) {
 	defer close(out)
 	defer s.removeWatch(w)
--- a/coordination/kv/kvtest/kvtest_test.go
+++ b/coordination/kv/kvtest/kvtest_test.go
@@ -12,8 +12,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// The service applies a write and its answer is lost on the way back. The
-// writer must not be told that nothing was written.
+// A reply that is lost after the write took effect must be reported as Unknown:
+// the writer must not conclude that nothing was written.
 func TestLostReplyIsUnknown(t *testing.T) {
 	s := kvtest.New()
 	ctx := context.Background()
--- a/coordination/mirror/asked.go
+++ b/coordination/mirror/asked.go
@@ -9,15 +9,16 @@
 	"wisteriaspool/coordination"
 )
 
-// maxRecentCalls is how many calls an Asked keeps: those of the last few seconds.
+// maxRecentCalls is the number of calls that a CallLog keeps, which covers the
+// last few seconds.
 const maxRecentCalls = 4
 
-// CallLog remembers the latest calls to other routers: whom a router asked, how
-// long it was kept waiting, and what came of it. It tells afterwards where the
-// time went when a change came late. The zero CallLog is empty and ready to use.
+// CallLog keeps the most recent calls to other routers: the router called, the
+// duration and the result. When a change arrives late, it shows where the time
+// went. The zero value is empty and ready to use.
 type CallLog struct {
 	mu     sync.Mutex
-	recent []peerCall // the oldest first
+	recent []peerCall // oldest first
 }
 
 type peerCall struct {
@@ -44,7 +45,8 @@
 	}
 }
 
-// String lists the calls, the oldest first: router, milliseconds, result.
+// String lists the calls, oldest first: router, duration in milliseconds,
+// result.
 func (l *CallLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/mirror/feed.go
+++ b/coordination/mirror/feed.go
@@ -16,30 +16,30 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// FeedConfig says what a Feed feeds, and from where.
+// FeedConfig configures a Feed.
 type FeedConfig struct {
 	Self      coordination.Instance
 	Prefix    string
 	Mirror    *Mirror
 	Store     Store
 	Transport Transport
-	// Routers returns the routers that answer, as far as this one knows, and
-	// this one itself.
+	// Routers returns the routers that are alive, as far as this one knows,
+	// including this one.
 	Routers func() []placement.Router
-	// OnState, if set, is told when the store is lost, with why, and when it is
-	// back.
+	// OnState, if set, is called with an error when the store becomes
+	// unreachable and with nil when it is reachable again.
 	OnState func(err error)
-	// CallLog, if set, remembers the calls to other routers.
+	// CallLog, if set, records the calls to other routers.
 	CallLog *CallLog
-	// OnHintFailure, if set, is told of a router to which no hint could be sent, or
-	// from which nothing could be fetched behind its hint.
+	// OnHintFailure, if set, is called with a router to which a hint could not
+	// be sent, or from which the change it announced could not be fetched.
 	OnHintFailure func(id coordination.Instance, err error)
 }
 
 // Feed keeps a mirror up to date from the store and from the other routers, and
-// tells these in turn. It decides which routers call the store, and whom the
-// others ask. A router that the store turns away still hears of changes from
-// those that it serves.
+// sends changes on to them. It decides which routers call the store and which
+// router the others ask. A router that the store rejects still learns of
+// changes from the routers that the store serves.
 type Feed struct {
 	cfg     FeedConfig
 	store   *Follower
@@ -49,22 +49,23 @@
 	fetcher *fetcher
 
 	mu             sync.Mutex
-	candidates     *watcherCandidates                  // of the routers that answered when they were last asked for
-	lossReportedAt map[coordination.Instance]time.Time // when each was found not to reach the store
-	confirmedAt    map[coordination.Instance]time.Time // when each told what it had from the store
-	lastLossAt     time.Time                           // when a router was last found to have lost it
+	candidates     *watcherCandidates                  // for the routers that were alive at the last call of currentCandidates
+	lossReportedAt map[coordination.Instance]time.Time // when each router last reported that it cannot reach the store
+	confirmedAt    map[coordination.Instance]time.Time // when each router last sent a revision that it had from the store
+	lastLossAt     time.Time                           // when a router was last found to have lost the store
 }
 
-// peerTimeout is how much longer than its wait another router's answer may take.
+// peerTimeout is how long the reply of another router may take beyond the wait
+// that was asked for.
 const peerTimeout = 500 * time.Millisecond
 
-// batchDelay is for about how long a router that watches the store gathers changes
-// behind one that it has told. Each watch that ends is a call, and a message to
-// each other router; hundreds of endpoints may start or end within seconds.
+// batchDelay is about how long a router that watches the store collects further
+// changes after it has announced one. Each watch that ends costs a call and a
+// message to every other router, and hundreds of endpoints may start or stop
+// within seconds.
 const batchDelay = 150 * time.Millisecond
 
-// NewFeed returns a feed, which answers other routers and does nothing else
-// before its start.
+// NewFeed returns a feed. Until Start it only answers other routers.
 func NewFeed(cfg FeedConfig) *Feed {
 	f := &Feed{
 		cfg:            cfg,
@@ -94,8 +95,8 @@
 	return f
 }
 
-// Start feeds the mirror until the returned function is called. The mirror's
-// observers have to be set by then.
+// Start feeds the mirror until the returned function is called. The observers
+// of the mirror have to be set before.
 func (f *Feed) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	hintsDone, fetchDone := make(chan struct{}), make(chan struct{})
@@ -111,9 +112,9 @@
 	}
 }
 
-// RecheckStore has the feed look at once whether this router has to ask the store
-// itself, as when another one no longer answers. If all that watch lose their
-// power together, nobody else hears of a change before that.
+// RecheckStore makes the feed check at once whether this router has to call the
+// store itself, for instance because another router has failed. If all watchers
+// lose power together, no other router learns of changes until this check.
 func (f *Feed) RecheckStore() { signal(f.store.Wake) }
 
 // Handle answers a call of another router on [Topic].
@@ -125,17 +126,20 @@
 	return b, err
 }
 
-// reachabilityTTL is how long a router that does not reach the store is taken not to.
-// It tells when it does again, and while it does not, it tells so every
-// lossRepeatInterval: neither a message that is lost nor a router that is killed counts
-// for long.
+// Reports on whether a router reaches the store expire, so that neither a lost
+// message nor a router that was killed has an effect for long.
 const (
-	reachabilityTTL    = 10 * time.Second
+	// reachabilityTTL is how long a report counts. A router that reaches the
+	// store again says so earlier.
+	reachabilityTTL = 10 * time.Second
+	// lossRepeatInterval is how often a router that cannot reach the store
+	// repeats its report.
 	lossRepeatInterval = 4 * time.Second
 )
 
-// recordReachability notes whether another router reaches the store. If it has lost it, this
-// router looks at once whether it has to ask the store itself.
+// recordReachability records whether another router reaches the store. If that
+// router has just lost the store, this one checks at once whether it has to
+// call the store itself.
 func (f *Feed) recordReachability(id coordination.Instance, reaches bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,14 +155,16 @@
 	}
 }
 
-// recordConfirmation notes that a router has told what it had from the store.
+// recordConfirmation records that a router has sent a revision that it had from
+// the store.
 func (f *Feed) recordConfirmation(id coordination.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.confirmedAt[id] = time.Now()
 }
 
-// mayReachStore reports whether a router is not known to be cut off from the store.
+// mayReachStore reports whether a router is not known to be cut off from the
+// store.
 func (f *Feed) mayReachStore(id coordination.Instance) bool {
 	if id == f.cfg.Self {
 		return !f.store.Lost()
@@ -168,16 +174,16 @@
 	return time.Since(f.lossReportedAt[id]) > reachabilityTTL
 }
 
-// confirmedRecently reports whether a router has told lately what it had from the store,
-// and no other one has lost the store since: what cut that one off may have cut
-// off this one as well.
+// confirmedRecently reports whether a router has recently sent a revision from
+// the store and no router has lost the store since. What cut off that other
+// router may have cut off this one as well.
 func (f *Feed) confirmedRecently(id coordination.Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmedAt[id].After(f.lastLossAt) && time.Since(f.confirmedAt[id]) <= reachabilityTTL
 }
 
-// expireRecords forgets what has been known for too long to count.
+// expireRecords deletes the records that are older than reachabilityTTL.
 func (f *Feed) expireRecords() {
 	expired := func(_ coordination.Instance, at time.Time) bool { return time.Since(at) > reachabilityTTL }
 	f.mu.Lock()
@@ -186,14 +192,14 @@
 	maps.DeleteFunc(f.confirmedAt, expired)
 }
 
-// routersReachingStore returns the routers that answer and, as far as is known, reach the
-// store.
+// routersReachingStore returns the routers that are alive and, as far as is
+// known, reach the store.
 func (f *Feed) routersReachingStore() []placement.Router {
 	return lo.Filter(f.cfg.Routers(), func(r placement.Router, _ int) bool { return f.mayReachStore(r.ID) })
 }
 
-// currentWatchers returns the routers that watch the store now. Others take over at
-// once from those that it turns away.
+// currentWatchers returns the routers that watch the store now. Other routers
+// take over at once from those that the store rejects.
 func (f *Feed) currentWatchers() []coordination.Instance {
 	r := f.currentCandidates()
 	if lo.EveryBy(r.defaults, f.mayReachStore) {
@@ -202,7 +208,8 @@
 	return r.current(StoreReach{Possible: f.mayReachStore, Confirmed: f.confirmedRecently})
 }
 
-// currentCandidates returns the ranks of the routers that answer.
+// currentCandidates returns the watcher candidates among the routers that are
+// alive. It computes them again only when these change.
 func (f *Feed) currentCandidates() *watcherCandidates {
 	routers := f.cfg.Routers()
 	f.mu.Lock()
@@ -213,8 +220,8 @@
 	return f.candidates
 }
 
-// wouldWatch reports whether the others go by whether this router reaches the store:
-// it is one of those that would watch if it did.
+// wouldWatch reports whether this router would watch the store if it reached
+// it. Only then do the other routers depend on whether it does.
 func (f *Feed) wouldWatch() bool {
 	reach := StoreReach{
 		Possible:  func(id coordination.Instance) bool { return id == f.cfg.Self || f.mayReachStore(id) },
@@ -227,13 +234,15 @@
 	return WatchWait(len(f.currentWatchers()), f.store.Lost())
 }
 
-// storeNotNeeded reports whether the store need not be asked now. Before its
-// first answer it is, so that a router that starts is ready at once.
+// storeNotNeeded reports whether this router need not call the store now. It
+// does call it until its first reply, so that a router that starts is ready at
+// once.
 func (f *Feed) storeNotNeeded() bool {
 	return f.cfg.Mirror.AsOf() > 0 && !NeedsStore(f.cfg.Self, f.currentWatchers(), len(f.cfg.Routers()), f.cfg.Mirror.Age())
 }
 
-// stateChanged is told that this router has lost the store, or is back.
+// stateChanged is called with an error when this router has lost the store and
+// with nil when it reaches it again.
 func (f *Feed) stateChanged(err error) {
 	f.hints.announceState()
 	if f.cfg.OnState != nil {
@@ -242,16 +251,19 @@
 }
 
 const (
-	// alternateEvery is how often a router asks one of its alternates rather than
-	// one of those that watch the store: these may all be cut off from it.
+	// alternateEvery makes a router ask one of its alternates in one of so many
+	// calls on average, rather than a router that watches the store: all of
+	// those may be cut off from it.
 	alternateEvery = 3
-	// alternateCount is how many these are. Each router keeps to its own few, or each
-	// would come to hold a connection to each other one.
+	// alternateCount is the number of alternates of a router. They stay the
+	// same few, as otherwise every router would hold a connection to every
+	// other one.
 	alternateCount = 4
 )
 
-// choosePeer names the router to ask next: mostly one that watches the store and is
-// of the same availability zone, for traffic between zones has a price.
+// choosePeer returns the router to ask next, in most cases one that watches the
+// store and is in the same availability zone, as traffic between zones is
+// billed.
 func (f *Feed) choosePeer() (coordination.Instance, bool) {
 	routers := f.routersReachingStore()
 	zone := f.ownZone(routers)
@@ -272,9 +284,10 @@
 	return choices[rand.IntN(len(choices))], true
 }
 
-// Alternates returns the few routers that a router asks whoever watches the store,
-// by rendezvous hashing: each is asked by about as many, and one that goes is
-// followed by the next.
+// Alternates returns the few routers that self asks regardless of which routers
+// watch the store. They are chosen by rendezvous hashing, so that each router
+// is asked by about as many others, and one that leaves is replaced by the
+// next.
 func Alternates(self coordination.Instance, routers []placement.Router) []coordination.Instance {
 	weight := func(r placement.Router) uint64 { return xxhash.Sum64String(string(self) + "\x00" + string(r.ID)) }
 	others := lo.Reject(routers, func(r placement.Router, _ int) bool { return r.ID == self })
@@ -284,7 +297,7 @@
 	return lo.Map(others, func(r placement.Router, _ int) coordination.Instance { return r.ID })
 }
 
-// ownZone returns the availability ownZone of this router.
+// ownZone returns the availability zone of this router.
 func (f *Feed) ownZone(routers []placement.Router) coordination.Zone {
 	self, _ := lo.Find(routers, func(r placement.Router) bool { return r.ID == f.cfg.Self })
 	return self.Zone
--- a/coordination/mirror/fetcher.go
+++ b/coordination/mirror/fetcher.go
@@ -9,23 +9,25 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// hintFetchTimeout bounds a fetch from a router that has told of a change; another
-// one has told too, and is asked next.
+// hintFetchTimeout bounds a fetch from a router that has sent a hint. It is
+// short because another router has usually sent a hint too and is asked next.
 const hintFetchTimeout = 300 * time.Millisecond
 
-// fetcher fetches what other routers have told of and this one still lacks.
+// fetcher fetches the changes that other routers have announced and that this
+// one still lacks.
 type fetcher struct {
 	feed    *Feed
-	pending chan struct{} // holds one if there is something to fetch
+	pending chan struct{} // buffered; holds a value if there is something to fetch
 
 	mu     sync.Mutex
-	hinted map[coordination.Instance]kv.Revision // who has told of what
+	hinted map[coordination.Instance]kv.Revision // the revision that each router announced
 }
 
 func newFetcher(f *Feed) *fetcher {
 	return &fetcher{feed: f, pending: make(chan struct{}, 1), hinted: make(map[coordination.Instance]kv.Revision)}
 }
 
+// add schedules a fetch if the mirror has not reached the announced revision.
 func (f *fetcher) add(from coordination.Instance, asOf kv.Revision) {
 	if f.feed.cfg.Mirror.AsOf() >= asOf {
 		return
@@ -55,8 +57,8 @@
 	}
 }
 
-// nextSource takes a router that has told of more than the mirror holds, and forgets
-// those that have not.
+// nextSource removes and returns a router that announced a later revision than
+// the mirror has. It drops those that did not.
 func (f *fetcher) nextSource() (from coordination.Instance, ok bool) {
 	asOf := f.feed.cfg.Mirror.AsOf()
 	f.mu.Lock()
@@ -70,8 +72,9 @@
 	return "", false
 }
 
-// fetch asks one router for what it has, without waiting there. If it does not
-// answer, another one has told too, and the usual call goes on meanwhile.
+// fetch asks one router for its changes without waiting there for new ones. If
+// that router does not reply, another one has sent a hint too, and the regular
+// peer fetches continue meanwhile.
 func (f *fetcher) fetch(ctx context.Context, from coordination.Instance) {
 	cfg := f.feed.cfg
 	source := PeerSource{
--- a/coordination/mirror/follower.go
+++ b/coordination/mirror/follower.go
@@ -9,62 +9,65 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Source tells what has changed under a prefix: the store, or another router.
+// Source reports the changes under a prefix. It is the store or another router.
 type Source interface {
-	// Fetch returns what has changed after a revision. It waits for a change,
-	// but no longer than for a time that the source sets. After zero asks for
-	// everything at once.
+	// Fetch returns the changes after a revision. It waits for a change up to a
+	// time limit set by the source. If after is zero, it returns all keys at
+	// once.
 	Fetch(ctx context.Context, after kv.Revision) (Update, error)
 }
 
-// The pause after a fetch that failed doubles from the first to the longest.
-// The first is short, for an answer that was lost is often an only one; the
-// longest keeps a store that is down from being called by the whole fleet, and
-// is well under the two seconds within which endpoints are back in its list.
+// The pause after a failed fetch doubles from minRetryPause to maxRetryPause.
+// The minimum is short because a lost reply is often a single one. The maximum
+// limits how often the whole fleet calls a store that is down, and is well
+// below the two seconds within which endpoints are back in the list of the
+// store.
 const (
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 )
 
-// maxEmptyRetryPause is the longest pause of a follower whose mirror is still empty,
-// as on a router that started while the store was away. Without the desired
-// state it refuses every request, so each moment behind the store's return is
-// lost for all its callers; and it asks for one answer only, which it need not
-// wait for in turn.
+// maxEmptyRetryPause is the maximum pause while the mirror is still empty, as
+// on a router that started during an outage of the store. Without the desired
+// state the router refuses every request, so that each moment after the store
+// has recovered is lost for all its callers. It needs only one reply, for which
+// it need not back off.
 const maxEmptyRetryPause = 200 * time.Millisecond
 
-// idleCheckInterval is how often a follower that has nothing to do looks again. It is a
-// part of the time in which a change has to be in force.
+// idleCheckInterval is how often an idle follower checks whether it has to
+// fetch. It counts towards the time within which a change has to be in force.
 const idleCheckInterval = 250 * time.Millisecond
 
-// Follower feeds a mirror from a source.
+// Follower keeps a mirror up to date from a source.
 type Follower struct {
 	Mirror *Mirror
 	Source Source
-	// Idle, if set, says that the source need not be asked now. It is looked at
-	// again every idleCheck. A source that was lost is asked until it is back:
-	// others go by what this router last knew of it.
+	// Idle, if set, reports that the source need not be asked now. It is
+	// checked again every idleCheckInterval. A source that was lost is asked
+	// until it replies again, because other routers rely on the last known
+	// state of this one.
 	Idle func() bool
-	// Wake, if set, has Idle looked at again at once, and a source that was lost
-	// asked again.
+	// Wake, if set, interrupts a pause: Idle is checked again at once, and a
+	// source that was lost is asked again.
 	Wake chan struct{}
-	// OnState, if set, is told when the source is lost, with why, and when it
-	// is back.
+	// OnState, if set, is called with an error when the source is lost and with
+	// nil when it replies again.
 	OnState func(err error)
-	// BatchDelay is the pause behind an update that brought news. Those of a burst come
-	// as one, and the first at once.
+	// BatchDelay is the pause after an update with changes. The first change of
+	// a burst is applied at once, and the following ones arrive together.
 	BatchDelay time.Duration
-	// OnAdvance, if set, is told up to which revision the mirror is complete, each
-	// time that the source has brought it further. The first update is none.
+	// OnAdvance, if set, is called with the revision up to which the mirror is
+	// complete, each time the source has advanced it. The first update does not
+	// count.
 	OnAdvance func(kv.Revision)
 
 	lost atomic.Bool
 }
 
-// Lost reports whether the source does not answer.
+// Lost reports whether the last fetch from the source failed.
 func (f *Follower) Lost() bool { return f.lost.Load() }
 
-// Start follows until the returned function is called.
+// Start follows the source until the returned function is called.
 func (f *Follower) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -102,7 +105,7 @@
 	}
 }
 
-// wait waits for about d, or until it is woken.
+// wait waits for about d. A signal on Wake or the end of ctx ends it early.
 func (f *Follower) wait(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -116,7 +119,8 @@
 	}
 }
 
-// apply takes in an update and reports whether it brought news.
+// apply applies an update to the mirror and reports whether the update advanced
+// it. The first update does not count.
 func (f *Follower) apply(u Update) (advanced bool) {
 	before := f.Mirror.AsOf()
 	f.Mirror.Apply(u)
@@ -133,7 +137,7 @@
 	}
 }
 
-// maxPause returns the maxPause pause after a fetch that failed.
+// maxPause returns the maximum pause after a failed fetch.
 func (f *Follower) maxPause() time.Duration {
 	if f.Mirror.AsOf() == 0 {
 		return maxEmptyRetryPause
@@ -141,7 +145,7 @@
 	return maxRetryPause
 }
 
-// nextPause returns the pause after a fetch.
+// nextPause returns the pause after a fetch that returned err.
 func nextPause(previous, limit time.Duration, err error) time.Duration {
 	if err == nil {
 		return 0
--- a/coordination/mirror/hint.go
+++ b/coordination/mirror/hint.go
@@ -15,54 +15,57 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// TopicHint is the topic of hints.
+// TopicHint is the topic of hints between routers.
 const TopicHint = "mirror-hint"
 
-// Hint tells another router, without an answer, how far the sender's copy goes,
-// and whether the sender reaches the store.
+// Hint tells another router up to which revision the sender's mirror is
+// complete, and whether the sender reaches the store. It has no reply.
 type Hint struct {
 	Prefix string      `cbor:"1,keyasint"`
 	AsOf   kv.Revision `cbor:"2,keyasint"`
 	Lost   bool        `cbor:"3,keyasint,omitempty"`
 }
 
-// A router that waits at another one hears only what that one hears. If the
-// store has fallen silent to both, neither knows it before its own watch runs
-// out, and the one router that has the change is asked by nobody: the wait is
-// in vain, the next one may be too, and nothing bounds their sum. So a router
-// that has a change from the store tells all others, which fetch it if they
-// still lack it. The longest way to any router that answers is then
+// A router that waits for changes at another one learns only what that one
+// learns. If the store does not reply to either of them, neither notices before
+// its own watch times out, and no router asks the one that has the change. Any
+// number of such waits can follow one another. Therefore a router that gets a
+// change from the store sends a hint to all others, and these fetch the change
+// if they still lack it. The longest time until a change reaches any router
+// that is alive is
 //
-//	hintSpread + hintGrace + two trips between routers + one fetch,
+//	hintJitter + hintFetchDelay + two trips between routers + one fetch,
 //
-// 0.2 s as a rule, and 0.4 s more if a packet is lost on the way.
+// which is usually 0.2 s, and 0.4 s longer if a packet is lost on the way.
 const (
-	// hintJitter is within which time a router tells. Several have the change
-	// from the store at the same moment; those who tell later hear the first.
+	// hintJitter is the maximum random delay before a router sends hints.
+	// Several routers get a change from the store at the same moment; those
+	// that would send later receive the hints of the first.
 	hintJitter = 50 * time.Millisecond
-	// enoughHints is how many others have told by when a router need not: one,
-	// and another in case that one is cut off from a part of the fleet.
+	// enoughHints is the number of other routers whose hints make those of this
+	// router unnecessary: one, and a second in case the first is cut off from a
+	// part of the fleet.
 	enoughHints = 2
-	// hintFetchDelay is for how long a change may still come from where this router
-	// waits, before it is fetched from the one that has told.
+	// hintFetchDelay is how long a change may still arrive through a fetch that
+	// is waiting, before it is fetched from the router that sent the hint.
 	hintFetchDelay = 100 * time.Millisecond
-	// hintTimeout bounds the sending of one hint, for which a connection may
-	// have to be made.
+	// hintTimeout bounds the sending of one hint, including the time to
+	// connect.
 	hintTimeout = time.Second
 )
 
-// hintSender tells the other routers how far this one's copy goes.
+// hintSender sends hints to the other routers.
 type hintSender struct {
 	feed            *Feed
-	revisionPending chan struct{} // holds one if there is something to tell
-	statePending    chan struct{} // holds one if the store has been lost or is back
+	revisionPending chan struct{} // buffered; holds a value if a revision has to be announced
+	statePending    chan struct{} // buffered; holds a value if the store was lost or has recovered
 
-	announcedLoss bool // is known to the others; only run uses it
+	announcedLoss bool // whether the last announced state was a loss; used only by run
 
 	mu       sync.Mutex
-	asOf     kv.Revision                           // to be told
-	received map[coordination.Instance]kv.Revision // what others have told
-	replied  map[coordination.Instance]kv.Revision // what others have been answered by this router
+	asOf     kv.Revision                           // the latest revision to announce
+	received map[coordination.Instance]kv.Revision // the latest revision in the hints of each router
+	replied  map[coordination.Instance]kv.Revision // the latest revision in the replies to each router
 }
 
 func newHintSender(f *Feed) *hintSender {
@@ -75,7 +78,7 @@
 	}
 }
 
-// announce has the others told of a revision that came from the store.
+// announce schedules hints on a revision that came from the store.
 func (s *hintSender) announce(asOf kv.Revision) {
 	s.mu.Lock()
 	s.asOf = max(s.asOf, asOf)
@@ -83,14 +86,14 @@
 	signal(s.revisionPending)
 }
 
-// recordHint notes that another router has told of a revision.
+// recordHint records the revision in a hint of another router.
 func (s *hintSender) recordHint(from coordination.Instance, asOf kv.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.received[from] = max(s.received[from], asOf)
 }
 
-// recordReply notes that another router has been sent what is known up to a
+// recordReply records that another router has been sent all changes up to a
 // revision.
 func (s *hintSender) recordReply(to coordination.Instance, asOf kv.Revision) {
 	s.mu.Lock()
@@ -98,7 +101,7 @@
 	s.replied[to] = max(s.replied[to], asOf)
 }
 
-// announceState has the others told that the store has been lost or is back.
+// announceState schedules hints on the loss or the recovery of the store.
 func (s *hintSender) announceState() { signal(s.statePending) }
 
 func (s *hintSender) run(ctx context.Context, done chan<- struct{}) {
@@ -121,7 +124,8 @@
 	}
 }
 
-// sendRevision tells those who may lack what this router has from the store.
+// sendRevision sends hints to the routers that may lack the latest revision
+// from the store.
 func (s *hintSender) sendRevision(ctx context.Context) {
 	asOf, needed := s.nextRevision()
 	if !needed {
@@ -135,9 +139,9 @@
 	}
 }
 
-// sendState tells all others that this router has lost the store or is back, if
-// they go by it: it is one of those that watch, or the others still count it
-// among the lost.
+// sendState sends hints to all other routers that this one has lost or regained
+// the store. A loss is announced only if the other routers depend on this one
+// as a watcher, and a recovery only if they still count this one as lost.
 func (s *hintSender) sendState(ctx context.Context) {
 	lost := s.feed.store.Lost()
 	if !lost && !s.announcedLoss || lost && !s.feed.wouldWatch() {
@@ -157,7 +161,8 @@
 	go hintDelivery{feed: s.feed, to: to, hint: h}.run(ctx)
 }
 
-// nextRevision returns what is to be told, and whether it is still needed.
+// nextRevision returns the revision to announce and whether hints on it are
+// still needed.
 func (s *hintSender) nextRevision() (asOf kv.Revision, needed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +182,7 @@
 	return s.received[id] >= asOf || s.replied[id] >= asOf
 }
 
-// dropAbsent forgets what is known of routers that no longer answer.
+// dropAbsent deletes the records on routers that are no longer alive.
 func (s *hintSender) dropAbsent() {
 	routers := s.feed.cfg.Routers()
 	absent := func(id coordination.Instance, _ kv.Revision) bool {
@@ -189,8 +194,8 @@
 	maps.DeleteFunc(s.replied, absent)
 }
 
-// hintDelivery is one hint on its way. Each has a goroutine, so that a router to which
-// no connection can be made holds up no other.
+// hintDelivery sends one hint. Each runs in its own goroutine, so that a router
+// that cannot be connected to does not delay the hints to others.
 type hintDelivery struct {
 	feed *Feed
 	to   coordination.Instance
@@ -207,14 +212,15 @@
 	}
 }
 
-// HandleHint takes in a hint of another router.
+// HandleHint handles a message of another router on [TopicHint]. The error is
+// [ErrMalformed] if the message cannot be decoded or is about another prefix.
 func (f *Feed) HandleHint(from coordination.Instance, payload []byte) error {
 	var h Hint
 	if err := cbor.Unmarshal(payload, &h); err != nil {
 		return ErrMalformed.Wrap(err, "hint")
 	}
 	if h.Prefix != f.cfg.Prefix {
-		return ErrMalformed.New("no mirror of %q", h.Prefix)
+		return ErrMalformed.New("no mirror of prefix %q", h.Prefix)
 	}
 	f.recordReachability(from, !h.Lost)
 	if !h.Lost {
@@ -231,7 +237,8 @@
 	}
 }
 
-// signal fills a channel that holds one.
+// signal puts a value into a channel with a buffer of one unless it already
+// holds one.
 func signal(due chan<- struct{}) {
 	select {
 	case due <- struct{}{}:
--- a/coordination/mirror/mirror.go
+++ b/coordination/mirror/mirror.go
@@ -1,7 +1,7 @@
 // Package mirror keeps a router's copy of the keys under one prefix of the
-// platform's store. The copy is fed by the store itself and by other routers
-// that keep the same copy, in any order: of each key the highest revision
-// counts, so that nothing ever reverts.
+// platform's store. Updates come from the store and from other routers that
+// keep the same copy, in any order. The highest revision of each key wins, so
+// that a value never reverts to an older one.
 package mirror
 
 import (
@@ -16,66 +16,68 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Item is what is known of one key.
+// Item is the last known state of one key.
 type Item struct {
 	Key      string      `cbor:"1,keyasint"`
 	Value    []byte      `cbor:"2,keyasint,omitempty"`
-	Revision kv.Revision `cbor:"3,keyasint"` // of the last write, or of the deletion
+	Revision kv.Revision `cbor:"3,keyasint"` // of the last write or of the deletion
 	Deleted  bool        `cbor:"4,keyasint,omitempty"`
 }
 
-// Update is what a source tells of a prefix.
+// Update is a set of changes under a prefix, as reported by a source.
 type Update struct {
-	// Full says that Items are all keys that exist. Otherwise they are those
-	// that have changed since the revision that was asked for.
+	// Full means that Items are all keys that exist. Otherwise they are the
+	// keys that have changed since the revision asked for.
 	Full  bool        `cbor:"1,keyasint,omitempty"`
 	Items []Item      `cbor:"2,keyasint,omitempty"`
-	AsOf  kv.Revision `cbor:"3,keyasint"` // all changes up to here are in
-	// AgeMs is how long ago the store itself said so.
+	AsOf  kv.Revision `cbor:"3,keyasint"` // includes all changes up to this revision
+	// AgeMs is how many milliseconds ago the store itself confirmed AsOf.
 	AgeMs uint32 `cbor:"4,keyasint,omitempty"`
-	// BehindMs is how long ago the store told the first router of the oldest of
-	// the items; zero if it is the store that tells, or if Full.
+	// BehindMs is how many milliseconds ago the first router learned from the
+	// store of the oldest of the items. It is zero if the update comes from the
+	// store or is Full.
 	BehindMs uint32 `cbor:"-"`
-	// From is the router that told; empty for the store.
+	// From is the router that sent the update; empty for the store.
 	From coordination.Instance `cbor:"-"`
-	// Lost says that the source does not reach the store itself at the moment.
+	// Lost means that the source currently does not reach the store itself.
 	Lost bool `cbor:"-"`
 }
 
-// Changes is what an update has changed, for those who observe a mirror.
+// Changes is the effect of an update, as passed to the observers of a mirror.
 type Changes struct {
 	Items []Item
-	// From is the router that told of it; empty for the store.
+	// From is the router that sent the update; empty for the store.
 	From coordination.Instance
-	// Behind is how long ago the store told the first router of the oldest of
-	// the items, as far as that is known.
+	// Behind is how long ago the first router learned from the store of the
+	// oldest of the items, as far as that is known.
 	Behind time.Duration
-	// Unconfirmed is how long before the update the store had last confirmed
-	// to any router, as far as this one knows, what the mirror held.
+	// Unconfirmed is how long before the update the store last confirmed the
+	// contents of the mirror to any router, as far as this one knows.
 	Unconfirmed time.Duration
 }
 
-// tombstoneTTL is how long a deleted key is remembered. It covers the longest
-// time for which a peer may be behind and still be told changes alone: its
-// fetch waits for a few seconds, and a pause of its process lasts longer.
+// tombstoneTTL is how long a deleted key is remembered. It exceeds the longest
+// time for which a peer may be behind and still get changes alone: its fetch
+// waits for a few seconds, and its process may be paused for longer.
 const tombstoneTTL = time.Minute
 
-// Mirror is the copy of one prefix. It is safe for concurrent use.
+// Mirror is a copy of the keys under one prefix. It is safe for concurrent use.
 type Mirror struct {
 	mu          sync.Mutex
 	items       map[string]Item
-	deletedAt   map[string]time.Time // when each tombstone was learned
-	learnedAt   map[string]time.Time // when the store told the first router of each key's last change
+	deletedAt   map[string]time.Time // when each tombstone was received
+	learnedAt   map[string]time.Time // when the first router learned from the store of the last change of each key
 	asOf        kv.Revision
-	confirmedAt time.Time   // when the store said so, itself or through others
-	prunedUpTo  kv.Revision // tombstones up to here may be forgotten
+	confirmedAt time.Time   // when the store last confirmed asOf to this router or to another one
+	prunedUpTo  kv.Revision // tombstones up to this revision may have been deleted
 	changed     chan struct{}
-	notifying   sync.Mutex
+	notifying   sync.Mutex // held while an update is applied and the observers are called
 	observers   []func(Changes)
 	onRecovery  []func()
 }
 
-// New returns an empty mirror, which knows nothing before its first update.
+// New returns an empty mirror, whose contents are unknown until its first
+// update.
 func New() *Mirror {
 	return &Mirror{
 		items:     make(map[string]Item),
@@ -85,22 +87,23 @@
 	}
 }
 
-// Observe has fn called with what each update has changed. It has to be set
-// before the first update.
+// Observe registers fn to be called with the changes of each update. It must be
+// called before the first update.
 func (m *Mirror) Observe(fn func(Changes)) { m.observers = append(m.observers, fn) }
 
-// OnStoreRecovery has fn called when the store answers again after it has been away
-// for everybody that this router hears from. It has to be set before the first
-// update, and is called before the observers of that update.
+// OnStoreRecovery registers fn to be called when the store replies again after
+// no router that this one exchanges updates with could reach it. It must be
+// called before the first update. fn runs before the observers of the update
+// that shows the recovery.
 func (m *Mirror) OnStoreRecovery(fn func()) { m.onRecovery = append(m.onRecovery, fn) }
 
-// OutageThreshold is the time without a confirmation of the store, by any router,
-// from which on it is taken to be away. A watch confirms when it ends, after
-// 2.1 s at most, and the word takes up to two waits of a second; an outage in
-// which the leases of entries run out is longer.
+// OutageThreshold is the time without a confirmation by the store to any router
+// after which the store is considered down. A watch confirms when it ends,
+// after at most 2.1 s, and the confirmation takes up to two waits of a second
+// to spread. An outage in which the leases of entries expire is longer.
 const OutageThreshold = 4200 * time.Millisecond
 
-// AsOf returns the revision up to which the mirror is complete; zero before
+// AsOf returns the revision up to which the mirror is complete, or zero before
 // the first update.
 func (m *Mirror) AsOf() kv.Revision {
 	m.mu.Lock()
@@ -108,15 +111,15 @@
 	return m.asOf
 }
 
-// Age returns how long ago the store confirmed what the mirror holds, to this
-// router or to one that told it.
+// Age returns how long ago the store confirmed the contents of the mirror, to
+// this router or to one that passed it on.
 func (m *Mirror) Age() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.confirmedAt)
 }
 
-// Find returns the item of a key that exists.
+// Find returns the item of a key and whether the key exists.
 func (m *Mirror) Find(key string) (Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,8 +127,8 @@
 	return item, ok && !item.Deleted
 }
 
-// Apply applies an update and tells the observers what has changed. An update
-// that is behind what is known changes nothing.
+// Apply applies an update and calls the observers with the changes. Items that
+// are older than those in the mirror are ignored.
 func (m *Mirror) Apply(u Update) {
 	m.notifying.Lock()
 	defer m.notifying.Unlock()
@@ -173,7 +176,7 @@
 	return changes, recovered
 }
 
-// put takes an item if it is newer than what is known of its key.
+// put stores an item if it is newer than the known state of its key.
 func (m *Mirror) put(now time.Time, item Item) bool {
 	if old, ok := m.items[item.Key]; ok && old.Revision >= item.Revision {
 		return false
@@ -186,8 +189,8 @@
 	return true
 }
 
-// deleteUnlisted deletes the keys that a full update does not name, unless they are
-// newer than the update.
+// deleteUnlisted deletes the keys that a full update does not list, except
+// those that are newer than the update.
 func (m *Mirror) deleteUnlisted(now time.Time, u Update) []Item {
 	listed := make(map[string]bool, len(u.Items))
 	for _, item := range u.Items {
@@ -206,7 +209,7 @@
 	return removed
 }
 
-// pruneTombstones forgets old tombstones.
+// pruneTombstones deletes the tombstones that are older than tombstoneTTL.
 func (m *Mirror) pruneTombstones(now time.Time) {
 	for key, at := range m.deletedAt {
 		if now.Sub(at) > tombstoneTTL {
@@ -218,8 +221,8 @@
 	}
 }
 
-// Since returns what has changed after a revision, or everything if the mirror
-// cannot tell.
+// Since returns the changes after a revision, or a full update if after is zero
+// or some of the tombstones since then have been deleted.
 func (m *Mirror) Since(after kv.Revision) Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,16 +239,18 @@
 	return u
 }
 
-// maxAgeMs stands for any longer age: some 50 days.
+// maxAgeMs also stands for any longer age. It is about 50 days.
 const maxAgeMs = math.MaxUint32
 
-// elapsedMs returns the time since t in milliseconds, for the wire.
+// elapsedMs returns the time since t in milliseconds, at most maxAgeMs, for use
+// in a message.
 func elapsedMs(t time.Time) uint32 {
 	return uint32(min(time.Since(t).Milliseconds(), maxAgeMs))
 }
 
-// Wait returns once the mirror is complete beyond a revision, giveUp reports
-// true, or ctx ends. What giveUp reports is looked at again after [Mirror.Wake].
+// Wait returns when the mirror is complete beyond a revision, giveUp returns
+// true, or ctx ends. giveUp may be nil. It is called again when the mirror
+// changes and after [Mirror.Wake].
 func (m *Mirror) Wait(ctx context.Context, after kv.Revision, giveUp func() bool) {
 	for {
 		m.mu.Lock()
@@ -262,14 +267,14 @@
 	}
 }
 
-// Wake has those who wait look again whether they should give up.
+// Wake makes all callers of Wait call giveUp again.
 func (m *Mirror) Wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.wake()
 }
 
-// wake is Wake for a caller that holds m.mu.
+// wake is Wake for callers that hold m.mu.
 func (m *Mirror) wake() {
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/coordination/mirror/pace.go
+++ b/coordination/mirror/pace.go
@@ -13,56 +13,63 @@
 )
 
 const (
-	// minWatchers is how many routers watch the store at least. Each change is
-	// answered to each watch and each has a price, so that only a few watch and
-	// tell the others; one of three that is cut off, or dies, leaves two.
+	// minWatchers is the minimum number of routers that watch the store. Each
+	// change costs a reply to every watch, so that only a few routers watch and
+	// pass changes on to the others. If one of three is cut off or fails, two
+	// remain.
 	minWatchers = 3
-	// routersPerWatcher is for how many routers there is one that watches. A large desired
-	// state goes from it to each of them.
+	// routersPerWatcher is the number of routers for each watcher. A watcher
+	// sends a large desired state to each of them.
 	routersPerWatcher = 64
-	// maxWatchers bounds what the store is called at rest, however large the fleet.
+	// maxWatchers bounds the calls to an idle store, regardless of the size of
+	// the fleet.
 	maxWatchers = 8
 )
 
-// DefaultWatchers returns the routers that watch the store for the fleet as long as it
-// serves them, in different availability zones as far as there are. All routers
-// with the same list choose the same.
+// DefaultWatchers returns the routers that watch the store for the fleet as
+// long as it serves them. They are in different availability zones as far as
+// possible. All routers that have the same member list choose the same
+// watchers.
 func DefaultWatchers(members []placement.Router) []coordination.Instance {
 	n := (len(members) + routersPerWatcher - 1) / routersPerWatcher
 	return placement.NewRouters(members, min(max(n, minWatchers), maxWatchers)).Owners()
 }
 
-// fallbackCount is how many routers watch the store if it serves none of those that
-// usually do. Another three might be cut off as well, and each such three costs
-// a second in which nobody hears of a change; if it serves none of fifteen it
-// is away for all.
+// fallbackCount is the number of routers that watch the store if it serves none
+// of the default watchers. Three fallbacks might be cut off as well, and each
+// such group costs a second in which no router learns of a change. A store that
+// serves none of fifteen is considered down for all.
 const fallbackCount = 15
 
-// enoughFallbacks is how many routers have to have told what they had from the
-// store before the other stand-ins leave it to them: each watch has its price.
+// enoughFallbacks is the number of fallbacks that must have sent a revision
+// from the store before the other fallbacks stop watching, because each watch
+// is billed.
 const enoughFallbacks = 2
 
-// StoreReach tells of whom the store serves, as far as a router knows.
+// StoreReach tells which routers reach the store, as far as the local router
+// knows.
 type StoreReach struct {
-	// Possible reports whether a router is not known to be cut off.
-	Possible func(coordination.Instance) bool
-	// Confirmed reports whether a router has told lately what it had from the
+	// Possible reports whether a router is not known to be cut off from the
 	// store.
+	Possible func(coordination.Instance) bool
+	// Confirmed reports whether a router has recently sent a revision that it
+	// had from the store.
 	Confirmed func(coordination.Instance) bool
 }
 
-// CurrentWatchers returns the routers that watch the store now, among the members that
-// answer.
+// CurrentWatchers returns the routers that watch the store now, among the
+// members that are alive.
 func CurrentWatchers(members []placement.Router, reach StoreReach) []coordination.Instance {
 	return newWatcherCandidates(members).current(reach)
 }
 
-// watcherCandidates tells who watches the store among the same members. To work it out takes a
-// while in a large fleet, and it is asked for several times a second.
+// watcherCandidates holds the possible watchers for one list of members. It is
+// kept because it is needed several times a second and takes a while to compute
+// for a large fleet.
 type watcherCandidates struct {
 	members   []placement.Router
-	defaults  []coordination.Instance        // if the store serves them
-	fallbacks func() []coordination.Instance // if it serves none of these; worked out when asked for
+	defaults  []coordination.Instance        // the watchers if the store serves any of them
+	fallbacks func() []coordination.Instance // the watchers if it serves none of the defaults; computed on first use
 }
 
 func newWatcherCandidates(members []placement.Router) *watcherCandidates {
@@ -75,7 +82,7 @@
 	}
 }
 
-// current returns those that watch the store now.
+// current returns the routers that watch the store now.
 func (r *watcherCandidates) current(reach StoreReach) []coordination.Instance {
 	if lo.SomeBy(r.defaults, reach.Possible) {
 		return DefaultWatchers(lo.Filter(r.members, func(m placement.Router, _ int) bool { return reach.Possible(m.ID) }))
@@ -91,49 +98,51 @@
 }
 
 // waitPerMember is how much longer a router waits at another one for each
-// member of the fleet. The few that watch are asked by all others: at 330
-// routers and five of them this makes 17 calls a second each.
+// member of the fleet. The few watchers are asked by all other routers: with
+// 330 routers and five watchers, each watcher gets 17 calls a second.
 const (
 	waitPerMember = 12 * time.Millisecond
 	minPeerWait   = time.Second
-	// maxUnconfirmedWaits is how many waits a router goes without a confirmation of the
-	// store through others before it asks the store itself. A watch confirms
-	// when it ends, after two seconds, and the word takes up to two waits.
+	// maxUnconfirmedWaits is the number of waits that a router goes without a
+	// confirmation by the store through others before it calls the store
+	// itself. A watch confirms when it ends, after two seconds, and the
+	// confirmation takes up to two waits to spread.
 	maxUnconfirmedWaits = 4
 )
 
-// PeerWait returns for how long a router of a fleet of this size waits at
-// another one for a change.
+// PeerWait returns how long a router of a fleet with so many members waits at
+// another router for a change.
 func PeerWait(members int) time.Duration {
 	return max(minPeerWait, time.Duration(members)*waitPerMember)
 }
 
-// NeedsStore reports whether a router of a fleet of this size has to ask the
-// store itself: it is one of those that watch, or what it holds has not been
-// confirmed for too long.
+// NeedsStore reports whether a router has to call the store itself: it is one
+// of the watchers, or the store has not confirmed the contents of its mirror
+// for too long. age is the time since the last confirmation.
 func NeedsStore(self coordination.Instance, watchers []coordination.Instance, members int, age time.Duration) bool {
 	return slices.Contains(watchers, self) || age > maxUnconfirmedWaits*PeerWait(members)+minPeerWait
 }
 
-// A watch of the store may hear nothing although there are changes, and an
-// answer that never comes looks like a quiet store: a revoked key stays good.
-// Only a new watch, or a list, brings the change. Each watch is a call that has
-// a price, so the routers that watch take turns: with their waits spread over
-// time, some router begins a new watch every watchInterval, and the others hear
-// from it. The longest silence is then about three times that, well within the
-// two seconds in which a change has to be in force.
+// A watch may report nothing although there are changes, and a reply that is
+// lost looks like a store without changes: a revoked key stays valid. Only a
+// new watch or a list reports the change. Each watch is a call that is billed,
+// so that the watchers take turns: with their waits spread over time, one of
+// them begins a new watch every watchInterval, and the other routers get the
+// change from it. The longest silence is then about three times watchInterval,
+// which is well within the two seconds in which a change has to be in force.
 const (
 	watchInterval = 600 * time.Millisecond
 	minWatchWait  = 1850 * time.Millisecond
 	maxWatchWait  = 25 * time.Second // the store allows 30 s
-	// recoveryWatchWait is the wait of the first watch after the store was lost. It
-	// ends soon, so that everybody knows at once that the store is back.
+	// recoveryWatchWait is the wait of the first watch after the store was
+	// lost. It is short, so that all routers learn at once that the store has
+	// recovered.
 	recoveryWatchWait = 50 * time.Millisecond
 )
 
-// WatchWait returns for how long one of so many routers that watch the store
-// lets its next watch wait; lost says that its last one failed. It is spread by an
-// eighth to both sides, lest they fall into step.
+// WatchWait returns how long the next watch of one of so many watchers waits.
+// lost means that its last watch failed. The result is random within an eighth
+// of the mean in either direction, to keep the watchers out of step.
 func WatchWait(watchers int, lost bool) time.Duration {
 	if lost {
 		return recoveryWatchWait
--- a/coordination/mirror/peers.go
+++ b/coordination/mirror/peers.go
@@ -15,54 +15,59 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Topic is the topic of calls to other routers' mirrors.
+// Topic is the topic of calls to the mirrors of other routers.
 const Topic = "mirror"
 
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("mirror")
 
 var (
-	// ErrNoPeer says that no other router is known.
+	// ErrNoPeer means that there is no other router to ask.
 	ErrNoPeer = Errors.NewType("no-peer")
-	// ErrMalformed says that a message cannot be read.
+	// ErrMalformed means that a message cannot be decoded or is about an
+	// unknown prefix.
 	ErrMalformed = Errors.NewType("malformed")
 )
 
-// Request is a call to another router: what has changed after a revision?
+// Request asks another router for the changes after a revision. The reply waits
+// for a change for up to WaitMs milliseconds.
 type Request struct {
 	Prefix string      `cbor:"1,keyasint"`
 	After  kv.Revision `cbor:"2,keyasint"`
 	WaitMs uint32      `cbor:"3,keyasint"`
 }
 
-// Transport carries calls and messages to other routers.
+// Transport sends calls and messages to other routers.
 type Transport interface {
+	// Call sends a call and returns its reply.
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
-	// Notify sends a message that has no answer.
+	// Notify sends a message that has no reply.
 	Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error
 }
 
-// PeerSource is the other routers as a Source. Each fetch goes to a router that
-// Choose names, so that one that is behind or cut off itself is not asked
-// twice in a row but by chance.
+// PeerSource is a Source that fetches from other routers. Choose picks a router
+// for each fetch, so that one that is behind or cut off itself is asked twice
+// in a row only by chance.
 type PeerSource struct {
 	Transport Transport
 	Choose    func() (coordination.Instance, bool)
 	Prefix    string
-	Wait      func() time.Duration // for which a peer waits for a change
-	Timeout   time.Duration        // beyond Wait
-	// OnReachability, if set, is told whether a router that has answered reaches the
-	// store itself. One that does not hears of changes no sooner than this one.
+	Wait      func() time.Duration // how long the other router waits for a change
+	Timeout   time.Duration        // of a call, in addition to Wait
+	// OnReachability, if set, is called with each router that has replied and
+	// whether it reaches the store. A router that does not learns of changes no
+	// sooner than this one.
 	OnReachability func(id coordination.Instance, reaches bool)
-	// CallLog, if set, remembers the calls.
+	// CallLog, if set, records the calls.
 	CallLog *CallLog
 }
 
-// Fetch implements Source.
+// Fetch implements Source. The error is [ErrNoPeer] if there is no router to
+// ask, [ErrMalformed] if the reply cannot be decoded, or that of the call.
 func (s PeerSource) Fetch(ctx context.Context, after kv.Revision) (Update, error) {
 	to, ok := s.Choose()
 	if !ok {
-		return Update{}, ErrNoPeer.New("no other router is known")
+		return Update{}, ErrNoPeer.New("no other router is available")
 	}
 	start := time.Now()
 	u, err := s.call(ctx, to, after, s.Wait())
@@ -87,25 +92,26 @@
 	}
 	u, err := decodeReply(b)
 	if err != nil {
-		return Update{}, ErrMalformed.Wrap(err, "update from %s", to)
+		return Update{}, ErrMalformed.Wrap(err, "decoding the update from %s", to)
 	}
 	u.From = to
 	return u, nil
 }
 
-// reply is the answer to an Ask: an update as it was packed for all who ask for
-// the same, and its age now.
+// reply is the reply to a Request: an update, encoded once for all callers that
+// ask for the same one, and its current age.
 type reply struct {
-	Compressed []byte `cbor:"1,keyasint,omitempty"` // compressed
+	Compressed []byte `cbor:"1,keyasint,omitempty"` // deflated encoding of the Update
 	AgeMs      uint32 `cbor:"2,keyasint"`
-	Plain      []byte `cbor:"3,keyasint,omitempty"` // in place of Packed
+	Plain      []byte `cbor:"3,keyasint,omitempty"` // uncompressed encoding, if Compressed is empty
 	Lost       bool   `cbor:"4,keyasint,omitempty"` // this router does not reach the store
-	// BehindMs is that of the update, now.
+	// BehindMs is the current BehindMs of the update.
 	BehindMs uint32 `cbor:"5,keyasint,omitempty"`
 }
 
-// maxUpdateSize bounds an update that another router sends: all entries of 2,000
-// endpoints and the largest value of the store, several times over.
+// maxUpdateSize bounds the uncompressed size in bytes of an update from another
+// router. It is several times the size of all entries of 2,000 endpoints plus
+// the largest value that the store allows.
 const maxUpdateSize = 16 << 20
 
 func decodeReply(b []byte) (Update, error) {
@@ -129,14 +135,14 @@
 	return u, nil
 }
 
-// minCompressSize is the size in bytes from which on an update is compressed: below,
-// it fits a packet or two as it is.
+// minCompressSize is the size in bytes from which an update is compressed. A
+// smaller one fits one or two packets uncompressed.
 const minCompressSize = 2 << 10
 
-// encodeUpdate returns an update for the wire, compressed if it is large. A desired
-// state of a thousand routes is 250 KB; a router on a link of 10 Mbit/s that
-// told it to 26 others as it is would need 5 s, and the change would be late
-// everywhere. It packs to a tenth.
+// encodeUpdate encodes an update and compresses it if it is large. A desired
+// state with a thousand routes has 250 KB. A router on a link of 10 Mbit/s
+// would need 5 s to send it uncompressed to 26 others, and the change would be
+// late everywhere. Compressed, it is a tenth of that.
 func encodeUpdate(u Update) reply {
 	u.AgeMs = 0
 	encoded := encode(u)
@@ -147,33 +153,34 @@
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(&b)
-	_, _ = w.Write(encoded) // a Buffer takes all writes
+	_, _ = w.Write(encoded) // a Buffer accepts all writes
 	_ = w.Close()
 	return reply{Compressed: b.Bytes()}
 }
 
-// compressors holds compressors, each of which takes a megabyte.
+// compressors pools compressors because each takes a megabyte.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic("mirror: packing an update: " + err.Error())
+		panic("mirror: creating a compressor: " + err.Error())
 	}
 	return w
 }}
 
-// Server answers the calls of other routers.
+// Server answers the calls of other routers on [Topic].
 type Server struct {
 	Mirrors map[string]*Mirror // by prefix
-	// Lost, if set, reports whether this router does not reach the store. It
-	// then holds no caller back to wait for a change, which others hear first.
+	// Lost, if set, reports whether this router cannot reach the store. The
+	// server then does not hold calls until there is a change, as other routers
+	// learn of changes first.
 	Lost func() bool
 
 	mu    sync.Mutex
-	cache []cachedUpdate // the latest ones
+	cache []cachedUpdate // the latest ones, oldest first
 }
 
-// cachedUpdate is an update as it was packed. Those who wait for a change ask
-// for the same, so that it is packed once for all of them.
+// cachedUpdate is an encoded update. Callers that wait for a change all ask for
+// the same update, so that it is encoded once for all of them.
 type cachedUpdate struct {
 	prefix      string
 	after, asOf kv.Revision
@@ -181,20 +188,22 @@
 }
 
 const (
-	// maxHold bounds the time for which a call is held, whatever it asks
+	// maxHold bounds how long a call is held, regardless of the wait it asks
 	// for.
 	maxHold = 10 * time.Second
-	// maxCachedUpdates is how many packed updates are kept.
+	// maxCachedUpdates is the number of encoded updates that are kept.
 	maxCachedUpdates = 4
 )
 
-// Handle answers a call on [Topic].
+// Handle answers a call on [Topic]. The error is [ErrMalformed] if the request
+// cannot be decoded or is about an unknown prefix.
 func (s *Server) Handle(ctx context.Context, payload []byte) ([]byte, error) {
 	b, _, err := s.handle(ctx, payload)
 	return b, err
 }
 
-// handle also returns the revision up to which the answer tells all.
+// handle is Handle, and also returns the revision up to which the reply is
+// complete.
 func (s *Server) handle(ctx context.Context, payload []byte) ([]byte, kv.Revision, error) {
 	var req Request
 	if err := cbor.Unmarshal(payload, &req); err != nil {
@@ -202,7 +211,7 @@
 	}
 	m := s.Mirrors[req.Prefix]
 	if m == nil {
-		return nil, 0, ErrMalformed.New("no mirror of %q", req.Prefix)
+		return nil, 0, ErrMalformed.New("no mirror of prefix %q", req.Prefix)
 	}
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxHold)
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -214,7 +223,7 @@
 	return encode(r), u.AsOf, nil
 }
 
-// cachedReply returns an update packed, from the kept ones if it is among them.
+// cachedReply returns an encoded update, from the cache if it is there.
 func (s *Server) cachedReply(req Request, u Update) reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/mirror/store.go
+++ b/coordination/mirror/store.go
@@ -14,24 +14,26 @@
 type Store interface {
 	// List reads all keys that start with prefix.
 	List(ctx context.Context, prefix string) kv.Result
-	// Watch waits for changes after a revision. Its batch has a gap if the
-	// store has forgotten some of them.
+	// Watch waits up to wait for changes after a revision. The batch has a gap
+	// if the store no longer has some of the changes.
 	Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Batch, kv.Result)
-	// Ping asks for a sign of life, at a small part of the price of a watch.
+	// Ping checks whether the store replies. It costs a small part of the price
+	// of a watch.
 	Ping(ctx context.Context) kv.Result
 }
 
-// ErrSilent says that the store gives no sign of life while a watch waits.
+// ErrSilent means that the store did not reply to a ping during a watch.
 var ErrSilent = Errors.NewType("silent")
 
-// StoreSource is the store as a Source.
+// StoreSource is a Source that fetches from the store.
 type StoreSource struct {
 	Store  Store
 	Prefix string
-	Wait   func() time.Duration // for which the next watch waits
+	Wait   func() time.Duration // how long the next watch waits
 }
 
-// Fetch implements Source.
+// Fetch implements Source. The error is [ErrSilent] if the store stopped
+// replying during a watch, or that of the call.
 func (s StoreSource) Fetch(ctx context.Context, after kv.Revision) (Update, error) {
 	if after == 0 {
 		return s.list(ctx)
@@ -57,18 +59,18 @@
 }
 
 // A watch that waits looks the same whether nothing changes or the store has
-// fallen silent to this router. Those who wait at this router would hear of no
-// change before the watch has run out, up to three seconds. If all that watch
-// are cut off at once, nobody would; with these figures the others know it
-// after pingInterval + pingTimeout and watch in their place.
+// stopped replying to this router. Routers that wait at this one would learn of
+// no change before the watch times out, after up to three seconds, and none
+// would if all watchers were cut off at once. With these values the others
+// notice after pingInterval + pingTimeout and watch in place of this router.
 const (
 	pingInterval = 600 * time.Millisecond
-	// pingTimeout is enough for a store that takes 50 times as long as the few
-	// milliseconds that are usual, and for a packet that is sent again.
+	// pingTimeout allows for a store that takes 50 times the usual few
+	// milliseconds, and for a packet that is sent again.
 	pingTimeout = 400 * time.Millisecond
 )
 
-// pinger asks the store for signs of life while a watch waits.
+// pinger pings the store during a watch.
 type pinger struct {
 	store  Store
 	cancel context.CancelCauseFunc // ends the watch
@@ -81,7 +83,7 @@
 		}
 		err := p.ping(ctx)
 		if err != nil {
-			p.cancel(ErrSilent.Wrap(err, "no sign of life while a watch waited"))
+			p.cancel(ErrSilent.Wrap(err, "no reply to a ping during a watch"))
 			return
 		}
 	}
