--- a/coordination/mirror/asked_test.go
+++ b/coordination/mirror/asked_test.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// serverTransport is one other router.
+// serverTransport passes all calls to one server and drops messages.
 type serverTransport struct{ server *mirror.Server }
 
 // Call implements mirror.Transport.
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// A change came late, and callers were answered by what went before. Whoever
-// looks for the cause has to see from the late router alone how long another
-// one had known, which one told, and where this one had waited instead.
+// When a change arrives late, the receiving router alone must show the cause:
+// how long another router had known the change, which router sent it, and which
+// routers were asked before.
 func TestChangesReportDelayAndRecentCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, late := mirror.New(), mirror.New()
@@ -60,8 +60,8 @@
 	})
 }
 
-// A router that was told late tells the next one, which is later still: the
-// time counts from the store's word to the first of them.
+// A change that is passed on late twice counts the delay from the time the
+// first router learned of it from the store.
 func TestBehindAccumulatesAcrossRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*mirror.Mirror{mirror.New(), mirror.New(), mirror.New()}
--- a/coordination/mirror/burst_test.go
+++ b/coordination/mirror/burst_test.go
@@ -13,8 +13,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// Hundreds of endpoints that register within seconds, as when all start, cost a
-// call of each router that watches the store, and a message to all others, each.
+// Hundreds of endpoints that register within seconds, as when all of them
+// start, must not cost one call of each watcher and one message to every other
+// router each.
 func TestBurstOfChangesComesInFewUpdates(t *testing.T) {
 	const (
 		changes = 250
@@ -52,8 +53,8 @@
 	}
 }
 
-// A router that asks any other one for changes comes to hold a connection to each,
-// and all of them to look after.
+// If routers chose among all others whom to ask, each would hold a connection
+// to every other one.
 func TestRoutersAskFewOthers(t *testing.T) {
 	for _, n := range []int{7, 64, 330, 1000} {
 		var routers []placement.Router
--- a/coordination/mirror/fakestore_test.go
+++ b/coordination/mirror/fakestore_test.go
@@ -9,7 +9,8 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// fakeStore is a store whose watches can fall silent.
+// fakeStore is an in-memory store that can drop the notifications of its
+// watches.
 type fakeStore struct {
 	mu                sync.Mutex
 	asOf              kv.Revision
@@ -17,7 +18,7 @@
 	changed           chan struct{}
 	dropNotifications bool
 	down              bool
-	compacted         kv.Revision // history up to here is gone
+	compacted         kv.Revision // history up to this revision is gone
 	calls             int
 	pings             int
 }
@@ -42,14 +43,14 @@
 	return n
 }
 
-// cost returns that of the calls so far, in calls. A ping has a tenth of the
-// cost of any other.
+// cost returns the cost of the calls so far, in units of a call. A ping counts
+// as a tenth of any other call.
 func (s *fakeStore) cost() (n int) {
 	s.withLock(func() { n = s.calls + s.pings/10 })
 	return n
 }
 
-// resetCalls counts calls anew.
+// resetCalls resets the call counters.
 func (s *fakeStore) resetCalls() {
 	s.withLock(func() { s.calls, s.pings = 0, 0 })
 }
--- a/coordination/mirror/feed_test.go
+++ b/coordination/mirror/feed_test.go
@@ -16,9 +16,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// The store turns some routers away while it serves the others. An operator
-// takes a key away; on the routers that were turned away it would stay good
-// until the store serves them again.
+// If the store rejects some routers while it serves the others, a revoked key
+// must not stay valid on the rejected ones until the store serves them again.
 func TestRouterRefusedByStoreUpdatesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
@@ -31,9 +30,8 @@
 	})
 }
 
-// All watches of the store hear nothing for a second while a change is made,
-// and none of them ends. Nobody would hear of the change before the longest
-// wait of a watch is over.
+// A change that no watch reports must come into force before the longest wait
+// of a watch is over. All watches miss the notification, and none of them ends.
 func TestChangeMissedByAllWatchesIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
@@ -47,8 +45,8 @@
 	})
 }
 
-// The store is down for some seconds, and a router starts meanwhile. It serves
-// nobody until it has the desired state from another router.
+// A router that starts while the store is down serves nobody until it has the
+// desired state, and must get it from another router.
 func TestRouterStartedDuringOutageAsksPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -66,7 +64,7 @@
 	})
 }
 
-// failingSource is away until a moment, and then tells one item.
+// failingSource fails until a given time and then returns one item.
 type failingSource struct{ until time.Time }
 
 func (s failingSource) Fetch(ctx context.Context, after kv.Revision) (mirror.Update, error) {
@@ -80,9 +78,9 @@
 	return mirror.Update{AsOf: 1, Full: true, Items: []mirror.Item{put("a", "1", 1)}}, nil
 }
 
-// All routers restart while the store is down. None has the desired state, so
-// each of them refuses every request until it has asked the store again, and
-// a caller is turned away by a fleet that could long have served it.
+// Routers that restart while the store is down have no desired state and refuse
+// every request. Each must ask the store again soon after it recovers, or
+// callers are refused by a fleet that could serve them.
 func TestRoutersStartedDuringOutageRecoverQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 50 {
@@ -90,14 +88,14 @@
 			m := mirror.New()
 			stop := (&mirror.Follower{Mirror: m, Source: failingSource{back}}).Start()
 			m.Wait(t.Context(), 0, nil)
-			assert.Assert(t, time.Since(back) <= 300*time.Millisecond, "the desired state came %v behind the return", time.Since(back))
+			assert.Assert(t, time.Since(back) <= 300*time.Millisecond, "the desired state arrived %v after the store recovered", time.Since(back))
 			stop()
 		}
 	})
 }
 
-// A store that is down must not be called by the whole fleet again and again:
-// each call has its price, and the store needs air to come back.
+// The fleet must not call a store that is down too often: each call is billed,
+// and the load delays its recovery.
 func TestOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
@@ -111,9 +109,9 @@
 	})
 }
 
-// The store is called by a few routers, whatever the size of the fleet: on a
-// quiet store they begin about two watches a second together, and a change is
-// answered to them alone.
+// Only a few routers call the store, whatever the size of the fleet. Together
+// they begin about two watches a second when nothing changes, and only they get
+// replies on a change.
 func TestFewRoutersCallTheStore(t *testing.T) {
 	for _, routers := range []int{7, 30, 80} {
 		synctest.Test(t, func(t *testing.T) {
@@ -134,10 +132,10 @@
 	}
 }
 
-// All routers that watch the store for the others are cut off from it at once,
-// and a key is revoked half a second later. The others hear that these are lost
-// and watch in their place. Once, they waited until nothing had been confirmed
-// for five seconds, and the key stayed good for three.
+// All watchers are cut off from the store at once, and a key is revoked half a
+// second later. The other routers must learn of the loss and watch instead.
+// When they waited until nothing had been confirmed for five seconds, the key
+// stayed valid for three.
 func TestAllWatchersCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30)
@@ -157,9 +155,9 @@
 	})
 }
 
-// The store is down for five seconds, and then answers again. Only a return
-// after an outage that hit all routers may keep lapsed entries alive: a router
-// that is turned away while the others are served has no reason to.
+// Only a recovery from an outage that affected all routers may keep expired
+// entries alive. A router that is rejected while the store serves others must
+// not report one.
 func TestRecoveryReportedOnlyAfterFullOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
--- a/coordination/mirror/fleet_test.go
+++ b/coordination/mirror/fleet_test.go
@@ -19,27 +19,27 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// fleet is some routers' mirrors of one store that ask each other.
+// fleet is a set of routers that mirror one store and ask each other.
 type fleet struct {
 	store        *fakeStore
 	mirrors      []*mirror.Mirror
 	routers      []placement.Router
-	refused      map[int]bool                   // the store turns these away
-	poweredOff   map[coordination.Instance]bool // these have lost power, and all know it
-	silent       map[int]bool                   // the store leaves these without an answer
-	delay        time.Duration                  // of each call and each answer, between routers and with the store
-	storeDelay   time.Duration                  // beyond delay, of each answer of the store
-	stateChanges atomic.Int32                   // how often a router has lost the store or had it back
-	lossHints    atomic.Int32                   // how often a router has been told that another one has lost the store
+	refused      map[int]bool                   // routers that the store rejects
+	poweredOff   map[coordination.Instance]bool // routers that have lost power, as all others know
+	silent       map[int]bool                   // routers that the store does not reply to
+	delay        time.Duration                  // of each call and each reply, between routers and with the store
+	storeDelay   time.Duration                  // of each reply of the store, in addition to delay
+	stateChanges atomic.Int32                   // how often a router has lost the store or reached it again
+	lossHints    atomic.Int32                   // hints sent that report the loss of the store
 	feeds        []*mirror.Feed
 
-	callsMu   sync.Mutex // guards asks and asked
+	callsMu   sync.Mutex // guards callsFrom and callsTo
 	callsFrom map[coordination.Instance]int
 	callsTo   map[coordination.Instance]int
 }
 
-// takeCallCounts returns how often one router has asked others at most, and has been asked,
-// and counts anew.
+// takeCallCounts returns the largest number of calls from one router and to one
+// router, and resets the counts.
 func (f *fleet) takeCallCounts() (asks, asked int) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
@@ -48,7 +48,8 @@
 	return asks, asked
 }
 
-// countCall counts a call. Nothing is counted before the first count.
+// countCall counts a call. Calls before the first takeCallCounts are not
+// counted.
 func (f *fleet) countCall(from, to coordination.Instance) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
@@ -62,8 +63,8 @@
 	return newFleetWithDelay(t, n, 0, func(int, mirror.Changes) {})
 }
 
-// newFleetWithDelay returns a fleet whose calls and answers take a time, and of
-// which observe is told what each router hears.
+// newFleetWithDelay returns a fleet whose calls and replies each take delay.
+// observe is called with the changes at each router.
 func newFleetWithDelay(t *testing.T, n int, delay time.Duration, observe func(router int, n mirror.Changes)) *fleet {
 	f := &fleet{store: newFakeStore(), refused: map[int]bool{}, silent: map[int]bool{}, delay: delay}
 	for i := range n {
@@ -104,7 +105,7 @@
 	return all
 }
 
-// peerTransport is how one router reaches the others.
+// peerTransport is the mirror.Transport of one router.
 type peerTransport struct {
 	fleet  *fleet
 	router int
@@ -143,7 +144,7 @@
 	return feed.HandleHint(l.fleet.routers[l.router].ID, payload)
 }
 
-// countHint counts hints on their way.
+// countHint counts hints that report the loss of the store.
 func (f *fleet) countHint(payload []byte) {
 	var h mirror.Hint
 	if cbor.Unmarshal(payload, &h) == nil && h.Lost {
@@ -151,7 +152,8 @@
 	}
 }
 
-// routerStore is the store as one router reaches it.
+// routerStore is the store as one router reaches it, with the faults that apply
+// to that router.
 type routerStore struct {
 	fleet  *fleet
 	router int
@@ -172,12 +174,12 @@
 	return d
 }
 
-// storeTimeout is how long a call that the store leaves without an answer
-// takes, beyond the time for which it may wait.
+// storeTimeout is how long a call without a reply takes to time out, in
+// addition to its wait.
 const storeTimeout = time.Second
 
-// awaitAnswer returns whether the store's awaitAnswer to a call reaches the router. If it
-// does not, it returns when the call has run out or been given up.
+// awaitAnswer reports whether the reply of the store reaches the router. If it
+// does not, awaitAnswer returns when the call has timed out or ctx ends.
 func (c routerStore) awaitAnswer(ctx context.Context, timeout <-chan time.Time) bool {
 	if c.isRefused() {
 		return false
@@ -224,8 +226,8 @@
 	return b, res
 }
 
-// silenceWatchers has the store fall silent to so many of the routers that
-// usually watch it.
+// silenceWatchers makes the store stop replying to the first n default
+// watchers.
 func (f *fleet) silenceWatchers(n int) {
 	watchers := mirror.DefaultWatchers(f.routers)[:n]
 	f.store.withLock(func() {
@@ -235,8 +237,8 @@
 	})
 }
 
-// waitForValue waits until all mirrors show a value, and fails if that takes longer
-// than limit.
+// waitForValue waits until all mirrors have a value, and fails the test if that
+// takes longer than limit.
 func (f *fleet) waitForValue(t *testing.T, limit time.Duration, key, want string) {
 	t.Helper()
 	start := time.Now()
--- a/coordination/mirror/late_test.go
+++ b/coordination/mirror/late_test.go
@@ -17,15 +17,15 @@
 )
 
 // A change has to be in force everywhere two seconds after the store has
-// acknowledged it. The aims leave half a second of that for a router that is
-// busy or behind lost packets.
+// acknowledged it. These limits leave half a second of that for a router that
+// is busy or affected by lost packets.
 const (
 	maxAfterAck   = 1500 * time.Millisecond
 	maxAfterFirst = 300 * time.Millisecond
-	maxLateShare  = 0.001 // of the applications, later than latestAfterFirst
+	maxLateShare  = 0.001 // of all applied changes, later than maxAfterFirst
 )
 
-// arrivals notes when each router had each revision in force.
+// arrivals records when each router applied each revision.
 type arrivals struct {
 	mu    sync.Mutex
 	at    []map[kv.Revision]time.Time // by router
@@ -54,7 +54,7 @@
 	a.acked[n] = time.Now()
 }
 
-// inForce returns when a router had a revision, or a later one, in force.
+// inForce returns when a router first had a revision, or a later one, in force.
 func (a *arrivals) inForce(router int, n kv.Revision) (at time.Time, ok bool) {
 	for r, t := range a.at[router] {
 		if r >= n && (!ok || t.Before(at)) {
@@ -64,7 +64,7 @@
 	return at, ok
 }
 
-// delays returns how long behind the acknowledgement, and behind the first
+// delays returns how long after the acknowledgement, and after the first
 // router, each router had each change in force, sorted.
 func (a *arrivals) delays(t *testing.T) (afterAck, afterFirst []time.Duration) {
 	t.Helper()
@@ -88,15 +88,15 @@
 	return afterAck, afterFirst
 }
 
-// silenceScenario plays rounds in which the store falls silent to a part of a fleet for
-// some seconds, without a word and in the middle of its watches, while an
-// operator makes changes.
+// silenceScenario runs rounds in which the store stops replying to a part of
+// the fleet for some seconds, in the middle of its watches and without an
+// error, while an operator makes changes.
 type silenceScenario struct {
 	routers, rounds int
-	share           float64 // of the routers that the store leaves without answers
-	watchers        bool    // all that watch the store are among them
+	share           float64 // of the routers that the store does not reply to
+	watchers        bool    // all default watchers are among them
 	shortPause      bool    // the next round begins within three seconds
-	invert          bool    // as a round ends, the store falls silent to the others
+	invert          bool    // at the end of a round, the store stops replying to the other routers instead
 	seed            uint64
 }
 
@@ -128,7 +128,7 @@
 	return least + time.Duration(r.IntN(2_000))*time.Millisecond
 }
 
-// change makes changes while the store is silent to some routers.
+// change makes changes while the store does not reply to some routers.
 func (s silenceScenario) change(f *fleet, r *rand.Rand, a *arrivals, value string, silent map[int]bool) {
 	f.store.withLock(func() { f.silent = silent })
 	for n := range 6 {
@@ -139,7 +139,7 @@
 	time.Sleep(4 * time.Second)
 }
 
-// complement returns the routers that are not among these.
+// complement returns the routers that are not in set.
 func (f *fleet) complement(set map[int]bool) map[int]bool {
 	rest := make(map[int]bool)
 	for i := range f.routers {
@@ -148,8 +148,8 @@
 	return rest
 }
 
-// chooseSilent returns the routers to which the store falls silent: never all, and
-// all that watch it, or not all of these.
+// chooseSilent returns the routers that the store stops replying to: never all,
+// and either all default watchers or not all of these.
 func (s silenceScenario) chooseSilent(f *fleet, r *rand.Rand) map[int]bool {
 	watchers := mirror.DefaultWatchers(f.routers)
 	silent := make(map[int]bool)
@@ -176,16 +176,15 @@
 	return true
 }
 
-// The store falls silent to some routers, and nothing tells them: their watches
-// hear nothing. An operator adds a route, and a router that the store still
-// serves has it at once. The others wait for a second at one that does not
-// know, and then perhaps at another one that does not: for two seconds and more
-// a caller is told that no route serves its request, or a revoked key is good.
+// A change must reach all routers while the store replies only to some of them,
+// and the watches of the others report no error. Otherwise requests for a new
+// route are refused, or a revoked key stays valid, for two seconds or more.
 //
-// News went only to those who were waiting where it arrived, and nothing bounded
-// the number of waits elsewhere. A late router's own log proved it: waits of
-// 1,011 ms and 1,010 ms without a result at two routers, then the change within
-// 1 ms from a third that had had it for 1.94 s and had been asked by nobody.
+// When changes were sent only to the routers waiting where they arrived,
+// nothing bounded the number of waits elsewhere. The log of a late router
+// showed waits of 1,011 ms and 1,010 ms without a result at two routers, and
+// then the change within 1 ms from a third that had had it for 1.94 s and that
+// no router had asked.
 func TestChangeReachesAllWhileTheStoreIsSilentToSome(t *testing.T) {
 	scenarios := []silenceScenario{
 		{routers: 7, rounds: 40, share: 0.35, seed: 1},
@@ -200,23 +199,22 @@
 				afterAck, afterFirst := s.run(t).delays(t)
 				late, _ := slices.BinarySearch(afterFirst, maxAfterFirst+1)
 				share := float64(len(afterFirst)-late) / float64(len(afterFirst))
-				t.Logf("%d applications, %.4f late, latest %v behind the first and %v behind the acknowledgement",
+				t.Logf("%d changes applied, %.4f of them late, the latest %v after the first router and %v after the acknowledgement",
 					len(afterFirst), share, afterFirst[len(afterFirst)-1], afterAck[len(afterAck)-1])
-				assert.Check(t, share <= maxLateShare, "%.4f of the applications came more than %v behind the first", share, maxAfterFirst)
+				assert.Check(t, share <= maxLateShare, "%.4f of the changes were applied more than %v after the first router", share, maxAfterFirst)
 				assert.Check(t, afterAck[len(afterAck)-1] <= maxAfterAck)
 			})
 		})
 	}
 }
 
-// The store falls silent to all routers that watch it for the others, at once,
-// and serves the rest of the fleet. Nobody hears of a change, or of a key that
-// is taken away, until the watches have run out.
+// A change must reach all routers when the store stops replying to all default
+// watchers at once and serves the rest of the fleet.
 //
-// A watch that waits and a store that has fallen silent look the same, and who
-// watched was decided by who had found out. Logs proved it: no router had any of
-// ten changes for 1.94 s, until the third of three watches ran out; then another
-// router watched and had all ten within 0.3 s.
+// A watch that waits looks the same as a store that does not reply. When the
+// choice of watchers depended on which routers had noticed, no router had any
+// of ten changes for 1.94 s, until the third of three watches timed out; then
+// another router watched and had all ten within 0.3 s.
 func TestChangeReachesAllWhileTheStoreIsSilentToAllThatWatch(t *testing.T) {
 	scenarios := []silenceScenario{
 		{routers: 7, rounds: 40, share: 0, watchers: true, seed: 5},
@@ -232,7 +230,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				afterAck, _ := s.run(t).delays(t)
-				t.Logf("%d applications, latest %v behind the acknowledgement", len(afterAck), afterAck[len(afterAck)-1])
+				t.Logf("%d changes applied, the latest %v after the acknowledgement", len(afterAck), afterAck[len(afterAck)-1])
 				assert.Check(t, afterAck[len(afterAck)-1] <= maxAfterAck)
 			})
 		})
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -28,9 +28,9 @@
 	return string(item.Value)
 }
 
-// A router hears of a change from the store and, later, of the one before it
-// from a peer that is behind. If the older one came into force again, a key
-// that was taken away would be good once more.
+// A router may get a change from the store and, later, an older change from a
+// peer that is behind. The older one must not be applied, or a revoked key
+// would become valid again.
 func TestNothingReverts(t *testing.T) {
 	changes := []mirror.Item{put("a", "1", 2), put("a", "2", 5), deletion("a", 7), put("a", "3", 9)}
 	for seed := range uint64(50) {
@@ -56,7 +56,7 @@
 	m.Observe(func(n mirror.Changes) { changes = n.Items })
 	m.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1), put("b", "1", 2)}, AsOf: 2})
 	m.Apply(mirror.Update{Items: []mirror.Item{put("c", "1", 6)}, AsOf: 6})
-	// The list is of revision 4: it cannot know c, which is newer.
+	// The list has revision 4 and cannot contain c, which is newer.
 	m.Apply(mirror.Update{Full: true, Items: []mirror.Item{put("a", "1", 1)}, AsOf: 4})
 	assert.Equal(t, valueOf(m, "a"), "1")
 	assert.Equal(t, valueOf(m, "b"), "none")
@@ -65,8 +65,8 @@
 	assert.Equal(t, m.AsOf(), kv.Revision(6))
 }
 
-// A peer was cut off for longer than deletions are remembered. If it were told
-// changes alone, it would keep endpoints that are long gone.
+// A peer that was cut off for longer than deletions are remembered must get a
+// full update. With changes alone it would keep endpoints that no longer exist.
 func TestPeerFarBehindGetsFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mirror.New()
--- a/coordination/mirror/pace_test.go
+++ b/coordination/mirror/pace_test.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// newRouters returns so many routers in three availability zones.
+// newRouters returns n routers in three availability zones.
 func newRouters(n int) (routers []placement.Router) {
 	for i := range n {
 		routers = append(routers, placement.Router{ID: coordination.Instance(fmt.Sprint("r", i)), Zone: coordination.Zone(fmt.Sprint(i % 3))})
@@ -58,7 +58,7 @@
 	}
 }
 
-// fallbackWatchers returns the routers that watch when the usual ones are cut off.
+// fallbackWatchers returns the watchers when the default ones are cut off.
 func fallbackWatchers(routers []placement.Router, defaults []coordination.Instance) []coordination.Instance {
 	return mirror.CurrentWatchers(routers, mirror.StoreReach{
 		Possible:  func(id coordination.Instance) bool { return !slices.Contains(defaults, id) },
@@ -66,9 +66,9 @@
 	})
 }
 
-// The store takes 60 times as long as usual for each answer. Were it taken for
-// lost, the whole fleet would change who watches, again and again, and call a
-// store that is overloaded even more.
+// A store that takes 60 times as long as usual for each reply must not be
+// considered lost. The whole fleet would keep changing its watchers and add
+// calls to an overloaded store.
 func TestSlowStoreIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
@@ -82,9 +82,8 @@
 	})
 }
 
-// The store falls silent to all routers that watch it, and serves them again
-// later. Those that stood in for them have to leave it to them again, or every
-// outage would make the store dearer for good.
+// When the store replies to the default watchers again, the fallback watchers
+// must stop, or every outage would raise the cost of the store permanently.
 func TestFallbackWatchersStopWhenStoreRecovers(t *testing.T) {
 	for _, routers := range []int{7, 64} {
 		synctest.Test(t, func(t *testing.T) {
@@ -100,8 +99,9 @@
 				f.store.put("a", fmt.Sprint(n))
 				f.waitForValue(t, time.Second, "a", fmt.Sprint(n))
 			}
-			// Each change is answered to five, each lost router calls once a
-			// second, and twelve stand-ins have two answers before they leave off.
+			// Each change is sent in reply to five watches, each of three lost
+			// routers calls once a second, and twelve fallbacks get two replies
+			// before they stop.
 			assert.Assert(t, f.store.cost() < 20*5+3*20+12*2, "%d calls in 20 s with 20 changes", f.store.cost())
 			f.store.withLock(func() { f.silent = nil })
 			time.Sleep(5 * time.Second)
@@ -112,8 +112,8 @@
 	}
 }
 
-// A router that watches tells the others that it has lost the store, and tells
-// it again, since a router that starts meanwhile has not heard it.
+// A watcher that has lost the store must repeat its hint, because a router that
+// has started since then has not received the first.
 func TestWatcherRepeatsStoreLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
@@ -126,8 +126,8 @@
 	})
 }
 
-// All routers that watch the store lose power together, and the others have just
-// noticed. Until another one watches, a key that is taken away stays good.
+// When all watchers lose power together and the others have just noticed, other
+// routers must watch at once. Until then a revoked key stays valid.
 func TestOthersWatchAtOnceAfterWatchersFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
--- a/coordination/mirror/peers_test.go
+++ b/coordination/mirror/peers_test.go
@@ -11,15 +11,15 @@
 	"wisteriaspool/coordination/mirror"
 )
 
-// The bytes of a call come from another process, which may be of another
-// version, or not a router at all.
+// The payload of a call comes from another process, which may run another
+// version or not be a router at all.
 func TestServerRejectsMalformedRequest(t *testing.T) {
 	s := &mirror.Server{Mirrors: map[string]*mirror.Mirror{"": mirror.New()}}
 	_, err := s.Handle(t.Context(), []byte{0xff, 0x00})
 	assert.ErrorContains(t, err, "ask")
 }
 
-// A hint comes without an answer; what cannot be read must change nothing.
+// A hint has no reply, and one that cannot be decoded must not change anything.
 func TestFeedRejectsMalformedHints(t *testing.T) {
 	f := mirror.NewFeed(mirror.FeedConfig{Self: "a", Prefix: "op/", Mirror: mirror.New()})
 	assert.ErrorContains(t, f.HandleHint("b", []byte{0xff, 0x00}), "hint")
@@ -28,8 +28,8 @@
 	assert.ErrorContains(t, f.HandleHint("b", other), "no mirror")
 }
 
-// The desired state grows to a thousand routes. Were it told as it is, a router
-// on a slow link that tells it to a third of the fleet would need seconds.
+// A desired state of a thousand routes must be sent compressed. A router on a
+// slow link that sends it to a third of the fleet would need seconds otherwise.
 func TestLargeUpdateIsCompressed(t *testing.T) {
 	m := mirror.New()
 	var state bytes.Buffer
--- a/coordination/mirror/rest_test.go
+++ b/coordination/mirror/rest_test.go
@@ -11,15 +11,15 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// What the routers ask each other while nothing changes must not grow with the
-// fleet for any of them, and the calls to the store not at all.
+// While nothing changes, the calls between routers must not grow with the size
+// of the fleet for any router, and the calls to the store must not grow at all.
 func TestRestCostsTheSameAtAnySize(t *testing.T) {
 	const (
 		seconds = 12
-		// A router asks once a second in a small fleet and less often in a large
-		// one, and is asked by those for whom it watches.
-		maxAsks  = 2  // a second, of any router
-		maxAsked = 60 // a second, of a router that watches
+		// A router asks once a second in a small fleet and less often in a
+		// large one. A watcher is asked by the routers for which it watches.
+		maxAsks  = 2  // calls a second from any router
+		maxAsked = 60 // calls a second to a watcher
 	)
 	for _, routers := range []int{7, 64, 330, 1000} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -33,7 +33,7 @@
 				time.Sleep(seconds * time.Second)
 				asks, asked := f.takeCallCounts()
 				watchers := len(mirror.DefaultWatchers(f.routers))
-				t.Logf("%d calls to the store by %d routers; a router asks %d times at most, and is asked %d times", f.store.cost(), watchers, asks, asked)
+				t.Logf("calls to the store: %d, from %d watchers; calls between routers: at most %d from one router and %d to one router", f.store.cost(), watchers, asks, asked)
 				assert.Check(t, f.store.cost() <= 3*seconds+watchers)
 				assert.Check(t, asks <= maxAsks*seconds)
 				assert.Check(t, asked <= maxAsked*seconds)
