--- a/coordination/mirror/pace.go
+++ b/coordination/mirror/pace.go
@@ -14,9 +14,9 @@
 
 const (
 	// minWatchers is the minimum number of routers that watch the store. Each
-	// change costs a reply to every watch, so that only a few routers watch and
-	// pass changes on to the others. If one of three is cut off or fails, two
-	// remain.
+	// change causes a reply to every watch, and each reply is billed, so that
+	// only a few routers watch and pass changes on to the others. If one of
+	// three is cut off or fails, two remain.
 	minWatchers = 3
 	// routersPerWatcher is the number of routers for each watcher. A watcher
 	// sends a large desired state to each of them.
@@ -68,7 +68,7 @@
 // for a large fleet.
 type watcherCandidates struct {
 	members   []placement.Router
-	defaults  []coordination.Instance        // the watchers if the store serves any of them
+	defaults  []coordination.Instance        // the watchers if the store serves them all
 	fallbacks func() []coordination.Instance // the watchers if it serves none of the defaults; computed on first use
 }
 
