--- a/coordination/kv/kvtest/kvtest.go
+++ b/coordination/kv/kvtest/kvtest.go
@@ -1,5 +1,5 @@
-// Package kvtest provides an in-memory key-value service with faults, for
-// tests of what is built on package kv. It runs under testing/synctest.
+// Package kvtest provides an in-memory key-value service with fault injection
+// for tests of packages that use package kv. It works under testing/synctest.
 package kvtest
 
 import (
@@ -13,36 +13,36 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Faults are the ways in which the next calls go wrong.
+// Faults are the faults injected into calls and watches.
 type Faults struct {
-	Down      bool          // refuse every call, without effect
-	Delay     time.Duration // wait this long before each call takes effect
-	LoseReply func(op, key string) bool
-	LoseCall  func(op, key string) bool
-	DropWatch bool // deliver no watch batches; lifting it marks a gap
+	Down      bool                      // reject every call without effect
+	Delay     time.Duration             // wait this long before each call takes effect
+	LoseReply func(op, key string) bool // lose the reply after the call took effect
+	LoseCall  func(op, key string) bool // lose the call before it takes effect
+	DropWatch bool                      // drop watch events; clearing it delivers a gap
 }
 
 var (
 	errDown = errors.New("kvtest: service is down")
-	errLost = errors.New("kvtest: no answer")
+	errLost = errors.New("kvtest: call or reply lost")
 )
 
-// Store is a fake of the platform's service. The zero value is not usable;
-// call New.
+// Store is an in-memory kv.Store. Use New to create one; the zero value is not
+// usable.
 type Store struct {
-	mu       sync.Mutex
-	faults   Faults
-	revision kv.Revision
-	pairs    map[string]kv.Pair
-	leases   map[kv.Lease]lease
-	next     kv.Lease
-	watches  map[*watch]struct{}
-	calls    map[string]int
+	mu        sync.Mutex
+	faults    Faults
+	revision  kv.Revision
+	pairs     map[string]kv.Pair
+	leases    map[kv.Lease]lease
+	lastLease kv.Lease
+	watches   map[*watch]struct{}
+	calls     map[string]int
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl    time.Duration
+	expiry time.Time
 }
 
 type watch struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults in effect.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,15 +75,15 @@
 	s.faults = f
 }
 
-// Calls returns how many calls of op (get, list, cas, delete, grant,
-// keepalive, watch) reached the service.
+// Calls returns how many calls of op (get, list, cas, delete, grant, keepalive,
+// watch) reached the service.
 func (s *Store) Calls(op string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[op]
 }
 
-// begin applies the faults that come before a call's effect.
+// begin applies the faults that occur before a call takes effect.
 func (s *Store) begin(ctx context.Context, op, key string) (kv.Result, bool) {
 	s.mu.Lock()
 	f := s.faults
@@ -104,7 +104,8 @@
 	return kv.Result{}, true
 }
 
-// end applies the faults that come after a call's effect. Callers hold s.mu.
+// end applies the faults that occur after a call took effect. Callers hold
+// s.mu.
 func (s *Store) end(op, key string, res kv.Result) kv.Result {
 	if s.faults.LoseReply != nil && s.faults.LoseReply(op, key) {
 		return kv.Result{Status: kv.Unknown, Err: errLost}
@@ -112,11 +113,12 @@
 	return res
 }
 
-// expire removes what lapsed leases held. Callers hold s.mu.
+// expire removes expired leases and the keys attached to them. Callers hold
+// s.mu.
 func (s *Store) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.Before(l.until) {
+		if now.Before(l.expiry) {
 			continue
 		}
 		delete(s.leases, id)
@@ -207,7 +209,7 @@
 		return s.end("cas", key, res)
 	}
 	if _, live := s.leases[id]; id != 0 && !live {
-		return kv.Result{Status: kv.Unavailable, Err: errors.New("kvtest: no such lease")}
+		return kv.Result{Status: kv.Unavailable, Err: errors.New("kvtest: lease does not exist")}
 	}
 	s.revision++
 	p := kv.Pair{Key: key, Value: append([]byte(nil), value...), Revision: s.revision, Lease: id}
@@ -241,13 +243,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["grant"]++
-	s.next++
-	s.leases[s.next] = lease{ttl: ttl, until: time.Now().Add(ttl)}
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl: ttl, expiry: time.Now().Add(ttl)}
 	res := s.end("grant", "", kv.Result{Status: kv.Applied, Revision: s.revision})
 	if res.Status != kv.Applied {
 		return 0, res
 	}
-	return s.next, res
+	return s.lastLease, res
 }
 
 // KeepAlive implements kv.Store.
@@ -263,13 +265,13 @@
 	if !ok {
 		return s.end("keepalive", "", kv.Result{Status: kv.Conflict, Revision: s.revision})
 	}
-	l.until = time.Now().Add(l.ttl)
+	l.expiry = time.Now().Add(l.ttl)
 	s.leases[id] = l
 	return s.end("keepalive", "", kv.Result{Status: kv.Applied, Revision: s.revision})
 }
 
-// Watch implements kv.Store. It reports changes from now on, and a gap at the
-// start if from is older than the present revision.
+// Watch implements kv.Store. It reports changes from now on, preceded by a gap
+// if from is older than the current revision.
 func (s *Store) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	if res, ok := s.begin(ctx, "watch", prefix); !ok {
 		return nil, res
@@ -281,21 +283,21 @@
 	w.notify()
 	s.watches[w] = struct{}{}
 	out := make(chan kv.Batch)
-	go s.run(ctx, w, out)
+	go s.deliver(ctx, w, out)
 	return out, kv.Result{Status: kv.Applied, Revision: s.revision}
 }
 
-// run delivers the batches of one watch until ctx ends.
-func (s *Store) run(ctx context.Context, w *watch, out chan<- kv.Batch) {
+// deliver sends the batches of one watch until ctx ends.
+func (s *Store) deliver(ctx context.Context, w *watch, out chan<- kv.Batch) {
 	defer close(out)
-	defer s.forget(w)
+	defer s.removeWatch(w)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.wake:
 		}
-		b, ok := s.take(w)
+		b, ok := s.nextBatch(w)
 		if !ok {
 			continue
 		}
@@ -307,13 +309,13 @@
 	}
 }
 
-func (s *Store) forget(w *watch) {
+func (s *Store) removeWatch(w *watch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.watches, w)
 }
 
-func (s *Store) take(w *watch) (kv.Batch, bool) {
+func (s *Store) nextBatch(w *watch) (kv.Batch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := kv.Batch{Events: w.pending, Revision: s.revision, Gap: w.gap}
