--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -7,9 +7,9 @@
 	"wisteriaspool/coordination"
 )
 
-// queueTick is how often a waiting request looks whether the mean has risen or
+// queueCheckInterval is how often a waiting request looks whether the mean has risen or
 // the endpoint has stalled; ends of requests wake the queue by themselves.
-const queueTick = 25 * time.Millisecond
+const queueCheckInterval = 25 * time.Millisecond
 
 // Admit decides a request for a grant. It returns at once unless the request
 // has to wait in the queue of its endpoint; then it returns as soon as the
@@ -25,20 +25,20 @@
 
 // await waits for the answer to a queued request.
 func (o *Owner) await(ctx context.Context, w *waiter) AdmitReply {
-	t := time.NewTicker(queueTick)
+	t := time.NewTicker(queueCheckInterval)
 	defer t.Stop()
 	var pass <-chan time.Time
 	if !w.req.Final {
-		pass = time.After(time.Until(w.passAt))
+		pass = time.After(time.Until(w.holdUntil))
 	}
 	for {
 		select {
 		case r := <-w.done:
 			return r
 		case <-t.C:
-			o.sweep(time.Now(), w)
+			o.processQueueIfDue(time.Now(), w)
 		case <-pass:
-			o.sweepNow(time.Now(), w)
+			o.processQueue(time.Now(), w)
 		case <-ctx.Done():
 			o.end(time.Now(), w.id, w.req.Endpoint)
 			return AdmitReply{Decision: Refused, Code: Cancelled}
@@ -46,20 +46,20 @@
 	}
 }
 
-// sweep serves and prunes the queue that w waits in, unless that has just been
+// processQueueIfDue serves and prunes the queue that w waits in, unless that has just been
 // done for another request there.
-func (o *Owner) sweep(now time.Time, w *waiter) {
+func (o *Owner) processQueueIfDue(now time.Time, w *waiter) {
 	s := o.shard(w.req.Endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.loads[w.req.Endpoint]
-	if l != nil && now.Sub(l.swept) >= queueTick/2 {
+	if l != nil && now.Sub(l.swept) >= queueCheckInterval/2 {
 		l.dispatch(now, o.cfg.Load())
 	}
 }
 
-// sweepNow serves and prunes the queue that w waits in.
-func (o *Owner) sweepNow(now time.Time, w *waiter) {
+// processQueue serves and prunes the queue that w waits in.
+func (o *Owner) processQueue(now time.Time, w *waiter) {
 	s := o.shard(w.req.Endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	defer s.mu.Unlock()
 	l := s.loads[req.Endpoint]
 	if l == nil {
-		return o.disclaim(req.Endpoint), nil
+		return o.notOwnerReply(req.Endpoint), nil
 	}
 	if wait, off := l.keepsOff(now, &req, zone); off {
 		return AdmitReply{Decision: Next, Code: Outlier, RetryAfter: millis(wait)}, nil
@@ -89,8 +89,8 @@
 	return l.submit(now, req, o.cfg.Load())
 }
 
-// disclaim answers for an endpoint that this router does not count.
-func (o *Owner) disclaim(id coordination.Endpoint) AdmitReply {
+// notOwnerReply answers for an endpoint that this router does not count.
+func (o *Owner) notOwnerReply(id coordination.Endpoint) AdmitReply {
 	v := o.view.Load()
 	d := v.set.Find(id)
 	if d == nil {
@@ -107,11 +107,11 @@
 	if _, ok := l.released[id]; ok {
 		return AdmitReply{Decision: Refused, Code: Cancelled}, nil
 	}
-	if code := l.absent(now, req, cfg); code != None {
+	if code := l.checkAvailable(now, req, cfg); code != None {
 		return AdmitReply{Decision: Next, Code: code}, nil
 	}
 	l.dispatch(now, cfg)
-	code := l.fits(now, req.Alone, cfg)
+	code := l.checkCapacity(now, req.Alone, cfg)
 	if code == None {
 		limit, ok := l.grant(now, id, req.Alone, cfg)
 		if ok {
@@ -120,13 +120,13 @@
 		code = OverBound
 	}
 	if !req.Final && req.Wait == 0 {
-		return l.pass(now, code, &req), nil
+		return l.nextReply(now, code, &req), nil
 	}
 	return l.enqueue(now, id, req, cfg)
 }
 
-// absent tells whether the endpoint can take no new work at all, or None.
-func (l *endpointLoad) absent(now time.Time, req AdmitRequest, cfg *Config) Code {
+// checkAvailable tells whether the endpoint can take no new work at all, or None.
+func (l *endpointLoad) checkAvailable(now time.Time, req AdmitRequest, cfg *Config) Code {
 	switch {
 	case req.Incarnation != 0 && req.Incarnation != l.desc.Incarnation:
 		return Lost
@@ -139,9 +139,9 @@
 	}
 }
 
-// fits tells what keeps the endpoint from one more request, or None. The bound
+// checkCapacity tells what keeps the endpoint from one more request, or None. The bound
 // is left to grant, which checks and counts in one step.
-func (l *endpointLoad) fits(now time.Time, alone bool, cfg *Config) Code {
+func (l *endpointLoad) checkCapacity(now time.Time, alone bool, cfg *Config) Code {
 	switch {
 	case l.settling(now, cfg):
 		return Settling
@@ -165,21 +165,21 @@
 	return limit, ok
 }
 
-// pass returns the answer that sends a request on to its next candidate. It
+// nextReply returns the answer that sends a request on to its next candidate. It
 // tells how long the request would wait here, by its account's share.
-func (l *endpointLoad) pass(now time.Time, code Code, req *AdmitRequest) AdmitReply {
+func (l *endpointLoad) nextReply(now time.Time, code Code, req *AdmitRequest) AdmitReply {
 	wait := time.Duration(l.queue.aheadOf(now, req)+1) * l.service.gap(now, len(l.grants))
 	return AdmitReply{Decision: Next, Code: code, RetryAfter: millis(wait)}
 }
 
-// drain returns the time in which the present queue will have been served.
-func (l *endpointLoad) drain(now time.Time) time.Duration {
+// drainTime returns the time in which the present queue will have been served.
+func (l *endpointLoad) drainTime(now time.Time) time.Duration {
 	return time.Duration(l.queue.size+1) * l.service.gap(now, len(l.grants))
 }
 
-// startShare is the part of the time to its objective, as a divisor, within which
+// startDivisor is the part of the time to its objective, as a divisor, within which
 // a request has to start to meet it. The endpoint needs the rest.
-const startShare = 2
+const startDivisor = 2
 
 // enqueue lets a request wait, unless it cannot start in time.
 func (l *endpointLoad) enqueue(now time.Time, id GrantID, req AdmitRequest, cfg *Config) (AdmitReply, *waiter) {
@@ -191,19 +191,19 @@
 		w.deadline = now.Add(d)
 	}
 	if t := req.Target.Duration(); t > 0 {
-		w.freshBy = now.Add(t / startShare)
+		w.startBy = now.Add(t / startDivisor)
 	}
 	if !req.Final {
-		w.passAt = now.Add(min(req.Wait.Duration(), cfg.MaxWait))
+		w.holdUntil = now.Add(min(req.Wait.Duration(), cfg.MaxWait))
 	}
 	if l.queue.len(req.Account) >= cfg.AccountQueueLimit {
-		return l.turnAway(now, w), nil
+		return l.queueFullReply(now, w), nil
 	}
 	l.queue.push(w, cfg.weightOf(req.Account))
 	if l.queue.size > cfg.QueueLimit {
 		last := l.queue.longest()
 		l.queue.remove(last)
-		last.settle(l.turnAway(now, last))
+		last.reply(l.queueFullReply(now, last))
 	}
 	l.prune(now, cfg)
 	select {
@@ -214,13 +214,13 @@
 	}
 }
 
-// turnAway answers a request for which the queue has no room. Only a final one
+// queueFullReply answers a request for which the queue has no room. Only a final one
 // is refused: others still have somewhere to go.
-func (l *endpointLoad) turnAway(now time.Time, w *waiter) AdmitReply {
+func (l *endpointLoad) queueFullReply(now time.Time, w *waiter) AdmitReply {
 	if w.req.Final {
-		return l.refusal(now, Overloaded)
+		return l.refusalReply(now, Overloaded)
 	}
-	return l.pass(now, Full, &w.req)
+	return l.nextReply(now, Full, &w.req)
 }
 
 // dispatch grants to waiting requests what the endpoint can take. If its bound
@@ -230,18 +230,18 @@
 	l.swept = now
 	for l.queue.size > 0 {
 		w := l.queue.next(now, func(w *waiter) bool {
-			return l.fits(now, w.req.Alone, cfg) == None
+			return l.checkCapacity(now, w.req.Alone, cfg) == None
 		})
 		if w == nil {
 			break
 		}
 		limit, ok := l.grant(now, w.id, w.req.Alone, cfg)
 		if !ok {
-			l.passOn(OverBound)
+			l.replyNextToAll(OverBound)
 			break
 		}
 		l.queue.serve(w)
-		w.settle(AdmitReply{Decision: Granted, Limit: limit})
+		w.reply(AdmitReply{Decision: Granted, Limit: limit})
 	}
 	l.prune(now, cfg)
 }
@@ -255,22 +255,22 @@
 	gap := l.service.gap(now, l.count(now, cfg))
 	for _, w := range l.queue.waiters() {
 		if !w.req.Final {
-			l.pruneHeldBack(now, w)
+			l.pruneNonFinal(now, w)
 			continue
 		}
 		start := now.Add(time.Duration(l.queue.ahead(now, w)+1) * gap)
 		if !start.Before(w.deadline) {
 			l.queue.remove(w)
-			w.settle(l.refusal(now, Deadline))
+			w.reply(l.refusalReply(now, Deadline))
 		}
 	}
 }
 
-// pruneHeldBack passes on a request that is not final once its time is up.
-func (l *endpointLoad) pruneHeldBack(now time.Time, w *waiter) {
-	if !now.Before(w.passAt) || !now.Before(w.deadline) {
+// pruneNonFinal passes on a request that is not final once its time is up.
+func (l *endpointLoad) pruneNonFinal(now time.Time, w *waiter) {
+	if !now.Before(w.holdUntil) || !now.Before(w.deadline) {
 		l.queue.remove(w)
-		w.settle(l.pass(now, Full, &w.req))
+		w.reply(l.nextReply(now, Full, &w.req))
 	}
 }
 
@@ -280,23 +280,23 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// refusal returns a final answer that tells when the present queue will have
+// refusalReply returns a final answer that tells when the present queue will have
 // drained.
-func (l *endpointLoad) refusal(now time.Time, code Code) AdmitReply {
-	wait := min(max(l.drain(now), minRetryAfter), maxRetryAfter)
+func (l *endpointLoad) refusalReply(now time.Time, code Code) AdmitReply {
+	wait := min(max(l.drainTime(now), minRetryAfter), maxRetryAfter)
 	return AdmitReply{Decision: Refused, Code: code, RetryAfter: millis(wait)}
 }
 
-// passOn answers all waiting requests with Next.
-func (l *endpointLoad) passOn(code Code) {
+// replyNextToAll answers all waiting requests with Next.
+func (l *endpointLoad) replyNextToAll(code Code) {
 	for _, w := range l.queue.waiters() {
 		l.queue.remove(w)
-		w.settle(AdmitReply{Decision: Next, Code: code})
+		w.reply(AdmitReply{Decision: Next, Code: code})
 	}
 }
 
 // retire takes the endpoint out of its pool's sum before it is forgotten.
 func (l *endpointLoad) retire(code Code) {
 	l.leave()
-	l.passOn(code)
+	l.replyNextToAll(code)
 }
--- a/coordination/placement/affinity_test.go
+++ b/coordination/placement/affinity_test.go
@@ -34,7 +34,7 @@
 		now := time.Unix(1000, 0)
 		width := 0
 		for range 1 + int(test.perSecond*20) {
-			width = a.Width(now, testPool, reusable)
+			width = a.SubsetSize(now, testPool, reusable)
 			now = now.Add(time.Duration(float64(time.Second) / test.perSecond))
 		}
 		assert.Assert(t, width >= test.least && width <= test.most, "%v a second: %d", test.perSecond, width)
@@ -46,18 +46,18 @@
 func TestAffinityOfTheFirstRequests(t *testing.T) {
 	var a Affinity
 	now := time.Unix(1000, 0)
-	assert.Equal(t, a.Width(now, testPool, reusable), leastAffinity)
+	assert.Equal(t, a.SubsetSize(now, testPool, reusable), minSubsetSize)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		a.Width(now, testPool, reusable)
+		a.SubsetSize(now, testPool, reusable)
 	}
-	assert.Assert(t, a.Width(now, testPool, reusable) > 5*leastAffinity/2)
-	assert.Equal(t, a.Width(now.Add(time.Hour), testPool, reusable), leastAffinity)
+	assert.Assert(t, a.SubsetSize(now, testPool, reusable) > 5*minSubsetSize/2)
+	assert.Equal(t, a.SubsetSize(now.Add(time.Hour), testPool, reusable), minSubsetSize)
 }
 
 // Each router of a fleet keeps to a few endpoints. If some endpoints were chosen
 // by more routers than others, these would be full while others idle.
-func TestEndpointsAreNearEquallyManyRouters(t *testing.T) {
+func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
 	tests := []struct{ routers, endpoints, width int }{{295, 10, 2}, {295, 10, 3}, {295, 240, 2}, {1000, 10, 2}, {80, 6, 3}}
 	for _, test := range tests {
 		s := NewSet(testEndpoints(test.endpoints))
@@ -67,7 +67,7 @@
 			near := KeyOf(coordination.Chat(fmt.Sprintf("router-%d", r)))
 			met := make(map[coordination.Endpoint]bool)
 			for k := range Key(requests) {
-				first := s.Near(nil, testPool, near, KeyOf(coordination.Chat(fmt.Sprintf("%d-%d", r, k))), test.width, 1)[0].ID
+				first := s.Subset(nil, testPool, near, KeyOf(coordination.Chat(fmt.Sprintf("%d-%d", r, k))), test.width, 1)[0].ID
 				met[first] = true
 				got[first]++
 			}
@@ -90,35 +90,35 @@
 	s := NewSet(testEndpoints(3))
 	for near := range Key(8) {
 		for key := range Key(20) {
-			assert.DeepEqual(t, ids(s.Near(nil, testPool, near, key, leastAffinity, 3)), ids(s.Candidates(nil, testPool, key, 0, 3)))
+			assert.DeepEqual(t, ids(s.Subset(nil, testPool, near, key, minSubsetSize, 3)), ids(s.Candidates(nil, testPool, key, 0, 3)))
 		}
 	}
 }
 
 // Near only orders the endpoints: behind the few come all others, and a longer
 // list begins like a shorter one.
-func TestNearLeavesNoEndpointOut(t *testing.T) {
+func TestSubsetOrdersAllEndpoints(t *testing.T) {
 	s := NewSet(testEndpoints(30))
-	all := ids(s.Near(nil, testPool, 7, 9, 3, 30))
+	all := ids(s.Subset(nil, testPool, 7, 9, 3, 30))
 	assert.Equal(t, len(lo.Uniq(all)), 30)
 	for limit := range 30 {
-		assert.DeepEqual(t, ids(s.Near(nil, testPool, 7, 9, 3, limit)), all[:limit])
+		assert.DeepEqual(t, ids(s.Subset(nil, testPool, 7, 9, 3, limit)), all[:limit])
 	}
-	other := ids(s.Near(nil, testPool, 7, 10, 3, 30))
+	other := ids(s.Subset(nil, testPool, 7, 10, 3, 30))
 	assert.DeepEqual(t, lo.Uniq(append(other[:3:3], all[:3]...)), other[:3])
 	assert.DeepEqual(t, other[3:], all[3:])
-	assert.DeepEqual(t, ids(s.Near(nil, testPool, 7, 9, 16, 6)), ids(s.Candidates(nil, testPool, 9, 0, 6)))
-	assert.Equal(t, len(s.Near(nil, "none", 7, 9, 3, 6)), 0)
+	assert.DeepEqual(t, ids(s.Subset(nil, testPool, 7, 9, 16, 6)), ids(s.Candidates(nil, testPool, 9, 0, 6)))
+	assert.Equal(t, len(s.Subset(nil, "none", 7, 9, 3, 6)), 0)
 }
 
-// dials counts the connections that requests need of which each holds one, and
+// connectionCounter counts the connections that requests need of which each holds one, and
 // of which one that was unused for too long does not serve again.
-type dials struct {
+type connectionCounter struct {
 	requests, made int
 	unused         map[coordination.Instance]map[coordination.Endpoint][]time.Time
 }
 
-func (d *dials) take(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+func (d *connectionCounter) take(now time.Time, r coordination.Instance, e coordination.Endpoint) {
 	d.requests++
 	if d.unused[r] == nil {
 		d.unused[r] = make(map[coordination.Endpoint][]time.Time)
@@ -131,14 +131,14 @@
 	d.made++
 }
 
-func (d *dials) give(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+func (d *connectionCounter) give(now time.Time, r coordination.Instance, e coordination.Endpoint) {
 	d.unused[r][e] = append(d.unused[r][e], now)
 }
 
-// trickle plays requests of 60 ms that have nothing cached, one every tenth of a
+// runSparseRequests plays requests of 60 ms that have nothing cached, one every tenth of a
 // second at some router.
-func (f *fleet) trickle(t *testing.T, routers []Router, affine bool) dials {
-	d := dials{unused: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
+func (f *fleet) runSparseRequests(t *testing.T, routers []Router, affine bool) connectionCounter {
+	d := connectionCounter{unused: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
 	affinities := make([]Affinity, len(routers))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -146,7 +146,7 @@
 		id := routers[n].ID
 		req := Request{Pool: testPool, Key: Key(rng.Uint64())}
 		if affine {
-			req.Near, req.Width = KeyOf(coordination.Chat(id)), affinities[n].Width(time.Now(), testPool, reusable)
+			req.SubsetKey, req.SubsetSize = KeyOf(coordination.Chat(id)), affinities[n].SubsetSize(time.Now(), testPool, reusable)
 		}
 		g, refusal := f.nodes[id].entry.Acquire(t.Context(), req)
 		assert.Assert(t, g != nil, "%v", refusal)
@@ -168,7 +168,7 @@
 		f := newFleet(routers, testEndpoints(10), Config{Slack: 2})
 		defer f.start()()
 		time.Sleep(2 * time.Second)
-		spread, affine := f.trickle(t, routers, false), f.trickle(t, routers, true)
+		spread, affine := f.runSparseRequests(t, routers, false), f.runSparseRequests(t, routers, true)
 		t.Logf("new connections for %d requests: %d spread over all, %d with affinity", affine.requests, spread.made, affine.made)
 		assert.Assert(t, affine.made*3 < spread.made*2, "%d connections for %d requests, %d when spread", affine.made, affine.requests, spread.made)
 		assert.Assert(t, affine.made*2 < affine.requests, "%d connections for %d requests", affine.made, affine.requests)
@@ -186,7 +186,7 @@
 		running := make(map[coordination.Endpoint]int)
 		for n := range 120 {
 			g, refusal := f.nodes["r0"].entry.Acquire(t.Context(), Request{
-				Pool: testPool, Key: KeyOf(coordination.Chat(fmt.Sprint(n))), Near: 7, Width: leastAffinity,
+				Pool: testPool, Key: KeyOf(coordination.Chat(fmt.Sprint(n))), SubsetKey: 7, SubsetSize: minSubsetSize,
 			})
 			assert.Assert(t, g != nil, "request %d: %v", n, refusal)
 			running[g.Endpoint.ID]++
--- a/coordination/placement/ahead_test.go
+++ b/coordination/placement/ahead_test.go
@@ -14,29 +14,29 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// desk is a plain service's endpoint: it runs some requests at a time, 60 ms
+// slotServer is a plain service's endpoint: it runs some requests at a time, 60 ms
 // each, and the others wait in the order in which they came.
-type desk struct {
+type slotServer struct {
 	slots chan struct{}
 }
 
-func (d desk) serve() {
+func (d slotServer) serve() {
 	d.slots <- struct{}{}
 	time.Sleep(60 * time.Millisecond)
 	<-d.slots
 }
 
-// visitor is one request from its admission to the word of its end. Between
+// simulatedRequest is one request from its admission to the word of its end. Between
 // them lie the way to the endpoint and back, and the time for which releases
 // gather: 10 and 20 ms.
-type visitor struct {
+type simulatedRequest struct {
 	owner  *Owner
-	desk   desk
+	desk   slotServer
 	n      int
 	onTime *atomic.Int32
 }
 
-func (v visitor) run(ctx context.Context) {
+func (v simulatedRequest) run(ctx context.Context) {
 	start := time.Now()
 	entry := EntryID{Instance: "entry", Incarnation: 1}
 	r := v.owner.Admit(ctx, AdmitRequest{
@@ -63,13 +63,13 @@
 		set := NewSet([]Descriptor{{ID: "desk", Pool: "p", Zone: "z", Capacity: 6}})
 		o.Update(set, NewRouters([]Router{{ID: "self", Zone: "z"}}, 0))
 		time.Sleep(2 * time.Second) // until the owner has settled
-		d := desk{slots: make(chan struct{}, 6)}
+		d := slotServer{slots: make(chan struct{}, 6)}
 		gap := time.Duration(float64(10*time.Millisecond) / load)
 		n := int(4 * time.Second / gap)
 		var onTime atomic.Int32
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { visitor{o, d, i, &onTime}.run(t.Context()) })
+			wg.Go(func() { simulatedRequest{o, d, i, &onTime}.run(t.Context()) })
 			time.Sleep(gap)
 		}
 		wg.Wait()
--- a/coordination/placement/candidates.go
+++ b/coordination/placement/candidates.go
@@ -150,13 +150,13 @@
 	return dst
 }
 
-// Near appends to dst up to limit endpoints of a pool in the order in which a
+// Subset appends to dst up to limit endpoints of a pool in the order in which a
 // request that may run anywhere should try them: first width endpoints that are
 // the same for all keys, chosen by rendezvous hashing with near, in the order of
 // the request's key; then the others in the order of near. Each near, such as a
 // router's, has its own, so that all endpoints are chosen equally often. Over
 // half of a pool is as good as all of it, which spreads more evenly.
-func (s *Set) Near(dst []*Descriptor, name coordination.Pool, near, key Key, width, limit int) []*Descriptor {
+func (s *Set) Subset(dst []*Descriptor, name coordination.Pool, near, key Key, width, limit int) []*Descriptor {
 	p := s.pools[name]
 	if p == nil || 2*width > len(p.endpoints) {
 		return s.Candidates(dst, name, key, 0, limit)
--- a/coordination/placement/candidates_test.go
+++ b/coordination/placement/candidates_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestHintSurvivesItsSpelling(t *testing.T) {
+func TestHintRoundTrip(t *testing.T) {
 	h := HintOf("e1", 7)
 	assert.Equal(t, ParseHint(h.String()), h)
 	assert.Equal(t, len(h.String()), 11)
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -44,9 +44,9 @@
 	e := &Entry{id: id, transport: t, local: local, loads: loads}
 	e.held.grants = make(map[Sequence]*Grant)
 	e.held.releases = make(map[coordination.Instance][]Release)
-	e.held.asked = make(map[coordination.Instance]time.Time)
-	e.held.owed = make(map[coordination.Instance]bool)
-	e.held.due = make(chan struct{}, 1)
+	e.held.lastContact = make(map[coordination.Instance]time.Time)
+	e.held.releasesDropped = make(map[coordination.Instance]bool)
+	e.held.wake = make(chan struct{}, 1)
 	e.view.Store(&view{set: NewSet(nil), routers: NewRouters(nil, 0)})
 	e.Configure(cfg)
 	return e
@@ -62,7 +62,7 @@
 // and with them perhaps owners, the next [Entry.Tick] registers the held grants.
 func (e *Entry) Update(set *Set, routers *Routers) {
 	if old := e.view.Swap(&view{set: set, routers: routers}); old.routers != routers {
-		e.held.registerAgain()
+		e.held.requestRegistration()
 	}
 }
 
@@ -76,7 +76,7 @@
 	w.latest, w.doubts = e.view.Load, &e.doubts
 	for {
 		coordination.Sleep(ctx, w.pause(time.Now()))
-		a, refusal, ok := w.next(time.Now())
+		a, refusal, ok := w.nextQuery(time.Now())
 		if !ok && refusal.Code == NotOwner && w.awaitHandover(ctx) {
 			continue
 		}
@@ -85,11 +85,11 @@
 			return nil, refusal
 		}
 		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
-		r := e.put(ctx, g, req, a, cfg)
+		r := e.sendQuery(ctx, g, req, a, cfg)
 		if r.Code == Outlier {
 			e.doubts.note(time.Now(), doubt{pool: req.Pool, endpoint: a.endpoint.ID, once: req.Once}, r.RetryAfter.Duration())
 		}
-		if !w.take(a, r) {
+		if !w.handleReply(a, r) {
 			continue
 		}
 		if r.Decision == Granted && ctx.Err() == nil {
@@ -105,9 +105,9 @@
 	}
 }
 
-// put puts one question to one owner.
-func (e *Entry) put(ctx context.Context, g *Grant, req Request, a ask, cfg *Config) AdmitReply {
-	e.held.aim(time.Now(), g, a)
+// sendQuery puts one question to one owner.
+func (e *Entry) sendQuery(ctx context.Context, g *Grant, req Request, a ownerQuery, cfg *Config) AdmitReply {
+	e.held.recordQuery(time.Now(), g, a)
 	m := AdmitRequest{
 		Entry:       e.id,
 		Sequence:    g.sequence,
@@ -125,47 +125,47 @@
 	}
 	if a.owner == e.id.Instance {
 		r := e.local.Admit(ctx, m)
-		e.settle(g, a, r)
+		e.recordReply(g, a, r)
 		return r
 	}
-	if a.owner == "" || e.fallback.silent(time.Now(), a.owner) {
-		return e.decideAlone(ctx, g, a, cfg)
+	if a.owner == "" || e.fallback.backingOff(time.Now(), a.owner) {
+		return e.decideWithoutOwner(ctx, g, a, cfg)
 	}
-	m.Releases = e.held.take(a.owner)
+	m.Releases = e.held.takeReleases(a.owner)
 	r, err := e.call(ctx, a, m, cfg)
 	if err != nil {
 		// The owner may have granted, so it is told that nobody uses it. What
 		// follows goes by another name, or the owner would take it for the same.
-		e.held.giveBack(a.owner, m.Releases)
-		e.held.giveBack(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
-		e.held.renew(g)
+		e.held.requeueReleases(a.owner, m.Releases)
+		e.held.requeueReleases(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
+		e.held.renumber(g)
 		if ctx.Err() != nil {
 			return AdmitReply{Decision: Refused, Code: Cancelled}
 		}
-		e.fallback.lost(time.Now(), a.owner)
-		return e.decideAlone(ctx, g, a, cfg)
+		e.fallback.recordFailure(time.Now(), a.owner)
+		return e.decideWithoutOwner(ctx, g, a, cfg)
 	}
-	e.fallback.heard(a.owner)
+	e.fallback.recordAnswer(a.owner)
 	if r.Code == Lost {
-		e.fallback.bury(time.Now(), lostOf(a.endpoint), cfg.LostFor)
+		e.fallback.markDead(time.Now(), lostOf(a.endpoint), cfg.LostFor)
 	}
-	e.settle(g, a, r)
+	e.recordReply(g, a, r)
 	return r
 }
 
-// settle notes what an owner answered.
-func (e *Entry) settle(g *Grant, a ask, r AdmitReply) {
+// recordReply notes what an owner answered.
+func (e *Entry) recordReply(g *Grant, a ownerQuery, r AdmitReply) {
 	if r.Limit > 0 {
-		e.fallback.learn(time.Now(), a.endpoint.Pool, r.Limit)
+		e.fallback.recordLimit(time.Now(), a.endpoint.Pool, r.Limit)
 	}
 	if r.Decision == Granted {
-		e.held.grant(time.Now(), g, a.owner)
+		e.held.markGranted(time.Now(), g, a.owner)
 	}
 }
 
 // call makes the call to a remote owner. It waits for as long as the owner may
 // hold the request back, and admitTimeout more.
-func (e *Entry) call(ctx context.Context, a ask, m AdmitRequest, cfg *Config) (AdmitReply, error) {
+func (e *Entry) call(ctx context.Context, a ownerQuery, m AdmitRequest, cfg *Config) (AdmitReply, error) {
 	wait := a.wait.Duration()
 	if a.final {
 		wait = cfg.MaxWait
@@ -186,11 +186,11 @@
 // time to the first token, so a frozen owner must not take more of it.
 const admitTimeout = 100 * time.Millisecond
 
-// Lost tells the owner of an endpoint that this router has found it dead, so
+// ReportLost tells the owner of an endpoint that this router has found it dead, so
 // that others do not run into it before their lists say so.
-func (e *Entry) Lost(ctx context.Context, d Descriptor) {
+func (e *Entry) ReportLost(ctx context.Context, d Descriptor) {
 	lost := lostOf(&d)
-	e.fallback.bury(time.Now(), lost, e.cfg.Load().LostFor)
+	e.fallback.markDead(time.Now(), lost, e.cfg.Load().LostFor)
 	b := ReleaseBatch{Entry: e.id, Lost: []LostEndpoint{lost}}
 	to := e.view.Load().routers.Owner(d.ID, d.Zone)
 	if to == e.id.Instance {
@@ -203,9 +203,9 @@
 	_, _ = e.transport.Call(ctx, to, TopicRelease, b.Encode())
 }
 
-// tell tells one owner what a request shows of its endpoint, and reports whether
+// sendNotice tells one owner what a request shows of its endpoint, and reports whether
 // the endpoint is taken out. An owner that does not answer knows no better.
-func (e *Entry) tell(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
+func (e *Entry) sendNotice(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
 	b := ReleaseBatch{Entry: e.id, Notices: []Notice{n}}
 	if owner == e.id.Instance {
 		return slices.Contains(e.local.Release(b).Out, n.Endpoint)
@@ -226,23 +226,23 @@
 	cfg, v := e.cfg.Load(), e.view.Load()
 	var wg sync.WaitGroup
 	now := time.Now()
-	for _, d := range e.held.messages(now, e.id, v, cfg) {
+	for _, d := range e.held.pendingMessages(now, e.id, v, cfg) {
 		d.entry = e
-		wg.Go(func() { d.run(ctx) })
+		wg.Go(func() { d.send(ctx) })
 	}
 	wg.Wait()
 }
 
-// dispatch is one message on its way to an owner.
-type dispatch struct {
+// outboundMessage is one message on its way to an owner.
+type outboundMessage struct {
 	entry    *Entry
 	to       coordination.Instance
 	releases []Release
 	register *Register
 }
 
-// run sends the message. Releases that may not have arrived are sent again.
-func (d dispatch) run(ctx context.Context) {
+// send sends the message. Releases that may not have arrived are sent again.
+func (d outboundMessage) send(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if d.register != nil {
@@ -255,18 +255,18 @@
 		return
 	}
 	if _, err := d.entry.transport.Call(ctx, d.to, TopicRelease, b.Encode()); err != nil {
-		d.entry.held.giveBack(d.to, d.releases)
+		d.entry.held.requeueReleases(d.to, d.releases)
 	}
 }
 
 const sendTimeout = time.Second
 
-func (d dispatch) sendRegister(ctx context.Context) {
+func (d outboundMessage) sendRegister(ctx context.Context) {
 	if d.to == d.entry.id.Instance {
 		d.entry.local.Register(*d.register)
 		return
 	}
 	if _, err := d.entry.transport.Call(ctx, d.to, TopicRegister, d.register.Encode()); err != nil {
-		d.entry.held.registerAgain()
+		d.entry.held.requestRegistration()
 	}
 }
--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -11,10 +11,10 @@
 // fallbackTable is what an entry needs to decide without an endpoint's owner.
 // The zero value is ready for use.
 type fallbackTable struct {
-	mu     sync.Mutex
-	mute   map[coordination.Instance]mute // owners that did not answer
-	limits map[coordination.Pool]learnedLimit
-	dead   map[LostEndpoint]time.Time // when this entry last found each of them dead
+	mu       sync.Mutex
+	backoffs map[coordination.Instance]ownerBackoff // owners that did not answer
+	limits   map[coordination.Pool]learnedLimit
+	dead     map[LostEndpoint]time.Time // when this entry last found each of them dead
 }
 
 // learnedLimit is the number of requests that an owner last let an endpoint of
@@ -24,53 +24,53 @@
 	at    time.Time
 }
 
-// mute is the time for which an owner that did not answer is not asked.
-type mute struct {
+// ownerBackoff is the time for which an owner that did not answer is not asked.
+type ownerBackoff struct {
 	since  time.Time
 	period time.Duration
 }
 
 const (
-	// An owner that did not answer is not asked again for leastMute, and for twice
+	// An owner that did not answer is not asked again for minOwnerBackoff, and for twice
 	// as long each time that the one question which is then put to it fails too. A
 	// lost packet holds up all answers of an owner for 0.2 s; a frozen owner costs
 	// each request that asks it admitTimeout.
-	leastMute = 200 * time.Millisecond
-	mostMute  = time.Second
+	minOwnerBackoff = 200 * time.Millisecond
+	maxOwnerBackoff = time.Second
 
 	// limitTTL is how long a learned limit serves.
 	limitTTL = 10 * time.Second
 )
 
-// lost notes that an owner did not answer. Questions that were put to it side by
+// recordFailure notes that an owner did not answer. Questions that were put to it side by
 // side say so once.
-func (t *fallbackTable) lost(now time.Time, o coordination.Instance) {
+func (t *fallbackTable) recordFailure(now time.Time, o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.mute == nil {
-		t.mute = make(map[coordination.Instance]mute)
+	if t.backoffs == nil {
+		t.backoffs = make(map[coordination.Instance]ownerBackoff)
 	}
-	m, ok := t.mute[o]
+	m, ok := t.backoffs[o]
 	if ok && now.Sub(m.since) < m.period-admitTimeout {
 		return
 	}
-	t.mute[o] = mute{since: now, period: min(max(2*m.period, leastMute), mostMute)}
+	t.backoffs[o] = ownerBackoff{since: now, period: min(max(2*m.period, minOwnerBackoff), maxOwnerBackoff)}
 }
 
-// heard notes that an owner has answered.
-func (t *fallbackTable) heard(o coordination.Instance) {
+// recordAnswer notes that an owner has answered.
+func (t *fallbackTable) recordAnswer(o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.mute, o)
+	delete(t.backoffs, o)
 }
 
-// silent reports whether an owner is not worth a question now. Of the questions
+// backingOff reports whether an owner is not worth a question now. Of the questions
 // that come when its time is over the first is put to it, and the others wait to
 // see what becomes of it.
-func (t *fallbackTable) silent(now time.Time, o coordination.Instance) bool {
+func (t *fallbackTable) backingOff(now time.Time, o coordination.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.mute[o]
+	m, ok := t.backoffs[o]
 	if !ok {
 		return false
 	}
@@ -78,11 +78,11 @@
 		return true
 	}
 	m.since = now.Add(admitTimeout - m.period)
-	t.mute[o] = m
+	t.backoffs[o] = m
 	return false
 }
 
-func (t *fallbackTable) learn(now time.Time, p coordination.Pool, limit int) {
+func (t *fallbackTable) recordLimit(now time.Time, p coordination.Pool, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.limits == nil {
@@ -101,8 +101,8 @@
 	return 0
 }
 
-// bury notes that this entry has found an endpoint dead.
-func (t *fallbackTable) bury(now time.Time, e LostEndpoint, ttl time.Duration) {
+// markDead notes that this entry has found an endpoint dead.
+func (t *fallbackTable) markDead(now time.Time, e LostEndpoint, ttl time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dead == nil {
@@ -124,18 +124,18 @@
 	return ok && now.Sub(at) < ttl
 }
 
-// decideAlone decides without the owner: by the endpoint's own report, a
+// decideWithoutOwner decides without the owner: by the endpoint's own report, a
 // tightened bound, and only this router's share of what is left under it,
 // since the other routers cannot reach the owner either and see the same
 // report. In a large fleet the share is nothing, and the request goes on to an
 // endpoint whose owner answers.
-func (e *Entry) decideAlone(ctx context.Context, g *Grant, a ask, cfg *Config) AdmitReply {
+func (e *Entry) decideWithoutOwner(ctx context.Context, g *Grant, a ownerQuery, cfg *Config) AdmitReply {
 	declined := AdmitReply{Decision: Next, Code: Unreachable}
 	if e.loads == nil {
 		if e.fallback.isDead(time.Now(), lostOf(a.endpoint), cfg.LostFor) {
 			return AdmitReply{Decision: Next, Code: Lost}
 		}
-		return e.decideBlind(g, cfg)
+		return e.decideWithoutReport(g, cfg)
 	}
 	limit := e.fallback.limit(time.Now(), a.endpoint.Pool)
 	if limit == 0 || g.alone {
@@ -147,7 +147,7 @@
 	if err != nil || r.Leaving || r.Incarnation != a.endpoint.Incarnation {
 		return declined
 	}
-	room := tightened(limit, cfg) - r.Running
+	room := fallbackLimit(limit, cfg) - r.Running
 	if r.Capacity > 0 {
 		room = min(room, r.Capacity-r.Running)
 	}
@@ -158,12 +158,12 @@
 	return AdmitReply{Decision: Granted}
 }
 
-// decideBlind decides without the owner and without a word of the endpoint, by
+// decideWithoutReport decides without the owner and without a word of the endpoint, by
 // what this entry itself has there. An owner that was killed is done without
 // within half a second; until then its endpoints would take nothing, and when
 // all routers start at once, or one is cut off from all others, a refusal helps
 // nobody while the endpoints are well.
-func (e *Entry) decideBlind(g *Grant, cfg *Config) AdmitReply {
+func (e *Entry) decideWithoutReport(g *Grant, cfg *Config) AdmitReply {
 	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.AloneLimit) {
 		return AdmitReply{Decision: Next, Code: Unreachable}
 	}
@@ -187,8 +187,8 @@
 	return true
 }
 
-// tightened returns the limit of a decision without the owner.
-func tightened(limit int, cfg *Config) int {
+// fallbackLimit returns the limit of a decision without the owner.
+func fallbackLimit(limit int, cfg *Config) int {
 	return int(float64(limit) * cfg.FallbackShare)
 }
 
--- a/coordination/placement/fallback_test.go
+++ b/coordination/placement/fallback_test.go
@@ -10,21 +10,21 @@
 	"wisteriaspool/coordination"
 )
 
-// silentOwner is a transport whose owners never answer.
-type silentOwner struct{}
+// unresponsiveTransport is a transport whose owners never answer.
+type unresponsiveTransport struct{}
 
-func (silentOwner) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
+func (unresponsiveTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
 	return nil, errors.New("no answer")
 }
 
 // The owner of all endpoints is dead, and endpoints are not asked for their
 // load. Callers would be refused although the endpoints are well; with a limit
 // for each endpoint they are served, and no endpoint gets more than that.
-func TestEntryPlacesBlindlyUpToItsLimit(t *testing.T) {
+func TestEntryWithoutOwnerGrantsUpToItsLimit(t *testing.T) {
 	for limit, want := range map[int]int{0: 0, 3: 6} {
 		id := EntryID{Instance: "self", Incarnation: 1}
 		cfg := Config{AloneLimit: limit}
-		e := NewEntry(id, NewOwner("self", cfg), silentOwner{}, nil, cfg)
+		e := NewEntry(id, NewOwner("self", cfg), unresponsiveTransport{}, nil, cfg)
 		set := NewSet([]Descriptor{{ID: "a", Pool: "p", Zone: "z"}, {ID: "b", Pool: "p", Zone: "z"}})
 		e.Update(set, NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
 		granted := map[coordination.Endpoint]int{}
--- a/coordination/placement/grants.go
+++ b/coordination/placement/grants.go
@@ -28,10 +28,10 @@
 	alone    bool
 
 	// The grantTable's lock guards what follows.
-	granted bool
-	seen    outlier.Weight // what the request showed of the endpoint
-	start   time.Time
-	owners  []coordination.Instance // that count it
+	granted  bool
+	evidence outlier.Weight // what the request showed of the endpoint
+	start    time.Time
+	owners   []coordination.Instance // that count it
 }
 
 // ID returns the name under which owners know the grant.
@@ -45,23 +45,23 @@
 	}
 }
 
-// Saw notes what the request showed of its endpoint, which the release tells the
+// RecordEvidence notes what the request showed of its endpoint, which the release tells the
 // owner.
-func (g *Grant) Saw(w outlier.Weight) {
+func (g *Grant) RecordEvidence(w outlier.Weight) {
 	t := &g.entry.held
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g.seen = w
+	g.evidence = w
 }
 
-// Tell tells the owner at once what the request shows of its endpoint while it
+// ReportEvidence tells the owner at once what the request shows of its endpoint while it
 // runs on there; zero only asks. It reports whether the endpoint is taken out for
 // its failures.
-func (g *Grant) Tell(ctx context.Context, w outlier.Weight) (out bool) {
+func (g *Grant) ReportEvidence(ctx context.Context, w outlier.Weight) (out bool) {
 	e := g.entry
 	n := Notice{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: w}
 	for _, o := range e.held.ownersOf(g) {
-		out = e.tell(ctx, o, n) || out
+		out = e.sendNotice(ctx, o, n) || out
 	}
 	return out
 }
@@ -71,35 +71,35 @@
 
 // grantTable holds the grants of an entry, and the releases to be sent.
 type grantTable struct {
-	mu         sync.Mutex
-	last       Sequence
-	grants     map[Sequence]*Grant
-	releases   map[coordination.Instance][]Release
-	registered time.Time // zero when owners may have changed
-
-	// asked tells when each owner was last asked, or registered with. When owners
-	// may have changed, a registration goes to all asked of late, also when it has
+	mu             sync.Mutex
+	last           Sequence
+	grants         map[Sequence]*Grant
+	releases       map[coordination.Instance][]Release
+	lastRegistered time.Time // zero when owners may have changed
+
+	// lastContact tells when each owner was last lastContact, or registered with. When owners
+	// may have changed, a registration goes to all lastContact of late, also when it has
 	// nothing to list.
-	asked map[coordination.Instance]time.Time
+	lastContact map[coordination.Instance]time.Time
 
-	// owed holds the owners to which releases were dropped. The next registration
+	// releasesDropped holds the owners to which releases were dropped. The next registration
 	// that reaches them says the same.
-	owed map[coordination.Instance]bool
+	releasesDropped map[coordination.Instance]bool
 
-	due chan struct{} // holds one if there is something to send
+	wake chan struct{} // holds one if there is something to send
 }
 
 // notify notes that there is something to send.
 func (t *grantTable) notify() {
 	select {
-	case t.due <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-// releaseLimit bounds the releases kept for an owner that cannot be reached.
+// maxPendingReleases bounds the releases kept for an owner that cannot be reached.
 // The next registration says the same as those that are dropped.
-const releaseLimit = 4096
+const maxPendingReleases = 4096
 
 // open starts a grant that is not granted yet. Numbering and entering it are
 // one step, so that a registration never seems to say that it has ended.
@@ -107,39 +107,39 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := &Grant{entry: e, alone: alone}
-	t.number(g)
+	t.assignSequence(g)
 	return g
 }
 
-// number gives a grant the next sequence number. The caller holds t.mu.
-func (t *grantTable) number(g *Grant) {
+// assignSequence gives a grant the next sequence assignSequence. The caller holds t.mu.
+func (t *grantTable) assignSequence(g *Grant) {
 	t.last++
 	g.sequence = t.last
 	t.grants[g.sequence] = g
 }
 
-// renew gives a grant that is not granted another sequence number.
-func (t *grantTable) renew(g *Grant) {
+// renumber gives a grant that is not granted another sequence number.
+func (t *grantTable) renumber(g *Grant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.grants, g.sequence)
-	t.number(g)
+	t.assignSequence(g)
 }
 
-// aim notes which owner is asked for the grant, and for which endpoint.
-func (t *grantTable) aim(now time.Time, g *Grant, a ask) {
+// recordQuery notes which owner is asked for the grant, and for which endpoint.
+func (t *grantTable) recordQuery(now time.Time, g *Grant, a ownerQuery) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g.Endpoint = *a.endpoint
 	g.owners = g.owners[:0]
 	if a.owner != "" {
 		g.owners = append(g.owners, a.owner)
-		t.asked[a.owner] = now
+		t.lastContact[a.owner] = now
 	}
 }
 
-// grant notes that the owner has granted.
-func (t *grantTable) grant(now time.Time, g *Grant, owner coordination.Instance) {
+// markGranted notes that the owner has granted.
+func (t *grantTable) markGranted(now time.Time, g *Grant, owner coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g.granted, g.start = true, now
@@ -161,12 +161,12 @@
 		return nil
 	}
 	for _, o := range g.owners {
-		r := Release{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: g.seen}
+		r := Release{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: g.evidence}
 		if o == self {
 			local = &r
 			continue
 		}
-		t.add(o, r)
+		t.addRelease(o, r)
 	}
 	return local
 }
@@ -181,18 +181,18 @@
 	return slices.Clone(g.owners)
 }
 
-// add appends a release. The caller holds t.mu.
-func (t *grantTable) add(o coordination.Instance, r Release) {
-	if len(t.releases[o]) < releaseLimit {
+// addRelease appends a release. The caller holds t.mu.
+func (t *grantTable) addRelease(o coordination.Instance, r Release) {
+	if len(t.releases[o]) < maxPendingReleases {
 		t.releases[o] = append(t.releases[o], r)
 	} else {
-		t.owed[o] = true
+		t.releasesDropped[o] = true
 	}
 	t.notify()
 }
 
-// take returns the releases for an owner, which are then the caller's to send.
-func (t *grantTable) take(o coordination.Instance) []Release {
+// takeReleases returns the releases for an owner, which are then the caller's to send.
+func (t *grantTable) takeReleases(o coordination.Instance) []Release {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rs := t.releases[o]
@@ -200,98 +200,98 @@
 	return rs
 }
 
-// giveBack keeps releases that may not have arrived.
-func (t *grantTable) giveBack(o coordination.Instance, rs []Release) {
+// requeueReleases keeps releases that may not have arrived.
+func (t *grantTable) requeueReleases(o coordination.Instance, rs []Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range rs {
-		t.add(o, r)
+		t.addRelease(o, r)
 	}
 }
 
-// registerAgain makes the next Tick register.
-func (t *grantTable) registerAgain() {
+// requestRegistration makes the next Tick register.
+func (t *grantTable) requestRegistration() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.registered = time.Time{}
+	t.lastRegistered = time.Time{}
 	t.notify()
 }
 
-// registerIn returns the time until the next registration, which renews the
+// untilRegistration returns the time until the next registration, which renews the
 // entry's lease.
-func (t *grantTable) registerIn(now time.Time, cfg *Config) time.Duration {
+func (t *grantTable) untilRegistration(now time.Time, cfg *Config) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.registered.Add(cfg.EntryLease/leaseParts).Sub(now), releaseInterval)
+	return max(t.lastRegistered.Add(cfg.EntryLease/registrationsPerLease).Sub(now), releaseInterval)
 }
 
-// messages returns those that have to be sent now.
-func (t *grantTable) messages(now time.Time, id EntryID, v *view, cfg *Config) []dispatch {
+// pendingMessages returns those that have to be sent now.
+func (t *grantTable) pendingMessages(now time.Time, id EntryID, v *view, cfg *Config) []outboundMessage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []dispatch
+	var all []outboundMessage
 	for o, rs := range t.releases {
 		if _, live := v.routers.Find(o); live {
-			all = append(all, dispatch{to: o, releases: rs})
+			all = append(all, outboundMessage{to: o, releases: rs})
 		} else {
-			t.owed[o] = true
+			t.releasesDropped[o] = true
 		}
 	}
 	clear(t.releases)
-	if now.Sub(t.registered) < cfg.EntryLease/leaseParts {
+	if now.Sub(t.lastRegistered) < cfg.EntryLease/registrationsPerLease {
 		return all
 	}
-	for o, m := range t.registers(now, id, v, cfg) {
-		all = append(all, dispatch{to: o, register: m})
-		t.asked[o] = now
-		delete(t.owed, o)
+	for o, m := range t.registrations(now, id, v, cfg) {
+		all = append(all, outboundMessage{to: o, register: m})
+		t.lastContact[o] = now
+		delete(t.releasesDropped, o)
 	}
-	t.registered = now
+	t.lastRegistered = now
 	return all
 }
 
-// registers returns what each owner is to know that does not know it already. A
+// registrations returns what each owner is to know that does not know it already. A
 // grant is listed for the owner of its endpoint by the present lists and for those
 // that gave it: while lists differ, each of them may count the endpoint.
-func (t *grantTable) registers(now time.Time, id EntryID, v *view, cfg *Config) map[coordination.Instance]*Register {
+func (t *grantTable) registrations(now time.Time, id EntryID, v *view, cfg *Config) map[coordination.Instance]*Register {
 	all := make(map[coordination.Instance]*Register)
-	for _, o := range t.uncertain(now, v, cfg) {
+	for _, o := range t.ownersToReconcile(now, v, cfg) {
 		all[o] = &Register{Entry: id, UpTo: t.last}
 	}
 	for _, seq := range sortedKeys(t.grants) {
 		g := t.grants[seq]
-		t.follow(g, v)
+		t.updateOwners(g, v)
 		for _, o := range g.owners {
 			if all[o] == nil {
 				all[o] = &Register{Entry: id, UpTo: t.last}
 			}
-			all[o].list(now, g)
+			all[o].addGrant(now, g)
 		}
 	}
-	return lo.OmitBy(all, func(o coordination.Instance, _ *Register) bool { return t.renewed(now, o, cfg) })
+	return lo.OmitBy(all, func(o coordination.Instance, _ *Register) bool { return t.recentlyContacted(now, o, cfg) })
 }
 
-// uncertain returns the owners that may hold for granted what has ended.
-func (t *grantTable) uncertain(now time.Time, v *view, cfg *Config) []coordination.Instance {
+// ownersToReconcile returns the owners that may hold for granted what has ended.
+func (t *grantTable) ownersToReconcile(now time.Time, v *view, cfg *Config) []coordination.Instance {
 	live := func(o coordination.Instance, _ bool) bool {
 		_, ok := v.routers.Find(o)
 		return ok
 	}
-	all := lo.Keys(lo.PickBy(t.owed, live))
-	for o, at := range t.asked {
+	all := lo.Keys(lo.PickBy(t.releasesDropped, live))
+	for o, at := range t.lastContact {
 		switch {
 		case !live(o, true) || now.Sub(at) > cfg.EntryLease:
-			delete(t.asked, o)
-		case t.registered.IsZero():
+			delete(t.lastContact, o)
+		case t.lastRegistered.IsZero():
 			all = append(all, o)
 		}
 	}
 	return all
 }
 
-// follow has the owner of a grant's endpoint by the present lists count it, and
+// updateOwners has the owner of a grant's endpoint by the present lists count it, and
 // forgets owners that are gone.
-func (t *grantTable) follow(g *Grant, v *view) {
+func (t *grantTable) updateOwners(g *Grant, v *view) {
 	owner := v.routers.Owner(g.Endpoint.ID, g.Endpoint.Zone)
 	if g.granted && owner != "" && !slices.Contains(g.owners, owner) {
 		g.owners = append(g.owners, owner)
@@ -302,11 +302,11 @@
 	})
 }
 
-// renewed reports whether an owner has heard from this entry within half a turn, so
+// recentlyContacted reports whether an owner has heard from this entry within half a turn, so
 // that its lease needs no renewal before the next one. Each admission renews it, and
 // most requests have ended by then.
-func (t *grantTable) renewed(now time.Time, o coordination.Instance, cfg *Config) bool {
-	return !t.registered.IsZero() && !t.owed[o] && now.Sub(t.asked[o]) < cfg.EntryLease/(2*leaseParts)
+func (t *grantTable) recentlyContacted(now time.Time, o coordination.Instance, cfg *Config) bool {
+	return !t.lastRegistered.IsZero() && !t.releasesDropped[o] && now.Sub(t.lastContact[o]) < cfg.EntryLease/(2*registrationsPerLease)
 }
 
 func sortedKeys(m map[Sequence]*Grant) []Sequence {
@@ -315,8 +315,8 @@
 	return keys
 }
 
-// list adds a grant to the registration.
-func (m *Register) list(now time.Time, g *Grant) {
+// addGrant adds a grant to the registration.
+func (m *Register) addGrant(now time.Time, g *Grant) {
 	h := HeldGrant{Sequence: g.sequence}
 	if g.granted {
 		h.Age = millis(now.Sub(g.start))
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -21,15 +21,15 @@
 	// again. Each that follows is twice as long.
 	firstHandoverPause = 5 * time.Millisecond
 
-	// longestHandover bounds the pauses of a request together. A refusal would
+	// maxHandoverWait bounds the pauses of a request together. A refusal would
 	// keep its caller away for as long.
-	longestHandover = noCandidateRetry
+	maxHandoverWait = noCandidateRetry
 )
 
 // pause returns the pause that comes next and counts it, or false if routers have
 // had the time to agree.
 func (h *handover) pause() (time.Duration, bool) {
-	d := min(max(h.next, firstHandoverPause), longestHandover-h.waited)
+	d := min(max(h.next, firstHandoverPause), maxHandoverWait-h.waited)
 	if d <= 0 {
 		return 0, false
 	}
@@ -41,13 +41,13 @@
 // awaitHandover waits for a moment and begins the walk anew. It reports false if
 // the request is not to wait, or not any longer.
 func (w *walk) awaitHandover(ctx context.Context) bool {
-	if w.req.Now {
+	if w.req.NoWait {
 		return false
 	}
 	d, ok := w.handover.pause()
 	if !ok || !coordination.Sleep(ctx, d) {
 		return false
 	}
-	w.renew()
+	w.reset()
 	return true
 }
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -11,17 +11,17 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// disclaimer is a transport to owners that disclaim all endpoints, and name no other.
-type disclaimer struct{}
+// notOwnerTransport is a transport to owners that disclaim all endpoints, and name no other.
+type notOwnerTransport struct{}
 
-func (disclaimer) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
+func (notOwnerTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
 	return AdmitReply{Decision: Next, Code: NotOwner}.Encode(), nil
 }
 
 // Guards against a change of owners that looks like load to who reads the refusal.
 func TestRefusalTellsThatOwnersDisclaimTheirEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), disclaimer{}, nil, Config{})
+		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), notOwnerTransport{}, nil, Config{})
 		e.Update(NewSet(testEndpoints(3)), NewRouters([]Router{{ID: "other", Zone: "a"}}, 0))
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1})
 		assert.Assert(t, g == nil)
@@ -83,13 +83,13 @@
 		req  Request
 		most time.Duration
 	}{
-		{name: "plain", req: Request{Pool: testPool}, most: longestHandover},
+		{name: "plain", req: Request{Pool: testPool}, most: maxHandoverWait},
 		{name: "little time", req: Request{Pool: testPool, Deadline: 50 * time.Millisecond}, most: 80 * time.Millisecond},
-		{name: "not to wait", req: Request{Pool: testPool, Now: true}},
+		{name: "not to wait", req: Request{Pool: testPool, NoWait: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), disclaimer{}, nil, Config{})
+				e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), notOwnerTransport{}, nil, Config{})
 				e.Update(NewSet(handoverEndpoints), NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
 				begun := time.Now()
 				g, _ := e.Acquire(t.Context(), tc.req)
--- a/coordination/placement/holders.go
+++ b/coordination/placement/holders.go
@@ -6,35 +6,35 @@
 	"wisteriaspool/coordination"
 )
 
-// Holders tells which endpoint is likely to have the shared part of a request
+// CacheHolders tells which endpoint is likely to have the shared part of a request
 // cached when the chosen one has not. All routers compute the same order of
 // endpoints from their lists alone, so the endpoint that comes first has had
 // the part, unless it is new; then the one that was first before it has. The
 // zero value knows no endpoints.
-type Holders struct {
-	set   *Set
-	since map[coordination.Endpoint]time.Time // when each was first listed
+type CacheHolders struct {
+	set         *Set
+	firstListed map[coordination.Endpoint]time.Time // when each was first listed
 }
 
-// sameAge is the span within which endpoints count as of the same age, as when a
+// ageTolerance is the span within which endpoints count as of the same age, as when a
 // whole fleet starts.
-const sameAge = 3 * time.Second
+const ageTolerance = 3 * time.Second
 
-// holderRanks is how many endpoints are looked at. If the first two have come
+// maxHolderCandidates is how many endpoints are looked at. If the first two have come
 // up only now, the third has the part.
-const holderRanks = 4
+const maxHolderCandidates = 4
 
-// NewHolders returns the holders among endpoints, which may be leaving: those
+// NewCacheHolders returns the holders among endpoints, which may be leaving: those
 // still hand out what they have cached.
-func NewHolders(now time.Time, endpoints []Descriptor, old *Holders) *Holders {
-	h := &Holders{since: make(map[coordination.Endpoint]time.Time, len(endpoints))}
+func NewCacheHolders(now time.Time, endpoints []Descriptor, old *CacheHolders) *CacheHolders {
+	h := &CacheHolders{firstListed: make(map[coordination.Endpoint]time.Time, len(endpoints))}
 	kept := make([]Descriptor, 0, len(endpoints))
 	for _, d := range endpoints {
-		at, known := old.seen(d)
+		at, known := old.listedSince(d)
 		if !known {
 			at = now
 		}
-		h.since[d.ID] = at
+		h.firstListed[d.ID] = at
 		d.State = Live
 		d.Warming = 0
 		kept = append(kept, d)
@@ -43,8 +43,8 @@
 	return h
 }
 
-// seen returns since when an incarnation of an endpoint is known.
-func (h *Holders) seen(d Descriptor) (time.Time, bool) {
+// listedSince returns since when an incarnation of an endpoint is known.
+func (h *CacheHolders) listedSince(d Descriptor) (time.Time, bool) {
 	if h == nil || h.set == nil {
 		return time.Time{}, false
 	}
@@ -52,7 +52,7 @@
 	if old == nil || old.Incarnation != d.Incarnation {
 		return time.Time{}, false
 	}
-	return h.since[d.ID], true
+	return h.firstListed[d.ID], true
 }
 
 // Source returns the endpoint from which the chosen one should fetch what it
@@ -64,25 +64,25 @@
 // that were read again on a calm day of nine engines were read by the endpoint
 // that came first; with it the price of parts read again falls by 0.006 of a
 // day's worth (36 days each, standard error of the worth 0.0015).
-func (h *Holders) Source(pool coordination.Pool, key Key, chosen coordination.Endpoint) *Descriptor {
+func (h *CacheHolders) Source(pool coordination.Pool, key Key, chosen coordination.Endpoint) *Descriptor {
 	if h == nil || h.set == nil {
 		return nil
 	}
 	var buf [inlineCandidates]*Descriptor
-	ranked := h.set.Candidates(buf[:0], pool, key, 0, holderRanks)
+	ranked := h.set.Candidates(buf[:0], pool, key, 0, maxHolderCandidates)
 	if len(ranked) > 0 && ranked[0].ID == chosen {
 		if d := h.firstOf(ranked, chosen, h.older); d != nil {
 			return d
 		}
 	}
-	return h.firstOf(ranked, chosen, h.asOld)
+	return h.firstOf(ranked, chosen, h.notNewer)
 }
 
 // firstOf returns the first endpoint but the chosen one whose age against it
 // meets a condition, or nil.
-func (h *Holders) firstOf(ranked []*Descriptor, chosen coordination.Endpoint, meets func(age, chosen time.Time) bool) *Descriptor {
+func (h *CacheHolders) firstOf(ranked []*Descriptor, chosen coordination.Endpoint, meets func(age, chosen time.Time) bool) *Descriptor {
 	for _, d := range ranked {
-		if d.ID != chosen && meets(h.since[d.ID], h.since[chosen]) {
+		if d.ID != chosen && meets(h.firstListed[d.ID], h.firstListed[chosen]) {
 			return d
 		}
 	}
@@ -92,7 +92,9 @@
 // older reports whether an endpoint is older than the chosen one. If the chosen
 // one comes first in the order, then it came up only now, and one behind it has
 // had the parts that now lead to it.
-func (h *Holders) older(other, chosen time.Time) bool { return chosen.Sub(other) > sameAge }
+func (h *CacheHolders) older(other, chosen time.Time) bool { return chosen.Sub(other) > ageTolerance }
 
-// asOld reports whether an endpoint is no newer than the chosen one.
-func (h *Holders) asOld(other, chosen time.Time) bool { return other.Sub(chosen) < sameAge }
+// notNewer reports whether an endpoint is no newer than the chosen one.
+func (h *CacheHolders) notNewer(other, chosen time.Time) bool {
+	return other.Sub(chosen) < ageTolerance
+}
--- a/coordination/placement/holders_test.go
+++ b/coordination/placement/holders_test.go
@@ -12,8 +12,8 @@
 )
 
 // holdersAt returns the holders after lists that were read at some seconds.
-func holdersAt(start time.Time, lists map[int][]string) *Holders {
-	var h *Holders
+func holdersAt(start time.Time, lists map[int][]string) *CacheHolders {
+	var h *CacheHolders
 	for second := range 60 {
 		ids, ok := lists[second]
 		if !ok {
@@ -23,7 +23,7 @@
 		for _, id := range ids {
 			all = append(all, Descriptor{ID: coordination.Endpoint(id), Pool: "p", Incarnation: 1})
 		}
-		h = NewHolders(start.Add(time.Duration(second)*time.Second), all, h)
+		h = NewCacheHolders(start.Add(time.Duration(second)*time.Second), all, h)
 	}
 	return h
 }
@@ -37,7 +37,7 @@
 }
 
 // ranked returns the endpoints of a key in their order.
-func ranked(h *Holders, key Key) []coordination.Endpoint {
+func ranked(h *CacheHolders, key Key) []coordination.Endpoint {
 	var ids []coordination.Endpoint
 	for _, d := range h.set.Candidates(nil, "p", key, 0, 10) {
 		ids = append(ids, d.ID)
@@ -45,7 +45,7 @@
 	return ids
 }
 
-func sourceOf(h *Holders, key Key, chosen coordination.Endpoint) coordination.Endpoint {
+func sourceOf(h *CacheHolders, key Key, chosen coordination.Endpoint) coordination.Endpoint {
 	if d := h.Source("p", key, chosen); d != nil {
 		return d.ID
 	}
@@ -111,7 +111,7 @@
 		{ID: "b", Pool: "p", Incarnation: 1},
 		{ID: "c", Pool: "p", Incarnation: 1},
 	}
-	h := NewHolders(start, all, nil)
+	h := NewCacheHolders(start, all, nil)
 	found := false
 	for key := range Key(50) {
 		if order := ranked(h, key); order[0] == "a" {
@@ -131,7 +131,7 @@
 		{ID: "e1", Pool: "p", Incarnation: 1},
 		{ID: "e2", Pool: "p", Incarnation: 1},
 	}
-	h = NewHolders(start.Add(30*time.Second), all, h)
+	h = NewCacheHolders(start.Add(30*time.Second), all, h)
 	for key := range Key(50) {
 		if order := ranked(h, key); order[0] == "e0" {
 			assert.Equal(t, sourceOf(h, key, "e0"), order[1])
@@ -143,8 +143,8 @@
 	}
 }
 
-func TestHoldersOfNothing(t *testing.T) {
-	var h *Holders
+func TestEmptyCacheHolders(t *testing.T) {
+	var h *CacheHolders
 	assert.Assert(t, h.Source("p", 1, "a") == nil)
-	assert.Assert(t, (&Holders{}).Source("p", 1, "a") == nil)
+	assert.Assert(t, (&CacheHolders{}).Source("p", 1, "a") == nil)
 }
--- a/coordination/placement/model_test.go
+++ b/coordination/placement/model_test.go
@@ -225,7 +225,7 @@
 	m.every(modelSample, m.sample)
 	m.every(modelReport, m.report)
 	m.every(time.Second, func() { m.each(func(r *modelRouter) { r.owner.tick(m.now) }) })
-	m.every(queueTick, m.sweep)
+	m.every(queueCheckInterval, m.sweep)
 	if m.scheme == ownerAdmission {
 		m.every(releaseInterval, m.flush)
 		m.every((&view{set: m.list(), routers: m.view}).sumInterval(testPool), m.exchange)
@@ -360,7 +360,7 @@
 
 // step asks the next question of a walk.
 func (m *model) step(r *modelRouter, w *walk, seq Sequence, done func(*Descriptor, func())) {
-	a, _, ok := w.next(m.now)
+	a, _, ok := w.nextQuery(m.now)
 	if !ok {
 		done(nil, nil)
 		return
@@ -377,7 +377,7 @@
 	answer := func(reply AdmitReply) {
 		m.hop(owner, r, len(reply.Encode()), func() {
 			switch {
-			case !w.take(a, reply):
+			case !w.handleReply(a, reply):
 				m.after(w.pause(m.now), func() { m.step(r, w, seq, done) })
 			case reply.Decision == Granted:
 				done(a.endpoint, func() { m.release(r, a, seq) })
@@ -394,7 +394,7 @@
 			owner.waiting = append(owner.waiting, modelWaiter{w: waits, then: answer})
 			if !req.Final {
 				m.after(req.Wait.Duration(), func() {
-					owner.owner.sweepNow(m.now, waits)
+					owner.owner.processQueue(m.now, waits)
 					m.settle(owner)
 				})
 			}
@@ -435,14 +435,14 @@
 func (m *model) sweep() {
 	m.each(func(r *modelRouter) {
 		for _, w := range r.waiting {
-			r.owner.sweep(m.now, w.w)
+			r.owner.processQueueIfDue(m.now, w.w)
 		}
 		m.settle(r)
 	})
 }
 
 // release ends a grant.
-func (m *model) release(r *modelRouter, a ask, seq Sequence) {
+func (m *model) release(r *modelRouter, a ownerQuery, seq Sequence) {
 	rel := Release{Endpoint: a.endpoint.ID, Sequence: seq}
 	if a.owner == r.ID {
 		r.owner.release(m.now, ReleaseBatch{Entry: r.entryID(), Releases: []Release{rel}})
--- a/coordination/placement/move_test.go
+++ b/coordination/placement/move_test.go
@@ -19,7 +19,7 @@
 			es[i].Capacity, es[i].Zone = 8, "z"
 		}
 		o := NewOwner("self", Config{})
-		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, o, silentOwner{}, nil, Config{})
+		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, o, unresponsiveTransport{}, nil, Config{})
 		routers := NewRouters([]Router{{ID: "self", Zone: "z"}}, 0)
 		o.Update(NewSet(es[:1]), routers)
 		e.Update(NewSet(es[:1]), routers)
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -72,7 +72,7 @@
 		tell(OutlierChange{Endpoint: l.desc.ID, Incarnation: l.desc.Incarnation, Pool: l.desc.Pool, Change: c})
 	}
 	if c.Standing == outlier.Ejected {
-		l.passOn(Outlier)
+		l.replyNextToAll(Outlier)
 	}
 }
 
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -255,7 +255,7 @@
 		start := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		second, refusal := e.Acquire(ctx, Request{Pool: es[0].Pool, Now: true})
+		second, refusal := e.Acquire(ctx, Request{Pool: es[0].Pool, NoWait: true})
 		assert.Assert(t, second == nil)
 		assert.Equal(t, refusal.Code, Overloaded)
 		assert.Assert(t, time.Since(start) < 100*time.Millisecond)
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -110,7 +110,7 @@
 		l.desc = d
 		if d.State == Leaving {
 			l.leave()
-			l.passOn(Gone)
+			l.replyNextToAll(Gone)
 		}
 		return
 	}
@@ -180,7 +180,7 @@
 	defer s.mu.Unlock()
 	if l := s.loads[id]; l != nil && l.desc.Incarnation == n {
 		l.leave()
-		l.passOn(Gone)
+		l.replyNextToAll(Gone)
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	if r.Leaving {
 		l.leave()
-		l.passOn(Gone)
+		l.replyNextToAll(Gone)
 	}
 	l.learn(now, r, cfg)
 	l.dispatch(now, cfg)
--- a/coordination/placement/pause_test.go
+++ b/coordination/placement/pause_test.go
@@ -12,12 +12,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// overBound is a transport to owners whose endpoints are all over their bound.
-type overBound struct {
+// overBoundTransport is a transport to owners whose endpoints are all over their bound.
+type overBoundTransport struct {
 	asked atomic.Int32
 }
 
-func (o *overBound) Call(_ context.Context, _ coordination.Instance, _ string, payload []byte) ([]byte, error) {
+func (o *overBoundTransport) Call(_ context.Context, _ coordination.Instance, _ string, payload []byte) ([]byte, error) {
 	m, err := DecodeAdmitRequest(payload)
 	if err != nil {
 		return nil, err
@@ -30,9 +30,9 @@
 // Hundreds of requests wait for a new mean for seconds. Asking all candidates after
 // each exchange of sums they put 40,000 questions a second to eight routers, and
 // owners that were well did not answer in time.
-func TestWaitingForANewMeanAsksLessAndLess(t *testing.T) {
+func TestWaitForNewMeanBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &overBound{}
+		o := &overBoundTransport{}
 		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), o, nil, Config{})
 		e.Update(NewSet(testEndpoints(9)), NewRouters([]Router{{ID: "other", Zone: "a"}}, 0))
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1, Deadline: 4 * time.Second})
--- a/coordination/placement/queue.go
+++ b/coordination/placement/queue.go
@@ -16,24 +16,24 @@
 // waiter is a request that waits at an endpoint. Its owner's shard lock guards
 // it, except for done.
 type waiter struct {
-	req      AdmitRequest
-	id       GrantID
-	arrived  time.Time
-	order    uint64    // of arrival at the endpoint
-	deadline time.Time // zero for none
-	freshBy  time.Time // by when it has to start to meet its objective; zero for none
-	passAt   time.Time // when a request that is not final is passed on
-	done     chan AdmitReply
-	queued   bool
+	req       AdmitRequest
+	id        GrantID
+	arrived   time.Time
+	order     uint64    // of arrival at the endpoint
+	deadline  time.Time // zero for none
+	startBy   time.Time // by when it has to start to meet its objective; zero for none
+	holdUntil time.Time // when a request that is not final is passed on
+	done      chan AdmitReply
+	queued    bool
 }
 
 // stale reports whether the waiter can no longer meet its objective.
 func (w *waiter) stale(now time.Time) bool {
-	return !w.freshBy.IsZero() && !now.Before(w.freshBy)
+	return !w.startBy.IsZero() && !now.Before(w.startBy)
 }
 
-// settle gives the waiter its answer.
-func (w *waiter) settle(r AdmitReply) { w.done <- r }
+// reply gives the waiter its answer.
+func (w *waiter) reply(r AdmitReply) { w.done <- r }
 
 // flow is the queue of one client account at one endpoint.
 type flow struct {
@@ -103,7 +103,7 @@
 	f.items = slices.Delete(f.items, i, i+1)
 	q.size--
 	w.queued = false
-	q.forget(w.req.Account, f)
+	q.evictIdle(w.req.Account, f)
 }
 
 // next returns the request that is due first among those that fit, or nil. Those
@@ -149,24 +149,24 @@
 	q.remove(w)
 }
 
-// spareFlows is how many idle flows a queue keeps for the lead that they have
+// maxIdleFlows is how many idle flows a queue keeps for the lead that they have
 // over virtual time.
-const spareFlows = 64
+const maxIdleFlows = 64
 
-// forget drops an idle flow that has no lead over virtual time any more. Under
+// evictIdle drops an idle flow that has no lead over virtual time any more. Under
 // lasting overload the queue is never empty, and every account that was ever
 // served would stay in the table, which each service goes through.
-func (q *fairQueue) forget(a coordination.Account, f *flow) {
+func (q *fairQueue) evictIdle(a coordination.Account, f *flow) {
 	if len(f.items) == 0 && f.start <= q.now {
 		delete(q.flows, a)
 	}
 	if q.size == 0 {
 		clear(q.flows)
 	}
-	if len(q.flows) > q.size+spareFlows {
+	if len(q.flows) > q.size+maxIdleFlows {
 		q.dropIdle(func(f *flow) bool { return f.start <= q.now })
 	}
-	if len(q.flows) > q.size+spareFlows {
+	if len(q.flows) > q.size+maxIdleFlows {
 		q.dropIdle(func(*flow) bool { return true })
 	}
 }
--- a/coordination/placement/queue_test.go
+++ b/coordination/placement/queue_test.go
@@ -126,7 +126,7 @@
 
 // A caller gives up while its request waits. The place must go to the next one,
 // and the owner must not grant what nobody wants any more.
-func TestGivenUpRequestLeavesTheQueue(t *testing.T) {
+func TestCancelledRequestLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(1)
 		es[0].Capacity = 1
@@ -170,7 +170,7 @@
 	assert.Equal(t, admit(o, now, 3, "e0").Decision, Granted)
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	m := AdmitRequest{
 		Entry: testEntry, Sequence: 9, Endpoint: "e0", Incarnation: 4, Account: "a", Priority: 2,
 		Deadline: 50, Wait: 25, Final: true, Alone: true, Releases: []Release{{Endpoint: "e1", Sequence: 3}},
@@ -197,6 +197,6 @@
 		w := &waiter{req: AdmitRequest{Account: coordination.Account(fmt.Sprint(i))}, order: uint64(i + 2)}
 		q.push(w, 1)
 		q.serve(w)
-		assert.Assert(t, len(q.flows) <= q.size+spareFlows, "%d flows", len(q.flows))
+		assert.Assert(t, len(q.flows) <= q.size+maxIdleFlows, "%d flows", len(q.flows))
 	}
 }
--- a/coordination/placement/queued_test.go
+++ b/coordination/placement/queued_test.go
@@ -61,9 +61,9 @@
 				entry := f.nodes["r0"].entry
 				running := fill(t, entry, 4)
 				placed := make(chan error, 1)
-				go waiting{entry, placed}.run(t)
+				go waitingRequest{entry, placed}.run(t)
 				time.Sleep(100 * time.Millisecond)
-				queue := queueOf(f.nodes["r1"].owner)
+				queue := endpointWithQueue(f.nodes["r1"].owner)
 				assert.Assert(t, queue != "", "the request does not wait")
 				tc.end(f, set, queue)
 				time.Sleep(time.Second)
@@ -86,13 +86,13 @@
 	return running
 }
 
-// waiting is a request that finds all endpoints full.
-type waiting struct {
+// waitingRequest is a request that finds all endpoints full.
+type waitingRequest struct {
 	entry  *Entry
 	placed chan<- error
 }
 
-func (w waiting) run(t *testing.T) {
+func (w waitingRequest) run(t *testing.T) {
 	g, r := w.entry.Acquire(t.Context(), Request{Pool: testPool, Key: 1, Deadline: 4 * time.Second})
 	if g == nil {
 		w.placed <- refusedError(r)
@@ -107,8 +107,8 @@
 
 func (r refusedError) Error() string { return "refused: " + r.Code.String() }
 
-// queueOf returns the endpoint at which requests wait, or none.
-func queueOf(o *Owner) coordination.Endpoint {
+// endpointWithQueue returns the endpoint at which requests wait, or none.
+func endpointWithQueue(o *Owner) coordination.Endpoint {
 	for i := range o.shards {
 		if id := o.shards[i].queue(); id != "" {
 			return id
--- a/coordination/placement/release.go
+++ b/coordination/placement/release.go
@@ -41,7 +41,7 @@
 	defer s.mu.Unlock()
 	if l := s.loads[e.Endpoint]; l != nil && l.desc.Incarnation == e.Incarnation {
 		l.lost = now
-		l.passOn(Lost)
+		l.replyNextToAll(Lost)
 	}
 }
 
@@ -72,7 +72,7 @@
 	for _, w := range l.queue.waiters() {
 		if w.id == id {
 			l.queue.remove(w)
-			w.settle(AdmitReply{Decision: Refused, Code: Cancelled})
+			w.reply(AdmitReply{Decision: Refused, Code: Cancelled})
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 	for _, w := range l.queue.waiters() {
 		if w.id.Entry == e {
 			l.queue.remove(w)
-			w.settle(AdmitReply{Decision: Refused, Code: Cancelled})
+			w.reply(AdmitReply{Decision: Refused, Code: Cancelled})
 		}
 	}
 	l.refresh(now, cfg)
--- a/coordination/placement/rush_test.go
+++ b/coordination/placement/rush_test.go
@@ -51,9 +51,9 @@
 	return l.link.Call(ctx, to, topic, payload)
 }
 
-// rush is a load on a fleet whose endpoints run each request for a second. Some
+// overloadRun is a load on a fleet whose endpoints run each request for a second. Some
 // of them die in its middle: they refuse connections, and stay listed.
-type rush struct {
+type overloadRun struct {
 	*fleet
 	stalls *stalls
 	es     []Descriptor
@@ -62,21 +62,21 @@
 
 	mu     sync.Mutex
 	down   map[coordination.Endpoint]bool
-	result rushResult
+	result overloadResult
 }
 
-// rushResult is what callers got.
-type rushResult struct {
-	asked   int
-	inTime  int // sent to a live endpoint within rushObjective
-	late    int
-	refused int
-	urgent  int           // requests of the most urgent kind
-	first   int           // of these, in time
-	held    time.Duration // longest time until a refusal
-	unsent  int           // times that a caller was sent to a dead endpoint
-	calls   int           // between routers
-	worst   time.Duration
+// overloadResult is what callers got.
+type overloadResult struct {
+	asked          int
+	inTime         int // sent to a live endpoint within rushObjective
+	late           int
+	refused        int
+	urgent         int           // requests of the most urgent kind
+	urgentInTime   int           // of these, in time
+	longestRefusal time.Duration // longest time until a refusal
+	sentToDead     int           // times that a caller was sent to a dead endpoint
+	calls          int           // between routers
+	worst          time.Duration
 }
 
 const (
@@ -88,8 +88,8 @@
 	rushRefusal   = 30 * time.Millisecond // until a connection is refused
 )
 
-func newRush(endpoints, perS int) *rush {
-	s := &rush{
+func newOverloadRun(endpoints, perS int) *overloadRun {
+	s := &overloadRun{
 		stalls: &stalls{every: 500, until: make(map[[2]coordination.Instance]time.Time)},
 		es:     testEndpoints(endpoints),
 		perS:   perS,
@@ -115,14 +115,14 @@
 }
 
 // list gives all routers a list of endpoints.
-func (s *rush) list(es []Descriptor) {
+func (s *overloadRun) list(es []Descriptor) {
 	set, routers := NewSet(es), NewRouters(testRouters(rushRouters), 0)
 	for _, n := range s.nodes {
 		n.update(set, routers)
 	}
 }
 
-func (s *rush) kill(n int) {
+func (s *overloadRun) kill(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range n {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *rush) isDown(id coordination.Endpoint) bool {
+func (s *overloadRun) isDown(id coordination.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down[id]
@@ -138,7 +138,7 @@
 
 // play sends requests for as long as the rush lasts, calls at once event when a
 // third of it has passed, and returns what callers got.
-func (s *rush) play(ctx context.Context, event func()) rushResult {
+func (s *overloadRun) play(ctx context.Context, event func()) overloadResult {
 	defer s.start()()
 	time.Sleep(2 * time.Second)
 	before := s.sent()
@@ -149,7 +149,7 @@
 		if i == n/3 {
 			event()
 		}
-		c := rushCaller{rush: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%rushRouters))]}
+		c := overloadCaller{overloadRun: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%rushRouters))]}
 		wg.Go(func() { c.run(ctx) })
 		time.Sleep(gap)
 	}
@@ -159,20 +159,20 @@
 }
 
 // sent returns how many questions routers have put to each other.
-func (s *rush) sent() int {
+func (s *overloadRun) sent() int {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	return s.message[TopicAdmit]
 }
 
-// rushCaller is one request of a rush.
-type rushCaller struct {
-	*rush
+// overloadCaller is one request of a rush.
+type overloadCaller struct {
+	*overloadRun
 	n    int
 	node *node
 }
 
-func (c rushCaller) run(ctx context.Context) {
+func (c overloadCaller) run(ctx context.Context) {
 	begun := time.Now()
 	req := Request{
 		Pool: testPool, Key: Key(c.n % 61), Account: coordination.Account(fmt.Sprint(c.n % 10)),
@@ -185,8 +185,8 @@
 		}
 		if c.isDown(g.Endpoint.ID) {
 			time.Sleep(rushRefusal)
-			c.note(func(r *rushResult) { r.unsent++ })
-			go c.node.entry.Lost(ctx, g.Endpoint)
+			c.note(func(r *overloadResult) { r.sentToDead++ })
+			go c.node.entry.ReportLost(ctx, g.Endpoint)
 			g.Release()
 			req.Avoid = append(req.Avoid, g.Endpoint.ID)
 			req.Deadline = rushDeadline - time.Since(begun)
@@ -196,15 +196,15 @@
 		waited := time.Since(begun)
 		time.Sleep(time.Second)
 		g.Release()
-		c.note(func(r *rushResult) { r.served(c.priority(), waited) })
+		c.note(func(r *overloadResult) { r.served(c.priority(), waited) })
 		return
 	}
 	held := time.Since(begun)
-	c.note(func(r *rushResult) { r.refuse(c.priority(), held) })
+	c.note(func(r *overloadResult) { r.refuse(c.priority(), held) })
 }
 
 // priority makes one request in seven the most urgent and three the least.
-func (c rushCaller) priority() coordination.Priority {
+func (c overloadCaller) priority() coordination.Priority {
 	switch n := c.n % 7; {
 	case n == 0:
 		return 0
@@ -215,34 +215,34 @@
 	}
 }
 
-func (r *rushResult) ask(p coordination.Priority) {
+func (r *overloadResult) ask(p coordination.Priority) {
 	r.asked++
 	if p == 0 {
 		r.urgent++
 	}
 }
 
-func (r *rushResult) served(p coordination.Priority, waited time.Duration) {
+func (r *overloadResult) served(p coordination.Priority, waited time.Duration) {
 	r.ask(p)
 	r.worst = max(r.worst, waited)
 	switch {
 	case waited > rushObjective:
 		r.late++
 	case p == 0:
-		r.first++
+		r.urgentInTime++
 		fallthrough
 	default:
 		r.inTime++
 	}
 }
 
-func (r *rushResult) refuse(p coordination.Priority, held time.Duration) {
+func (r *overloadResult) refuse(p coordination.Priority, held time.Duration) {
 	r.ask(p)
 	r.refused++
-	r.held = max(r.held, held)
+	r.longestRefusal = max(r.longestRefusal, held)
 }
 
-func (c rushCaller) note(fn func(*rushResult)) {
+func (c overloadCaller) note(fn func(*overloadResult)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fn(&c.result)
@@ -251,34 +251,34 @@
 // Four of nine endpoints die in a surge, and links stall. Routers that place
 // without an owner that does not answer send callers to the dead endpoints, which
 // look idle to them.
-func TestRushKeepsOffDeadEndpoints(t *testing.T) {
+func TestOverloadAvoidsDeadEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
-		assert.Assert(t, r.unsent < 100, "%d of %d sent to the dead", r.unsent, r.asked)
+		assert.Assert(t, r.sentToDead < 100, "%d of %d sent to the dead", r.sentToDead, r.asked)
 	})
 }
 
 // Twice as much is asked as the endpoints that are left can serve. In the order of
 // arrival nearly all would be late, the most urgent kind as well.
-func TestRushServesInTimeWhatItCan(t *testing.T) {
+func TestOverloadServesUrgentRequestsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.inTime*100 >= r.asked*70, "%d of %d in time", r.inTime, r.asked)
-		assert.Assert(t, r.first*100 >= r.urgent*95, "%d of %d of the most urgent kind in time", r.first, r.urgent)
+		assert.Assert(t, r.urgentInTime*100 >= r.urgent*95, "%d of %d of the most urgent kind in time", r.urgentInTime, r.urgent)
 	})
 }
 
 // A request that cannot be served is held until its caller has gone.
-func TestRushRefusesEarly(t *testing.T) {
+func TestOverloadRefusesEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.refused > 0)
-		assert.Assert(t, r.held <= rushDeadline/2, "%v", r.held)
+		assert.Assert(t, r.longestRefusal <= rushDeadline/2, "%v", r.longestRefusal)
 	})
 }
--- a/coordination/placement/start.go
+++ b/coordination/placement/start.go
@@ -16,8 +16,8 @@
 	// owner takes the mean for higher than it is.
 	releaseInterval = 20 * time.Millisecond
 
-	// leaseParts is how many times an entry registers within its lease.
-	leaseParts = 3
+	// registrationsPerLease is how many times an entry registers within its lease.
+	registrationsPerLease = 3
 )
 
 // driver calls an owner and an entry as time passes.
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &driver{owner: o, entry: e}
 	d.wg.Go(func() { d.loop(ctx, d.tickOwner, nil) })
-	d.wg.Go(func() { d.loop(ctx, d.tickEntry, e.held.due) })
+	d.wg.Go(func() { d.loop(ctx, d.tickEntry, e.held.wake) })
 	d.wg.Go(func() { d.loop(ctx, d.exchange, nil) })
 	return func() {
 		cancel()
@@ -69,7 +69,7 @@
 // lease.
 func (d *driver) tickEntry(ctx context.Context) time.Duration {
 	d.entry.Tick(ctx)
-	return d.entry.held.registerIn(time.Now(), d.entry.cfg.Load())
+	return d.entry.held.untilRegistration(time.Now(), d.entry.cfg.Load())
 }
 
 func (d *driver) exchange(ctx context.Context) time.Duration {
--- a/coordination/placement/start_test.go
+++ b/coordination/placement/start_test.go
@@ -13,9 +13,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// countedCalls counts the calls to other owners, and notes the longest time
+// callRecorder counts the calls to other owners, and notes the longest time
 // between two of them.
-type countedCalls struct {
+type callRecorder struct {
 	releases, registers atomic.Int64
 
 	mu      sync.Mutex
@@ -23,7 +23,7 @@
 	longest time.Duration
 }
 
-func (c *countedCalls) hear() {
+func (c *callRecorder) record() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.last.IsZero() {
@@ -33,8 +33,8 @@
 }
 
 // Call implements Transport. Each admission is granted.
-func (c *countedCalls) Call(_ context.Context, _ coordination.Instance, topic string, _ []byte) ([]byte, error) {
-	c.hear()
+func (c *callRecorder) Call(_ context.Context, _ coordination.Instance, topic string, _ []byte) ([]byte, error) {
+	c.record()
 	switch topic {
 	case TopicAdmit:
 		return AdmitReply{Decision: Granted}.Encode(), nil
@@ -51,7 +51,7 @@
 // has ended.
 func TestReleaseIsSentWithinItsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := &countedCalls{}
+		calls := &callRecorder{}
 		e, stop := startEntry(calls)
 		defer stop()
 		for range 5 {
@@ -73,7 +73,7 @@
 	lease := Config{}.withDefaults().EntryLease
 	for _, pause := range []time.Duration{lease * 3 / 10, lease * 4 / 10, lease * 10} {
 		synctest.Test(t, func(t *testing.T) {
-			calls := &countedCalls{}
+			calls := &callRecorder{}
 			e, stop := startEntry(calls)
 			defer stop()
 			kept, _ := e.Acquire(t.Context(), Request{Pool: "m", Key: 1})
@@ -84,7 +84,7 @@
 				g.Release()
 				time.Sleep(pause / 7)
 			}
-			calls.hear()
+			calls.record()
 			assert.Assert(t, calls.longest <= lease/2+2*releaseInterval, "not heard of for %v of %v", calls.longest, lease)
 		})
 	}
@@ -95,7 +95,7 @@
 // owner twice.
 func TestEntryRegistersOnlyWhatOwnersDoNotKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := &countedCalls{}
+		calls := &callRecorder{}
 		e, stop := startEntry(calls)
 		defer stop()
 		time.Sleep(5 * time.Second)
--- a/coordination/placement/unanswered_test.go
+++ b/coordination/placement/unanswered_test.go
@@ -46,12 +46,12 @@
 		time.Sleep(2 * time.Second) // until the owner has settled
 
 		g := e.held.open(e, false)
-		a := ask{endpoint: set.Find("a"), owner: "other"}
+		a := ownerQuery{endpoint: set.Find("a"), owner: "other"}
 		cfg := e.cfg.Load()
-		assert.Equal(t, e.put(t.Context(), g, Request{Pool: "p"}, a, cfg).Code, Unreachable)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Code, Unreachable)
 		e.Tick(t.Context())
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, e.put(t.Context(), g, Request{Pool: "p"}, a, cfg).Decision, Granted)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Decision, Granted)
 		g.Release()
 		e.Tick(t.Context())
 		assert.Equal(t, len(o.shard("a").loads["a"].grants), 0)
@@ -64,17 +64,17 @@
 func TestSilentOwnerIsAskedAgainByOneRequest(t *testing.T) {
 	var f fallbackTable
 	now := testStart
-	f.lost(now, "o")
-	f.lost(now.Add(90*time.Millisecond), "o") // put to it side by side
-	assert.Assert(t, f.silent(now.Add(leastMute-time.Millisecond), "o"))
-	now = now.Add(leastMute)
-	assert.Assert(t, !f.silent(now, "o"))
-	assert.Assert(t, f.silent(now.Add(time.Millisecond), "o"), "the others wait for the first")
-	f.lost(now.Add(admitTimeout), "o")
-	assert.Assert(t, f.silent(now.Add(admitTimeout+2*leastMute-time.Millisecond), "o"), "the pause grows")
-	assert.Assert(t, !f.silent(now.Add(admitTimeout+2*leastMute), "o"))
-	f.heard("o")
-	assert.Assert(t, !f.silent(now.Add(admitTimeout), "o"))
+	f.recordFailure(now, "o")
+	f.recordFailure(now.Add(90*time.Millisecond), "o") // put to it side by side
+	assert.Assert(t, f.backingOff(now.Add(minOwnerBackoff-time.Millisecond), "o"))
+	now = now.Add(minOwnerBackoff)
+	assert.Assert(t, !f.backingOff(now, "o"))
+	assert.Assert(t, f.backingOff(now.Add(time.Millisecond), "o"), "the others wait for the first")
+	f.recordFailure(now.Add(admitTimeout), "o")
+	assert.Assert(t, f.backingOff(now.Add(admitTimeout+2*minOwnerBackoff-time.Millisecond), "o"), "the pause grows")
+	assert.Assert(t, !f.backingOff(now.Add(admitTimeout+2*minOwnerBackoff), "o"))
+	f.recordAnswer("o")
+	assert.Assert(t, !f.backingOff(now.Add(admitTimeout), "o"))
 }
 
 // Endpoints are dead and stay listed, and their owner does not answer. A router that
@@ -82,10 +82,10 @@
 func TestEntryPlacesNothingBlindlyAtTheDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := Config{AloneLimit: 3, LostFor: time.Second}
-		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", cfg), silentOwner{}, nil, cfg)
+		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", cfg), unresponsiveTransport{}, nil, cfg)
 		set := NewSet([]Descriptor{{ID: "dead", Pool: "p", Zone: "z"}})
 		e.Update(set, NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
-		e.Lost(t.Context(), *set.Find("dead"))
+		e.ReportLost(t.Context(), *set.Find("dead"))
 		g, r := e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
 		assert.Assert(t, g == nil)
 		assert.Equal(t, r.Code, Lost)
--- a/coordination/placement/unlisted_test.go
+++ b/coordination/placement/unlisted_test.go
@@ -12,7 +12,7 @@
 func TestPoolWithoutEndpointsIsToldFromAFullOne(t *testing.T) {
 	cfg := Config{}.withDefaults()
 	w := newWalk(time.Now(), Request{Pool: "m@1"}, &cfg, NewSet(nil), NewRouters(nil, 0))
-	_, r, ok := w.next(time.Now())
+	_, r, ok := w.nextQuery(time.Now())
 	assert.Assert(t, !ok)
 	assert.Equal(t, r.Code, Unlisted)
 	assert.Equal(t, r.Code.String(), "no-endpoint-known")
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -9,13 +9,13 @@
 
 // Request is what an entry wants placed.
 type Request struct {
-	Pool     coordination.Pool
-	Key      Key  // of the chat, or of the content of a request without one
-	Hint     Hint // where the chat is warm
-	Near     Key  // of the router, as in [Set.Near]
-	Width    int  // as in [Set.Near]; zero if the endpoint should be that of Key
-	Account  coordination.Account
-	Priority coordination.Priority
+	Pool       coordination.Pool
+	Key        Key  // of the chat, or of the content of a request without one
+	Hint       Hint // where the chat is warm
+	SubsetKey  Key  // of the router, as in [Set.Near]
+	SubsetSize int  // as in [Set.Near]; zero if the endpoint should be that of Key
+	Account    coordination.Account
+	Priority   coordination.Priority
 
 	// Deadline is the time left in which the request must start; zero for
 	// none of its own.
@@ -33,8 +33,8 @@
 	// attempt, so that it keeps away from endpoints in doubt.
 	Once bool
 
-	// Now says that the request is not to wait in a queue.
-	Now bool
+	// NoWait says that the request is not to wait in a queue.
+	NoWait bool
 
 	// Avoid lists endpoints that have failed this request already.
 	Avoid []coordination.Endpoint
@@ -46,8 +46,8 @@
 	RetryAfter time.Duration
 }
 
-// ask is one question to one owner.
-type ask struct {
+// ownerQuery is one question to one owner.
+type ownerQuery struct {
 	endpoint *Descriptor
 	owner    coordination.Instance
 	deadline Millis
@@ -58,9 +58,9 @@
 }
 
 const (
-	// fullTries is how many full endpoints a request meets before it queues:
+	// maxFullReplies is how many full endpoints a request meets before it queues:
 	// in a surge all are full, and asking more of them only adds traffic.
-	fullTries = 3
+	maxFullReplies = 3
 
 	// warmBias is the wait that a request accepts at its first candidate,
 	// where its chat may be warm, over that at another.
@@ -85,22 +85,22 @@
 	at   int         // of the candidate that is asked
 	warm *Descriptor // the endpoint that the hint names, or nil
 
-	redirect coordination.Instance
-	sent     int // position of the candidate that was last redirected
-	rounds   int
-	resume   time.Time // when a pause ends
-	handover handover
-	stage    stage
-	full     int
-	other    bool // some answer was not that the endpoint is full
-	unowned  bool // some endpoint's owner disclaimed it
-	outliers int  // endpoints that were kept off for their failures
-	insist   bool // there are too many outliers to keep off them
-	over     bool // some endpoint was over its bound, or its owner settling
-	queue    *Descriptor
-	wait     Millis // expected in that queue
-	last     Code
-	lost     []LostEndpoint // whose owners know of their death
+	redirect     coordination.Instance
+	redirectedAt int // position of the candidate that was last redirected
+	rounds       int
+	resumeAt     time.Time // when a pause ends
+	handover     handover
+	stage        stage
+	fullReplies  int
+	otherReplies bool // some answer was not that the endpoint is full
+	unowned      bool // some endpoint's owner disclaimed it
+	outliers     int  // endpoints that were kept off for their failures
+	insist       bool // there are too many outliers to keep off them
+	overBound    bool // some endpoint was over its bound, or its owner settling
+	bestQueue    *Descriptor
+	bestWait     Millis // expected in that queue
+	last         Code
+	lost         []LostEndpoint // whose owners know of their death
 }
 
 // stage is how far a walk has come.
@@ -113,7 +113,7 @@
 )
 
 func newWalk(now time.Time, req Request, cfg *Config, set *Set, routers *Routers) *walk {
-	w := &walk{req: req, cfg: cfg, set: set, routers: routers, started: now, at: -1, sent: -1}
+	w := &walk{req: req, cfg: cfg, set: set, routers: routers, started: now, at: -1, redirectedAt: -1}
 	w.warm = set.Warm(req.Pool, req.Hint)
 	w.list = w.candidates(w.buf[:0], cfg.Candidates)
 	return w
@@ -121,33 +121,33 @@
 
 // candidates appends to dst the first endpoints that the request should try.
 func (w *walk) candidates(dst []*Descriptor, limit int) []*Descriptor {
-	if w.req.Width > 0 {
-		return w.set.Near(dst, w.req.Pool, w.req.Near, w.req.Key, w.req.Width, limit)
+	if w.req.SubsetSize > 0 {
+		return w.set.Subset(dst, w.req.Pool, w.req.SubsetKey, w.req.Key, w.req.SubsetSize, limit)
 	}
 	return w.set.Candidates(dst, w.req.Pool, w.req.Key, w.req.Hint, limit)
 }
 
-// next returns the next question, or false and why there is none.
-func (w *walk) next(now time.Time) (ask, Refusal, bool) {
+// nextQuery returns the nextQuery question, or false and why there is none.
+func (w *walk) nextQuery(now time.Time) (ownerQuery, Refusal, bool) {
 	deadline, late := w.remaining(now)
 	if late || w.rounds > maxRounds {
-		return ask{}, Refusal{Code: Deadline, RetryAfter: minRetryAfter}, false
+		return ownerQuery{}, Refusal{Code: Deadline, RetryAfter: minRetryAfter}, false
 	}
 	if w.redirect != "" {
-		a := w.ask(now, w.list[w.at], deadline)
+		a := w.newQuery(now, w.list[w.at], deadline)
 		a.owner, w.redirect = w.redirect, ""
 		return a, Refusal{}, true
 	}
 	if d := w.advance(now); d != nil {
-		return w.ask(now, d, deadline), Refusal{}, true
+		return w.newQuery(now, d, deadline), Refusal{}, true
 	}
-	if w.insistOn() {
-		return w.next(now)
+	if w.retryWithOutliers() {
+		return w.nextQuery(now)
 	}
-	if w.queue != nil && !w.req.Now {
-		return w.settleFor(now, w.queue, deadline), Refusal{}, true
+	if w.bestQueue != nil && !w.req.NoWait {
+		return w.queueQuery(now, w.bestQueue, deadline), Refusal{}, true
 	}
-	return ask{}, w.exhausted(), false
+	return ownerQuery{}, w.exhausted(), false
 }
 
 // remaining returns the time left in which the request must start.
@@ -159,9 +159,9 @@
 	if t := w.req.Target; t > 0 {
 		// An attempt that follows a failed one has some time, too, and the endpoint
 		// needs some of what the caller has left.
-		limit = min(limit, max(patience*t-w.req.Waited, t))
+		limit = min(limit, max(maxTargetMultiple*t-w.req.Waited, t))
 		if w.req.Deadline > 0 {
-			limit = min(limit, w.req.Deadline/startShare)
+			limit = min(limit, w.req.Deadline/startDivisor)
 		}
 	}
 	d := limit - now.Sub(w.started)
@@ -177,22 +177,22 @@
 	return max(millis(w.req.Target-w.req.Waited-now.Sub(w.started)), 1)
 }
 
-// patience is how many times its target a request waits for its start at most. Its
+// maxTargetMultiple is how many times its target a request waits for its start at most. Its
 // caller, who waits for the first byte, would soon be gone.
-const patience = 2
+const maxTargetMultiple = 2
 
-// settleFor returns the question that lets the request wait at an endpoint.
+// queueQuery returns the question that lets the request wait at an endpoint.
 // With a bound above 1 some endpoint of the pool is under it, so if none was,
 // the owners' mean lags behind a rising load: the request waits for the next
 // exchange of sums and then asks all over again. To queue at an endpoint over
 // its bound would keep it waiting there while others idle.
-func (w *walk) settleFor(now time.Time, d *Descriptor, deadline Millis) ask {
-	w.queue = nil
-	a := w.ask(now, d, deadline)
-	if w.over {
+func (w *walk) queueQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
+	w.bestQueue = nil
+	a := w.newQuery(now, d, deadline)
+	if w.overBound {
 		w.stage = pausing
-		pause := w.pauseTime()
-		w.resume = now.Add(pause)
+		pause := w.meanPause()
+		w.resumeAt = now.Add(pause)
 		a.wait = millis(pause)
 		return a
 	}
@@ -201,17 +201,17 @@
 	return a
 }
 
-// longestPause bounds the time for which a request waits for a new mean.
-const longestPause = 800 * time.Millisecond
+// maxMeanPause bounds the time for which a request waits for a new mean.
+const maxMeanPause = 800 * time.Millisecond
 
-// pauseTime returns for how long a request waits for a new mean: for an exchange of
+// meanPause returns for how long a request waits for a new mean: for an exchange of
 // sums, and twice as long in each round after. Under a load that lasts, hundreds of
 // requests wait, and would put to their candidates, after each exchange, more
 // questions than owners answer in time.
-func (w *walk) pauseTime() time.Duration {
+func (w *walk) meanPause() time.Duration {
 	d := (&view{set: w.set, routers: w.routers}).sumInterval(w.req.Pool)
 	for range w.rounds {
-		if 2*d > longestPause {
+		if 2*d > maxMeanPause {
 			break
 		}
 		d *= 2
@@ -229,48 +229,48 @@
 	if w.stage != asking || w.at >= 0 {
 		return 0
 	}
-	return max(w.resume.Sub(now), 0)
+	return max(w.resumeAt.Sub(now), 0)
 }
 
-// restart begins the walk anew after a pause for a new mean.
-func (w *walk) restart() {
+// nextRound begins the walk anew after a pause for a new mean.
+func (w *walk) nextRound() {
 	w.rounds++
-	w.renew()
+	w.reset()
 }
 
-// renew begins the walk anew, by the lists as they are now.
-func (w *walk) renew() {
+// reset begins the walk anew, by the lists as they are now.
+func (w *walk) reset() {
 	if w.latest != nil {
 		v := w.latest()
 		w.set, w.routers = v.set, v.routers
 		w.warm = w.set.Warm(w.req.Pool, w.req.Hint)
 		w.list = w.candidates(w.list[:0], w.cfg.Candidates)
 	}
-	w.sent = -1
-	w.stage, w.at, w.full = asking, -1, 0
-	w.other, w.unowned, w.over, w.queue = false, false, false, nil
+	w.redirectedAt = -1
+	w.stage, w.at, w.fullReplies = asking, -1, 0
+	w.otherReplies, w.unowned, w.overBound, w.bestQueue = false, false, false, nil
 	w.outliers, w.insist = 0, false
 }
 
-// insistOn begins the walk anew, without regard to outliers, if there are more
+// retryWithOutliers begins the walk anew, without regard to outliers, if there are more
 // than a pool may do without, if the others are over their bound for it, or if no
 // other endpoint is left even to wait for.
-func (w *walk) insistOn() bool {
+func (w *walk) retryWithOutliers() bool {
 	if w.insist || w.outliers == 0 {
 		return false
 	}
-	if !w.crowded() && !w.over && w.queue != nil {
+	if !w.tooManyOutliers() && !w.overBound && w.bestQueue != nil {
 		return false
 	}
 	w.insist = true
-	w.at, w.full, w.queue = -1, 0, nil
-	w.over = false
+	w.at, w.fullReplies, w.bestQueue = -1, 0, nil
+	w.overBound = false
 	return true
 }
 
 // advance moves on to the next candidate that is worth a question.
 func (w *walk) advance(now time.Time) *Descriptor {
-	if w.full >= fullTries && w.queue != nil || w.crowded() {
+	if w.fullReplies >= maxFullReplies && w.bestQueue != nil || w.tooManyOutliers() {
 		return nil
 	}
 	if w.at < 0 && w.doubts.outliers(now, w.req.Pool) > outliersOf(w.set.Len(w.req.Pool)) {
@@ -288,22 +288,22 @@
 		if w.insist || !w.doubts.holds(now, doubt{pool: w.req.Pool, endpoint: d.ID, once: w.req.Once}) {
 			return d
 		}
-		w.keepOff()
-		if w.crowded() {
+		w.skipOutlier()
+		if w.tooManyOutliers() {
 			return nil
 		}
 	}
 }
 
-// crowded reports whether more endpoints fail than the pool may do without.
-func (w *walk) crowded() bool {
+// tooManyOutliers reports whether more endpoints fail than the pool may do without.
+func (w *walk) tooManyOutliers() bool {
 	return !w.insist && w.outliers > outliersOf(w.set.Len(w.req.Pool))
 }
 
-// keepOff notes that the present candidate is kept off for its failures.
-func (w *walk) keepOff() {
+// skipOutlier notes that the present candidate is kept off for its failures.
+func (w *walk) skipOutlier() {
 	w.outliers++
-	w.other = true
+	w.otherReplies = true
 }
 
 // extendFactor is how many times its usual candidates a request asks in the
@@ -316,18 +316,18 @@
 // behind a rising load, and the others are over it as well.
 func (w *walk) extend() bool {
 	n := w.set.Len(w.req.Pool)
-	if w.over {
+	if w.overBound {
 		n = min(n, w.cfg.Candidates*extendFactor*(w.rounds+1))
 	}
-	if len(w.list) >= n || len(w.list) > 0 && !w.other && w.full > 0 {
+	if len(w.list) >= n || len(w.list) > 0 && !w.otherReplies && w.fullReplies > 0 {
 		return false
 	}
 	w.list = w.candidates(w.list[:0], min(2*len(w.list), n))
 	return true
 }
 
-func (w *walk) ask(now time.Time, d *Descriptor, deadline Millis) ask {
-	a := ask{
+func (w *walk) newQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
+	a := ownerQuery{
 		endpoint: d,
 		owner:    w.routers.Owner(d.ID, d.Zone),
 		deadline: deadline,
@@ -340,9 +340,9 @@
 	return a
 }
 
-// take receives the answer to the last question and reports whether it ends
+// handleReply receives the answer to the last question and reports whether it ends
 // the walk.
-func (w *walk) take(a ask, r AdmitReply) bool {
+func (w *walk) handleReply(a ownerQuery, r AdmitReply) bool {
 	if r.Decision != Next {
 		return true
 	}
@@ -355,42 +355,42 @@
 	}
 	if w.stage != asking {
 		// It was held back there and is not any more; others may have room by now.
-		w.restart()
+		w.nextRound()
 		return false
 	}
 	switch r.Code {
 	case Full:
-		w.full++
-		w.offer(a, r.RetryAfter)
+		w.fullReplies++
+		w.considerQueue(a, r.RetryAfter)
 	case OverBound, Settling:
-		w.other, w.over = true, true
-		w.offer(a, r.RetryAfter)
+		w.otherReplies, w.overBound = true, true
+		w.considerQueue(a, r.RetryAfter)
 	case NotOwner:
-		w.other, w.unowned = true, true
-		w.follow(a, r.Owner)
+		w.otherReplies, w.unowned = true, true
+		w.followRedirect(a, r.Owner)
 	case Outlier:
-		w.keepOff()
+		w.skipOutlier()
 	default:
-		w.other = true
+		w.otherReplies = true
 	}
 	return false
 }
 
-// follow goes on to the router that the asked one takes for the owner, once for
+// followRedirect goes on to the router that the asked one takes for the owner, once for
 // each candidate: while lists differ, two routers may name each other.
-func (w *walk) follow(a ask, owner coordination.Instance) {
-	if owner != "" && owner != a.owner && w.sent != w.at {
-		w.redirect, w.sent = owner, w.at
+func (w *walk) followRedirect(a ownerQuery, owner coordination.Instance) {
+	if owner != "" && owner != a.owner && w.redirectedAt != w.at {
+		w.redirect, w.redirectedAt = owner, w.at
 	}
 }
 
-// offer notes an endpoint in whose queue the request could wait.
-func (w *walk) offer(a ask, wait Millis) {
+// considerQueue notes an endpoint in whose queue the request could wait.
+func (w *walk) considerQueue(a ownerQuery, wait Millis) {
 	if w.at > 0 {
 		wait += millis(warmBias)
 	}
-	if w.queue == nil || wait < w.wait {
-		w.queue, w.wait = a.endpoint, wait
+	if w.bestQueue == nil || wait < w.bestWait {
+		w.bestQueue, w.bestWait = a.endpoint, wait
 	}
 }
 
--- a/coordination/suspicion/world_test.go
+++ b/coordination/suspicion/world_test.go
@@ -281,7 +281,7 @@
 			return true
 		}
 		avoid = append(avoid, d.ID)
-		r.entry.Lost(ctx, d)
+		r.entry.ReportLost(ctx, d)
 		ok := false
 		if result == died {
 			refusal, ok = f.Crashed(ctx, worldPool, d.ID, d.Incarnation)
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -65,7 +65,7 @@
 	of placement.Descriptor
 }
 
-func (l loss) run(ctx context.Context) { l.entry.Lost(ctx, l.of) }
+func (l loss) run(ctx context.Context) { l.entry.ReportLost(ctx, l.of) }
 
 // lossPause is the least time between two words of the same death. Each request
 // that an endpoint ran learns of it.
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -26,22 +26,22 @@
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
 	if o.told.Swap(true) {
-		return o.grant.Tell(ctx, 0)
+		return o.grant.ReportEvidence(ctx, 0)
 	}
-	return o.grant.Tell(ctx, o.watch.Failed(time.Now(), o.sight))
+	return o.grant.ReportEvidence(ctx, o.watch.Failed(time.Now(), o.sight))
 }
 
 // Served implements relay.Observer.
 func (o *observer) Served() {
 	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Served(time.Now(), o.sight))
+		o.grant.RecordEvidence(o.watch.Served(time.Now(), o.sight))
 	}
 }
 
 // Failed implements relay.Observer.
 func (o *observer) Failed() {
 	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Failed(time.Now(), o.sight))
+		o.grant.RecordEvidence(o.watch.Failed(time.Now(), o.sight))
 	}
 }
 
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -76,7 +76,7 @@
 // relayPlacer implements relay.Placer.
 type relayPlacer struct {
 	*placing
-	holders atomic.Pointer[placement.Holders]
+	holders atomic.Pointer[placement.CacheHolders]
 	watched outlier.Watch
 
 	near     placement.Key // this router's
@@ -103,7 +103,7 @@
 		return
 	}
 	all := lo.Map(listed, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor })
-	p.holders.Store(placement.NewHolders(time.Now(), all, p.holders.Load()))
+	p.holders.Store(placement.NewCacheHolders(time.Now(), all, p.holders.Load()))
 }
 
 // Place implements relay.Placer.
@@ -116,13 +116,13 @@
 		Alone:    w.Alone,
 		Avoid:    w.Exclude,
 		Once:     w.Once,
-		Now:      w.Now,
+		NoWait:   w.Now,
 		Target:   w.Target,
 		Waited:   time.Since(w.Arrived),
 	}
 	if !w.Cached {
-		req.Near = p.near
-		req.Width = p.affinity.Width(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
+		req.SubsetKey = p.near
+		req.SubsetSize = p.affinity.SubsetSize(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
 	}
 	g, k, refusal := p.acquire(ctx, req, w.Start)
 	if refusal != nil {
