--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -7,13 +7,14 @@
 	"wisteriaspool/coordination"
 )
 
-// queueCheckInterval is how often a waiting request looks whether the mean has risen or
-// the endpoint has stalled; ends of requests wake the queue by themselves.
+// queueCheckInterval is how often a waiting request checks whether the mean has
+// risen or the endpoint has stalled. Ends of requests trigger the queue directly.
 const queueCheckInterval = 25 * time.Millisecond
 
 // Admit decides a request for a grant. It returns at once unless the request
-// has to wait in the queue of its endpoint; then it returns as soon as the
-// request is granted, passed on, or certain not to start in time.
+// has to wait in the queue of its endpoint; then it blocks until the request is
+// granted, sent on to its next candidate, or certain not to start in time. If ctx
+// ends first, the request is removed and the reply is Refused with Cancelled.
 func (o *Owner) Admit(ctx context.Context, req AdmitRequest) AdmitReply {
 	r, w := o.submit(time.Now(), req)
 	if w != nil {
@@ -23,7 +24,7 @@
 	return r
 }
 
-// await waits for the answer to a queued request.
+// await blocks until a queued request has a reply.
 func (o *Owner) await(ctx context.Context, w *waiter) AdmitReply {
 	t := time.NewTicker(queueCheckInterval)
 	defer t.Stop()
@@ -46,8 +47,8 @@
 	}
 }
 
-// processQueueIfDue serves and prunes the queue that w waits in, unless that has just been
-// done for another request there.
+// processQueueIfDue dispatches and prunes the queue that w waits in, unless that
+// was done for another request there within the last half queueCheckInterval.
 func (o *Owner) processQueueIfDue(now time.Time, w *waiter) {
 	s := o.shard(w.req.Endpoint)
 	s.mu.Lock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// processQueue serves and prunes the queue that w waits in.
+// processQueue dispatches and prunes the queue that w waits in.
 func (o *Owner) processQueue(now time.Time, w *waiter) {
 	s := o.shard(w.req.Endpoint)
 	s.mu.Lock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// submit decides a request, or queues it and returns the waiter.
+// submit decides a request, or queues it and returns its waiter.
 func (o *Owner) submit(now time.Time, req AdmitRequest) (AdmitReply, *waiter) {
 	o.hear(now, req.Entry)
 	for _, r := range req.Releases {
@@ -89,7 +90,7 @@
 	return l.submit(now, req, o.cfg.Load())
 }
 
-// notOwnerReply answers for an endpoint that this router does not count.
+// notOwnerReply returns the reply for an endpoint that this router does not own.
 func (o *Owner) notOwnerReply(id coordination.Endpoint) AdmitReply {
 	v := o.view.Load()
 	d := v.set.Find(id)
@@ -99,6 +100,8 @@
 	return AdmitReply{Decision: Next, Code: NotOwner, Owner: v.routers.Owner(id, d.Zone)}
 }
 
+// submit decides a request for this endpoint, or queues it and returns its
+// waiter. Requests that are already granted or released get the same reply again.
 func (l *endpointLoad) submit(now time.Time, req AdmitRequest, cfg *Config) (AdmitReply, *waiter) {
 	id := GrantID{Entry: req.Entry, Sequence: req.Sequence}
 	if _, ok := l.grants[id]; ok {
@@ -125,7 +128,7 @@
 	return l.enqueue(now, id, req, cfg)
 }
 
-// checkAvailable tells whether the endpoint can take no new work at all, or None.
+// checkAvailable returns why the endpoint can take no new requests at all, or None.
 func (l *endpointLoad) checkAvailable(now time.Time, req AdmitRequest, cfg *Config) Code {
 	switch {
 	case req.Incarnation != 0 && req.Incarnation != l.desc.Incarnation:
@@ -139,8 +142,8 @@
 	}
 }
 
-// checkCapacity tells what keeps the endpoint from one more request, or None. The bound
-// is left to grant, which checks and counts in one step.
+// checkCapacity returns why the endpoint cannot take one more request now, or
+// None. It does not check the bound, which grant checks and counts in one step.
 func (l *endpointLoad) checkCapacity(now time.Time, alone bool, cfg *Config) Code {
 	switch {
 	case l.settling(now, cfg):
@@ -154,7 +157,8 @@
 	}
 }
 
-// grant counts the request unless the endpoint would exceed its bound.
+// grant counts the request unless the endpoint would exceed its bound. It returns
+// the number of requests that the endpoint may run now.
 func (l *endpointLoad) grant(now time.Time, id GrantID, alone bool, cfg *Config) (limit int, ok bool) {
 	l.refresh(now, cfg)
 	limit, ok = l.pool.admit(now, l.count(now, cfg), cfg)
@@ -165,23 +169,23 @@
 	return limit, ok
 }
 
-// nextReply returns the answer that sends a request on to its next candidate. It
-// tells how long the request would wait here, by its account's share.
+// nextReply returns the reply that sends a request on to its next candidate. Its
+// RetryAfter is the expected wait here, given the share of the client account.
 func (l *endpointLoad) nextReply(now time.Time, code Code, req *AdmitRequest) AdmitReply {
 	wait := time.Duration(l.queue.aheadOf(now, req)+1) * l.service.gap(now, len(l.grants))
 	return AdmitReply{Decision: Next, Code: code, RetryAfter: millis(wait)}
 }
 
-// drainTime returns the time in which the present queue will have been served.
+// drainTime returns the expected time until the present queue has been served.
 func (l *endpointLoad) drainTime(now time.Time) time.Duration {
 	return time.Duration(l.queue.size+1) * l.service.gap(now, len(l.grants))
 }
 
-// startDivisor is the part of the time to its objective, as a divisor, within which
-// a request has to start to meet it. The endpoint needs the rest.
+// startDivisor divides the time to a request's objective: the request has to start
+// within that part to meet it, since the endpoint needs the rest.
 const startDivisor = 2
 
-// enqueue lets a request wait, unless it cannot start in time.
+// enqueue queues a request, unless it cannot start in time.
 func (l *endpointLoad) enqueue(now time.Time, id GrantID, req AdmitRequest, cfg *Config) (AdmitReply, *waiter) {
 	w := &waiter{req: req, id: id, arrived: now, done: make(chan AdmitReply, 1)}
 	l.arrived++
@@ -214,8 +218,8 @@
 	}
 }
 
-// queueFullReply answers a request for which the queue has no room. Only a final one
-// is refused: others still have somewhere to go.
+// queueFullReply returns the reply to a request that finds the queue full. Only a
+// final request is refused: others still have candidates left.
 func (l *endpointLoad) queueFullReply(now time.Time, w *waiter) AdmitReply {
 	if w.req.Final {
 		return l.refusalReply(now, Overloaded)
@@ -223,9 +227,9 @@
 	return l.nextReply(now, Full, &w.req)
 }
 
-// dispatch grants to waiting requests what the endpoint can take. If its bound
-// holds them back, although it has room, others of the pool carry less: the
-// requests look for a place there.
+// dispatch grants waiting requests while the endpoint has room. If it has room but
+// is over its bound, other endpoints of the pool carry less, so the waiting
+// requests are sent on to them.
 func (l *endpointLoad) dispatch(now time.Time, cfg *Config) {
 	l.swept = now
 	for l.queue.size > 0 {
@@ -246,8 +250,8 @@
 	l.prune(now, cfg)
 }
 
-// prune answers the waiting requests whose time is up, and those that cannot
-// start in time any more: a caller told so at once can still go elsewhere.
+// prune replies to the waiting requests whose time is up, and to those that can no
+// longer start in time: a caller that is told early can still go elsewhere.
 func (l *endpointLoad) prune(now time.Time, cfg *Config) {
 	if l.queue.size == 0 {
 		return
@@ -266,7 +270,7 @@
 	}
 }
 
-// pruneNonFinal passes on a request that is not final once its time is up.
+// pruneNonFinal sends a request that is not final on once its time is up.
 func (l *endpointLoad) pruneNonFinal(now time.Time, w *waiter) {
 	if !now.Before(w.holdUntil) || !now.Before(w.deadline) {
 		l.queue.remove(w)
@@ -274,20 +278,20 @@
 	}
 }
 
-// The span of what a refusal tells a caller to wait.
+// Limits of the RetryAfter of a refusal.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// refusalReply returns a final answer that tells when the present queue will have
-// drained.
+// refusalReply returns a refusal whose RetryAfter is the expected time until the
+// present queue has drained.
 func (l *endpointLoad) refusalReply(now time.Time, code Code) AdmitReply {
 	wait := min(max(l.drainTime(now), minRetryAfter), maxRetryAfter)
 	return AdmitReply{Decision: Refused, Code: code, RetryAfter: millis(wait)}
 }
 
-// replyNextToAll answers all waiting requests with Next.
+// replyNextToAll removes all waiting requests and replies Next to them.
 func (l *endpointLoad) replyNextToAll(code Code) {
 	for _, w := range l.queue.waiters() {
 		l.queue.remove(w)
@@ -295,7 +299,8 @@
 	}
 }
 
-// retire takes the endpoint out of its pool's sum before it is forgotten.
+// retire removes the endpoint from its pool's sum and empties its queue, before
+// the owner deletes it.
 func (l *endpointLoad) retire(code Code) {
 	l.leave()
 	l.replyNextToAll(code)
--- a/coordination/placement/affinity.go
+++ b/coordination/placement/affinity.go
@@ -8,31 +8,32 @@
 	"wisteriaspool/coordination"
 )
 
-// Affinity tells to how many endpoints of a pool a router keeps with requests
-// that have nothing cached anywhere. Sent to all of a large pool, a few requests
-// a second meet no endpoint again before its connection is closed. The zero
-// value knows no requests and is ready for use.
+// Affinity computes how many endpoints of a pool a router should prefer for
+// requests that have nothing cached anywhere. If a few requests a second were
+// spread over a large pool, each connection would be closed as idle before the next
+// request to its endpoint. The zero value is ready for use.
 type Affinity struct {
 	mu    sync.Mutex
 	pools map[coordination.Pool]*arrivalRate
 }
 
 const (
-	// requestsPerEndpoint is how many requests an endpoint should get, in the mean, while
-	// a connection to it can be used again: one in fifty then comes too late.
+	// requestsPerEndpoint is the mean number of requests that an endpoint should
+	// get within the time for which a connection to it can be reused. With 4, one
+	// request in fifty comes too late for reuse.
 	requestsPerEndpoint = 4
-	// minSubsetSize is the least number of endpoints: what fails at one is
-	// judged by how the others fare.
+	// minSubsetSize is the least number of endpoints. Failures at one endpoint are
+	// judged by comparison with the others.
 	minSubsetSize = 3
-	// arrivalsHalfLife is the half-life of the rate of requests.
+	// arrivalsHalfLife is the half-life of the request rate.
 	arrivalsHalfLife = 10 * time.Second
-	// minArrivalWindow keeps the first requests from passing for a high rate.
+	// minArrivalWindow keeps the first requests from being taken for a high rate.
 	minArrivalWindow = time.Second
 )
 
 // SubsetSize counts a request for a pool, and returns the number of its endpoints
-// that should get most of these requests, given for how long a connection can
-// be used again.
+// that should get most of these requests. A connection can be reused within
+// reusable of its last use.
 func (a *Affinity) SubsetSize(now time.Time, p coordination.Pool, reusable time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,10 +49,10 @@
 	return max(int(r.perSecond()*reusable.Seconds()/requestsPerEndpoint), minSubsetSize)
 }
 
-// arrivalRate is a rate of requests, older ones counting less.
+// arrivalRate is an exponentially decaying rate of requests.
 type arrivalRate struct {
 	count   float64
-	window  time.Duration // in which they came, aged likewise
+	window  time.Duration // time in which they arrived, decayed likewise
 	updated time.Time
 }
 
--- a/coordination/placement/affinity_test.go
+++ b/coordination/placement/affinity_test.go
@@ -13,11 +13,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// reusable is for how long the connections of these tests can be used again.
+// reusable is for how long connections can be reused in these tests.
 const reusable = 2 * time.Second
 
-// A router with few requests keeps to two endpoints; one with many, of which each
-// endpoint gets several a second anyway, to all.
+// Guards against subsets that do not follow the request rate. A router with few
+// requests uses the least number of endpoints. With many requests each endpoint gets
+// several a second anyway, so that all are used.
 func TestAffinityFollowsTheRate(t *testing.T) {
 	tests := []struct {
 		perSecond float64
@@ -41,8 +42,8 @@
 	}
 }
 
-// The first request of a router, or of one that was idle for long, says nothing
-// of a rate.
+// Guards against a rate computed from the first request of a router, or from the
+// first one after a long idle time.
 func TestAffinityOfTheFirstRequests(t *testing.T) {
 	var a Affinity
 	now := time.Unix(1000, 0)
@@ -55,8 +56,8 @@
 	assert.Equal(t, a.SubsetSize(now.Add(time.Hour), testPool, reusable), minSubsetSize)
 }
 
-// Each router of a fleet keeps to a few endpoints. If some endpoints were chosen
-// by more routers than others, these would be full while others idle.
+// Guards against uneven subsets: endpoints chosen by more routers than others would
+// be full while others idle.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
 	tests := []struct{ routers, endpoints, width int }{{295, 10, 2}, {295, 10, 3}, {295, 240, 2}, {1000, 10, 2}, {80, 6, 3}}
 	for _, test := range tests {
@@ -84,8 +85,8 @@
 	}
 }
 
-// A pool of three before eight routers: two endpoints for each router would leave
-// one endpoint with far fewer routers than the others.
+// Guards against subsets of a small pool. With three endpoints and eight routers, two
+// endpoints for each router would leave one with far fewer routers than the others.
 func TestSmallPoolIsNotDivided(t *testing.T) {
 	s := NewSet(testEndpoints(3))
 	for near := range Key(8) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// Near only orders the endpoints: behind the few come all others, and a longer
-// list begins like a shorter one.
+// Subset only orders the endpoints: all others follow the subset, and a longer list
+// begins like a shorter one.
 func TestSubsetOrdersAllEndpoints(t *testing.T) {
 	s := NewSet(testEndpoints(30))
 	all := ids(s.Subset(nil, testPool, 7, 9, 3, 30))
@@ -111,8 +112,8 @@
 	assert.Equal(t, len(s.Subset(nil, "none", 7, 9, 3, 6)), 0)
 }
 
-// connectionCounter counts the connections that requests need of which each holds one, and
-// of which one that was unused for too long does not serve again.
+// connectionCounter counts the connections that requests need. Each request holds
+// one, and a connection that was idle for longer than reusable is not used again.
 type connectionCounter struct {
 	requests, made int
 	unused         map[coordination.Instance]map[coordination.Endpoint][]time.Time
@@ -135,8 +136,8 @@
 	d.unused[r][e] = append(d.unused[r][e], now)
 }
 
-// runSparseRequests plays requests of 60 ms that have nothing cached, one every tenth of a
-// second at some router.
+// runSparseRequests runs 60 ms requests that have nothing cached, one every 100 ms at
+// a random router.
 func (f *fleet) runSparseRequests(t *testing.T, routers []Router, affine bool) connectionCounter {
 	d := connectionCounter{unused: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
 	affinities := make([]Affinity, len(routers))
@@ -159,9 +160,9 @@
 	return d
 }
 
-// Each router of a large fleet gets about one request a second for a pool of ten
-// endpoints. Spread over all of them, nearly every request needs a new
-// connection.
+// Guards against a new connection for nearly every request, as happens when each
+// router of a large fleet gets about one request a second for a pool of ten endpoints
+// and spreads them over all.
 func TestFewRequestsReuseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routers := testRouters(8)
@@ -175,8 +176,8 @@
 	})
 }
 
-// One router gets all the requests. Its few endpoints must not run more than their
-// bound while the others idle.
+// Guards against a subset that exceeds its bound while other endpoints idle, when one
+// router gets all the requests.
 func TestBoundHoldsForAHotRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bound := PoolBound{Bound: 1.25, Slack: 2}
--- a/coordination/placement/ahead_test.go
+++ b/coordination/placement/ahead_test.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// slotServer is a plain service's endpoint: it runs some requests at a time, 60 ms
-// each, and the others wait in the order in which they came.
+// slotServer is an endpoint that runs a limited number of requests at a time, 60 ms
+// each. The others wait in the order of arrival.
 type slotServer struct {
 	slots chan struct{}
 }
@@ -26,9 +26,8 @@
 	<-d.slots
 }
 
-// simulatedRequest is one request from its admission to the word of its end. Between
-// them lie the way to the endpoint and back, and the time for which releases
-// gather: 10 and 20 ms.
+// simulatedRequest is one request from its admission to its release. It includes 10 ms
+// for the way to the endpoint and back, and 20 ms for the batching of releases.
 type simulatedRequest struct {
 	owner  *Owner
 	desk   slotServer
@@ -55,14 +54,14 @@
 	v.owner.Release(ReleaseBatch{Entry: entry, Releases: []Release{{Endpoint: "desk", Sequence: Sequence(v.n + 1)}}})
 }
 
-// servedOnTime plays 4 s of requests at a share of what an endpoint of six
-// slots can run, and returns the share that was answered within 0.3 s.
+// servedOnTime sends 4 s of requests at a fraction of the capacity of an endpoint with
+// six slots, and returns the share that was answered within 0.3 s.
 func servedOnTime(t *testing.T, load, ahead float64) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOwner("self", Config{Bound: 100, Ahead: ahead})
 		set := NewSet([]Descriptor{{ID: "desk", Pool: "p", Zone: "z", Capacity: 6}})
 		o.Update(set, NewRouters([]Router{{ID: "self", Zone: "z"}}, 0))
-		time.Sleep(2 * time.Second) // until the owner has settled
+		time.Sleep(2 * time.Second) // the owner settles
 		d := slotServer{slots: make(chan struct{}, 6)}
 		gap := time.Duration(float64(10*time.Millisecond) / load)
 		n := int(4 * time.Second / gap)
@@ -78,10 +77,10 @@
 	return share
 }
 
-// The order desk runs at four fifths of what it can. Its owner learns 30 ms late
-// that an order of 60 ms has ended; were the desk never sent more than it runs,
-// it would idle a third of the time while orders wait, and callers are told to
-// come back though there is room.
+// Guards against idle slots while requests wait. The endpoint gets four fifths of the
+// load that it can serve, and its owner learns 30 ms late that a request of 60 ms has
+// ended. If it never got more requests than it has slots, it would idle a third of the
+// time, and callers would be refused although there is room.
 func TestEndpointIsKeptBusy(t *testing.T) {
 	before := servedOnTime(t, 0.8, 0)
 	after := servedOnTime(t, 0.8, 0.5)
--- a/coordination/placement/candidates.go
+++ b/coordination/placement/candidates.go
@@ -12,14 +12,14 @@
 	"wisteriaspool/coordination"
 )
 
-// Set is a snapshot of the endpoints that may take new work, by pool. It never
-// changes, so it may be shared without locks. The zero Set has no endpoints.
+// Set is an immutable snapshot of the endpoints that may take new work, by pool.
+// It may be shared without locks. The zero Set has no endpoints.
 type Set struct {
 	pools map[coordination.Pool]*pool
 	byID  map[coordination.Endpoint]*Descriptor
 }
 
-// pool holds the endpoints of one pool with what rendezvous hashing needs.
+// pool holds the endpoints of one pool and the data for rendezvous hashing.
 type pool struct {
 	endpoints []*Descriptor
 	hashes    []uint64
@@ -28,8 +28,8 @@
 	hints     map[Hint]int
 }
 
-// NewSet returns a snapshot of endpoints. Leaving ones are known to [Set.Find]
-// but are no candidates.
+// NewSet returns a snapshot of endpoints. [Set.Find] returns leaving endpoints
+// too, but they are not candidates.
 func NewSet(endpoints []Descriptor) *Set {
 	own := slices.Clone(endpoints)
 	slices.SortFunc(own, func(a, b Descriptor) int {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// LostSince returns the endpoints of an older snapshot that have gone or
-// restarted without having been seen to leave.
+// LostSince returns the endpoints of an older snapshot that have disappeared or
+// restarted without having been marked as leaving, sorted by ID.
 func (s *Set) LostSince(old *Set) []Descriptor {
 	var lost []Descriptor
 	for id, d := range old.byID {
@@ -113,7 +113,7 @@
 	return lost
 }
 
-// scored is an endpoint in the course of a selection; a lower score is better.
+// scored is an endpoint with its score in a selection; a lower score is better.
 type scored struct {
 	score float64
 	index int
@@ -123,9 +123,9 @@
 const inlineCandidates = 16
 
 // Candidates appends to dst up to limit endpoints of a pool in the order in
-// which a request with this key should try them: the hinted one first, then by
-// weighted rendezvous hashing. A hint that is unknown, stale or forged can only
-// reorder them; what an endpoint may take is its owner's decision.
+// which a request with this key should try them: the one that hint names, then
+// the others by weighted rendezvous hashing. An unknown, stale or forged hint can
+// only reorder them; the owner decides what an endpoint may take.
 func (s *Set) Candidates(dst []*Descriptor, name coordination.Pool, key Key, hint Hint, limit int) []*Descriptor {
 	p := s.pools[name]
 	if p == nil || limit <= 0 {
@@ -151,11 +151,12 @@
 }
 
 // Subset appends to dst up to limit endpoints of a pool in the order in which a
-// request that may run anywhere should try them: first width endpoints that are
-// the same for all keys, chosen by rendezvous hashing with near, in the order of
-// the request's key; then the others in the order of near. Each near, such as a
-// router's, has its own, so that all endpoints are chosen equally often. Over
-// half of a pool is as good as all of it, which spreads more evenly.
+// request that may run anywhere should try them: first a subset of width endpoints
+// that is the same for all keys, chosen by rendezvous hashing with near and
+// ordered by the request's key; then the others in the order of near. Each router
+// uses a near of its own, so that all endpoints are chosen equally often. If the
+// subset would exceed half of the pool, the whole pool is used, which spreads
+// requests more evenly.
 func (s *Set) Subset(dst []*Descriptor, name coordination.Pool, near, key Key, width, limit int) []*Descriptor {
 	p := s.pools[name]
 	if p == nil || 2*width > len(p.endpoints) {
@@ -178,9 +179,9 @@
 	return dst
 }
 
-// selectBest fills best with the limit best endpoints but skip, in order. It is
-// an insertion into a short sorted list, since a request seldom needs more
-// than a few of several hundred.
+// selectBest fills best with the limit best endpoints except skip, in order. It
+// inserts into a short sorted list, since a request seldom needs more than a few
+// of several hundred endpoints.
 func (p *pool) selectBest(best []scored, key Key, skip, limit int) []scored {
 	if limit <= 0 {
 		return best
@@ -208,9 +209,9 @@
 }
 
 // score turns a hash into the rendezvous score of endpoint i: an exponential
-// variate with the endpoint's weight as its rate, so that the lowest of all
-// falls on each endpoint in proportion to its weight. With equal weights the
-// hash itself has the same order and saves the logarithm.
+// variate whose rate is the endpoint's weight, so that each endpoint has the lowest
+// score in proportion to its weight. With equal weights the hash itself gives the
+// same order without a logarithm.
 func (p *pool) score(h uint64, i int) float64 {
 	u := float64(h>>11) + 0.5
 	if p.uniform {
--- a/coordination/placement/candidates_test.go
+++ b/coordination/placement/candidates_test.go
@@ -66,8 +66,8 @@
 	assert.Equal(t, s.Find("e1").State, Leaving)
 }
 
-// A pool gains an endpoint. If more chats than its share moved to it, callers
-// with long conversations would wait for their context to be computed again.
+// Guards against a joining endpoint that takes over more chats than its share. Each
+// chat that moves waits until its context has been computed again.
 func TestJoiningEndpointTakesOnlyItsShare(t *testing.T) {
 	before, after := NewSet(testEndpoints(12)), NewSet(testEndpoints(13))
 	const chats = 5000
@@ -134,8 +134,8 @@
 	assert.Equal(t, NewRouters(nil, 0).Owner("e1", "a"), coordination.Instance(""))
 }
 
-// A fleet grows while a member comes and goes. If the owner set changed by
-// more than that member, endpoints would be counted anew all over the fleet.
+// Guards against an owner set that changes by more than the member that left. Endpoints
+// all over the fleet would have to be counted anew.
 func TestOwnerSetIsCappedAndStable(t *testing.T) {
 	before := NewRouters(testRouters(330), 150)
 	assert.Equal(t, len(before.Owners()), 150)
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -10,15 +10,15 @@
 	"wisteriaspool/coordination"
 )
 
-// LoadReader asks an endpoint for its own report of its load.
+// LoadReader reads the load that an endpoint reports.
 type LoadReader interface {
+	// ReadLoad requests the report of an endpoint.
 	ReadLoad(ctx context.Context, endpoint coordination.Endpoint) (Report, error)
 }
 
 // Entry places the requests of one router: it asks the owners of candidate
-// endpoints, and keeps the grants that it holds, so that it can register them
-// with an owner that has taken over. [Start] calls [Entry.Tick] when there is
-// something to send.
+// endpoints for grants and keeps those that it holds, so that it can register them
+// with a new owner. [Start] calls [Entry.Tick] when there is something to send.
 type Entry struct {
 	id        EntryID
 	transport Transport
@@ -31,15 +31,15 @@
 	fallback  fallbackTable
 }
 
-// view is a consistent pair of lists.
+// view is a consistent pair of endpoint and router lists.
 type view struct {
 	set     *Set
 	routers *Routers
 }
 
-// NewEntry returns the entry of a router whose own endpoints local counts. The
-// other owners are reached through t. If loads is not nil, it serves to decide
-// without an owner that cannot be reached.
+// NewEntry returns the entry of a router whose own endpoints are counted by local.
+// Other owners are reached through t. If loads is not nil, its reports are used to
+// decide without an owner that cannot be reached.
 func NewEntry(id EntryID, local *Owner, t Transport, loads LoadReader, cfg Config) *Entry {
 	e := &Entry{id: id, transport: t, local: local, loads: loads}
 	e.held.grants = make(map[Sequence]*Grant)
@@ -52,22 +52,22 @@
 	return e
 }
 
-// Configure puts new settings in force.
+// Configure replaces the settings. Zero fields get their defaults.
 func (e *Entry) Configure(cfg Config) {
 	cfg = cfg.withDefaults()
 	e.cfg.Store(&cfg)
 }
 
-// Update takes new lists of endpoints and routers. If the routers have changed,
-// and with them perhaps owners, the next [Entry.Tick] registers the held grants.
+// Update replaces the lists of endpoints and routers. If the routers have changed,
+// owners may have too, so the next [Entry.Tick] registers the held grants.
 func (e *Entry) Update(set *Set, routers *Routers) {
 	if old := e.view.Swap(&view{set: set, routers: routers}); old.routers != routers {
 		e.held.requestRegistration()
 	}
 }
 
-// Acquire asks for a grant at the best endpoint that will take the request. It
-// returns a nil grant and the refusal if there is none. The caller must call
+// Acquire asks for a grant at the best endpoint that takes the request. If there is
+// none, it returns a nil grant and the refusal. The caller must call
 // [Grant.Release] once the request no longer runs at the endpoint.
 func (e *Entry) Acquire(ctx context.Context, req Request) (*Grant, Refusal) {
 	cfg, v := e.cfg.Load(), e.view.Load()
@@ -105,7 +105,7 @@
 	}
 }
 
-// sendQuery puts one question to one owner.
+// sendQuery sends one query to one owner, or decides without it if it is unreachable.
 func (e *Entry) sendQuery(ctx context.Context, g *Grant, req Request, a ownerQuery, cfg *Config) AdmitReply {
 	e.held.recordQuery(time.Now(), g, a)
 	m := AdmitRequest{
@@ -134,8 +134,8 @@
 	m.Releases = e.held.takeReleases(a.owner)
 	r, err := e.call(ctx, a, m, cfg)
 	if err != nil {
-		// The owner may have granted, so it is told that nobody uses it. What
-		// follows goes by another name, or the owner would take it for the same.
+		// The owner may have granted the request, so a release is queued. The next query
+		// needs another sequence number, or the owner would take it for the released one.
 		e.held.requeueReleases(a.owner, m.Releases)
 		e.held.requeueReleases(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
 		e.held.renumber(g)
@@ -153,7 +153,7 @@
 	return r
 }
 
-// recordReply notes what an owner answered.
+// recordReply records the limit and the grant in an owner's reply.
 func (e *Entry) recordReply(g *Grant, a ownerQuery, r AdmitReply) {
 	if r.Limit > 0 {
 		e.fallback.recordLimit(time.Now(), a.endpoint.Pool, r.Limit)
@@ -163,8 +163,8 @@
 	}
 }
 
-// call makes the call to a remote owner. It waits for as long as the owner may
-// hold the request back, and admitTimeout more.
+// call sends a query to a remote owner. Its timeout is the time for which the owner
+// may hold the request back plus admitTimeout.
 func (e *Entry) call(ctx context.Context, a ownerQuery, m AdmitRequest, cfg *Config) (AdmitReply, error) {
 	wait := a.wait.Duration()
 	if a.final {
@@ -182,12 +182,12 @@
 	return DecodeAdmitReply(b)
 }
 
-// admitTimeout is how long an owner has for its answer. It is a part of the
-// time to the first token, so a frozen owner must not take more of it.
+// admitTimeout is how long an owner has for its reply. It adds to the time to the
+// first token, so it limits what a frozen owner costs.
 const admitTimeout = 100 * time.Millisecond
 
 // ReportLost tells the owner of an endpoint that this router has found it dead, so
-// that others do not run into it before their lists say so.
+// that other requests avoid it before the membership lists do.
 func (e *Entry) ReportLost(ctx context.Context, d Descriptor) {
 	lost := lostOf(&d)
 	e.fallback.markDead(time.Now(), lost, e.cfg.Load().LostFor)
@@ -199,12 +199,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// If the message is lost, the list will tell the owner a little later.
+	// If the message is lost, the membership list tells the owner a little later.
 	_, _ = e.transport.Call(ctx, to, TopicRelease, b.Encode())
 }
 
-// sendNotice tells one owner what a request shows of its endpoint, and reports whether
-// the endpoint is taken out. An owner that does not answer knows no better.
+// sendNotice tells one owner what a request shows of its endpoint, and reports
+// whether the endpoint is ejected. It reports false if the owner does not reply.
 func (e *Entry) sendNotice(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
 	b := ReleaseBatch{Entry: e.id, Notices: []Notice{n}}
 	if owner == e.id.Instance {
@@ -220,8 +220,8 @@
 	return err == nil && slices.Contains(r.Out, n.Endpoint)
 }
 
-// Tick sends the releases that have gathered, and registers the held grants
-// when lists have changed or a third of the entry's lease has passed.
+// Tick sends the queued releases, and registers the held grants when the router
+// list has changed or a third of the entry's lease has passed.
 func (e *Entry) Tick(ctx context.Context) {
 	cfg, v := e.cfg.Load(), e.view.Load()
 	var wg sync.WaitGroup
@@ -233,7 +233,7 @@
 	wg.Wait()
 }
 
-// outboundMessage is one message on its way to an owner.
+// outboundMessage is one message to an owner: releases or a registration.
 type outboundMessage struct {
 	entry    *Entry
 	to       coordination.Instance
@@ -241,7 +241,7 @@
 	register *Register
 }
 
-// send sends the message. Releases that may not have arrived are sent again.
+// send sends the message. Releases that may not have arrived are queued again.
 func (d outboundMessage) send(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -259,8 +259,10 @@
 	}
 }
 
+// sendTimeout limits the call for a release or a registration.
 const sendTimeout = time.Second
 
+// sendRegister sends the registration. If that fails, another one is requested.
 func (d outboundMessage) sendRegister(ctx context.Context) {
 	if d.to == d.entry.id.Instance {
 		d.entry.local.Register(*d.register)
--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -8,42 +8,42 @@
 	"wisteriaspool/coordination"
 )
 
-// fallbackTable is what an entry needs to decide without an endpoint's owner.
+// fallbackTable holds what an entry needs to decide without an endpoint's owner.
 // The zero value is ready for use.
 type fallbackTable struct {
 	mu       sync.Mutex
-	backoffs map[coordination.Instance]ownerBackoff // owners that did not answer
+	backoffs map[coordination.Instance]ownerBackoff // owners that did not reply
 	limits   map[coordination.Pool]learnedLimit
-	dead     map[LostEndpoint]time.Time // when this entry last found each of them dead
+	dead     map[LostEndpoint]time.Time // when this entry last found each one dead
 }
 
-// learnedLimit is the number of requests that an owner last let an endpoint of
-// a pool run.
+// learnedLimit is the number of requests that an owner last allowed an endpoint
+// of a pool to run.
 type learnedLimit struct {
 	limit int
 	at    time.Time
 }
 
-// ownerBackoff is the time for which an owner that did not answer is not asked.
+// ownerBackoff is the period in which an owner that did not reply is not asked.
 type ownerBackoff struct {
 	since  time.Time
 	period time.Duration
 }
 
 const (
-	// An owner that did not answer is not asked again for minOwnerBackoff, and for twice
-	// as long each time that the one question which is then put to it fails too. A
-	// lost packet holds up all answers of an owner for 0.2 s; a frozen owner costs
-	// each request that asks it admitTimeout.
+	// An owner that did not reply is not asked again for minOwnerBackoff. The period
+	// doubles, up to maxOwnerBackoff, each time that the single query sent after it
+	// fails too. A lost packet delays all replies of an owner by 0.2 s; a frozen owner
+	// costs each request that asks it admitTimeout.
 	minOwnerBackoff = 200 * time.Millisecond
 	maxOwnerBackoff = time.Second
 
-	// limitTTL is how long a learned limit serves.
+	// limitTTL is how long a learned limit is valid.
 	limitTTL = 10 * time.Second
 )
 
-// recordFailure notes that an owner did not answer. Questions that were put to it side by
-// side say so once.
+// recordFailure notes that an owner did not reply. Failures of concurrent queries
+// count as one.
 func (t *fallbackTable) recordFailure(now time.Time, o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,16 +57,16 @@
 	t.backoffs[o] = ownerBackoff{since: now, period: min(max(2*m.period, minOwnerBackoff), maxOwnerBackoff)}
 }
 
-// recordAnswer notes that an owner has answered.
+// recordAnswer notes that an owner has replied, which ends its backoff.
 func (t *fallbackTable) recordAnswer(o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.backoffs, o)
 }
 
-// backingOff reports whether an owner is not worth a question now. Of the questions
-// that come when its time is over the first is put to it, and the others wait to
-// see what becomes of it.
+// backingOff reports whether an owner should not be asked now. When the backoff
+// ends, only the first query goes to the owner; the others keep avoiding it for
+// admitTimeout, until the result of that query is known.
 func (t *fallbackTable) backingOff(now time.Time, o coordination.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,6 +82,7 @@
 	return false
 }
 
+// recordLimit records the limit that an owner of a pool's endpoint replied with.
 func (t *fallbackTable) recordLimit(now time.Time, p coordination.Pool, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,7 @@
 	t.limits[p] = learnedLimit{limit: limit, at: now}
 }
 
-// limit returns the last learned limit of a pool, or zero.
+// limit returns the last learned limit of a pool, or zero if it has expired.
 func (t *fallbackTable) limit(now time.Time, p coordination.Pool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,7 +102,7 @@
 	return 0
 }
 
-// markDead notes that this entry has found an endpoint dead.
+// markDead records that this entry has found an endpoint dead.
 func (t *fallbackTable) markDead(now time.Time, e LostEndpoint, ttl time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +117,7 @@
 	t.dead[e] = now
 }
 
-// isDead reports whether this entry has found an endpoint dead of late.
+// isDead reports whether this entry has found an endpoint dead within ttl.
 func (t *fallbackTable) isDead(now time.Time, e LostEndpoint, ttl time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,11 +125,10 @@
 	return ok && now.Sub(at) < ttl
 }
 
-// decideWithoutOwner decides without the owner: by the endpoint's own report, a
-// tightened bound, and only this router's share of what is left under it,
-// since the other routers cannot reach the owner either and see the same
-// report. In a large fleet the share is nothing, and the request goes on to an
-// endpoint whose owner answers.
+// decideWithoutOwner decides by the endpoint's own report against a reduced bound.
+// It uses only this router's share of the remaining room, since the other routers
+// cannot reach the owner either and see the same report. In a large fleet that
+// share is zero, and the request goes on to an endpoint whose owner replies.
 func (e *Entry) decideWithoutOwner(ctx context.Context, g *Grant, a ownerQuery, cfg *Config) AdmitReply {
 	declined := AdmitReply{Decision: Next, Code: Unreachable}
 	if e.loads == nil {
@@ -158,11 +158,11 @@
 	return AdmitReply{Decision: Granted}
 }
 
-// decideWithoutReport decides without the owner and without a word of the endpoint, by
-// what this entry itself has there. An owner that was killed is done without
-// within half a second; until then its endpoints would take nothing, and when
-// all routers start at once, or one is cut off from all others, a refusal helps
-// nobody while the endpoints are well.
+// decideWithoutReport decides without the owner and without a report of the
+// endpoint, by the number of requests that this entry has there. An owner that was
+// killed is replaced within half a second, and until then its endpoints would take
+// no requests. When all routers start at once, or one is cut off from all others,
+// refusing would not help either while the endpoints work.
 func (e *Entry) decideWithoutReport(g *Grant, cfg *Config) AdmitReply {
 	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.AloneLimit) {
 		return AdmitReply{Decision: Next, Code: Unreachable}
@@ -187,13 +187,13 @@
 	return true
 }
 
-// fallbackLimit returns the limit of a decision without the owner.
+// fallbackLimit returns the reduced limit for a decision without the owner.
 func fallbackLimit(limit int, cfg *Config) int {
 	return int(float64(limit) * cfg.FallbackShare)
 }
 
-// grantWithin grants if this entry has begun fewer than n requests at the
-// endpoint since a report was observed.
+// grantWithin grants if this entry has started fewer than n requests at the
+// endpoint since its report was observed.
 func (t *grantTable) grantWithin(now time.Time, g *Grant, n int, observed time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/placement/fallback_test.go
+++ b/coordination/placement/fallback_test.go
@@ -10,16 +10,16 @@
 	"wisteriaspool/coordination"
 )
 
-// unresponsiveTransport is a transport whose owners never answer.
+// unresponsiveTransport is a transport whose owners never reply.
 type unresponsiveTransport struct{}
 
 func (unresponsiveTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
 	return nil, errors.New("no answer")
 }
 
-// The owner of all endpoints is dead, and endpoints are not asked for their
-// load. Callers would be refused although the endpoints are well; with a limit
-// for each endpoint they are served, and no endpoint gets more than that.
+// Guards against refusals while endpoints work. The owner of all endpoints is dead, and
+// endpoints are not asked for their load. With a limit for each endpoint requests are
+// placed, and no endpoint gets more than its limit.
 func TestEntryWithoutOwnerGrantsUpToItsLimit(t *testing.T) {
 	for limit, want := range map[int]int{0: 0, 3: 6} {
 		id := EntryID{Instance: "self", Incarnation: 1}
--- a/coordination/placement/grants.go
+++ b/coordination/placement/grants.go
@@ -12,29 +12,29 @@
 	"wisteriaspool/coordination/outlier"
 )
 
-// Grant is the right to run one request at one endpoint. The request counts
-// there until Release.
+// Grant is the right to run one request at one endpoint. The request counts there
+// until [Grant.Release].
 type Grant struct {
 	Endpoint Descriptor
-	Warm     bool // the endpoint is the one that the hint named
-	Rank     int  // the endpoint's place among the request's candidates, from 0
+	Warm     bool // the hint named this endpoint
+	Rank     int  // index of the endpoint among the request's candidates
 
-	// Lost lists the candidates that turned out to have died. Something took
-	// them, and it may have been a copy of this very request.
+	// Lost lists the candidates that turned out to have died. The cause is unknown
+	// and may have been another attempt of this request.
 	Lost []LostEndpoint
 
 	entry    *Entry
 	sequence Sequence
 	alone    bool
 
-	// The grantTable's lock guards what follows.
+	// The fields below are guarded by grantTable.mu.
 	granted  bool
-	evidence outlier.Weight // what the request showed of the endpoint
+	evidence outlier.Weight // of the endpoint's health, from this request
 	start    time.Time
-	owners   []coordination.Instance // that count it
+	owners   []coordination.Instance // that count this grant
 }
 
-// ID returns the name under which owners know the grant.
+// ID returns the identifier by which owners know the grant.
 func (g *Grant) ID() GrantID { return GrantID{Entry: g.entry.id, Sequence: g.sequence} }
 
 // Release ends the grant. It may be called more than once.
@@ -45,8 +45,8 @@
 	}
 }
 
-// RecordEvidence notes what the request showed of its endpoint, which the release tells the
-// owner.
+// RecordEvidence sets what the request showed of its endpoint's health. The
+// release reports it to the owner.
 func (g *Grant) RecordEvidence(w outlier.Weight) {
 	t := &g.entry.held
 	t.mu.Lock()
@@ -54,9 +54,9 @@
 	g.evidence = w
 }
 
-// ReportEvidence tells the owner at once what the request shows of its endpoint while it
-// runs on there; zero only asks. It reports whether the endpoint is taken out for
-// its failures.
+// ReportEvidence reports to the owners at once what the request shows of its
+// endpoint while it still runs there; zero only queries the state. It reports
+// whether the endpoint is ejected for its failures.
 func (g *Grant) ReportEvidence(ctx context.Context, w outlier.Weight) (out bool) {
 	e := g.entry
 	n := Notice{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Seen: w}
@@ -66,30 +66,29 @@
 	return out
 }
 
-// Hint returns the hint that leads the next request of the chat back here.
+// Hint returns the hint that directs the next request of the chat to this endpoint.
 func (g *Grant) Hint() Hint { return HintOf(g.Endpoint.ID, g.Endpoint.Incarnation) }
 
-// grantTable holds the grants of an entry, and the releases to be sent.
+// grantTable holds the grants of an entry and the releases to be sent.
 type grantTable struct {
 	mu             sync.Mutex
 	last           Sequence
 	grants         map[Sequence]*Grant
 	releases       map[coordination.Instance][]Release
-	lastRegistered time.Time // zero when owners may have changed
+	lastRegistered time.Time // zero if owners may have changed
 
-	// lastContact tells when each owner was last lastContact, or registered with. When owners
-	// may have changed, a registration goes to all lastContact of late, also when it has
-	// nothing to list.
+	// lastContact is when each owner was last asked or registered with. When owners
+	// may have changed, a registration goes to all recently asked, even an empty one.
 	lastContact map[coordination.Instance]time.Time
 
-	// releasesDropped holds the owners to which releases were dropped. The next registration
-	// that reaches them says the same.
+	// releasesDropped holds the owners for which releases were dropped. The next
+	// registration that reaches them has the same effect.
 	releasesDropped map[coordination.Instance]bool
 
-	wake chan struct{} // holds one if there is something to send
+	wake chan struct{} // capacity 1; signals that there is something to send
 }
 
-// notify notes that there is something to send.
+// notify signals that there is something to send.
 func (t *grantTable) notify() {
 	select {
 	case t.wake <- struct{}{}:
@@ -97,12 +96,12 @@
 	}
 }
 
-// maxPendingReleases bounds the releases kept for an owner that cannot be reached.
-// The next registration says the same as those that are dropped.
+// maxPendingReleases is the number of releases kept for an owner that cannot be
+// reached. The next registration makes up for those that are dropped.
 const maxPendingReleases = 4096
 
-// open starts a grant that is not granted yet. Numbering and entering it are
-// one step, so that a registration never seems to say that it has ended.
+// open adds a grant that is still pending. It is numbered and added in one step, so
+// that no registration can omit the number and thereby report it as ended.
 func (t *grantTable) open(e *Entry, alone bool) *Grant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,14 +110,14 @@
 	return g
 }
 
-// assignSequence gives a grant the next sequence assignSequence. The caller holds t.mu.
+// assignSequence gives g the next sequence number and adds it. t.mu must be held.
 func (t *grantTable) assignSequence(g *Grant) {
 	t.last++
 	g.sequence = t.last
 	t.grants[g.sequence] = g
 }
 
-// renumber gives a grant that is not granted another sequence number.
+// renumber gives a pending grant another sequence number.
 func (t *grantTable) renumber(g *Grant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +125,7 @@
 	t.assignSequence(g)
 }
 
-// recordQuery notes which owner is asked for the grant, and for which endpoint.
+// recordQuery records the owner and the endpoint of the query for a pending grant.
 func (t *grantTable) recordQuery(now time.Time, g *Grant, a ownerQuery) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +137,7 @@
 	}
 }
 
-// markGranted notes that the owner has granted.
+// markGranted records that the owner has granted g.
 func (t *grantTable) markGranted(now time.Time, g *Grant, owner coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,8 +147,8 @@
 	}
 }
 
-// close ends a grant and prepares the releases to all owners that count it. It
-// returns the one for self, which needs no message.
+// close ends a grant and queues the releases to all owners that count it. It returns
+// the release to self, which needs no message.
 func (t *grantTable) close(g *Grant, self coordination.Instance) (local *Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,7 +170,7 @@
 	return local
 }
 
-// ownersOf returns the owners that count a grant.
+// ownersOf returns the owners that count g, or nil if g is not granted or has ended.
 func (t *grantTable) ownersOf(g *Grant) []coordination.Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +180,7 @@
 	return slices.Clone(g.owners)
 }
 
-// addRelease appends a release. The caller holds t.mu.
+// addRelease queues a release. t.mu must be held.
 func (t *grantTable) addRelease(o coordination.Instance, r Release) {
 	if len(t.releases[o]) < maxPendingReleases {
 		t.releases[o] = append(t.releases[o], r)
@@ -191,7 +190,7 @@
 	t.notify()
 }
 
-// takeReleases returns the releases for an owner, which are then the caller's to send.
+// takeReleases removes and returns the releases for an owner. The caller sends them.
 func (t *grantTable) takeReleases(o coordination.Instance) []Release {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,7 +199,7 @@
 	return rs
 }
 
-// requeueReleases keeps releases that may not have arrived.
+// requeueReleases queues releases that may not have arrived again.
 func (t *grantTable) requeueReleases(o coordination.Instance, rs []Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -225,7 +224,7 @@
 	return max(t.lastRegistered.Add(cfg.EntryLease/registrationsPerLease).Sub(now), releaseInterval)
 }
 
-// pendingMessages returns those that have to be sent now.
+// pendingMessages returns the messages that have to be sent now.
 func (t *grantTable) pendingMessages(now time.Time, id EntryID, v *view, cfg *Config) []outboundMessage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -250,9 +249,9 @@
 	return all
 }
 
-// registrations returns what each owner is to know that does not know it already. A
-// grant is listed for the owner of its endpoint by the present lists and for those
-// that gave it: while lists differ, each of them may count the endpoint.
+// registrations returns the registration for each owner that needs one. A grant is
+// listed for the current owner of its endpoint and for the owners that granted it:
+// while router lists differ, each of them may count the endpoint.
 func (t *grantTable) registrations(now time.Time, id EntryID, v *view, cfg *Config) map[coordination.Instance]*Register {
 	all := make(map[coordination.Instance]*Register)
 	for _, o := range t.ownersToReconcile(now, v, cfg) {
@@ -271,7 +270,7 @@
 	return lo.OmitBy(all, func(o coordination.Instance, _ *Register) bool { return t.recentlyContacted(now, o, cfg) })
 }
 
-// ownersToReconcile returns the owners that may hold for granted what has ended.
+// ownersToReconcile returns the owners that may count grants that have ended.
 func (t *grantTable) ownersToReconcile(now time.Time, v *view, cfg *Config) []coordination.Instance {
 	live := func(o coordination.Instance, _ bool) bool {
 		_, ok := v.routers.Find(o)
@@ -289,8 +288,8 @@
 	return all
 }
 
-// updateOwners has the owner of a grant's endpoint by the present lists count it, and
-// forgets owners that are gone.
+// updateOwners adds the current owner of the grant's endpoint and removes owners
+// that are gone.
 func (t *grantTable) updateOwners(g *Grant, v *view) {
 	owner := v.routers.Owner(g.Endpoint.ID, g.Endpoint.Zone)
 	if g.granted && owner != "" && !slices.Contains(g.owners, owner) {
@@ -302,13 +301,14 @@
 	})
 }
 
-// recentlyContacted reports whether an owner has heard from this entry within half a turn, so
-// that its lease needs no renewal before the next one. Each admission renews it, and
-// most requests have ended by then.
+// recentlyContacted reports whether an owner has heard from this entry within half a
+// registration interval, so that its lease needs no renewal before the next one. Each
+// admission renews the lease, and most requests have ended by the next registration.
 func (t *grantTable) recentlyContacted(now time.Time, o coordination.Instance, cfg *Config) bool {
 	return !t.lastRegistered.IsZero() && !t.releasesDropped[o] && now.Sub(t.lastContact[o]) < cfg.EntryLease/(2*registrationsPerLease)
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys(m map[Sequence]*Grant) []Sequence {
 	keys := lo.Keys(m)
 	slices.Sort(keys)
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -7,27 +7,27 @@
 	"wisteriaspool/coordination"
 )
 
-// handover is the wait of one request for routers to agree on the owners of its
-// candidates. They learn at different moments that an owner stops or starts: one
-// that has learnt of it disclaims the endpoints, and the router that it names does
-// not count them yet.
+// handover tracks how long one request waits for routers to agree on the owners of
+// its candidates. They learn at different times that an owner stops or starts: a
+// router that already knows disclaims the endpoints, and the router that it names
+// does not count them yet.
 type handover struct {
 	waited time.Duration
-	next   time.Duration // the pause that comes next; zero before the first
+	next   time.Duration // next pause; zero before the first
 }
 
 const (
-	// firstHandoverPause is the first pause before all candidates are asked
-	// again. Each that follows is twice as long.
+	// firstHandoverPause is the first pause before all candidates are asked again.
+	// Each further pause is twice as long.
 	firstHandoverPause = 5 * time.Millisecond
 
-	// maxHandoverWait bounds the pauses of a request together. A refusal would
-	// keep its caller away for as long.
+	// maxHandoverWait bounds the sum of the pauses of a request. A refusal would
+	// delay its caller by as much.
 	maxHandoverWait = noCandidateRetry
 )
 
-// pause returns the pause that comes next and counts it, or false if routers have
-// had the time to agree.
+// pause returns the next pause and adds it to the total, or false if the total has
+// reached maxHandoverWait.
 func (h *handover) pause() (time.Duration, bool) {
 	d := min(max(h.next, firstHandoverPause), maxHandoverWait-h.waited)
 	if d <= 0 {
@@ -38,8 +38,8 @@
 	return d, true
 }
 
-// awaitHandover waits for a moment and begins the walk anew. It reports false if
-// the request is not to wait, or not any longer.
+// awaitHandover waits for the next pause and restarts the walk. It reports false if
+// the request must not wait, or not any longer.
 func (w *walk) awaitHandover(ctx context.Context) bool {
 	if w.req.NoWait {
 		return false
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -11,14 +11,14 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// notOwnerTransport is a transport to owners that disclaim all endpoints, and name no other.
+// notOwnerTransport is a transport to owners that disclaim all endpoints and name no other.
 type notOwnerTransport struct{}
 
 func (notOwnerTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
 	return AdmitReply{Decision: Next, Code: NotOwner}.Encode(), nil
 }
 
-// Guards against a change of owners that looks like load to who reads the refusal.
+// Guards against a refusal that reports a change of owners as overload.
 func TestRefusalTellsThatOwnersDisclaimTheirEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), notOwnerTransport{}, nil, Config{})
@@ -29,7 +29,7 @@
 	})
 }
 
-// Guards against requests that are refused while routers learn one by one of an owner's stop.
+// Guards against refusals while routers learn one by one that an owner stops.
 func TestRequestIsPlacedWhileOwnersChange(t *testing.T) {
 	const lag = 30 * time.Millisecond
 	before := NewRouters([]Router{{ID: "r1", Zone: "z"}}, 0)
@@ -53,7 +53,7 @@
 					n.update(set, before)
 				}
 				defer f.start()()
-				time.Sleep(2 * time.Second) // until the owner has settled
+				time.Sleep(2 * time.Second) // the owner settles
 				f.nodes[tc.first].update(set, after)
 				time.AfterFunc(lag, func() {
 					for _, n := range f.nodes {
@@ -76,7 +76,7 @@
 	{ID: "e2", Pool: testPool, Zone: "z", Incarnation: 1},
 }
 
-// Guards against requests that are held up for long where routers never agree on an owner.
+// Guards against a long wait where routers never agree on an owner.
 func TestWaitForAHandoverIsBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/coordination/placement/holders.go
+++ b/coordination/placement/holders.go
@@ -6,26 +6,27 @@
 	"wisteriaspool/coordination"
 )
 
-// CacheHolders tells which endpoint is likely to have the shared part of a request
+// CacheHolders tells which endpoint is likely to have the shared prefix of a request
 // cached when the chosen one has not. All routers compute the same order of
-// endpoints from their lists alone, so the endpoint that comes first has had
-// the part, unless it is new; then the one that was first before it has. The
-// zero value knows no endpoints.
+// endpoints from their lists alone, so the first endpoint in that order has served
+// the prefix, unless it is new; then the previous first one has. The zero value has
+// no endpoints.
 type CacheHolders struct {
 	set         *Set
 	firstListed map[coordination.Endpoint]time.Time // when each was first listed
 }
 
-// ageTolerance is the span within which endpoints count as of the same age, as when a
+// ageTolerance is the span within which endpoints count as equally old, as when a
 // whole fleet starts.
 const ageTolerance = 3 * time.Second
 
-// maxHolderCandidates is how many endpoints are looked at. If the first two have come
-// up only now, the third has the part.
+// maxHolderCandidates is how many endpoints are considered. If the first two have
+// just started, the third has the prefix.
 const maxHolderCandidates = 4
 
-// NewCacheHolders returns the holders among endpoints, which may be leaving: those
-// still hand out what they have cached.
+// NewCacheHolders returns the holders among endpoints. Leaving endpoints are
+// included, since they still serve what they have cached. Endpoints that old knows
+// keep their age.
 func NewCacheHolders(now time.Time, endpoints []Descriptor, old *CacheHolders) *CacheHolders {
 	h := &CacheHolders{firstListed: make(map[coordination.Endpoint]time.Time, len(endpoints))}
 	kept := make([]Descriptor, 0, len(endpoints))
@@ -43,7 +44,7 @@
 	return h
 }
 
-// listedSince returns since when an incarnation of an endpoint is known.
+// listedSince returns when an incarnation of an endpoint was first listed.
 func (h *CacheHolders) listedSince(d Descriptor) (time.Time, bool) {
 	if h == nil || h.set == nil {
 		return time.Time{}, false
@@ -55,15 +56,15 @@
 	return h.firstListed[d.ID], true
 }
 
-// Source returns the endpoint from which the chosen one should fetch what it
-// lacks of the shared part of a request with this key, or nil if no other is
-// likely to have any. A source that has nothing costs next to nothing.
+// Source returns the endpoint from which the chosen one should fetch what it lacks
+// of the shared prefix of a request with this key, or nil if no other is likely to
+// have any of it. Asking a source that has nothing costs next to nothing.
 //
-// The endpoint that comes first has a source too, the second in the order: what
-// was asked for while the first was busy went there. Without it 9 of 20 parts
-// that were read again on a calm day of nine engines were read by the endpoint
-// that came first; with it the price of parts read again falls by 0.006 of a
-// day's worth (36 days each, standard error of the worth 0.0015).
+// The first endpoint in the order has a source too, the second one, since requests
+// went there while the first was busy. Without it, 9 of 20 prefixes that were
+// computed again on a low-load day with nine engines were computed by the first
+// endpoint. With it, the cost of prefixes computed again falls by 0.006 of a day's
+// worth (36 days each, standard error of the worth 0.0015).
 func (h *CacheHolders) Source(pool coordination.Pool, key Key, chosen coordination.Endpoint) *Descriptor {
 	if h == nil || h.set == nil {
 		return nil
@@ -78,8 +79,8 @@
 	return h.firstOf(ranked, chosen, h.notNewer)
 }
 
-// firstOf returns the first endpoint but the chosen one whose age against it
-// meets a condition, or nil.
+// firstOf returns the first endpoint other than the chosen one whose age compared
+// with it satisfies a condition, or nil.
 func (h *CacheHolders) firstOf(ranked []*Descriptor, chosen coordination.Endpoint, meets func(age, chosen time.Time) bool) *Descriptor {
 	for _, d := range ranked {
 		if d.ID != chosen && meets(h.firstListed[d.ID], h.firstListed[chosen]) {
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// older reports whether an endpoint is older than the chosen one. If the chosen
-// one comes first in the order, then it came up only now, and one behind it has
-// had the parts that now lead to it.
+// older reports whether an endpoint is older than the chosen one. If the chosen one
+// is first in the order and younger than one behind it, then it has just started,
+// and the older one has served the prefixes that are now routed to the chosen one.
 func (h *CacheHolders) older(other, chosen time.Time) bool { return chosen.Sub(other) > ageTolerance }
 
 // notNewer reports whether an endpoint is no newer than the chosen one.
--- a/coordination/placement/holders_test.go
+++ b/coordination/placement/holders_test.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/coordination"
 )
 
-// holdersAt returns the holders after lists that were read at some seconds.
+// holdersAt returns the holders after a list was read at each of the given seconds.
 func holdersAt(start time.Time, lists map[int][]string) *CacheHolders {
 	var h *CacheHolders
 	for second := range 60 {
@@ -36,7 +36,7 @@
 	return ids
 }
 
-// ranked returns the endpoints of a key in their order.
+// ranked returns the endpoints in their order for a key.
 func ranked(h *CacheHolders, key Key) []coordination.Endpoint {
 	var ids []coordination.Endpoint
 	for _, d := range h.set.Candidates(nil, "p", key, 0, 10) {
@@ -52,9 +52,9 @@
 	return ""
 }
 
-// The first endpoint of a long prompt is full, and the request goes to the
-// second one. There its 10,000 shared tokens would be read again, which takes
-// 0.2 s and holds up all that runs beside it; the first one still has them.
+// Guards against computing a prefix again when its first endpoint is full and the
+// request goes to the second one. For 10,000 shared tokens that takes 0.2 s and delays
+// all requests there, although the first endpoint still has them cached.
 func TestOverflowFetchesFromTheFirst(t *testing.T) {
 	start := time.Now()
 	h := holdersAt(start, map[int][]string{0: endpointNames(0, 9), 1: endpointNames(0, 9)})
@@ -64,9 +64,9 @@
 	}
 }
 
-// While the first endpoint of a prompt was full, a request read the prompt at the
-// second one. The next request goes to the first again, which would read it once
-// more, for 0.2 s, though the second has it.
+// Guards against computing a prefix again at the first endpoint after a request was sent
+// to the second one while the first was full. That would take 0.2 s although the second
+// endpoint has the prefix cached.
 func TestFirstFetchesFromWhereOverflowWent(t *testing.T) {
 	h := holdersAt(time.Now(), map[int][]string{0: endpointNames(0, 9), 1: endpointNames(0, 9)})
 	for key := range Key(50) {
@@ -75,8 +75,8 @@
 	}
 }
 
-// A router learns of the endpoints one by one as it starts. The first ones that
-// it hears of are no older than the rest for that.
+// Guards against treating endpoints as older because a starting router learns of them a
+// few seconds before the others.
 func TestEndpointsOfOneStartAreOfOneAge(t *testing.T) {
 	h := holdersAt(time.Now(), map[int][]string{0: endpointNames(0, 1), 1: endpointNames(0, 5), 2: endpointNames(0, 9)})
 	for key := range Key(50) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// An endpoint is added and becomes the first of some prompts. It has none of
-// them yet: the endpoint that was first before it has.
+// A new endpoint becomes the first one for some prefixes. It has none of them cached; the
+// endpoint that was first before it has.
 func TestNewEndpointFetchesFromTheOneBeforeIt(t *testing.T) {
 	start := time.Now()
 	h := holdersAt(start, map[int][]string{0: endpointNames(0, 9), 20: endpointNames(0, 10)})
@@ -102,8 +102,8 @@
 	assert.Assert(t, moved > 0)
 }
 
-// An endpoint is leaving; its prompts go to the ones behind it. It still hands
-// out what it has cached.
+// The prefixes of a leaving endpoint go to the endpoints behind it. It still serves what
+// it has cached.
 func TestLeavingEndpointIsASource(t *testing.T) {
 	start := time.Now()
 	all := []Descriptor{
@@ -122,7 +122,7 @@
 	assert.Assert(t, found)
 }
 
-// An endpoint restarts under its old name and has lost its cache.
+// Guards against a restarted endpoint, which has lost its cache, being taken as old.
 func TestRestartedEndpointIsNew(t *testing.T) {
 	start := time.Now()
 	h := holdersAt(start, map[int][]string{0: endpointNames(0, 3)})
@@ -136,7 +136,7 @@
 		if order := ranked(h, key); order[0] == "e0" {
 			assert.Equal(t, sourceOf(h, key, "e0"), order[1])
 		} else {
-			// The next one that has not just lost its cache may have overflow.
+			// The next endpoint with an intact cache may have served requests while the first was full.
 			older := lo.Without(order[1:], "e0")
 			assert.Equal(t, sourceOf(h, key, order[0]), older[0])
 		}
--- a/coordination/placement/lost_test.go
+++ b/coordination/placement/lost_test.go
@@ -10,16 +10,16 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// A packet is lost, and a router takes the only endpoint of a pool for dead. The
-// endpoint lives, but nothing says so where endpoints do not report their load;
-// every request of the pool is refused until its owner tries again. Once that
-// took five seconds, and 375 requests.
+// Guards against an endpoint that stays excluded although it works. After a lost packet a
+// router reports the only endpoint of a pool as dead. Where endpoints do not report their
+// load nothing corrects this, and every request of the pool is refused until the owner
+// tries the endpoint again. With a wait of five seconds 375 requests were refused.
 func TestEndpointTakenForDeadIsTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOwner("self", Config{LostFor: time.Second})
 		d := Descriptor{ID: "only", Pool: "p", Zone: "z", Incarnation: 7}
 		o.Update(NewSet([]Descriptor{d}), NewRouters([]Router{{ID: "self", Zone: "z"}}, 0))
-		time.Sleep(2 * time.Second) // until the owner has settled
+		time.Sleep(2 * time.Second) // the owner settles
 		ask := func(n Sequence) Decision {
 			return o.Admit(context.Background(), AdmitRequest{
 				Entry: EntryID{Instance: "e", Incarnation: 1}, Sequence: n, Endpoint: "only", Incarnation: 7, Deadline: 100,
--- a/coordination/placement/move_test.go
+++ b/coordination/placement/move_test.go
@@ -9,9 +9,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// All endpoints are full, and others come back that idle. The bound of the full
-// ones falls with the pool's mean, and who waits there would wait until they carry
-// hardly more than the mean.
+// Guards against requests that keep waiting at full endpoints after idle ones have
+// returned. The bound of the full endpoints falls with the pool's mean, so the requests
+// would wait until those endpoints carry hardly more than the mean.
 func TestWaitingRequestMovesToIdleEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(4)
@@ -23,7 +23,7 @@
 		routers := NewRouters([]Router{{ID: "self", Zone: "z"}}, 0)
 		o.Update(NewSet(es[:1]), routers)
 		e.Update(NewSet(es[:1]), routers)
-		time.Sleep(2 * time.Second) // until the owner has settled
+		time.Sleep(2 * time.Second) // the owner settles
 		var running []*Grant
 		for range 8 {
 			g, _ := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1})
@@ -44,7 +44,7 @@
 		case g := <-placed:
 			assert.Assert(t, g != nil && g.Endpoint.ID != "e0")
 		default:
-			t.Error("it waits at the full endpoint")
+			t.Error("the request still waits at the full endpoint")
 		}
 		for _, g := range running[1:] {
 			g.Release()
--- a/coordination/placement/pause_test.go
+++ b/coordination/placement/pause_test.go
@@ -27,9 +27,9 @@
 	return AdmitReply{Decision: Next, Code: OverBound, RetryAfter: 100}.Encode(), nil
 }
 
-// Hundreds of requests wait for a new mean for seconds. Asking all candidates after
-// each exchange of sums they put 40,000 questions a second to eight routers, and
-// owners that were well did not answer in time.
+// Guards against too many queries while requests wait for a new mean. When hundreds of
+// requests asked all candidates after each exchange of sums, they sent 40,000 queries a
+// second to eight routers, and owners that worked did not reply in time.
 func TestWaitForNewMeanBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &overBoundTransport{}
@@ -39,7 +39,7 @@
 		assert.Assert(t, g == nil)
 		assert.Equal(t, r.Code, Deadline)
 		asked := int(o.asked.Load())
-		t.Logf("%d questions in 4 s", asked)
-		assert.Assert(t, asked < 100, "%d questions", asked)
+		t.Logf("%d queries in 4 s", asked)
+		assert.Assert(t, asked < 100, "%d queries", asked)
 	})
 }
--- a/coordination/placement/queue.go
+++ b/coordination/placement/queue.go
@@ -8,21 +8,21 @@
 	"wisteriaspool/coordination"
 )
 
-// priorityHeadStart is how many requests of its account's share a request goes
-// ahead by for each step of priority. The account still pays for the service,
-// so an account that calls everything urgent gains a moment, not a share.
+// priorityHeadStart is by how many requests of its account's share each step of
+// priority advances a request. The account is still charged for the service, so an
+// account that marks everything as urgent gains an earlier start, not a larger share.
 const priorityHeadStart = 4.0
 
-// waiter is a request that waits at an endpoint. Its owner's shard lock guards
-// it, except for done.
+// waiter is a request that waits at an endpoint. The lock of its owner's shard
+// guards all fields except done.
 type waiter struct {
 	req       AdmitRequest
 	id        GrantID
 	arrived   time.Time
-	order     uint64    // of arrival at the endpoint
+	order     uint64    // order of arrival at the endpoint
 	deadline  time.Time // zero for none
-	startBy   time.Time // by when it has to start to meet its objective; zero for none
-	holdUntil time.Time // when a request that is not final is passed on
+	startBy   time.Time // latest start that meets its objective; zero for none
+	holdUntil time.Time // when a request that is not final is sent on
 	done      chan AdmitReply
 	queued    bool
 }
@@ -32,31 +32,31 @@
 	return !w.startBy.IsZero() && !now.Before(w.startBy)
 }
 
-// reply gives the waiter its answer.
+// reply gives the waiter its reply.
 func (w *waiter) reply(r AdmitReply) { w.done <- r }
 
 // flow is the queue of one client account at one endpoint.
 type flow struct {
 	items  []*waiter // by priority, then by arrival
-	start  float64   // virtual time at which its next request is due
+	start  float64   // virtual start time of its next request
 	weight float64
 }
 
-// due returns the virtual time that ranks a request behind n others of the flow.
+// due returns the virtual start time of a request behind n others of the flow.
 func (f *flow) due(n int, p coordination.Priority) float64 {
 	return f.start + float64(n)/f.weight - priorityHeadStart*float64(p)
 }
 
-// fairQueue is a start-time fair queue over client accounts: under contention
-// each account gets service in proportion to its weight, however much it asks.
+// fairQueue is a start-time fair queue over client accounts: under contention each
+// account gets service in proportion to its weight, however many requests it sends.
 // The zero value is empty and ready for use.
 type fairQueue struct {
 	flows map[coordination.Account]*flow
-	now   float64 // virtual time: the start of the last request served
+	now   float64 // virtual time: the start time of the last request served
 	size  int
 }
 
-// push adds w under its account.
+// push adds w to the flow of its account. A weight that is not positive counts as 1.
 func (q *fairQueue) push(w *waiter, weight float64) {
 	if q.flows == nil {
 		q.flows = make(map[coordination.Account]*flow)
@@ -90,7 +90,7 @@
 	return 0
 }
 
-// remove takes w out without service.
+// remove removes w without service.
 func (q *fairQueue) remove(w *waiter) {
 	f := q.flows[w.req.Account]
 	if f == nil {
@@ -106,9 +106,9 @@
 	q.evictIdle(w.req.Account, f)
 }
 
-// next returns the request that is due first among those that fit, or nil. Those
-// that can still meet their objective go before those that cannot: in the order of
-// arrival all would be late once the queue is longer than the objective.
+// next returns the earliest due request among those that fit, or nil. Requests that
+// can still meet their objective precede those that cannot: in the order of arrival
+// all would be late once the queue is longer than the objective.
 func (q *fairQueue) next(now time.Time, fits func(*waiter) bool) *waiter {
 	if w := q.first(now, false, fits); w != nil {
 		return w
@@ -116,8 +116,8 @@
 	return q.first(now, true, fits)
 }
 
-// first returns the request that is due first among the stale ones that fit, or
-// among the others.
+// first returns the earliest due request that fits among the stale ones or among the
+// others, or nil.
 func (q *fairQueue) first(now time.Time, stale bool, fits func(*waiter) bool) *waiter {
 	var best *waiter
 	var first float64
@@ -141,7 +141,7 @@
 	return best
 }
 
-// serve takes w out and charges its account.
+// serve removes w and charges its account for the service.
 func (q *fairQueue) serve(w *waiter) {
 	f := q.flows[w.req.Account]
 	q.now = max(q.now, f.start)
@@ -149,13 +149,13 @@
 	q.remove(w)
 }
 
-// maxIdleFlows is how many idle flows a queue keeps for the lead that they have
-// over virtual time.
+// maxIdleFlows is how many idle flows a queue keeps because their start time is
+// ahead of virtual time.
 const maxIdleFlows = 64
 
-// evictIdle drops an idle flow that has no lead over virtual time any more. Under
-// lasting overload the queue is never empty, and every account that was ever
-// served would stay in the table, which each service goes through.
+// evictIdle deletes an idle flow whose start time is no longer ahead of virtual time.
+// Under lasting overload the queue is never empty, and every account that was ever
+// served would stay in the table, which each service iterates over.
 func (q *fairQueue) evictIdle(a coordination.Account, f *flow) {
 	if len(f.items) == 0 && f.start <= q.now {
 		delete(q.flows, a)
@@ -171,7 +171,7 @@
 	}
 }
 
-// dropIdle drops the flows without requests that also match.
+// dropIdle deletes the flows without requests that match.
 func (q *fairQueue) dropIdle(match func(*flow) bool) {
 	for a, f := range q.flows {
 		if len(f.items) == 0 && match(f) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// ahead returns how many waiting requests go before w.
+// ahead returns how many waiting requests will be served before w.
 func (q *fairQueue) ahead(now time.Time, w *waiter) int {
 	own, stale := q.flows[w.req.Account], w.stale(now)
 	place := 0
@@ -196,7 +196,7 @@
 	return n
 }
 
-// aheadOf returns how many waiting requests would go before a new one.
+// aheadOf returns how many waiting requests would be served before a new one.
 func (q *fairQueue) aheadOf(now time.Time, req *AdmitRequest) int {
 	own := q.flows[req.Account]
 	due, place := q.now, 0
@@ -211,8 +211,8 @@
 	return place + q.before(now, own, false, due-priorityHeadStart*float64(req.Priority))
 }
 
-// before returns how many requests of flows other than own are due by then, of the
-// stale ones or of the others.
+// before returns how many requests of flows other than own are due no later than
+// due, among the stale ones or among the others.
 func (q *fairQueue) before(now time.Time, own *flow, stale bool, due float64) int {
 	n := 0
 	for _, f := range q.flows {
@@ -247,8 +247,8 @@
 	return n
 }
 
-// longest returns the last request of the account with the most waiting
-// requests for its weight, or nil.
+// longest returns the last request of the account with the most waiting requests
+// relative to its weight, or nil.
 func (q *fairQueue) longest() *waiter {
 	var worst *flow
 	for _, f := range q.flows {
@@ -265,8 +265,9 @@
 	return worst.items[len(worst.items)-1]
 }
 
-// longer ranks flows by length for weight. Between equals the one whose first
-// request came last is longer, so that map order decides nothing.
+// longer compares flows by length relative to weight. Of equal ones the flow whose
+// first request arrived later is longer, so that the result does not depend on map
+// order.
 func longer(a, b *flow) bool {
 	x, y := float64(len(a.items))/a.weight, float64(len(b.items))/b.weight
 	if x != y {
@@ -275,7 +276,7 @@
 	return a.items[0].order > b.items[0].order
 }
 
-// waiters returns all waiting requests.
+// waiters returns all waiting requests in the order of arrival.
 func (q *fairQueue) waiters() []*waiter {
 	all := make([]*waiter, 0, q.size)
 	for _, f := range q.flows {
--- a/coordination/placement/queue_test.go
+++ b/coordination/placement/queue_test.go
@@ -12,8 +12,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// fullOwner returns an owner whose only endpoint runs n requests and can run no
-// more. Each of them ends after a second, so the observed gap is 1 s/n.
+// fullOwner returns an owner whose only endpoint runs n requests and can run no more. n
+// requests have ended after a second each, so that the observed gap is 1 s/n.
 func fullOwner(t *testing.T, n int, cfg Config) (*Owner, time.Time) {
 	t.Helper()
 	es := testEndpoints(1)
@@ -34,7 +34,7 @@
 	})
 }
 
-// serve ends one running request, and returns which waiter was granted.
+// serveOne ends one running request and returns the name of the waiter that was granted.
 func serveOne(o *Owner, now time.Time, running Sequence, ws map[string]*waiter) string {
 	o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: running}}})
 	for name, w := range ws {
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// One client account sends far more than the others. In the order of arrival,
-// everybody would wait behind all that it has sent.
+// Guards against an account that sends far more than the others and delays them. In the
+// order of arrival all others would wait behind its requests.
 func TestSurgingAccountWaitsBehindOthers(t *testing.T) {
 	o, now := fullOwner(t, 4, Config{})
 	ws := make(map[string]*waiter)
@@ -76,9 +76,8 @@
 	assert.Equal(t, serveOne(o, now, 4, ws), "plain")
 }
 
-// A request would have to wait longer than its caller can. Kept until its
-// deadline it would be of no use to anyone; told at once, the caller can still
-// go elsewhere.
+// Guards against keeping a request until its deadline when it cannot start before. A
+// caller that is refused at once can still go elsewhere.
 func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	o, now := fullOwner(t, 4, Config{})
 	r, w := enqueue(o, now, 100, "a", 100)
@@ -90,8 +89,8 @@
 	assert.Assert(t, w != nil)
 }
 
-// The engine stops ending requests. Those that wait must not find out at their
-// deadlines only.
+// Guards against waiting requests that are refused only at their deadlines after the
+// engine has stopped ending requests.
 func TestStalledEndpointRefusesWaitersEarly(t *testing.T) {
 	o, now := fullOwner(t, 4, Config{})
 	_, w := enqueue(o, now, 100, "a", 5000)
@@ -124,8 +123,8 @@
 	assert.Equal(t, r.Code, Overloaded)
 }
 
-// A caller gives up while its request waits. The place must go to the next one,
-// and the owner must not grant what nobody wants any more.
+// Guards against a cancelled request that keeps its place in the queue or is granted
+// after its caller has gone.
 func TestCancelledRequestLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(1)
@@ -157,8 +156,8 @@
 	})
 }
 
-// Suspects of crashing endpoints must not run side by side: if the endpoint
-// dies, nobody could tell which of them did it.
+// Guards against suspects of crashing endpoints that run side by side. If the endpoint
+// died, the cause could not be assigned to one of them.
 func TestSuspectsRunAlone(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(1), Config{})
 	alone := AdmitRequest{Entry: testEntry, Sequence: 1, Endpoint: "e0", Alone: true}
@@ -188,8 +187,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// A pool stays overloaded for hours while requests of ever new accounts come.
-// If each account left its mark, every grant would take longer than the last.
+// Guards against flows of idle accounts that accumulate. A pool stays overloaded for hours
+// while requests of new accounts arrive, and each grant would take longer than the last.
 func TestQueueForgetsAccountsUnderLastingOverload(t *testing.T) {
 	var q fairQueue
 	q.push(&waiter{req: AdmitRequest{Account: "patient"}, order: 1}, 1e-9)
--- a/coordination/placement/queued_test.go
+++ b/coordination/placement/queued_test.go
@@ -10,7 +10,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// Guards against waiting requests that are refused as their endpoint leaves, dies or changes owners.
+// Guards against refusing waiting requests when their endpoint leaves, dies or changes owners.
 func TestWaitingRequestOutlivesItsQueue(t *testing.T) {
 	zone := coordination.Zone("z")
 	before := NewRouters([]Router{{ID: "r1", Zone: zone}}, 0)
@@ -57,7 +57,7 @@
 					n.update(set, before)
 				}
 				defer f.start()()
-				time.Sleep(2 * time.Second) // until the owner has settled
+				time.Sleep(2 * time.Second) // the owner settles
 				entry := f.nodes["r0"].entry
 				running := fill(t, entry, 4)
 				placed := make(chan error, 1)
@@ -76,7 +76,7 @@
 	}
 }
 
-// fill places n requests.
+// fill acquires n grants.
 func fill(t *testing.T, e *Entry, n int) (running []*Grant) {
 	for range n {
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1})
@@ -102,12 +102,12 @@
 	w.placed <- nil
 }
 
-// refusedError is a refusal where a grant is due.
+// refusedError is an unexpected refusal.
 type refusedError Refusal
 
 func (r refusedError) Error() string { return "refused: " + r.Code.String() }
 
-// endpointWithQueue returns the endpoint at which requests wait, or none.
+// endpointWithQueue returns an endpoint of o at which requests wait, or "".
 func endpointWithQueue(o *Owner) coordination.Endpoint {
 	for i := range o.shards {
 		if id := o.shards[i].queue(); id != "" {
@@ -117,6 +117,7 @@
 	return ""
 }
 
+// queue returns an endpoint of the shard at which requests wait, or "".
 func (s *ownerShard) queue() coordination.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/placement/rush_test.go
+++ b/coordination/placement/rush_test.go
@@ -13,8 +13,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// stalls holds up all calls between two routers for a while, once in so many
-// calls, as a lost packet does to a connection.
+// stalls delays all calls between two routers for stallTime at every n-th call, as a
+// lost packet does to a connection.
 type stalls struct {
 	every int
 
@@ -52,7 +52,7 @@
 }
 
 // overloadRun is a load on a fleet whose endpoints run each request for a second. Some
-// of them die in its middle: they refuse connections, and stay listed.
+// endpoints die during the run: they refuse connections but stay listed.
 type overloadRun struct {
 	*fleet
 	stalls *stalls
@@ -65,16 +65,16 @@
 	result overloadResult
 }
 
-// overloadResult is what callers got.
+// overloadResult counts the outcomes of the callers' requests.
 type overloadResult struct {
 	asked          int
 	inTime         int // sent to a live endpoint within rushObjective
 	late           int
 	refused        int
-	urgent         int           // requests of the most urgent kind
-	urgentInTime   int           // of these, in time
+	urgent         int           // requests of the highest priority
+	urgentInTime   int           // of the urgent requests, in time
 	longestRefusal time.Duration // longest time until a refusal
-	sentToDead     int           // times that a caller was sent to a dead endpoint
+	sentToDead     int           // placements at a dead endpoint
 	calls          int           // between routers
 	worst          time.Duration
 }
@@ -85,7 +85,7 @@
 	rushObjective = 500 * time.Millisecond
 	rushDeadline  = 4 * time.Second
 	rushTries     = 4
-	rushRefusal   = 30 * time.Millisecond // until a connection is refused
+	rushRefusal   = 30 * time.Millisecond // time until a connection is refused
 )
 
 func newOverloadRun(endpoints, perS int) *overloadRun {
@@ -114,7 +114,7 @@
 	return s
 }
 
-// list gives all routers a list of endpoints.
+// list updates all routers with a list of endpoints.
 func (s *overloadRun) list(es []Descriptor) {
 	set, routers := NewSet(es), NewRouters(testRouters(rushRouters), 0)
 	for _, n := range s.nodes {
@@ -136,8 +136,8 @@
 	return s.down[id]
 }
 
-// play sends requests for as long as the rush lasts, calls at once event when a
-// third of it has passed, and returns what callers got.
+// play sends requests for rushTime, calls event after a third of them, and returns the
+// outcomes.
 func (s *overloadRun) play(ctx context.Context, event func()) overloadResult {
 	defer s.start()()
 	time.Sleep(2 * time.Second)
@@ -158,14 +158,14 @@
 	return s.result
 }
 
-// sent returns how many questions routers have put to each other.
+// sent returns how many admission queries routers have sent to each other.
 func (s *overloadRun) sent() int {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	return s.message[TopicAdmit]
 }
 
-// overloadCaller is one request of a rush.
+// overloadCaller sends one request of an overloadRun.
 type overloadCaller struct {
 	*overloadRun
 	n    int
@@ -203,7 +203,7 @@
 	c.note(func(r *overloadResult) { r.refuse(c.priority(), held) })
 }
 
-// priority makes one request in seven the most urgent and three the least.
+// priority gives one request in seven the highest priority and three the lowest.
 func (c overloadCaller) priority() coordination.Priority {
 	switch n := c.n % 7; {
 	case n == 0:
@@ -248,31 +248,31 @@
 	fn(&c.result)
 }
 
-// Four of nine endpoints die in a surge, and links stall. Routers that place
-// without an owner that does not answer send callers to the dead endpoints, which
-// look idle to them.
+// Guards against placing requests at dead endpoints when four of nine endpoints die under
+// overload and links stall. Routers that decide without an unresponsive owner see the dead
+// endpoints as idle.
 func TestOverloadAvoidsDeadEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
-		assert.Assert(t, r.sentToDead < 100, "%d of %d sent to the dead", r.sentToDead, r.asked)
+		assert.Assert(t, r.sentToDead < 100, "%d of %d sent to dead endpoints", r.sentToDead, r.asked)
 	})
 }
 
-// Twice as much is asked as the endpoints that are left can serve. In the order of
-// arrival nearly all would be late, the most urgent kind as well.
+// Guards against late starts under twice the load that the remaining endpoints can serve.
+// In the order of arrival nearly all requests would be late, the urgent ones included.
 func TestOverloadServesUrgentRequestsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.inTime*100 >= r.asked*70, "%d of %d in time", r.inTime, r.asked)
-		assert.Assert(t, r.urgentInTime*100 >= r.urgent*95, "%d of %d of the most urgent kind in time", r.urgentInTime, r.urgent)
+		assert.Assert(t, r.urgentInTime*100 >= r.urgent*95, "%d of %d urgent requests in time", r.urgentInTime, r.urgent)
 	})
 }
 
-// A request that cannot be served is held until its caller has gone.
+// Guards against holding a request that cannot be served until its caller has gone.
 func TestOverloadRefusesEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newOverloadRun(9, 170)
--- a/coordination/placement/start.go
+++ b/coordination/placement/start.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// tickInterval is how often queues and leases are looked at.
+	// tickInterval is how often queues and leases are checked.
 	tickInterval = 100 * time.Millisecond
 
-	// releaseInterval is for how long releases gather. Until they arrive, the
-	// owner takes the mean for higher than it is.
+	// releaseInterval is for how long releases are batched. Until they arrive, the
+	// owner overestimates the mean.
 	releaseInterval = 20 * time.Millisecond
 
 	// registrationsPerLease is how many times an entry registers within its lease.
 	registrationsPerLease = 3
 )
 
-// driver calls an owner and an entry as time passes.
+// driver runs the periodic work of an owner and an entry.
 type driver struct {
 	owner *Owner
 	entry *Entry
 	wg    sync.WaitGroup
 }
 
-// Start makes the calls that o and e need from time to time, until the
-// returned function is called. That function sends the releases that are left.
+// Start runs the periodic work of o and e in the background until the returned
+// function is called. That function waits for the work to end and sends the
+// remaining releases.
 func Start(o *Owner, e *Entry) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &driver{owner: o, entry: e}
@@ -43,8 +44,8 @@
 }
 
 // loop calls step until ctx ends. A step returns the longest time until the next
-// one; due, if not nil, asks for one sooner. Each step has its own loop, so that a
-// peer that does not answer holds up only the messages to itself.
+// one; a value from due, if not nil, triggers one sooner. Each step has its own loop,
+// so that a peer that does not reply delays only the messages to itself.
 func (d *driver) loop(ctx context.Context, step func(context.Context) time.Duration, due <-chan struct{}) {
 	t := time.NewTimer(step(ctx))
 	defer t.Stop()
@@ -65,8 +66,8 @@
 	return tickInterval
 }
 
-// tickEntry leaves an entry alone that has nothing to send but the renewal of its
-// lease.
+// tickEntry ticks the entry. The next tick is due with the renewal of its lease,
+// unless there is something to send before.
 func (d *driver) tickEntry(ctx context.Context) time.Duration {
 	d.entry.Tick(ctx)
 	return d.entry.held.untilRegistration(time.Now(), d.entry.cfg.Load())
--- a/coordination/placement/start_test.go
+++ b/coordination/placement/start_test.go
@@ -13,8 +13,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// callRecorder counts the calls to other owners, and notes the longest time
-// between two of them.
+// callRecorder counts the calls to other owners and records the longest time between two.
 type callRecorder struct {
 	releases, registers atomic.Int64
 
@@ -32,7 +31,7 @@
 	c.last = time.Now()
 }
 
-// Call implements Transport. Each admission is granted.
+// Call implements Transport. It grants each admission.
 func (c *callRecorder) Call(_ context.Context, _ coordination.Instance, topic string, _ []byte) ([]byte, error) {
 	c.record()
 	switch topic {
@@ -47,8 +46,8 @@
 	return nil, nil
 }
 
-// An owner that does not hear of a release soon refuses others for a request that
-// has ended.
+// Guards against releases that reach the owner late: it would refuse other requests in
+// place of one that has ended.
 func TestReleaseIsSentWithinItsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := &callRecorder{}
@@ -66,9 +65,9 @@
 	})
 }
 
-// An entry that is not heard of for its lease loses its grants, and the endpoint
-// takes more than its bound. It has to be heard of twice in each, so that one lost
-// message costs nothing, whenever other requests begin and end.
+// Guards against an entry whose lease expires: it loses its grants, and the endpoint takes
+// more than its bound. The owner has to hear from the entry twice in each lease, whenever
+// other requests begin and end, so that one lost message has no effect.
 func TestEntryRenewsItsLease(t *testing.T) {
 	lease := Config{}.withDefaults().EntryLease
 	for _, pause := range []time.Duration{lease * 3 / 10, lease * 4 / 10, lease * 10} {
@@ -85,13 +84,13 @@
 				time.Sleep(pause / 7)
 			}
 			calls.record()
-			assert.Assert(t, calls.longest <= lease/2+2*releaseInterval, "not heard of for %v of %v", calls.longest, lease)
+			assert.Assert(t, calls.longest <= lease/2+2*releaseInterval, "no call for %v of a lease of %v", calls.longest, lease)
 		})
 	}
 }
 
-// An entry that registers with each owner that it has asked of late sends four
-// times as many registrations as it asks for grants, once it seldom asks the same
+// Guards against too many registrations. An entry that registers with each recently asked
+// owner sends four times as many registrations as admissions when it seldom asks the same
 // owner twice.
 func TestEntryRegistersOnlyWhatOwnersDoNotKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -112,8 +111,8 @@
 	})
 }
 
-// startEntry starts an entry, and an owner that owns nothing, before an endpoint
-// of another router.
+// startEntry starts an entry and an owner that owns nothing. The only endpoint is owned by
+// another router.
 func startEntry(calls Transport) (e *Entry, stop func()) {
 	owner := NewOwner("self", Config{})
 	e = NewEntry(EntryID{Instance: "self", Incarnation: 1}, owner, calls, nil, Config{})
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -7,46 +7,46 @@
 	"wisteriaspool/coordination"
 )
 
-// Request is what an entry wants placed.
+// Request describes a request to place.
 type Request struct {
 	Pool       coordination.Pool
-	Key        Key  // of the chat, or of the content of a request without one
-	Hint       Hint // where the chat is warm
-	SubsetKey  Key  // of the router, as in [Set.Near]
-	SubsetSize int  // as in [Set.Near]; zero if the endpoint should be that of Key
+	Key        Key  // of the chat, or of the content if there is no chat
+	Hint       Hint // endpoint where the chat's context is cached
+	SubsetKey  Key  // this router's key for [Set.Subset]
+	SubsetSize int  // width for [Set.Subset]; zero to choose the endpoint by Key
 	Account    coordination.Account
 	Priority   coordination.Priority
 
-	// Deadline is the time left in which the request must start; zero for
+	// Deadline is the time left in which the request must start; zero if it has
 	// none of its own.
 	Deadline time.Duration
 
-	// Target is the time from the request's arrival within which its answer has
-	// to begin to be on time; zero for no objective. Waited is how much of it has
-	// passed.
+	// Target is the time from the request's arrival within which its response has
+	// to begin to meet the objective; zero for no objective. Waited is how much of
+	// it has passed.
 	Target, Waited time.Duration
 
-	// Alone says that the request is suspected of crashing endpoints.
+	// Alone marks a request that is suspected of crashing endpoints.
 	Alone bool
 
-	// Once says that a failure of the request could not be mended by another
-	// attempt, so that it keeps away from endpoints in doubt.
+	// Once marks a request that cannot be retried after a failure, so that it avoids
+	// endpoints suspected of failing.
 	Once bool
 
-	// NoWait says that the request is not to wait in a queue.
+	// NoWait makes Acquire refuse the request rather than wait in a queue.
 	NoWait bool
 
-	// Avoid lists endpoints that have failed this request already.
+	// Avoid lists endpoints that have already failed this request.
 	Avoid []coordination.Endpoint
 }
 
-// Refusal tells why a request got no grant, and when to come back.
+// Refusal tells why a request got no grant, and when to retry.
 type Refusal struct {
 	Code       Code
 	RetryAfter time.Duration
 }
 
-// ownerQuery is one question to one owner.
+// ownerQuery is one query to one owner.
 type ownerQuery struct {
 	endpoint *Descriptor
 	owner    coordination.Instance
@@ -58,60 +58,62 @@
 }
 
 const (
-	// maxFullReplies is how many full endpoints a request meets before it queues:
-	// in a surge all are full, and asking more of them only adds traffic.
+	// maxFullReplies is how many full endpoints a request asks before it queues. In
+	// a surge all are full, and asking more of them only adds traffic.
 	maxFullReplies = 3
 
-	// warmBias is the wait that a request accepts at its first candidate,
-	// where its chat may be warm, over that at another.
+	// warmBias is how much longer a request waits at its first candidate, where its
+	// chat may be cached, than at another.
 	warmBias = 50 * time.Millisecond
 
+	// noCandidateRetry is the RetryAfter of a request that no endpoint takes.
 	noCandidateRetry = 500 * time.Millisecond
 )
 
-// walk leads one request through its candidates. It makes no calls: next gives
-// the question to ask, and take receives the answer.
+// walk leads one request through its candidates. It makes no calls: nextQuery
+// returns the query to send, and handleReply takes the reply.
 type walk struct {
 	req     Request
 	cfg     *Config
 	set     *Set
 	routers *Routers
-	latest  func() *view // nil if the lists do not change
-	doubts  *doubtTable  // nil if nothing is known of outliers
+	latest  func() *view // returns the current lists; nil if they do not change
+	doubts  *doubtTable  // nil if no outliers are known
 	started time.Time
 
 	list []*Descriptor
 	buf  [inlineCandidates]*Descriptor
-	at   int         // of the candidate that is asked
-	warm *Descriptor // the endpoint that the hint names, or nil
+	at   int         // index of the current candidate; -1 before the first
+	warm *Descriptor // endpoint that the hint names, or nil
 
 	redirect     coordination.Instance
-	redirectedAt int // position of the candidate that was last redirected
+	redirectedAt int // index of the candidate that was last redirected
 	rounds       int
 	resumeAt     time.Time // when a pause ends
 	handover     handover
 	stage        stage
 	fullReplies  int
-	otherReplies bool // some answer was not that the endpoint is full
-	unowned      bool // some endpoint's owner disclaimed it
-	outliers     int  // endpoints that were kept off for their failures
-	insist       bool // there are too many outliers to keep off them
+	otherReplies bool // some reply had a reason other than Full
+	unowned      bool // the owner of some endpoint disclaimed it
+	outliers     int  // endpoints skipped for their failures
+	insist       bool // ask outliers too, since too many are known to skip them
 	overBound    bool // some endpoint was over its bound, or its owner settling
 	bestQueue    *Descriptor
-	bestWait     Millis // expected in that queue
+	bestWait     Millis // expected wait in that queue
 	last         Code
-	lost         []LostEndpoint // whose owners know of their death
+	lost         []LostEndpoint // found dead, according to their owners
 }
 
-// stage is how far a walk has come.
+// stage is the progress of a walk.
 type stage int
 
 const (
-	asking   stage = iota // each candidate once
-	pausing               // held back until the owner has heard of a new mean
+	asking   stage = iota // asks each candidate once
+	pausing               // held back until the owner has a new mean
 	queueing              // in the queue of a full endpoint
 )
 
+// newWalk returns a walk for req that starts at now.
 func newWalk(now time.Time, req Request, cfg *Config, set *Set, routers *Routers) *walk {
 	w := &walk{req: req, cfg: cfg, set: set, routers: routers, started: now, at: -1, redirectedAt: -1}
 	w.warm = set.Warm(req.Pool, req.Hint)
@@ -119,7 +121,7 @@
 	return w
 }
 
-// candidates appends to dst the first endpoints that the request should try.
+// candidates appends to dst up to limit endpoints in the order to try them.
 func (w *walk) candidates(dst []*Descriptor, limit int) []*Descriptor {
 	if w.req.SubsetSize > 0 {
 		return w.set.Subset(dst, w.req.Pool, w.req.SubsetKey, w.req.Key, w.req.SubsetSize, limit)
@@ -127,7 +129,7 @@
 	return w.set.Candidates(dst, w.req.Pool, w.req.Key, w.req.Hint, limit)
 }
 
-// nextQuery returns the nextQuery question, or false and why there is none.
+// nextQuery returns the next query, or false and the refusal if there is none.
 func (w *walk) nextQuery(now time.Time) (ownerQuery, Refusal, bool) {
 	deadline, late := w.remaining(now)
 	if late || w.rounds > maxRounds {
@@ -150,15 +152,16 @@
 	return ownerQuery{}, w.exhausted(), false
 }
 
-// remaining returns the time left in which the request must start.
+// remaining returns the time left in which the request must start. It reports late
+// if there is none.
 func (w *walk) remaining(now time.Time) (left Millis, late bool) {
 	limit := w.cfg.MaxWait
 	if d := w.req.Deadline; d > 0 && d < limit {
 		limit = d
 	}
 	if t := w.req.Target; t > 0 {
-		// An attempt that follows a failed one has some time, too, and the endpoint
-		// needs some of what the caller has left.
+		// A retry after a failed attempt gets at least t. Of the caller's deadline the
+		// endpoint needs a part itself.
 		limit = min(limit, max(maxTargetMultiple*t-w.req.Waited, t))
 		if w.req.Deadline > 0 {
 			limit = min(limit, w.req.Deadline/startDivisor)
@@ -168,8 +171,8 @@
 	return millis(d), d <= 0
 }
 
-// target returns the time left until the answer has to begin, of which there is
-// always some if there is an objective.
+// target returns the time left until the response has to begin, or zero if there is
+// no objective. With an objective it is at least 1 ms.
 func (w *walk) target(now time.Time) Millis {
 	if w.req.Target <= 0 {
 		return 0
@@ -177,15 +180,15 @@
 	return max(millis(w.req.Target-w.req.Waited-now.Sub(w.started)), 1)
 }
 
-// maxTargetMultiple is how many times its target a request waits for its start at most. Its
-// caller, who waits for the first byte, would soon be gone.
+// maxTargetMultiple is how many times its target a request waits for its start at
+// most. Beyond that, its caller would soon give up waiting for the first byte.
 const maxTargetMultiple = 2
 
-// queueQuery returns the question that lets the request wait at an endpoint.
-// With a bound above 1 some endpoint of the pool is under it, so if none was,
-// the owners' mean lags behind a rising load: the request waits for the next
-// exchange of sums and then asks all over again. To queue at an endpoint over
-// its bound would keep it waiting there while others idle.
+// queueQuery returns the query that makes the request wait at an endpoint. With a
+// bound above 1 some endpoint of the pool is under it, so if all were over it, the
+// owners' mean lags behind a rising load: the request waits for the next exchange of
+// sums and then asks all candidates again. In the queue of an endpoint over its
+// bound it would wait while other endpoints idle.
 func (w *walk) queueQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
 	w.bestQueue = nil
 	a := w.newQuery(now, d, deadline)
@@ -204,10 +207,10 @@
 // maxMeanPause bounds the time for which a request waits for a new mean.
 const maxMeanPause = 800 * time.Millisecond
 
-// meanPause returns for how long a request waits for a new mean: for an exchange of
-// sums, and twice as long in each round after. Under a load that lasts, hundreds of
-// requests wait, and would put to their candidates, after each exchange, more
-// questions than owners answer in time.
+// meanPause returns for how long a request waits for a new mean: one exchange of
+// sums, doubled in each further round up to maxMeanPause. Under sustained load
+// hundreds of requests wait and, if all asked after each exchange, would send their
+// candidates more queries than owners can answer in time.
 func (w *walk) meanPause() time.Duration {
 	d := (&view{set: w.set, routers: w.routers}).sumInterval(w.req.Pool)
 	for range w.rounds {
@@ -219,12 +222,12 @@
 	return d
 }
 
-// maxRounds ends a walk that goes round without waiting, which would spin.
+// maxRounds ends a walk that restarts without waiting, which would spin.
 const maxRounds = 200
 
-// pause returns how long the entry has to wait before the next question: an
-// owner whose queue has no room does not hold the request back itself, and
-// without a pause it would be asked again at once.
+// pause returns how long the entry has to wait before the next query. An owner whose
+// queue is full does not hold the request back, and without a pause it would be asked
+// again at once.
 func (w *walk) pause(now time.Time) time.Duration {
 	if w.stage != asking || w.at >= 0 {
 		return 0
@@ -232,13 +235,13 @@
 	return max(w.resumeAt.Sub(now), 0)
 }
 
-// nextRound begins the walk anew after a pause for a new mean.
+// nextRound restarts the walk after a pause for a new mean.
 func (w *walk) nextRound() {
 	w.rounds++
 	w.reset()
 }
 
-// reset begins the walk anew, by the lists as they are now.
+// reset restarts the walk with the current lists.
 func (w *walk) reset() {
 	if w.latest != nil {
 		v := w.latest()
@@ -252,9 +255,9 @@
 	w.outliers, w.insist = 0, false
 }
 
-// retryWithOutliers begins the walk anew, without regard to outliers, if there are more
-// than a pool may do without, if the others are over their bound for it, or if no
-// other endpoint is left even to wait for.
+// retryWithOutliers restarts the walk with outliers included if there are more of
+// them than the pool can spare, if skipping them puts the others over their bound, or
+// if there is no other endpoint to wait for. It reports whether it did.
 func (w *walk) retryWithOutliers() bool {
 	if w.insist || w.outliers == 0 {
 		return false
@@ -268,7 +271,7 @@
 	return true
 }
 
-// advance moves on to the next candidate that is worth a question.
+// advance returns the next candidate to ask, or nil.
 func (w *walk) advance(now time.Time) *Descriptor {
 	if w.fullReplies >= maxFullReplies && w.bestQueue != nil || w.tooManyOutliers() {
 		return nil
@@ -295,25 +298,25 @@
 	}
 }
 
-// tooManyOutliers reports whether more endpoints fail than the pool may do without.
+// tooManyOutliers reports whether more outliers were skipped than the pool can spare.
 func (w *walk) tooManyOutliers() bool {
 	return !w.insist && w.outliers > outliersOf(w.set.Len(w.req.Pool))
 }
 
-// skipOutlier notes that the present candidate is kept off for its failures.
+// skipOutlier counts the current candidate as skipped for its failures.
 func (w *walk) skipOutlier() {
 	w.outliers++
 	w.otherReplies = true
 }
 
-// extendFactor is how many times its usual candidates a request asks in the
-// first round, and more in each round after.
+// extendFactor times the configured number of candidates are asked at most in the
+// first round if some are over their bound. The limit grows with each round.
 const extendFactor = 2
 
-// extend makes the list of candidates longer. With a bound above 1 some
-// endpoint is always under it, so a request goes on, but not through the whole
-// pool at once: if a dozen endpoints are over the bound, then the mean lags
-// behind a rising load, and the others are over it as well.
+// extend makes the list of candidates longer. With a bound above 1 some endpoint is
+// always under it, so the request goes on, but not through the whole pool at once:
+// if a dozen endpoints are over the bound, then the mean lags behind a rising load,
+// and the others are over it too.
 func (w *walk) extend() bool {
 	n := w.set.Len(w.req.Pool)
 	if w.overBound {
@@ -326,6 +329,7 @@
 	return true
 }
 
+// newQuery returns the query to the owner of d.
 func (w *walk) newQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
 	a := ownerQuery{
 		endpoint: d,
@@ -340,8 +344,8 @@
 	return a
 }
 
-// handleReply receives the answer to the last question and reports whether it ends
-// the walk.
+// handleReply records the reply to the last query and reports whether it ends the
+// walk.
 func (w *walk) handleReply(a ownerQuery, r AdmitReply) bool {
 	if r.Decision != Next {
 		return true
@@ -354,7 +358,7 @@
 		w.lost = append(w.lost, lostOf(a.endpoint))
 	}
 	if w.stage != asking {
-		// It was held back there and is not any more; others may have room by now.
+		// The owner no longer holds the request back; other endpoints may have room now.
 		w.nextRound()
 		return false
 	}
@@ -376,15 +380,15 @@
 	return false
 }
 
-// followRedirect goes on to the router that the asked one takes for the owner, once for
-// each candidate: while lists differ, two routers may name each other.
+// followRedirect asks the router that the replying one names as the owner, once for
+// each candidate: while router lists differ, two routers may name each other.
 func (w *walk) followRedirect(a ownerQuery, owner coordination.Instance) {
 	if owner != "" && owner != a.owner && w.redirectedAt != w.at {
 		w.redirect, w.redirectedAt = owner, w.at
 	}
 }
 
-// considerQueue notes an endpoint in whose queue the request could wait.
+// considerQueue keeps the endpoint with the shortest expected wait to queue at.
 func (w *walk) considerQueue(a ownerQuery, wait Millis) {
 	if w.at > 0 {
 		wait += millis(warmBias)
@@ -394,10 +398,9 @@
 	}
 }
 
-// exhausted returns the refusal of a request that no endpoint takes. A pool
-// without endpoints, and one whose owners are changing, are told from one that is
-// full: who looks for the cause goes to the list of endpoints or of routers, not
-// to the load.
+// exhausted returns the refusal of a request that no endpoint takes. It distinguishes
+// an empty pool and changing owners from a full pool, so that operators look at the
+// list of endpoints or of routers and not at the load.
 func (w *walk) exhausted() Refusal {
 	code := w.last
 	switch {
