--- a/coordination/placement/affinity_test.go
+++ b/coordination/placement/affinity_test.go
@@ -115,31 +115,31 @@
 // connectionCounter counts the connections that requests need. Each request holds
 // one, and a connection that was idle for longer than reusable is not used again.
 type connectionCounter struct {
-	requests, made int
-	unused         map[coordination.Instance]map[coordination.Endpoint][]time.Time
+	requests, dialed int
+	idle             map[coordination.Instance]map[coordination.Endpoint][]time.Time
 }
 
-func (d *connectionCounter) take(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+func (d *connectionCounter) acquire(now time.Time, r coordination.Instance, e coordination.Endpoint) {
 	d.requests++
-	if d.unused[r] == nil {
-		d.unused[r] = make(map[coordination.Endpoint][]time.Time)
+	if d.idle[r] == nil {
+		d.idle[r] = make(map[coordination.Endpoint][]time.Time)
 	}
-	all := d.unused[r][e]
+	all := d.idle[r][e]
 	if n := len(all); n > 0 && now.Sub(all[n-1]) <= reusable {
-		d.unused[r][e] = all[:n-1]
+		d.idle[r][e] = all[:n-1]
 		return
 	}
-	d.made++
+	d.dialed++
 }
 
-func (d *connectionCounter) give(now time.Time, r coordination.Instance, e coordination.Endpoint) {
-	d.unused[r][e] = append(d.unused[r][e], now)
+func (d *connectionCounter) release(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+	d.idle[r][e] = append(d.idle[r][e], now)
 }
 
 // runSparseRequests runs 60 ms requests that have nothing cached, one every 100 ms at
 // a random router.
 func (f *fleet) runSparseRequests(t *testing.T, routers []Router, affine bool) connectionCounter {
-	d := connectionCounter{unused: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
+	d := connectionCounter{idle: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
 	affinities := make([]Affinity, len(routers))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -151,9 +151,9 @@
 		}
 		g, refusal := f.nodes[id].entry.Acquire(t.Context(), req)
 		assert.Assert(t, g != nil, "%v", refusal)
-		d.take(time.Now(), id, g.Endpoint.ID)
+		d.acquire(time.Now(), id, g.Endpoint.ID)
 		time.Sleep(60 * time.Millisecond)
-		d.give(time.Now(), id, g.Endpoint.ID)
+		d.release(time.Now(), id, g.Endpoint.ID)
 		g.Release()
 		time.Sleep(40 * time.Millisecond)
 	}
@@ -170,9 +170,9 @@
 		defer f.start()()
 		time.Sleep(2 * time.Second)
 		spread, affine := f.runSparseRequests(t, routers, false), f.runSparseRequests(t, routers, true)
-		t.Logf("new connections for %d requests: %d spread over all, %d with affinity", affine.requests, spread.made, affine.made)
-		assert.Assert(t, affine.made*3 < spread.made*2, "%d connections for %d requests, %d when spread", affine.made, affine.requests, spread.made)
-		assert.Assert(t, affine.made*2 < affine.requests, "%d connections for %d requests", affine.made, affine.requests)
+		t.Logf("new connections for %d requests: %d spread over all, %d with affinity", affine.requests, spread.dialed, affine.dialed)
+		assert.Assert(t, affine.dialed*3 < spread.dialed*2, "%d connections for %d requests, %d when spread", affine.dialed, affine.requests, spread.dialed)
+		assert.Assert(t, affine.dialed*2 < affine.requests, "%d connections for %d requests", affine.dialed, affine.requests)
 	})
 }
 
--- a/coordination/placement/ahead_test.go
+++ b/coordination/placement/ahead_test.go
@@ -30,7 +30,7 @@
 // for the way to the endpoint and back, and 20 ms for the batching of releases.
 type simulatedRequest struct {
 	owner  *Owner
-	desk   slotServer
+	server slotServer
 	n      int
 	onTime *atomic.Int32
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	time.Sleep(5 * time.Millisecond)
-	v.desk.serve()
+	v.server.serve()
 	if time.Since(start) < 290*time.Millisecond {
 		v.onTime.Add(1)
 	}
--- a/coordination/placement/candidates.go
+++ b/coordination/placement/candidates.go
@@ -151,24 +151,24 @@
 }
 
 // Subset appends to dst up to limit endpoints of a pool in the order in which a
-// request that may run anywhere should try them: first a subset of width endpoints
-// that is the same for all keys, chosen by rendezvous hashing with near and
-// ordered by the request's key; then the others in the order of near. Each router
-// uses a near of its own, so that all endpoints are chosen equally often. If the
+// request that may run anywhere should try them: first a subset of size endpoints
+// that is the same for all keys, chosen by rendezvous hashing with subsetKey and
+// ordered by the request's key; then the others, ordered by subsetKey. Each router
+// uses its own subsetKey, so that all endpoints are chosen equally often. If the
 // subset would exceed half of the pool, the whole pool is used, which spreads
 // requests more evenly.
-func (s *Set) Subset(dst []*Descriptor, name coordination.Pool, near, key Key, width, limit int) []*Descriptor {
+func (s *Set) Subset(dst []*Descriptor, name coordination.Pool, subsetKey, key Key, size, limit int) []*Descriptor {
 	p := s.pools[name]
-	if p == nil || 2*width > len(p.endpoints) {
+	if p == nil || 2*size > len(p.endpoints) {
 		return s.Candidates(dst, name, key, 0, limit)
 	}
 	var buf [inlineCandidates]scored
 	best := buf[:0]
-	if n := max(width, limit); n > len(buf) {
+	if n := max(size, limit); n > len(buf) {
 		best = make([]scored, 0, n)
 	}
-	best = p.selectBest(best, near, -1, max(width, limit))
-	first := best[:width]
+	best = p.selectBest(best, subsetKey, -1, max(size, limit))
+	first := best[:size]
 	for i, c := range first {
 		first[i].score = p.score(mix(p.hashes[c.index], uint64(key)), c.index)
 	}
--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -152,7 +152,7 @@
 		room = min(room, r.Capacity-r.Running)
 	}
 	share := room / max(e.view.Load().routers.Len(), 1)
-	if !e.held.grantWithin(time.Now(), g, share, r.Observed) {
+	if !e.held.grantBelowSince(time.Now(), g, share, r.Observed) {
 		return declined
 	}
 	return AdmitReply{Decision: Granted}
@@ -192,9 +192,9 @@
 	return int(float64(limit) * cfg.FallbackShare)
 }
 
-// grantWithin grants if this entry has started fewer than n requests at the
+// grantBelowSince grants if this entry has started fewer than n requests at the
 // endpoint since its report was observed.
-func (t *grantTable) grantWithin(now time.Time, g *Grant, n int, observed time.Time) bool {
+func (t *grantTable) grantBelowSince(now time.Time, g *Grant, n int, observed time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	begun := 0
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -12,8 +12,8 @@
 // router that already knows disclaims the endpoints, and the router that it names
 // does not count them yet.
 type handover struct {
-	waited time.Duration
-	next   time.Duration // next pause; zero before the first
+	waited    time.Duration
+	nextPause time.Duration // next pause; zero before the first
 }
 
 const (
@@ -29,12 +29,12 @@
 // pause returns the next pause and adds it to the total, or false if the total has
 // reached maxHandoverWait.
 func (h *handover) pause() (time.Duration, bool) {
-	d := min(max(h.next, firstHandoverPause), maxHandoverWait-h.waited)
+	d := min(max(h.nextPause, firstHandoverPause), maxHandoverWait-h.waited)
 	if d <= 0 {
 		return 0, false
 	}
 	h.waited += d
-	h.next = 2 * d
+	h.nextPause = 2 * d
 	return d, true
 }
 
--- a/coordination/placement/holders_test.go
+++ b/coordination/placement/holders_test.go
@@ -136,7 +136,7 @@
 		if order := ranked(h, key); order[0] == "e0" {
 			assert.Equal(t, sourceOf(h, key, "e0"), order[1])
 		} else {
-			// The next endpoint with an intact cache may have served requests while the first was full.
+			// The next endpoint with an intact cache may have served overflow requests.
 			older := lo.Without(order[1:], "e0")
 			assert.Equal(t, sourceOf(h, key, order[0]), older[0])
 		}
--- a/coordination/placement/pause_test.go
+++ b/coordination/placement/pause_test.go
@@ -14,7 +14,7 @@
 
 // overBoundTransport is a transport to owners whose endpoints are all over their bound.
 type overBoundTransport struct {
-	asked atomic.Int32
+	queries atomic.Int32
 }
 
 func (o *overBoundTransport) Call(_ context.Context, _ coordination.Instance, _ string, payload []byte) ([]byte, error) {
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o.asked.Add(1)
+	o.queries.Add(1)
 	time.Sleep(m.Wait.Duration())
 	return AdmitReply{Decision: Next, Code: OverBound, RetryAfter: 100}.Encode(), nil
 }
@@ -38,7 +38,7 @@
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1, Deadline: 4 * time.Second})
 		assert.Assert(t, g == nil)
 		assert.Equal(t, r.Code, Deadline)
-		asked := int(o.asked.Load())
+		asked := int(o.queries.Load())
 		t.Logf("%d queries in 4 s", asked)
 		assert.Assert(t, asked < 100, "%d queries", asked)
 	})
--- a/coordination/placement/queued_test.go
+++ b/coordination/placement/queued_test.go
@@ -59,7 +59,7 @@
 				defer f.start()()
 				time.Sleep(2 * time.Second) // the owner settles
 				entry := f.nodes["r0"].entry
-				running := fill(t, entry, 4)
+				running := acquireGrants(t, entry, 4)
 				placed := make(chan error, 1)
 				go waitingRequest{entry, placed}.run(t)
 				time.Sleep(100 * time.Millisecond)
@@ -76,8 +76,8 @@
 	}
 }
 
-// fill acquires n grants.
-func fill(t *testing.T, e *Entry, n int) (running []*Grant) {
+// acquireGrants acquires n grants.
+func acquireGrants(t *testing.T, e *Entry, n int) (running []*Grant) {
 	for range n {
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1})
 		assert.Assert(t, g != nil, "%v", r)
@@ -110,15 +110,15 @@
 // endpointWithQueue returns an endpoint of o at which requests wait, or "".
 func endpointWithQueue(o *Owner) coordination.Endpoint {
 	for i := range o.shards {
-		if id := o.shards[i].queue(); id != "" {
+		if id := o.shards[i].endpointWithQueue(); id != "" {
 			return id
 		}
 	}
 	return ""
 }
 
-// queue returns an endpoint of the shard at which requests wait, or "".
-func (s *ownerShard) queue() coordination.Endpoint {
+// endpointWithQueue returns an endpoint of the shard at which requests wait, or "".
+func (s *ownerShard) endpointWithQueue() coordination.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.loads {
--- a/coordination/placement/rush_test.go
+++ b/coordination/placement/rush_test.go
@@ -55,10 +55,10 @@
 // endpoints die during the run: they refuse connections but stay listed.
 type overloadRun struct {
 	*fleet
-	stalls *stalls
-	es     []Descriptor
-	perS   int
-	target time.Duration // of each request; zero for none
+	stalls    *stalls
+	es        []Descriptor
+	perSecond int
+	target    time.Duration // of each request; zero for none
 
 	mu     sync.Mutex
 	down   map[coordination.Endpoint]bool
@@ -68,7 +68,7 @@
 // overloadResult counts the outcomes of the callers' requests.
 type overloadResult struct {
 	asked          int
-	inTime         int // sent to a live endpoint within rushObjective
+	inTime         int // sent to a live endpoint within overloadObjective
 	late           int
 	refused        int
 	urgent         int           // requests of the highest priority
@@ -76,25 +76,25 @@
 	longestRefusal time.Duration // longest time until a refusal
 	sentToDead     int           // placements at a dead endpoint
 	calls          int           // between routers
-	worst          time.Duration
+	longestWait    time.Duration
 }
 
 const (
-	rushTime      = 6 * time.Second
-	rushRouters   = 7
-	rushObjective = 500 * time.Millisecond
-	rushDeadline  = 4 * time.Second
-	rushTries     = 4
-	rushRefusal   = 30 * time.Millisecond // time until a connection is refused
+	overloadDuration      = 6 * time.Second
+	overloadRouters       = 7
+	overloadObjective     = 500 * time.Millisecond
+	overloadDeadline      = 4 * time.Second
+	maxOverloadAttempts   = 4
+	connectionRefusalTime = 30 * time.Millisecond // time until a connection is refused
 )
 
 func newOverloadRun(endpoints, perS int) *overloadRun {
 	s := &overloadRun{
-		stalls: &stalls{every: 500, until: make(map[[2]coordination.Instance]time.Time)},
-		es:     testEndpoints(endpoints),
-		perS:   perS,
-		target: rushObjective,
-		down:   make(map[coordination.Endpoint]bool),
+		stalls:    &stalls{every: 500, until: make(map[[2]coordination.Instance]time.Time)},
+		es:        testEndpoints(endpoints),
+		perSecond: perS,
+		target:    overloadObjective,
+		down:      make(map[coordination.Endpoint]bool),
 	}
 	cfg := Config{
 		Bound: 1.8, Slack: 2, Ahead: 0.25, Grace: 250 * time.Millisecond, EntryLease: 3 * time.Second,
@@ -103,7 +103,7 @@
 	for i := range s.es {
 		s.es[i].Capacity = 16
 	}
-	members := testRouters(rushRouters)
+	members := testRouters(overloadRouters)
 	s.fleet = newFleet(members, s.es, cfg)
 	for _, m := range members {
 		n := s.nodes[m.ID]
@@ -116,7 +116,7 @@
 
 // list updates all routers with a list of endpoints.
 func (s *overloadRun) list(es []Descriptor) {
-	set, routers := NewSet(es), NewRouters(testRouters(rushRouters), 0)
+	set, routers := NewSet(es), NewRouters(testRouters(overloadRouters), 0)
 	for _, n := range s.nodes {
 		n.update(set, routers)
 	}
@@ -136,20 +136,20 @@
 	return s.down[id]
 }
 
-// play sends requests for rushTime, calls event after a third of them, and returns the
-// outcomes.
+// play sends requests for overloadDuration, calls event after a third of them, and
+// returns the outcomes.
 func (s *overloadRun) play(ctx context.Context, event func()) overloadResult {
 	defer s.start()()
 	time.Sleep(2 * time.Second)
 	before := s.sent()
 	var wg sync.WaitGroup
-	gap := time.Second / time.Duration(s.perS)
-	n := int(rushTime / gap)
+	gap := time.Second / time.Duration(s.perSecond)
+	n := int(overloadDuration / gap)
 	for i := range n {
 		if i == n/3 {
 			event()
 		}
-		c := overloadCaller{overloadRun: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%rushRouters))]}
+		c := overloadCaller{overloadRun: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%overloadRouters))]}
 		wg.Go(func() { c.run(ctx) })
 		time.Sleep(gap)
 	}
@@ -176,20 +176,20 @@
 	begun := time.Now()
 	req := Request{
 		Pool: testPool, Key: Key(c.n % 61), Account: coordination.Account(fmt.Sprint(c.n % 10)),
-		Priority: c.priority(), Deadline: rushDeadline, Target: c.target,
+		Priority: c.priority(), Deadline: overloadDeadline, Target: c.target,
 	}
-	for range rushTries {
+	for range maxOverloadAttempts {
 		g, _ := c.node.entry.Acquire(ctx, req)
 		if g == nil {
 			break
 		}
 		if c.isDown(g.Endpoint.ID) {
-			time.Sleep(rushRefusal)
+			time.Sleep(connectionRefusalTime)
 			c.note(func(r *overloadResult) { r.sentToDead++ })
 			go c.node.entry.ReportLost(ctx, g.Endpoint)
 			g.Release()
 			req.Avoid = append(req.Avoid, g.Endpoint.ID)
-			req.Deadline = rushDeadline - time.Since(begun)
+			req.Deadline = overloadDeadline - time.Since(begun)
 			req.Waited = time.Since(begun)
 			continue
 		}
@@ -224,9 +224,9 @@
 
 func (r *overloadResult) served(p coordination.Priority, waited time.Duration) {
 	r.ask(p)
-	r.worst = max(r.worst, waited)
+	r.longestWait = max(r.longestWait, waited)
 	switch {
-	case waited > rushObjective:
+	case waited > overloadObjective:
 		r.late++
 	case p == 0:
 		r.urgentInTime++
@@ -279,6 +279,6 @@
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.refused > 0)
-		assert.Assert(t, r.longestRefusal <= rushDeadline/2, "%v", r.longestRefusal)
+		assert.Assert(t, r.longestRefusal <= overloadDeadline/2, "%v", r.longestRefusal)
 	})
 }
--- a/coordination/placement/start_test.go
+++ b/coordination/placement/start_test.go
@@ -46,8 +46,8 @@
 	return nil, nil
 }
 
-// Guards against releases that reach the owner late: it would refuse other requests in
-// place of one that has ended.
+// Guards against releases that reach the owner late: it would refuse other requests
+// because it still counts one that has ended.
 func TestReleaseIsSentWithinItsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := &callRecorder{}
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -13,7 +13,7 @@
 	Key        Key  // of the chat, or of the content if there is no chat
 	Hint       Hint // endpoint where the chat's context is cached
 	SubsetKey  Key  // this router's key for [Set.Subset]
-	SubsetSize int  // width for [Set.Subset]; zero to choose the endpoint by Key
+	SubsetSize int  // subset size for [Set.Subset]; zero to choose the endpoint by Key
 	Account    coordination.Account
 	Priority   coordination.Priority
 
@@ -87,7 +87,7 @@
 	warm *Descriptor // endpoint that the hint names, or nil
 
 	redirect     coordination.Instance
-	redirectedAt int // index of the candidate that was last redirected
+	redirectedAt int // index of the candidate that was last redirected; -1 for none
 	rounds       int
 	resumeAt     time.Time // when a pause ends
 	handover     handover
@@ -100,7 +100,7 @@
 	overBound    bool // some endpoint was over its bound, or its owner settling
 	bestQueue    *Descriptor
 	bestWait     Millis // expected wait in that queue
-	last         Code
+	lastCode     Code
 	lost         []LostEndpoint // found dead, according to their owners
 }
 
@@ -149,7 +149,7 @@
 	if w.bestQueue != nil && !w.req.NoWait {
 		return w.queueQuery(now, w.bestQueue, deadline), Refusal{}, true
 	}
-	return ownerQuery{}, w.exhausted(), false
+	return ownerQuery{}, w.exhaustedRefusal(), false
 }
 
 // remaining returns the time left in which the request must start. It reports late
@@ -185,9 +185,9 @@
 const maxTargetMultiple = 2
 
 // queueQuery returns the query that makes the request wait at an endpoint. With a
-// bound above 1 some endpoint of the pool is under it, so if all were over it, the
-// owners' mean lags behind a rising load: the request waits for the next exchange of
-// sums and then asks all candidates again. In the queue of an endpoint over its
+// bound above 1 some endpoint of the pool is under it, so if none that was asked is,
+// the owners' mean lags behind a rising load: the request waits for the next exchange
+// of sums and then asks all candidates again. In the queue of an endpoint over its
 // bound it would wait while other endpoints idle.
 func (w *walk) queueQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
 	w.bestQueue = nil
@@ -350,7 +350,7 @@
 	if r.Decision != Next {
 		return true
 	}
-	w.last = r.Code
+	w.lastCode = r.Code
 	if r.Code == Gone || r.Code == Lost {
 		w.req.Avoid = append(slices.Clip(w.req.Avoid), a.endpoint.ID)
 	}
@@ -398,11 +398,11 @@
 	}
 }
 
-// exhausted returns the refusal of a request that no endpoint takes. It distinguishes
+// exhaustedRefusal returns the refusal of a request that no endpoint takes. It distinguishes
 // an empty pool and changing owners from a full pool, so that operators look at the
 // list of endpoints or of routers and not at the load.
-func (w *walk) exhausted() Refusal {
-	code := w.last
+func (w *walk) exhaustedRefusal() Refusal {
+	code := w.lastCode
 	switch {
 	case w.set.Len(w.req.Pool) == 0:
 		code = Unlisted
