--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -100,8 +100,9 @@
 	return AdmitReply{Decision: Next, Code: NotOwner, Owner: v.routers.Owner(id, d.Zone)}
 }
 
-// submit decides a request for this endpoint, or queues it and returns its
-// waiter. Requests that are already granted or released get the same reply again.
+// submit decides a request for this endpoint, or queues it and returns its waiter.
+// A repeated request is Granted if its grant is held, and Refused with Cancelled if
+// it has been released.
 func (l *endpointLoad) submit(now time.Time, req AdmitRequest, cfg *Config) (AdmitReply, *waiter) {
 	id := GrantID{Entry: req.Entry, Sequence: req.Sequence}
 	if _, ok := l.grants[id]; ok {
