--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -8,69 +8,69 @@
 	"wisteriaspool/coordination"
 )
 
-// fallbackTable is what an entry needs to decide without an endpoint's owner.
+// fallbackTable holds what an entry needs to decide without an endpoint's owner.
 // The zero value is ready for use.
 type fallbackTable struct {
-	mu     sync.Mutex
-	mute   map[coordination.Instance]mute // owners that did not answer
-	limits map[coordination.Pool]learnedLimit
-	dead   map[LostEndpoint]time.Time // when this entry last found each of them dead
+	mu       sync.Mutex
+	backoffs map[coordination.Instance]ownerBackoff // owners that did not reply
+	limits   map[coordination.Pool]learnedLimit
+	dead     map[LostEndpoint]time.Time // when this entry last found each one dead
 }
 
-// learnedLimit is the number of requests that an owner last let an endpoint of
-// a pool run.
+// learnedLimit is the number of requests that an owner last allowed an endpoint
+// of a pool to run.
 type learnedLimit struct {
 	limit int
 	at    time.Time
 }
 
-// mute is the time for which an owner that did not answer is not asked.
-type mute struct {
+// ownerBackoff is the period in which an owner that did not reply is not asked.
+type ownerBackoff struct {
 	since  time.Time
 	period time.Duration
 }
 
 const (
-	// An owner that did not answer is not asked again for leastMute, and for twice
-	// as long each time that the one question which is then put to it fails too. A
-	// lost packet holds up all answers of an owner for 0.2 s; a frozen owner costs
-	// each request that asks it admitTimeout.
-	leastMute = 200 * time.Millisecond
-	mostMute  = time.Second
-
-	// limitTTL is how long a learned limit serves.
+	// An owner that did not reply is not asked again for minOwnerBackoff. The period
+	// doubles, up to maxOwnerBackoff, each time that the single query sent after it
+	// fails too. A lost packet delays all replies of an owner by 0.2 s; a frozen owner
+	// costs each request that asks it admitTimeout.
+	minOwnerBackoff = 200 * time.Millisecond
+	maxOwnerBackoff = time.Second
+
+	// limitTTL is how long a learned limit is valid.
 	limitTTL = 10 * time.Second
 )
 
-// lost notes that an owner did not answer. Questions that were put to it side by
-// side say so once.
-func (t *fallbackTable) lost(now time.Time, o coordination.Instance) {
+// recordFailure notes that an owner did not reply. Failures of concurrent queries
+// count as one.
+func (t *fallbackTable) recordFailure(now time.Time, o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.mute == nil {
-		t.mute = make(map[coordination.Instance]mute)
+	if t.backoffs == nil {
+		t.backoffs = make(map[coordination.Instance]ownerBackoff)
 	}
-	m, ok := t.mute[o]
+	m, ok := t.backoffs[o]
 	if ok && now.Sub(m.since) < m.period-admitTimeout {
 		return
 	}
-	t.mute[o] = mute{since: now, period: min(max(2*m.period, leastMute), mostMute)}
+	t.backoffs[o] = ownerBackoff{since: now, period: min(max(2*m.period, minOwnerBackoff), maxOwnerBackoff)}
 }
 
-// heard notes that an owner has answered.
-func (t *fallbackTable) heard(o coordination.Instance) {
+// recordAnswer notes that an owner has replied, which ends its backoff.
+func (t *fallbackTable) recordAnswer(o coordination.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.mute, o)
+	delete(t.backoffs, o)
 }
 
-// silent reports whether an owner is not worth a question now. Of the questions
-// that come when its time is over the first is put to it, and the others wait to
-// see what becomes of it.
-func (t *fallbackTable) silent(now time.Time, o coordination.Instance) bool {
+// backingOff reports whether an owner should not be asked now. When the backoff
+// ends, only the first query goes to the owner; the others keep avoiding it for
+// admitTimeout, until the result of that query is known.
+func (t *fallbackTable) backingOff(now time.Time, o coordination.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.mute[o]
+	m, ok := t.backoffs[o]
 	if !ok {
 		return false
 	}
@@ -78,11 +78,12 @@
 		return true
 	}
 	m.since = now.Add(admitTimeout - m.period)
-	t.mute[o] = m
+	t.backoffs[o] = m
 	return false
 }
 
-func (t *fallbackTable) learn(now time.Time, p coordination.Pool, limit int) {
+// recordLimit records the limit that an owner of a pool's endpoint replied with.
+func (t *fallbackTable) recordLimit(now time.Time, p coordination.Pool, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.limits == nil {
@@ -91,7 +92,7 @@
 	t.limits[p] = learnedLimit{limit: limit, at: now}
 }
 
-// limit returns the last learned limit of a pool, or zero.
+// limit returns the last learned limit of a pool, or zero if it has expired.
 func (t *fallbackTable) limit(now time.Time, p coordination.Pool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +102,8 @@
 	return 0
 }
 
-// bury notes that this entry has found an endpoint dead.
-func (t *fallbackTable) bury(now time.Time, e LostEndpoint, ttl time.Duration) {
+// markDead records that this entry has found an endpoint dead.
+func (t *fallbackTable) markDead(now time.Time, e LostEndpoint, ttl time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dead == nil {
@@ -116,7 +117,7 @@
 	t.dead[e] = now
 }
 
-// isDead reports whether this entry has found an endpoint dead of late.
+// isDead reports whether this entry has found an endpoint dead within ttl.
 func (t *fallbackTable) isDead(now time.Time, e LostEndpoint, ttl time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,18 +125,17 @@
 	return ok && now.Sub(at) < ttl
 }
 
-// decideAlone decides without the owner: by the endpoint's own report, a
-// tightened bound, and only this router's share of what is left under it,
-// since the other routers cannot reach the owner either and see the same
-// report. In a large fleet the share is nothing, and the request goes on to an
-// endpoint whose owner answers.
-func (e *Entry) decideAlone(ctx context.Context, g *Grant, a ask, cfg *Config) AdmitReply {
+// decideWithoutOwner decides by the endpoint's own report against a reduced bound.
+// It uses only this router's share of the remaining room, since the other routers
+// cannot reach the owner either and see the same report. In a large fleet that
+// share is zero, and the request goes on to an endpoint whose owner replies.
+func (e *Entry) decideWithoutOwner(ctx context.Context, g *Grant, a ownerQuery, cfg *Config) AdmitReply {
 	declined := AdmitReply{Decision: Next, Code: Unreachable}
 	if e.loads == nil {
 		if e.fallback.isDead(time.Now(), lostOf(a.endpoint), cfg.LostTTL) {
 			return AdmitReply{Decision: Next, Code: EndpointLost}
 		}
-		return e.decideBlind(g, cfg)
+		return e.decideWithoutReport(g, cfg)
 	}
 	limit := e.fallback.limit(time.Now(), a.endpoint.Pool)
 	if limit == 0 || g.alone {
@@ -147,23 +147,23 @@
 	if err != nil || r.Leaving || r.Incarnation != a.endpoint.Incarnation {
 		return declined
 	}
-	room := tightened(limit, cfg) - r.Running
+	room := fallbackLimit(limit, cfg) - r.Running
 	if r.Capacity > 0 {
 		room = min(room, r.Capacity-r.Running)
 	}
 	share := room / max(e.view.Load().routers.Len(), 1)
-	if !e.held.grantWithin(time.Now(), g, share, r.Observed) {
+	if !e.held.grantBelowSince(time.Now(), g, share, r.Observed) {
 		return declined
 	}
 	return AdmitReply{Decision: Granted}
 }
 
-// decideBlind decides without the owner and without a word of the endpoint, by
-// what this entry itself has there. An owner that was killed is done without
-// within half a second; until then its endpoints would take nothing, and when
-// all routers start at once, or one is cut off from all others, a refusal helps
-// nobody while the endpoints are well.
-func (e *Entry) decideBlind(g *Grant, cfg *Config) AdmitReply {
+// decideWithoutReport decides without the owner and without a report of the
+// endpoint, by the number of requests that this entry has there. An owner that was
+// killed is replaced within half a second, and until then its endpoints would take
+// no requests. When all routers start at once, or one is cut off from all others,
+// refusing would not help either while the endpoints work.
+func (e *Entry) decideWithoutReport(g *Grant, cfg *Config) AdmitReply {
 	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.FallbackLimit) {
 		return AdmitReply{Decision: Next, Code: Unreachable}
 	}
@@ -187,14 +187,14 @@
 	return true
 }
 
-// tightened returns the limit of a decision without the owner.
-func tightened(limit int, cfg *Config) int {
+// fallbackLimit returns the reduced limit for a decision without the owner.
+func fallbackLimit(limit int, cfg *Config) int {
 	return int(float64(limit) * cfg.FallbackShare)
 }
 
-// grantWithin grants if this entry has begun fewer than n requests at the
-// endpoint since a report was observed.
-func (t *grantTable) grantWithin(now time.Time, g *Grant, n int, observed time.Time) bool {
+// grantBelowSince grants if this entry has started fewer than n requests at the
+// endpoint since its report was observed.
+func (t *grantTable) grantBelowSince(now time.Time, g *Grant, n int, observed time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	begun := 0
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -111,7 +111,7 @@
 		l.desc = d
 		if d.State == Leaving {
 			l.markLeaving()
-			l.passOn(EndpointLeaving)
+			l.replyNextToAll(EndpointLeaving)
 		}
 		return
 	}
@@ -182,7 +182,7 @@
 	defer s.mu.Unlock()
 	if l := s.loads[id]; l != nil && l.desc.Incarnation == n {
 		l.markLeaving()
-		l.passOn(EndpointLeaving)
+		l.replyNextToAll(EndpointLeaving)
 	}
 }
 
@@ -200,7 +200,7 @@
 	}
 	if r.Leaving {
 		l.markLeaving()
-		l.passOn(EndpointLeaving)
+		l.replyNextToAll(EndpointLeaving)
 	}
 	l.applyReport(now, r, cfg)
 	l.dispatch(now, cfg)
--- a/coordination/placement/release.go
+++ b/coordination/placement/release.go
@@ -42,7 +42,7 @@
 	defer s.mu.Unlock()
 	if l := s.loads[e.Endpoint]; l != nil && l.desc.Incarnation == e.Incarnation {
 		l.lostAt = now
-		l.passOn(EndpointLost)
+		l.replyNextToAll(EndpointLost)
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, w := range l.queue.waiters() {
 		if w.id == id {
 			l.queue.remove(w)
-			w.settle(AdmitReply{Decision: Refused, Code: Cancelled})
+			w.reply(AdmitReply{Decision: Refused, Code: Cancelled})
 			return true
 		}
 	}
@@ -209,7 +209,7 @@
 	for _, w := range l.queue.waiters() {
 		if w.id.Entry == e {
 			l.queue.remove(w)
-			w.settle(AdmitReply{Decision: Refused, Code: Cancelled})
+			w.reply(AdmitReply{Decision: Refused, Code: Cancelled})
 		}
 	}
 	l.refresh(now, cfg)
