--- a/coordination/settings/churn_test.go
+++ b/coordination/settings/churn_test.go
@@ -38,12 +38,12 @@
 // churn does to a fleet what may happen to it, all in one run.
 type churn struct {
 	*fleet
-	rnd      *rand.Rand
-	old      []kv.Pair // values that stood once
-	accepted Position
-	at       time.Time
-	by       *router
-	counts   map[string]int
+	rnd        *rand.Rand
+	oldValues  []kv.Pair // values that stood once
+	accepted   Position
+	acceptedAt time.Time
+	acceptedBy *router
+	counts     map[string]int
 }
 
 const (
@@ -55,7 +55,7 @@
 // watches fall silent, reads are stale and somebody puts old values back. An
 // operator who saw a change accepted must find it, or a later one, in force on
 // every router from then on.
-func TestNothingRevertsUnderChurn(t *testing.T) {
+func TestNoRollbackUnderChurn(t *testing.T) {
 	counts := make(map[string]int)
 	for seed := range uint64(churnSeeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,9 +82,9 @@
 	case 0:
 		c.change(t)
 	case 1:
-		c.replace()
+		c.replaceRouter()
 	case 2:
-		c.restore(t)
+		c.restoreOldValue(t)
 	case 3:
 		c.store.SetFaults(kvtest.Faults{DropWatch: true})
 		c.counts["silent watches"]++
@@ -93,24 +93,24 @@
 	}
 }
 
-func (c *churn) any() *router { return c.routers[c.rnd.IntN(len(c.routers))] }
+func (c *churn) randomRouter() *router { return c.routers[c.rnd.IntN(len(c.routers))] }
 
 func (c *churn) change(t *testing.T) {
-	r := c.any()
-	standing, _ := r.editor.Read(t.Context(), testTeam)
-	out := r.editor.Put(t.Context(), change(fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+c.rnd.IntN(1000)), standing.Revision))
+	r := c.randomRouter()
+	current, _ := r.editor.Read(t.Context(), testTeam)
+	out := r.editor.Put(t.Context(), change(fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+c.rnd.IntN(1000)), current.Revision))
 	assert.Equal(t, out.Status, Accepted)
 	assert.Assert(t, c.accepted.Before(out.Position), "accepted behind an accepted change")
-	c.accepted, c.at, c.by = out.Position, time.Now(), r
-	c.old = append(c.old, c.store.Get(t.Context(), Key(testTeam)).Pairs[0])
+	c.accepted, c.acceptedAt, c.acceptedBy = out.Position, time.Now(), r
+	c.oldValues = append(c.oldValues, c.store.Get(t.Context(), Key(testTeam)).Pairs[0])
 	c.counts["changes"]++
 }
 
 // replace replaces a router, but not the one that alone knows of the last
 // change, whose loss TestStuckWatch is about.
-func (c *churn) replace() {
+func (c *churn) replaceRouter() {
 	i := c.rnd.IntN(len(c.routers))
-	if c.routers[i] == c.by && time.Since(c.at) < inForceWithin {
+	if c.routers[i] == c.acceptedBy && time.Since(c.acceptedAt) < inForceTimeout {
 		return
 	}
 	c.kill(i)
@@ -118,16 +118,16 @@
 	c.counts["replacements"]++
 }
 
-func (c *churn) restore(t *testing.T) {
+func (c *churn) restoreOldValue(t *testing.T) {
 	now := c.store.Get(t.Context(), Key(testTeam)).Pairs[0]
-	value := c.old[c.rnd.IntN(len(c.old))].Value
+	value := c.oldValues[c.rnd.IntN(len(c.oldValues))].Value
 	res := c.store.CompareAndSwap(t.Context(), now.Key, value, now.Revision, 0)
 	assert.Equal(t, res.Status, kv.Applied)
 	c.counts["old values put back"]++
 }
 
 func (c *churn) check(t *testing.T) {
-	if time.Since(c.at) < inForceWithin {
+	if time.Since(c.acceptedAt) < inForceTimeout {
 		return
 	}
 	for _, r := range c.routers {
--- a/coordination/settings/diff.go
+++ b/coordination/settings/diff.go
@@ -8,7 +8,7 @@
 
 // maxTable bounds the table of the comparison; beyond it, the lines that
 // differ are shown as replaced as a whole.
-const maxTable = 1 << 20
+const maxDiffCells = 1 << 20
 
 // Diff returns the lines that differ between two texts, those of before with
 // a minus and those of after with a plus. It is empty if the texts are equal.
@@ -16,7 +16,7 @@
 	if before == after {
 		return ""
 	}
-	a, b := lines(before), lines(after)
+	a, b := splitLines(before), splitLines(after)
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
 		a, b = a[1:], b[1:]
 	}
@@ -24,17 +24,17 @@
 		a, b = a[:len(a)-1], b[:len(b)-1]
 	}
 	var out strings.Builder
-	if len(a)*len(b) > maxTable {
-		write(&out, "-", a)
-		write(&out, "+", b)
+	if len(a)*len(b) > maxDiffCells {
+		writeLines(&out, "-", a)
+		writeLines(&out, "+", b)
 		return out.String()
 	}
-	compare(&out, a, b)
+	writeShortestDiff(&out, a, b)
 	return out.String()
 }
 
 // compare writes the shortest difference by the longest common subsequence.
-func compare(out *strings.Builder, a, b []string) {
+func writeShortestDiff(out *strings.Builder, a, b []string) {
 	common := commonLengths(a, b)
 	i, j := 0, 0
 	for i < len(a) || j < len(b) {
@@ -43,10 +43,10 @@
 			i++
 			j++
 		case j == len(b) || i < len(a) && common[i+1][j] >= common[i][j+1]:
-			write(out, "-", a[i:i+1])
+			writeLines(out, "-", a[i:i+1])
 			i++
 		default:
-			write(out, "+", b[j:j+1])
+			writeLines(out, "+", b[j:j+1])
 			j++
 		}
 	}
@@ -71,13 +71,13 @@
 	return table
 }
 
-func write(out *strings.Builder, sign string, lines []string) {
+func writeLines(out *strings.Builder, sign string, lines []string) {
 	for _, line := range lines {
 		out.WriteString(sign + line + "\n")
 	}
 }
 
-func lines(text string) []string {
+func splitLines(text string) []string {
 	if text == "" {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // cut shortens s to at most n bytes at the end of a line.
-func cut(s string, n int) string {
+func truncateLines(s string, n int) string {
 	if len(s) <= n {
 		return s
 	}
--- a/coordination/settings/editor.go
+++ b/coordination/settings/editor.go
@@ -17,11 +17,11 @@
 
 // Times of an Editor.
 const (
-	callTimeout   = time.Second
-	settleTime    = 6 * time.Second // in which a lost answer is settled
-	firstBackoff  = 50 * time.Millisecond
-	lastBackoff   = 800 * time.Millisecond
-	unwrittenWait = time.Second // Retry-After when the platform names none
+	callTimeout       = time.Second
+	settleTimeout     = 6 * time.Second // in which a lost answer is settled
+	initialBackoff    = 50 * time.Millisecond
+	maxBackoff        = 800 * time.Millisecond
+	defaultRetryAfter = time.Second // Retry-After when the platform names none
 )
 
 // Editor changes the settings of teams.
@@ -37,8 +37,8 @@
 }
 
 var (
-	errStale   = errors.New("settings: the platform answered with an old revision")
-	errDeleted = errors.New("settings: the key was deleted meanwhile")
+	errStaleRead  = errors.New("settings: the platform answered with an old revision")
+	errKeyDeleted = errors.New("settings: the key was deleted meanwhile")
 )
 
 // Put makes the change p. It may be called again with the same p until it is
@@ -47,21 +47,21 @@
 	if problems := p.problems(); len(problems) > 0 {
 		return Outcome{Status: Rejected, Problems: problems}
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if in, ok := e.replica.Snapshot(p.Team); ok {
 		if entry, found := in.Value.find(p.ID, in.Position.Revision); found {
-			return accepted(entry, true)
+			return acceptedOutcome(entry, true)
 		}
 	}
-	b, out, settled := e.basis(ctx, p)
+	b, out, settled := e.findBase(ctx, p)
 	if settled {
 		return out
 	}
 	return e.write(ctx, p, b)
 }
 
-func accepted(entry Entry, repeated bool) Outcome {
+func acceptedOutcome(entry Entry, repeated bool) Outcome {
 	return Outcome{
 		Status:   Accepted,
 		Position: Position{Sequence: entry.Sequence, Revision: entry.Revision},
@@ -73,41 +73,41 @@
 // platform is read even if the replica holds the base: in an outage a read
 // fails without harm, while a write that gets no answer leaves it open whether
 // the change was made.
-func (e *Editor) basis(ctx context.Context, p Put) (b basis, out Outcome, settled bool) {
+func (e *Editor) findBase(ctx context.Context, p Put) (b putBase, out Outcome, settled bool) {
 	in, _ := e.replica.Snapshot(p.Team)
 	if in != nil {
 		b.inForce = in.Position
-		b.raise(in.standing())
+		b.updateNewest(in.current())
 	}
 	pair, found, out, failed := e.read(ctx, p.Team)
 	if failed {
 		return b, out, true
 	}
 	if !found {
-		return e.basisWithoutKey(p, b, in)
+		return e.baseForMissingKey(p, b, in)
 	}
-	standing := standingOf(pair)
-	b.raise(standing)
+	current := currentOf(pair)
+	b.updateNewest(current)
 	b.expect, b.previous = p.Base, p.Base
 	switch {
 	case pair.Revision > p.Base:
-		return b, p.settle(standing), true
+		return b, p.resolve(current), true
 	case pair.Revision < p.Base && b.inForce.Revision != p.Base:
 		// Either the read was stale or the author saw a revision that the
 		// platform has lost since. Nothing can be said of the base.
-		return b, Outcome{Status: Unwritten, Err: errStale, RetryAfter: unwrittenWait}, true
+		return b, Outcome{Status: Unavailable, Err: errStaleRead, RetryAfter: defaultRetryAfter}, true
 	}
 	return b, Outcome{}, false
 }
 
 // basisWithoutKey is for a key that does not exist, or no longer. Then the
 // change is put on what is in force.
-func (e *Editor) basisWithoutKey(p Put, b basis, in *Snapshot) (basis, Outcome, bool) {
+func (e *Editor) baseForMissingKey(p Put, b putBase, in *Snapshot) (putBase, Outcome, bool) {
 	switch {
 	case in != nil && in.Position.Revision != p.Base:
-		return b, p.conflict(in.standing()), true
+		return b, p.conflictOutcome(in.current()), true
 	case in == nil && p.Base != 0:
-		return b, p.conflict(Standing{}), true
+		return b, p.conflictOutcome(Current{}), true
 	}
 	b.previous = p.Base
 	return b, Outcome{}, false
@@ -119,7 +119,7 @@
 	defer cancel()
 	res := e.store.Get(ctx, Key(team))
 	if res.Status != kv.Applied {
-		return kv.Pair{}, false, Outcome{Status: Unwritten, Err: res.Err, RetryAfter: unwrittenWait}, true
+		return kv.Pair{}, false, Outcome{Status: Unavailable, Err: res.Err, RetryAfter: defaultRetryAfter}, true
 	}
 	if len(res.Pairs) == 0 {
 		e.replica.Remove(team, res.Revision)
@@ -133,35 +133,35 @@
 // all these writes at most one takes effect, and a conflict shows whether one
 // did. A mere read could not settle it, since a write that is still on its way
 // may take effect after the read.
-func (e *Editor) write(ctx context.Context, p Put, b basis) Outcome {
-	v := b.change(p, time.Now())
+func (e *Editor) write(ctx context.Context, p Put, b putBase) Outcome {
+	v := b.newValue(p, time.Now())
 	data, err := v.encode()
 	if err != nil {
 		return Outcome{Status: Rejected, Problems: []Problem{{File: string(p.Team), Message: err.Error()}}}
 	}
 	lost := false
-	for wait := firstBackoff; ; wait = min(2*wait, lastBackoff) {
-		res := e.swap(ctx, p.Team, data, b.expect)
+	for wait := initialBackoff; ; wait = min(2*wait, maxBackoff) {
+		res := e.compareAndSwap(ctx, p.Team, data, b.expect)
 		switch res.Status {
 		case kv.Applied:
 			e.replica.Offer(p.Team, kv.Pair{Key: Key(p.Team), Value: data, Revision: res.Revision})
-			return accepted(Entry{Change: v.Change, Revision: res.Revision}, false)
+			return acceptedOutcome(Entry{Change: v.Change, Revision: res.Revision}, false)
 		case kv.Conflict:
-			return e.afterConflict(p, b, res, lost)
+			return e.resolveConflict(p, b, res, lost)
 		case kv.Unavailable, kv.Throttled:
 			if !lost {
-				return unproven(lost, res.Err)
+				return unprovenOutcome(lost, res.Err)
 			}
 		default:
 			lost = true
 		}
 		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
-			return Outcome{Status: Undecided, Err: res.Err, RetryAfter: unwrittenWait}
+			return Outcome{Status: Undecided, Err: res.Err, RetryAfter: defaultRetryAfter}
 		}
 	}
 }
 
-func (e *Editor) swap(ctx context.Context, team coordination.Team, data []byte, expect kv.Revision) kv.Result {
+func (e *Editor) compareAndSwap(ctx context.Context, team coordination.Team, data []byte, expect kv.Revision) kv.Result {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.store.CompareAndSwap(ctx, Key(team), data, expect, 0)
@@ -170,24 +170,24 @@
 // afterConflict settles p by what stands in the platform. If an answer was
 // lost before, the standing value has to prove that this change was not
 // accepted in between.
-func (e *Editor) afterConflict(p Put, b basis, res kv.Result, lost bool) Outcome {
+func (e *Editor) resolveConflict(p Put, b putBase, res kv.Result, lost bool) Outcome {
 	if len(res.Pairs) == 0 {
 		e.replica.Remove(p.Team, res.Revision)
-		return unproven(lost, errDeleted)
+		return unprovenOutcome(lost, errKeyDeleted)
 	}
 	e.replica.Offer(p.Team, res.Pairs[0])
-	standing := standingOf(res.Pairs[0])
-	out := p.settle(standing)
-	if out.Status == Conflicting && lost && !standing.excludes(p.ID, b.previous) {
-		return unproven(lost, nil)
+	current := currentOf(res.Pairs[0])
+	out := p.resolve(current)
+	if out.Status == Conflict && lost && !current.excludes(p.ID, b.previous) {
+		return unprovenOutcome(lost, nil)
 	}
 	return out
 }
 
 // unproven is the outcome of a change that no value shows: it was not written
 // only if every answer came.
-func unproven(lost bool, err error) Outcome {
-	out := Outcome{Status: Unwritten, Err: err, RetryAfter: unwrittenWait}
+func unprovenOutcome(lost bool, err error) Outcome {
+	out := Outcome{Status: Unavailable, Err: err, RetryAfter: defaultRetryAfter}
 	if lost {
 		out.Status = Undecided
 	}
@@ -195,22 +195,22 @@
 }
 
 // settle tells, by the value that stands, how p ended.
-func (p Put) settle(standing Standing) Outcome {
-	if standing.Value != nil {
-		if entry, found := standing.Value.find(p.ID, standing.Revision); found {
-			return accepted(entry, true)
+func (p Put) resolve(current Current) Outcome {
+	if current.Value != nil {
+		if entry, found := current.Value.find(p.ID, current.Revision); found {
+			return acceptedOutcome(entry, true)
 		}
 	}
-	return p.conflict(standing)
+	return p.conflictOutcome(current)
 }
 
-func (p Put) conflict(standing Standing) Outcome {
-	return Outcome{Status: Conflicting, Standing: standing, Diff: Diff(standing.Text, p.Text)}
+func (p Put) conflictOutcome(current Current) Outcome {
+	return Outcome{Status: Conflict, Current: current, Diff: Diff(current.Text, p.Text)}
 }
 
 // excludes reports whether the history of s shows another change than id on
 // previous, so that id can never have been accepted there.
-func (s Standing) excludes(id ChangeID, previous kv.Revision) bool {
+func (s Current) excludes(id ChangeID, previous kv.Revision) bool {
 	if s.Value == nil {
 		return false
 	}
@@ -224,28 +224,28 @@
 
 // standingOf returns what stands in pair. A value without a readable record is
 // shown as it is.
-func standingOf(pair kv.Pair) Standing {
+func currentOf(pair kv.Pair) Current {
 	v, err := decodeValue(pair.Value)
 	if err != nil {
-		return Standing{Revision: pair.Revision, Text: string(pair.Value)}
+		return Current{Revision: pair.Revision, Text: string(pair.Value)}
 	}
-	return Standing{Revision: pair.Revision, Text: v.Text, Value: &v}
+	return Current{Revision: pair.Revision, Text: v.Text, Value: &v}
 }
 
-func (s *Snapshot) standing() Standing {
-	return Standing{Revision: s.Position.Revision, Text: s.Value.Text, Value: &s.Value}
+func (s *Snapshot) current() Current {
+	return Current{Revision: s.Position.Revision, Text: s.Value.Text, Value: &s.Value}
 }
 
 // Read returns what stands in the platform for team. If the platform does not
 // answer, or the key is gone, it returns what is in force here, and fresh is
 // false. A Standing with revision zero means that the team has no settings.
-func (e *Editor) Read(ctx context.Context, team coordination.Team) (standing Standing, fresh bool) {
+func (e *Editor) Read(ctx context.Context, team coordination.Team) (current Current, fresh bool) {
 	pair, found, _, failed := e.read(ctx, team)
 	if found {
-		return standingOf(pair), true
+		return currentOf(pair), true
 	}
 	if in, ok := e.replica.Snapshot(team); ok {
-		return in.standing(), false
+		return in.current(), false
 	}
-	return Standing{}, !failed
+	return Current{}, !failed
 }
--- a/coordination/settings/editor_test.go
+++ b/coordination/settings/editor_test.go
@@ -32,15 +32,15 @@
 	put(t, e, twoSeconds, first.Position.Revision)
 	for _, other := range []*Editor{e, NewEditor(store, &Replica{})} {
 		out := other.Put(t.Context(), change("[team]\ndeadline-default = 3s\n", first.Position.Revision))
-		assert.Equal(t, out.Status, Conflicting)
-		assert.Equal(t, out.Standing.Text, twoSeconds)
+		assert.Equal(t, out.Status, Conflict)
+		assert.Equal(t, out.Current.Text, twoSeconds)
 		assert.Equal(t, out.Diff, "-deadline-default = 2s\n+deadline-default = 3s\n")
 	}
 }
 
 // The same change is sent again after it was accepted, through a router that
 // knows of it and one that does not, also when later changes stand on it.
-func TestSameChangeAgain(t *testing.T) {
+func TestRepeatedPut(t *testing.T) {
 	e, _, store := newEditor()
 	p := change(oneSecond, 0)
 	first := e.Put(t.Context(), p)
@@ -60,9 +60,9 @@
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
 	assert.Equal(t, store.Delete(t.Context(), Key(testTeam), base.Revision).Status, kv.Applied)
-	standing, fresh := e.Read(t.Context(), testTeam)
+	current, fresh := e.Read(t.Context(), testTeam)
 	assert.Assert(t, !fresh)
-	assert.Equal(t, standing.Text, oneSecond)
+	assert.Equal(t, current.Text, oneSecond)
 	out := put(t, e, twoSeconds, base.Revision)
 	assert.Assert(t, base.Before(out.Position))
 	in, _ := replica.Snapshot(testTeam)
@@ -82,8 +82,8 @@
 	before := put(t, e, oneSecond, 0).Position
 	rebuilt := kvtest.New()
 	e.store = rebuilt
-	standing, _ := e.Read(t.Context(), testTeam)
-	out := put(t, e, twoSeconds, standing.Revision)
+	current, _ := e.Read(t.Context(), testTeam)
+	out := put(t, e, twoSeconds, current.Revision)
 	assert.Assert(t, out.Position.Revision < before.Revision)
 	assert.Assert(t, before.Before(out.Position))
 	in, _ := replica.Snapshot(testTeam)
@@ -96,9 +96,9 @@
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
 	raw := store.CompareAndSwap(t.Context(), Key(testTeam), []byte(twoSeconds), base.Revision, 0)
-	standing, fresh := e.Read(t.Context(), testTeam)
+	current, fresh := e.Read(t.Context(), testTeam)
 	assert.Assert(t, fresh)
-	assert.Equal(t, standing.Revision, raw.Revision)
+	assert.Equal(t, current.Revision, raw.Revision)
 	assert.Equal(t, replica.Status()[0].Refused.Verdict, Invalid)
 	out := put(t, e, twoSeconds, raw.Revision)
 	in, _ := replica.Snapshot(testTeam)
@@ -137,7 +137,7 @@
 	store.SetFaults(f)
 	for _, other := range []*Editor{e, NewEditor(store, &Replica{})} {
 		out := other.Put(t.Context(), change(twoSeconds, base.Revision))
-		assert.Equal(t, out.Status, Unwritten)
+		assert.Equal(t, out.Status, Unavailable)
 		assert.Assert(t, out.RetryAfter > 0)
 	}
 }
--- a/coordination/settings/fetch.go
+++ b/coordination/settings/fetch.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxFetches  = 4 // values that a router asks for at a time
-	maxAttempts = 40
-	peerTimeout = time.Second
-	fetchPause  = 100 * time.Millisecond
-	smallFleet  = 8                // routers that may all ask the origin
-	spreadEach  = time.Millisecond // spread of the first questions, per router
-	spreadMost  = 600 * time.Millisecond
+	maxConcurrentFetches = 4 // values that a router asks for at a time
+	maxFetchAttempts     = 40
+	peerCallTimeout      = time.Second
+	fetchRetryInterval   = 100 * time.Millisecond
+	smallFleetSize       = 8                // routers that may all ask the origin
+	fetchJitterPerRouter = time.Millisecond // spread of the first questions, per router
+	maxFetchJitter       = 600 * time.Millisecond
 
-	loadPeers       = 3
-	loadPause       = 250 * time.Millisecond
-	watcherPatience = time.Second     // with peers, before a watcher asks the platform
-	loadPatience    = 4 * time.Second // the same for the others
-	awaitValues     = 2 * time.Second
+	loadPeerCount      = 3
+	loadRetryInterval  = 250 * time.Millisecond
+	watcherPeerWait    = time.Second     // with peers, before a watcher asks the platform
+	nonWatcherPeerWait = 4 * time.Second // the same for the others
+	loadValuesTimeout  = 2 * time.Second
 )
 
 // fetch gets one value from peers.
-type fetch struct {
+type fetcher struct {
 	s      *Sync
 	team   coordination.Team
 	origin coordination.Instance
@@ -37,8 +37,8 @@
 
 // want starts to fetch a value that the replica lacks, unless a fetch for the
 // team is under way, which then goes on to the later position.
-func (s *Sync) want(team coordination.Team, p Position, origin coordination.Instance) {
-	if s.holds(team, p) {
+func (s *Sync) requestValue(team coordination.Team, p Position, origin coordination.Instance) {
+	if s.hasOrRefused(team, p) {
 		return
 	}
 	s.mu.Lock()
@@ -54,22 +54,22 @@
 		return
 	}
 	s.group.Add(1)
-	go (&fetch{s: s, team: team, origin: origin}).run()
+	go (&fetcher{s: s, team: team, origin: origin}).run()
 }
 
 // holds reports whether the replica has p of team, or later, or has refused a
 // value that is no earlier.
-func (s *Sync) holds(team coordination.Team, p Position) bool {
+func (s *Sync) hasOrRefused(team coordination.Team, p Position) bool {
 	in, ok := s.replica.Snapshot(team)
 	if ok && !in.Position.Before(p) {
 		return true
 	}
-	return s.replica.refusedAt(team) == p.Revision
+	return s.replica.refusedRevision(team) == p.Revision
 }
 
 // refusedAt returns the revision of the value of team that was refused, or
 // zero.
-func (r *Replica) refusedAt(team coordination.Team) kv.Revision {
+func (r *Replica) refusedRevision(team coordination.Team) kv.Revision {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	st, ok := r.teams[team]
@@ -82,94 +82,94 @@
 // run asks peers until the replica has what is wanted. At first it asks any
 // router, so that the value spreads over the fleet as the rumour did; only
 // then the origin, which alone is sure to have it.
-func (f *fetch) run() {
+func (f *fetcher) run() {
 	defer f.s.group.Done()
 	defer f.done()
 	members := len(f.s.peers.Members())
-	if !coordination.Sleep(f.s.ctx, coordination.Spread(min(time.Duration(max(members, 1))*spreadEach, spreadMost))) {
+	if !coordination.Sleep(f.s.ctx, coordination.Spread(min(time.Duration(max(members, 1))*fetchJitterPerRouter, maxFetchJitter))) {
 		return
 	}
-	for attempt := range maxAttempts {
-		p := f.position()
-		if f.s.holds(f.team, p) {
+	for attempt := range maxFetchAttempts {
+		p := f.target()
+		if f.s.hasOrRefused(f.team, p) {
 			return
 		}
-		f.ask(f.peer(attempt, members), p)
-		if f.s.holds(f.team, f.position()) {
+		f.fetchFrom(f.choosePeer(attempt, members), p)
+		if f.s.hasOrRefused(f.team, f.target()) {
 			return
 		}
-		if !coordination.Sleep(f.s.ctx, coordination.Spread(fetchPause)) {
+		if !coordination.Sleep(f.s.ctx, coordination.Spread(fetchRetryInterval)) {
 			return
 		}
 	}
 }
 
-func (f *fetch) position() Position {
+func (f *fetcher) target() Position {
 	f.s.mu.Lock()
 	defer f.s.mu.Unlock()
 	return f.s.wanted[f.team]
 }
 
-func (f *fetch) done() {
+func (f *fetcher) done() {
 	f.s.mu.Lock()
 	defer f.s.mu.Unlock()
 	delete(f.s.wanted, f.team)
 }
 
 // peer chooses whom to ask.
-func (f *fetch) peer(attempt, members int) coordination.Instance {
-	small := members <= smallFleet
+func (f *fetcher) choosePeer(attempt, members int) coordination.Instance {
+	small := members <= smallFleetSize
 	if f.origin != f.s.cfg.Self && (small && attempt%2 == 0 || !small && attempt%3 == 2) {
 		return f.origin
 	}
-	others := f.s.others()
+	others := f.s.otherMembers()
 	if len(others) == 0 {
 		return f.origin
 	}
-	near := lo.Filter(others, func(m Member, _ int) bool { return m.Zone == f.s.cfg.Zone })
-	if attempt%2 == 0 && len(near) > 0 {
-		return lo.Sample(near).Instance
+	sameZone := lo.Filter(others, func(m Member, _ int) bool { return m.Zone == f.s.cfg.Zone })
+	if attempt%2 == 0 && len(sameZone) > 0 {
+		return lo.Sample(sameZone).Instance
 	}
 	return lo.Sample(others).Instance
 }
 
 // ask asks one peer and offers its answer to the replica.
-func (f *fetch) ask(peer coordination.Instance, p Position) {
+func (f *fetcher) fetchFrom(peer coordination.Instance, p Position) {
 	select {
-	case f.s.calls <- struct{}{}:
-		defer func() { <-f.s.calls }()
+	case f.s.fetchSlots <- struct{}{}:
+		defer func() { <-f.s.fetchSlots }()
 	case <-f.s.ctx.Done():
 		return
 	}
 	f.s.count(func(st *Stats) { st.Fetches++ })
 	var a valueAnswer
-	if !f.s.call(peer, topicValue, encode(valueRequest{Team: f.team, From: p}), &a) || !a.Found {
+	if !f.s.callPeer(peer, topicValue, encode(valueRequest{Team: f.team, From: p}), &a) || !a.Found {
 		return
 	}
 	f.s.replica.Offer(f.team, kv.Pair{Key: Key(f.team), Value: a.Data, Revision: a.Revision})
 }
 
 // call asks a peer and reports whether it answered well.
-func (s *Sync) call(peer coordination.Instance, topic string, request []byte, answer any) bool {
-	ctx, cancel := context.WithTimeout(s.ctx, peerTimeout)
+func (s *Sync) callPeer(peer coordination.Instance, topic string, request []byte, answer any) bool {
+	ctx, cancel := context.WithTimeout(s.ctx, peerCallTimeout)
 	defer cancel()
 	data, err := s.peers.Call(ctx, peer, topic, request)
 	return err == nil && cbor.Unmarshal(data, answer) == nil
 }
 
-func (s *Sync) others() []Member {
+func (s *Sync) otherMembers() []Member {
 	return lo.Filter(s.peers.Members(), func(m Member, _ int) bool { return m.Instance != s.cfg.Self })
 }
 
 // index asks a peer what it has in force and wants what the replica lacks.
-func (s *Sync) index(peer coordination.Instance) (a indexAnswer, ok bool) {
+func (s *Sync) queryIndex(peer coordination.Instance) (a indexAnswer, ok bool) {
 	s.count(func(st *Stats) { st.Indexes++ })
-	if !s.call(peer, topicIndex, nil, &a) {
+	if !s.callPeer(peer, topicIndex, nil, &a) {
 		return a, false
 	}
 	for _, e := range a.Teams {
 		if ValidTeam(e.Team) {
-			s.want(e.Team, e.Position, peer)
+			s.requestValue(e.Team, e.Position, peer)
 		}
 	}
 	return a, true
@@ -182,26 +182,26 @@
 	own := s.replica.Fingerprint()
 	s.mu.Lock()
 	now := time.Now()
-	c := s.fresh
+	c := s.lastConfirmation
 	if c.Origin == "" || c.Origin == s.cfg.Self || c.Fingerprint == own || !s.loaded {
-		s.driftAt = time.Time{}
+		s.driftSince = time.Time{}
 		s.mu.Unlock()
 		return
 	}
-	if s.driftAt.IsZero() {
-		s.driftAt = now
+	if s.driftSince.IsZero() {
+		s.driftSince = now
 	}
-	if c.Fingerprint != s.indexFor {
-		s.indexAt = time.Time{}
+	if c.Fingerprint != s.indexedFingerprint {
+		s.nextIndexAt = time.Time{}
 	}
-	due := now.Sub(s.driftAt) >= driftAfter && !now.Before(s.indexAt) && len(s.wanted) == 0
+	due := now.Sub(s.driftSince) >= driftThreshold && !now.Before(s.nextIndexAt) && len(s.wanted) == 0
 	if due {
-		s.indexFor = c.Fingerprint
-		s.indexAt = now.Add(driftPause + rand.N(driftPause))
+		s.indexedFingerprint = c.Fingerprint
+		s.nextIndexAt = now.Add(driftQueryInterval + rand.N(driftQueryInterval))
 	}
 	s.mu.Unlock()
 	if due {
-		s.index(c.Origin)
+		s.queryIndex(c.Origin)
 	}
 }
 
@@ -217,7 +217,7 @@
 	defer l.s.group.Done()
 	start := time.Now()
 	for !l.fromPeers() && !l.fromPlatform(time.Since(start)) {
-		if !coordination.Sleep(l.s.ctx, coordination.Spread(loadPause)) {
+		if !coordination.Sleep(l.s.ctx, coordination.Spread(loadRetryInterval)) {
 			return
 		}
 	}
@@ -225,11 +225,11 @@
 }
 
 func (l *loader) fromPlatform(waited time.Duration) bool {
-	patience := loadPatience
-	if l.s.isWatcher() {
-		patience = watcherPatience
+	peerWait := nonWatcherPeerWait
+	if l.s.shouldWatch() {
+		peerWait = watcherPeerWait
 	}
-	if waited < patience {
+	if waited < peerWait {
 		return false
 	}
 	_, ok := l.s.list(l.s.ctx)
@@ -240,38 +240,38 @@
 // settings and all of these have come.
 func (l *loader) fromPeers() bool {
 	loaded := false
-	for _, m := range lo.Samples(l.s.others(), loadPeers) {
-		a, ok := l.s.index(m.Instance)
-		if !ok || !a.Loaded || !l.await(a.Teams) {
+	for _, m := range lo.Samples(l.s.otherMembers(), loadPeerCount) {
+		a, ok := l.s.queryIndex(m.Instance)
+		if !ok || !a.Loaded || !l.awaitValues(a.Teams) {
 			continue
 		}
 		loaded = true
-		l.s.takeAge(a.Age)
+		l.s.mergeConfirmationAge(a.Age)
 	}
 	return loaded
 }
 
 // takeAge takes over when a peer last saw the platform confirm.
-func (s *Sync) takeAge(milliseconds int64) {
+func (s *Sync) mergeConfirmationAge(milliseconds int64) {
 	if milliseconds < 0 {
 		return
 	}
 	at := time.Now().Add(-time.Duration(milliseconds) * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.After(s.freshAt) {
-		s.freshAt = at
+	if at.After(s.lastConfirmedAt) {
+		s.lastConfirmedAt = at
 	}
 }
 
 // await waits until the replica holds all of teams, or gives up.
-func (l *loader) await(teams []indexEntry) bool {
-	deadline := time.Now().Add(awaitValues)
+func (l *loader) awaitValues(teams []indexEntry) bool {
+	deadline := time.Now().Add(loadValuesTimeout)
 	for time.Now().Before(deadline) {
-		if lo.EveryBy(teams, func(e indexEntry) bool { return l.s.holds(e.Team, e.Position) }) {
+		if lo.EveryBy(teams, func(e indexEntry) bool { return l.s.hasOrRefused(e.Team, e.Position) }) {
 			return true
 		}
-		if !coordination.Sleep(l.s.ctx, coordination.Spread(fetchPause/2)) {
+		if !coordination.Sleep(l.s.ctx, coordination.Spread(fetchRetryInterval/2)) {
 			return false
 		}
 	}
--- a/coordination/settings/fleet_test.go
+++ b/coordination/settings/fleet_test.go
@@ -23,7 +23,7 @@
 	editor  *Editor
 	sync    *Sync
 	stop    func()
-	seen    monotone
+	applied monotonicCheck
 }
 
 // fleet is several routers on one fake platform and one fake hub.
@@ -84,8 +84,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.seen.saw(o.InForce.Position) {
-		t.Errorf("%s went back from %v to %v", r.member.Instance, r.seen.last, o.InForce.Position)
+	if !r.applied.advance(o.InForce.Position) {
+		t.Errorf("%s went back from %v to %v", r.member.Instance, r.applied.last, o.InForce.Position)
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // accept makes a change through r and returns its position.
-func (r *router) accept(t testing.TB, text string) Position {
+func (r *router) mustPut(t testing.TB, text string) Position {
 	t.Helper()
 	out := r.editor.Put(context.Background(), change(text, r.position().Revision))
 	assert.Equal(t, out.Status, Accepted, "%v %v", out.Err, out.Problems)
@@ -110,7 +110,7 @@
 }
 
 // behind counts the routers that do not have p in force.
-func (f *fleet) behind(p Position) int {
+func (f *fleet) countBehind(p Position) int {
 	n := 0
 	for _, r := range f.routers {
 		if r.position().Before(p) {
@@ -124,16 +124,16 @@
 func (f *fleet) await(p Position, limit time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
-	for f.behind(p) > 0 {
+	for f.countBehind(p) > 0 {
 		if time.Since(start) >= limit {
-			f.t.Fatalf("after %v, %d of %d routers lack %v", limit, f.behind(p), len(f.routers), p)
+			f.t.Fatalf("after %v, %d of %d routers lack %v", limit, f.countBehind(p), len(f.routers), p)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-const inForceWithin = 4 * time.Second
+const inForceTimeout = 4 * time.Second
 
 // The plain path at several sizes: changes are in force everywhere in time, and
 // the calls to the platform do not grow with the fleet. The times reported are
@@ -148,15 +148,15 @@
 			watches, lists := f.store.Calls("watch"), f.store.Calls("list")
 			var longest time.Duration
 			for i := range changes {
-				p := f.routers[i*5%n].accept(t, fmt.Sprintf("[team]\ndeadline-default = %ds\n", i+1))
-				longest = max(longest, f.await(p, inForceWithin))
+				p := f.routers[i*5%n].mustPut(t, fmt.Sprintf("[team]\ndeadline-default = %ds\n", i+1))
+				longest = max(longest, f.await(p, inForceTimeout))
 				time.Sleep(time.Second)
 			}
 			t.Logf("%d routers: in force on the last after %v at most; lists while %d changes were made: %d",
 				n, longest, changes, f.store.Calls("list")-lists)
 			assert.Equal(t, f.store.Calls("cas"), changes)
-			assert.Equal(t, f.store.Calls("get"), changes+f.signs())
-			assert.Assert(t, f.signs() <= 4*int(time.Since(started)/confirmEvery), "%d signs of life in %v", f.signs(), time.Since(started))
+			assert.Equal(t, f.store.Calls("get"), changes+f.probes())
+			assert.Assert(t, f.probes() <= 4*int(time.Since(started)/confirmInterval), "%d signs of life in %v", f.probes(), time.Since(started))
 			assert.Assert(t, f.store.Calls("list")-lists <= 4)
 			assert.Assert(t, watches <= 4, "%d routers, %d watches", n, watches)
 		})
@@ -170,9 +170,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 7)
 		time.Sleep(10 * time.Second)
-		p := f.routers[3].accept(t, oneSecond)
+		p := f.routers[3].mustPut(t, oneSecond)
 		f.store.SetFaults(kvtest.Faults{Down: true})
-		f.await(p, inForceWithin)
+		f.await(p, inForceTimeout)
 		for range 7 { // all are replaced, one after the other
 			f.kill(0)
 			started := time.Now()
@@ -183,25 +183,25 @@
 			time.Sleep(30 * time.Second)
 		}
 		out := f.routers[0].editor.Put(t.Context(), change(twoSeconds, p.Revision))
-		assert.Equal(t, out.Status, Unwritten)
+		assert.Equal(t, out.Status, Unavailable)
 		assert.Assert(t, out.RetryAfter > 0)
 		f.store.SetFaults(kvtest.Faults{})
 		time.Sleep(5 * time.Second)
-		f.await(f.routers[0].accept(t, twoSeconds), inForceWithin)
+		f.await(f.routers[0].mustPut(t, twoSeconds), inForceTimeout)
 	})
 }
 
 // The router that accepted a change dies before it could tell anybody. The
 // watchers have to see the change in the platform.
-func TestEditorDies(t *testing.T) {
+func TestChangeSurvivesEditorFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, 30)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
 		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
 
@@ -225,12 +225,12 @@
 
 // The platform is down for minutes. The routers go on looking for it, but no
 // more often than a few times a second, however many they are.
-func TestOutageIsNoStampede(t *testing.T) {
+func TestOutageReadRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 60)
 		time.Sleep(10 * time.Second)
 		f.store.SetFaults(kvtest.Faults{Down: true})
-		time.Sleep(freshFor)
+		time.Sleep(maxConfirmationAge)
 		before := f.lists()
 		time.Sleep(2 * time.Minute)
 		perSecond := float64(f.lists()-before) / 120
@@ -254,10 +254,10 @@
 }
 
 // signs counts the signs of life that the routers have asked of the platform.
-func (f *fleet) signs() int {
+func (f *fleet) probes() int {
 	n := 0
 	for _, r := range f.routers {
-		n += r.sync.Stats().Signs
+		n += r.sync.Stats().Probes
 	}
 	return n
 }
@@ -269,13 +269,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 7)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
 		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
 		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
 		f.store.SetFaults(kvtest.Faults{})
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
 
@@ -285,12 +285,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 7)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
 		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
 		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, 3*rereadEvery/2+inForceWithin)
+		f.await(out.Position, 3*relistInterval/2+inForceTimeout)
 	})
 }
 
@@ -305,22 +305,22 @@
 
 // A router never hears the rumour of a change, as when it was cut off until
 // the rumour had died out. It must notice that it lacks something.
-func TestDriftIsMended(t *testing.T) {
+func TestMissedRumorIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, 30)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
-		lone := f.plain(t)
-		lone.setDeaf(topicChange)
-		p := f.routers[0].accept(t, twoSeconds)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
+		lone := f.nonWatcher(t)
+		lone.dropTopic(topicChange)
+		p := f.routers[0].mustPut(t, twoSeconds)
 		time.Sleep(time.Second)
-		assert.Equal(t, f.behind(p), 1)
-		f.await(p, confirmEvery+inForceWithin)
+		assert.Equal(t, f.countBehind(p), 1)
+		f.await(p, confirmInterval+inForceTimeout)
 	})
 }
 
 // plain returns a router other than the first that is no watcher.
-func (f *fleet) plain(t *testing.T) *router {
+func (f *fleet) nonWatcher(t *testing.T) *router {
 	for _, r := range f.routers[1:] {
 		if !r.sync.Watching() {
 			return r
@@ -336,10 +336,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, 7)
 		time.Sleep(10 * time.Second)
-		f.routers[0].accept(t, oneSecond)
+		f.routers[0].mustPut(t, oneSecond)
 		older := f.store.Get(t.Context(), Key(testTeam)).Pairs[0]
-		p := f.routers[0].accept(t, twoSeconds)
-		f.await(p, inForceWithin)
+		p := f.routers[0].mustPut(t, twoSeconds)
+		f.await(p, inForceTimeout)
 		res := f.store.CompareAndSwap(t.Context(), older.Key, older.Value, p.Revision, 0)
 		assert.Equal(t, res.Status, kv.Applied)
 		time.Sleep(5 * time.Second)
@@ -351,12 +351,12 @@
 			time.Sleep(15 * time.Second)
 		}
 		assert.Assert(t, f.routers[0].replica.Status()[0].Position == p)
-		standing, fresh := f.routers[0].editor.Read(t.Context(), testTeam)
+		current, fresh := f.routers[0].editor.Read(t.Context(), testTeam)
 		assert.Assert(t, fresh)
-		assert.Equal(t, standing.Revision, res.Revision)
+		assert.Equal(t, current.Revision, res.Revision)
 		assert.Equal(t, f.routers[0].replica.Status()[0].Refused.Verdict, Older)
 		out := f.routers[1].editor.Put(t.Context(), change(oneSecond, res.Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
--- a/coordination/settings/hub_test.go
+++ b/coordination/settings/hub_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	roundTime   = 100 * time.Millisecond
-	roundFanout = 3
-	hotRounds   = 6
-	linkDelay   = 4 * time.Millisecond
+	roundTime    = 100 * time.Millisecond
+	roundFanout  = 3
+	spreadRounds = 6
+	linkDelay    = 4 * time.Millisecond
 )
 
 var errNoPeer = errors.New("hub: no such peer")
@@ -32,24 +32,24 @@
 // rounds: every 100 ms each router passes its new rumours on to three others,
 // for six rounds; every tenth round it swaps all rumours with one other.
 type hub struct {
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	nodes   map[coordination.Instance]*node
-	names   []coordination.Instance
-	loss    float64 // share of passes that are lost
-	calls   int
-	rumours int
+	mu            sync.Mutex
+	rnd           *rand.Rand
+	nodes         map[coordination.Instance]*node
+	names         []coordination.Instance
+	loss          float64 // share of passes that are lost
+	calls         int
+	deliveryCount int
 }
 
 // node is one router's end of the hub.
 type node struct {
-	hub      *hub
-	member   Member
-	mu       sync.Mutex
-	known    map[rumorID]rumor
-	handlers map[string]func(context.Context, coordination.Instance, []byte) ([]byte, error)
-	heard    map[string]func(string, uint64, []byte)
-	deaf     string // the topic of which no rumour arrives
+	hub           *hub
+	member        Member
+	mu            sync.Mutex
+	known         map[rumorID]rumor
+	handlers      map[string]func(context.Context, coordination.Instance, []byte) ([]byte, error)
+	rumorHandlers map[string]func(string, uint64, []byte)
+	droppedTopic  string // the topic of which no rumour arrives
 }
 
 func newHub(seed uint64) *hub {
@@ -60,8 +60,8 @@
 	m := Member{Instance: coordination.Instance(fmt.Sprintf("r%d", i)), Zone: coordination.Zone(fmt.Sprintf("z%d", i%3))}
 	n := &node{
 		hub: h, member: m, known: make(map[rumorID]rumor),
-		handlers: make(map[string]func(context.Context, coordination.Instance, []byte) ([]byte, error)),
-		heard:    make(map[string]func(string, uint64, []byte)),
+		handlers:      make(map[string]func(context.Context, coordination.Instance, []byte) ([]byte, error)),
+		rumorHandlers: make(map[string]func(string, uint64, []byte)),
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,22 +90,22 @@
 			return
 		case <-time.After(roundTime):
 		}
-		for _, p := range h.passes(round) {
-			p.to.hear(p.id, p.rumor)
+		for _, p := range h.deliveries(round) {
+			p.to.receive(p.id, p.rumor)
 		}
 	}
 }
 
-type pass struct {
+type delivery struct {
 	to    *node
 	id    rumorID
 	rumor rumor
 }
 
-func (h *hub) passes(round int) []pass {
+func (h *hub) deliveries(round int) []delivery {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []pass
+	var all []delivery
 	for i, name := range h.names {
 		from := h.nodes[name]
 		swap := (round+i)%10 == 0
@@ -114,28 +114,28 @@
 			if to == from || h.rnd.Float64() < h.loss {
 				continue
 			}
-			all = append(all, from.passes(to, swap)...)
+			all = append(all, from.deliveries(to, swap)...)
 			swap = false
 		}
-		from.age()
+		from.ageRumors()
 	}
-	h.rumours += len(all)
+	h.deliveryCount += len(all)
 	return all
 }
 
-func (n *node) passes(to *node, swap bool) []pass {
+func (n *node) deliveries(to *node, swap bool) []delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var all []pass
+	var all []delivery
 	for id, r := range n.known {
-		if swap || r.rounds < hotRounds {
-			all = append(all, pass{to, id, r})
+		if swap || r.rounds < spreadRounds {
+			all = append(all, delivery{to, id, r})
 		}
 	}
 	return all
 }
 
-func (n *node) age() {
+func (n *node) ageRumors() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id, r := range n.known {
@@ -144,25 +144,25 @@
 	}
 }
 
-func (n *node) hear(id rumorID, r rumor) {
+func (n *node) receive(id rumorID, r rumor) {
 	n.mu.Lock()
 	old, ok := n.known[id]
-	if id.topic == n.deaf || ok && old.version >= r.version {
+	if id.topic == n.droppedTopic || ok && old.version >= r.version {
 		n.mu.Unlock()
 		return
 	}
 	n.known[id] = rumor{version: r.version, payload: r.payload}
-	fn := n.heard[id.topic]
+	fn := n.rumorHandlers[id.topic]
 	n.mu.Unlock()
 	if fn != nil {
 		fn(id.key, r.version, r.payload)
 	}
 }
 
-func (n *node) setDeaf(topic string) {
+func (n *node) dropTopic(topic string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.deaf = topic
+	n.droppedTopic = topic
 }
 
 // Members implements Peers.
@@ -190,7 +190,7 @@
 func (n *node) OnRumor(topic string, fn func(string, uint64, []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard[topic] = fn
+	n.rumorHandlers[topic] = fn
 }
 
 // Handle implements Peers.
@@ -209,7 +209,7 @@
 	if peer == nil {
 		return nil, errNoPeer
 	}
-	if !pause(ctx, linkDelay) {
+	if !sleepContext(ctx, linkDelay) {
 		return nil, ctx.Err()
 	}
 	peer.mu.Lock()
@@ -219,13 +219,13 @@
 		return nil, errNoPeer
 	}
 	data, err := fn(ctx, n.member.Instance, payload)
-	if !pause(ctx, linkDelay) {
+	if !sleepContext(ctx, linkDelay) {
 		return nil, ctx.Err()
 	}
 	return data, err
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/coordination/settings/page_test.go
+++ b/coordination/settings/page_test.go
@@ -18,14 +18,14 @@
 )
 
 // The page for operators must not say anything else than the table does.
-func TestPageHasTheTable(t *testing.T) {
+func TestPageMatchesSchema(t *testing.T) {
 	data, err := os.ReadFile(page)
 	assert.NilError(t, err)
 	before, rest, found := strings.Cut(string(data), begin)
 	assert.Assert(t, found)
 	reference, after, found := strings.Cut(rest, end)
 	assert.Assert(t, found)
-	want := "\n" + settings.Table.Markdown(3) + "\n"
+	want := "\n" + settings.Schema.Markdown(3) + "\n"
 	if golden.FlagUpdate() {
 		assert.NilError(t, os.WriteFile(page, []byte(before+begin+want+end+after), 0o644))
 		return
--- a/coordination/settings/put.go
+++ b/coordination/settings/put.go
@@ -29,14 +29,14 @@
 	Undecided PutStatus = iota
 	// Accepted means that the change is durable.
 	Accepted
-	// Conflicting means that another change stands on the base; nothing was
+	// Conflict means that another change stands on the base; nothing was
 	// written.
-	Conflicting
+	Conflict
 	// Rejected means that the request has problems; nothing was written.
 	Rejected
-	// Unwritten means that the platform could not be reached or refused the
+	// Unavailable means that the platform could not be reached or refused the
 	// call; nothing was written.
-	Unwritten
+	Unavailable
 )
 
 // String returns the name of s as answers, logs and metrics show it.
@@ -48,15 +48,15 @@
 	return names[s]
 }
 
-// Standing is what stands in the platform for a team, or else is in force.
-type Standing struct {
+// Current is what stands in the platform for a team, or else is in force.
+type Current struct {
 	Revision kv.Revision
 	Text     string
 	Value    *Value // nil if the value has no readable change record
 }
 
 // position returns the position of s, which has a readable record.
-func (s Standing) position() Position {
+func (s Current) position() Position {
 	return Position{Sequence: s.Value.Change.Sequence, Revision: s.Revision}
 }
 
@@ -66,7 +66,7 @@
 	Position   Position      // if Accepted
 	Repeated   bool          // accepted by an earlier try with the same id
 	Problems   []Problem     // if Rejected
-	Standing   Standing      // if Conflicting
+	Current    Current       // if Conflicting
 	Diff       string        // from Standing to the text of the Put
 	RetryAfter time.Duration // if Unwritten or Undecided
 	Err        error         // detail for logs
@@ -85,10 +85,10 @@
 	if !p.ID.Valid() {
 		add("change-id", fmt.Sprintf("%q is no UUIDv7 in lower case", p.ID))
 	}
-	if !fits(p.Author, maxAuthor) {
+	if !validLine(p.Author, maxAuthor) {
 		add("author", fmt.Sprintf("say who makes the change, in one line of at most %d bytes", maxAuthor))
 	}
-	if !fits(p.Reason, maxReason) {
+	if !validLine(p.Reason, maxReason) {
 		add("reason", fmt.Sprintf("say why the change is made, in one line of at most %d bytes", maxReason))
 	}
 	if p.Base < 0 {
@@ -98,20 +98,20 @@
 	return append(found, problems...)
 }
 
-func fits(s string, limit int) bool {
+func validLine(s string, limit int) bool {
 	return strings.TrimSpace(s) != "" && len(s) <= limit && !strings.ContainsAny(s, "\r\n")
 }
 
 // basis is what a change is put on.
-type basis struct {
+type putBase struct {
 	expect   kv.Revision // of the key; 0 if it does not exist
 	previous kv.Revision // that the change record names
-	newest   Standing    // the latest change that is known
+	newest   Current     // the latest change that is known
 	inForce  Position
 }
 
 // raise makes s the latest change known to b if it is later.
-func (b *basis) raise(s Standing) {
+func (b *putBase) updateNewest(s Current) {
 	if s.Value == nil {
 		return
 	}
@@ -121,10 +121,10 @@
 }
 
 // change returns the value that puts p on b.
-func (b basis) change(p Put, now time.Time) Value {
+func (b putBase) newValue(p Put, now time.Time) Value {
 	v := Value{Text: p.Text, Change: Change{
 		ID:       p.ID,
-		Sequence: b.sequence(),
+		Sequence: b.nextSequence(),
 		Previous: b.previous,
 		Author:   p.Author,
 		Reason:   p.Reason,
@@ -134,14 +134,14 @@
 	if b.newest.Value != nil {
 		v.Earlier = b.newest.Value.History(b.newest.Revision)
 	}
-	v.Change.Diff = cut(Diff(b.newest.Text, p.Text), maxDiff)
+	v.Change.Diff = truncateLines(Diff(b.newest.Text, p.Text), maxDiff)
 	return v
 }
 
 // sequence returns a sequence above all that this router can know of. The
 // revision replaced keeps it above changes that this router has missed, the
 // sequence in force above those that the platform has lost.
-func (b basis) sequence() uint64 {
+func (b putBase) nextSequence() uint64 {
 	highest := max(b.inForce.Sequence+1, uint64(b.previous), uint64(b.expect))
 	if b.newest.Value != nil {
 		highest = max(highest, b.newest.Value.Change.Sequence+1)
--- a/coordination/settings/register_test.go
+++ b/coordination/settings/register_test.go
@@ -23,7 +23,7 @@
 // putter is an editor, or one with a planted fault.
 type putter interface {
 	Put(ctx context.Context, p Put) Outcome
-	Read(ctx context.Context, team coordination.Team) (Standing, bool)
+	Read(ctx context.Context, team coordination.Team) (Current, bool)
 }
 
 // registerInput is one operation on the settings register: a put of id on
@@ -33,7 +33,7 @@
 type registerOutput struct {
 	status   PutStatus
 	repeated bool
-	standing ChangeID // that was read, or that a conflict showed
+	current  ChangeID // that was read, or that a conflict showed
 }
 
 // registerModel is the settings register of one team. Its state is the list of
@@ -48,31 +48,31 @@
 
 func stepRegister(state string, in registerInput, out registerOutput) []any {
 	accepted := strings.Fields(state)
-	standing := ChangeID("")
+	current := ChangeID("")
 	if len(accepted) > 0 {
-		standing = ChangeID(accepted[len(accepted)-1])
+		current = ChangeID(accepted[len(accepted)-1])
 	}
 	done := slices.Contains(accepted, string(in.id))
 	next := state + " " + string(in.id)
 	switch {
 	case in.id == "":
-		return when(out.standing == standing, state)
+		return stateIf(out.current == current, state)
 	case out.status == Accepted && out.repeated && done:
 		return []any{state}
 	case out.status == Accepted:
-		return when(!done && standing == in.base, next)
-	case out.status == Conflicting:
-		return when(!done && standing != in.base && standing == out.standing, state)
-	case out.status == Unwritten:
-		return when(true, state)
-	case !done && standing == in.base: // undecided
+		return stateIf(!done && current == in.base, next)
+	case out.status == Conflict:
+		return stateIf(!done && current != in.base && current == out.current, state)
+	case out.status == Unavailable:
+		return stateIf(true, state)
+	case !done && current == in.base: // undecided
 		return []any{state, next}
 	default:
 		return []any{state}
 	}
 }
 
-func when(ok bool, state string) []any {
+func stateIf(ok bool, state string) []any {
 	if ok {
 		return []any{state}
 	}
@@ -119,10 +119,10 @@
 	defer done.Done()
 	for range operatorChanges {
 		time.Sleep(time.Duration(o.rnd.IntN(2000)) * time.Millisecond)
-		standing := o.read()
+		current := o.read()
 		text := fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+o.rnd.IntN(1000))
-		base := idOf(standing)
-		p := Put{Team: testTeam, Text: text, Base: standing.Revision, ID: NewChangeID(), Author: "op", Reason: "test"}
+		base := changeIDOf(current)
+		p := Put{Team: testTeam, Text: text, Base: current.Revision, ID: NewChangeID(), Author: "op", Reason: "test"}
 		for range 3 {
 			if o.put(p, base) != Undecided {
 				break
@@ -131,26 +131,26 @@
 	}
 }
 
-func (o *operator) any() putter { return o.routers[o.rnd.IntN(len(o.routers))] }
+func (o *operator) randomEditor() putter { return o.routers[o.rnd.IntN(len(o.routers))] }
 
-func (o *operator) read() Standing {
+func (o *operator) read() Current {
 	call := o.rec.now.Add(1)
-	s, fresh := o.any().Read(context.Background(), testTeam)
+	s, fresh := o.randomEditor().Read(context.Background(), testTeam)
 	if fresh {
-		o.rec.add(o.id, registerInput{}, call, registerOutput{standing: idOf(s)})
+		o.rec.add(o.id, registerInput{}, call, registerOutput{current: changeIDOf(s)})
 	}
 	return s
 }
 
 func (o *operator) put(p Put, base ChangeID) PutStatus {
 	call := o.rec.now.Add(1)
-	out := o.any().Put(context.Background(), p)
+	out := o.randomEditor().Put(context.Background(), p)
 	o.rec.add(o.id, registerInput{id: p.ID, base: base}, call,
-		registerOutput{status: out.Status, repeated: out.Repeated, standing: idOf(out.Standing)})
+		registerOutput{status: out.Status, repeated: out.Repeated, current: changeIDOf(out.Current)})
 	return out.Status
 }
 
-func idOf(s Standing) ChangeID {
+func changeIDOf(s Current) ChangeID {
 	if s.Value == nil {
 		return ""
 	}
@@ -161,27 +161,27 @@
 // take effect long after their caller has given up on them.
 type lateStore struct {
 	*kvtest.Store
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	share float64 // of the writes that come late
+	mu        sync.Mutex
+	rnd       *rand.Rand
+	lateShare float64 // of the writes that come late
 }
 
 // late returns by how much the next write comes late, or zero.
-func (s *lateStore) late() time.Duration {
+func (s *lateStore) nextDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rnd.Float64() >= s.share {
+	if s.rnd.Float64() >= s.lateShare {
 		return 0
 	}
 	return callTimeout + time.Duration(s.rnd.IntN(2000))*time.Millisecond
 }
 
 func (s *lateStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
-	late := s.late()
+	late := s.nextDelay()
 	if late == 0 {
 		return s.Store.CompareAndSwap(ctx, key, value, expect, lease)
 	}
-	w := &lateWrite{s: s.Store, late: late, key: key, value: value, expect: expect}
+	w := &lateWrite{s: s.Store, delay: late, key: key, value: value, expect: expect}
 	go w.run()
 	<-ctx.Done()
 	return kv.Result{Status: kv.Unknown, Err: ctx.Err()}
@@ -190,39 +190,39 @@
 // lateWrite is a write that takes effect when nobody waits for it any more.
 type lateWrite struct {
 	s      *kvtest.Store
-	late   time.Duration
+	delay  time.Duration
 	key    string
 	value  []byte
 	expect kv.Revision
 }
 
 func (w *lateWrite) run() {
-	time.Sleep(w.late)
+	time.Sleep(w.delay)
 	w.s.CompareAndSwap(context.Background(), w.key, w.value, w.expect, 0)
 }
 
 // disturb changes the platform's faults until ctx ends.
-type disturb struct {
-	store *kvtest.Store
-	rnd   *rand.Rand
-	kinds int // of faults
+type faultInjector struct {
+	store      *kvtest.Store
+	rnd        *rand.Rand
+	faultKinds int // of faults
 }
 
 // weather is how bad it gets for one history.
-type weather struct {
-	kinds int     // of faults
-	late  float64 // share of writes that come late
+type faultMix struct {
+	faultKinds int     // of faults
+	lateShare  float64 // share of writes that come late
 }
 
 // Honest editors see all faults. Those with planted faults are spared the one
 // that leaves many puts undecided, which makes a wrong history slow to check,
 // and see more late writes.
 var (
-	honestWeather  = weather{kinds: 7, late: 0.15}
-	plantedWeather = weather{kinds: 5, late: 0.4}
+	correctEditorFaults = faultMix{faultKinds: 7, lateShare: 0.15}
+	faultyEditorFaults  = faultMix{faultKinds: 5, lateShare: 0.4}
 )
 
-func (d *disturb) run(ctx context.Context) {
+func (d *faultInjector) run(ctx context.Context) {
 	// Few reads are lost, since a put whose read is lost never writes.
 	lose := func(share float64) func(string, string) bool {
 		seed := d.rnd.Uint64()
@@ -238,7 +238,7 @@
 	for ctx.Err() == nil {
 		f := kvtest.Faults{}
 		wait := time.Duration(d.rnd.IntN(3000)) * time.Millisecond
-		switch d.rnd.IntN(d.kinds) {
+		switch d.rnd.IntN(d.faultKinds) {
 		case 0:
 			f.Down = true
 		case 1:
@@ -251,29 +251,29 @@
 			f.DropWatch = true
 		case 5: // long enough to leave puts undecided
 			f.LoseReply = lose(1)
-			wait = settleTime + time.Second
+			wait = settleTimeout + time.Second
 		}
 		d.store.SetFaults(f)
-		pause(ctx, wait)
+		sleepContext(ctx, wait)
 	}
 	d.store.SetFaults(kvtest.Faults{})
 }
 
 // record runs four operators against five routers under faults and returns
 // their history. Each editor is passed through plant.
-func record(t *testing.T, seed uint64, w weather, plant func(*Editor) putter) []porcupine.Operation {
+func record(t *testing.T, seed uint64, w faultMix, wrap func(*Editor) putter) []porcupine.Operation {
 	rec := &recorder{}
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, seed, 5)
-		late := &lateStore{Store: f.store, rnd: rand.New(rand.NewPCG(seed, 3)), share: w.late}
+		late := &lateStore{Store: f.store, rnd: rand.New(rand.NewPCG(seed, 3)), lateShare: w.lateShare}
 		var putters []putter
 		for _, r := range f.routers {
 			r.editor.store = late
-			putters = append(putters, plant(r.editor))
+			putters = append(putters, wrap(r.editor))
 		}
 		time.Sleep(10 * time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
-		d := &disturb{store: f.store, rnd: rand.New(rand.NewPCG(seed, 4)), kinds: w.kinds}
+		d := &faultInjector{store: f.store, rnd: rand.New(rand.NewPCG(seed, 4)), faultKinds: w.faultKinds}
 		go d.run(ctx)
 		var done sync.WaitGroup
 		for i := range 4 {
@@ -284,27 +284,27 @@
 		done.Wait()
 		cancel()
 		time.Sleep(5 * time.Second)
-		f.settled(t)
+		f.checkConverged(t)
 	})
 	return rec.history()
 }
 
 // settled checks that what stands in the end is in force everywhere.
-func (f *fleet) settled(t *testing.T) {
+func (f *fleet) checkConverged(t *testing.T) {
 	res := f.store.Get(t.Context(), Key(testTeam))
 	if len(res.Pairs) == 0 {
 		return
 	}
 	v, err := decodeValue(res.Pairs[0].Value)
 	assert.NilError(t, err)
-	f.await(Position{Sequence: v.Change.Sequence, Revision: res.Pairs[0].Revision}, freshFor+inForceWithin)
+	f.await(Position{Sequence: v.Change.Sequence, Revision: res.Pairs[0].Revision}, maxConfirmationAge+inForceTimeout)
 }
 
-func honest(e *Editor) putter { return e }
+func unwrapped(e *Editor) putter { return e }
 
 const (
 	registerSeeds = 40
-	plantedSeeds  = 16
+	faultySeeds   = 16
 	checkLimit    = 20 * time.Second
 )
 
@@ -317,7 +317,7 @@
 	counts := make(map[PutStatus]int)
 	repeated := 0
 	for seed := range uint64(registerSeeds) {
-		ops := record(t, seed, honestWeather, honest)
+		ops := record(t, seed, correctEditorFaults, unwrapped)
 		assert.Equal(t, porcupine.CheckOperationsTimeout(registerModel, ops, checkLimit), porcupine.Ok, "seed %d", seed)
 		for _, op := range ops {
 			out := op.Output.(registerOutput)
@@ -330,7 +330,7 @@
 		}
 	}
 	t.Logf("%d histories, puts: %v, repeated: %d", registerSeeds, counts, repeated)
-	for _, s := range []PutStatus{Undecided, Accepted, Conflicting, Unwritten} {
+	for _, s := range []PutStatus{Undecided, Accepted, Conflict, Unavailable} {
 		assert.Assert(t, counts[s] > 0, "no put was %v, so the faults are too weak", s)
 	}
 	assert.Assert(t, repeated > 0, "no lost answer was settled")
@@ -338,80 +338,80 @@
 
 // careless is an editor that writes once and settles a lost answer in a wrong
 // way.
-type careless struct {
+type faultyEditor struct {
 	*Editor
-	settle func(ctx context.Context, e *Editor, p Put) Outcome
+	resolveLost func(ctx context.Context, e *Editor, p Put) Outcome
 }
 
-func (c careless) Put(ctx context.Context, p Put) Outcome {
-	b, out, settled := c.basis(ctx, p)
+func (c faultyEditor) Put(ctx context.Context, p Put) Outcome {
+	b, out, settled := c.findBase(ctx, p)
 	if settled {
 		return out
 	}
-	v := b.change(p, time.Now())
+	v := b.newValue(p, time.Now())
 	data, _ := v.encode()
-	res := c.swap(ctx, p.Team, data, b.expect)
+	res := c.compareAndSwap(ctx, p.Team, data, b.expect)
 	switch res.Status {
 	case kv.Applied:
-		return accepted(Entry{Change: v.Change, Revision: res.Revision}, false)
+		return acceptedOutcome(Entry{Change: v.Change, Revision: res.Revision}, false)
 	case kv.Conflict:
-		return p.conflict(standingOf(res.Pairs[0]))
+		return p.conflictOutcome(currentOf(res.Pairs[0]))
 	case kv.Unavailable, kv.Throttled:
-		return Outcome{Status: Unwritten}
+		return Outcome{Status: Unavailable}
 	default:
-		return c.settle(ctx, c.Editor, p)
+		return c.resolveLost(ctx, c.Editor, p)
 	}
 }
 
 // byRevision reads back and compares revisions, without looking for the
 // change itself.
-func byRevision(ctx context.Context, e *Editor, p Put) Outcome {
+func resolveByRevision(ctx context.Context, e *Editor, p Put) Outcome {
 	pair, found, _, failed := e.read(ctx, p.Team)
 	if failed {
 		return Outcome{Status: Undecided}
 	}
 	if found && pair.Revision != p.Base {
-		return p.conflict(standingOf(pair))
+		return p.conflictOutcome(currentOf(pair))
 	}
 	return Outcome{Status: Undecided}
 }
 
 // byReading reads back once and takes what it does not find for never written.
-func byReading(ctx context.Context, e *Editor, p Put) Outcome {
+func resolveByRead(ctx context.Context, e *Editor, p Put) Outcome {
 	pair, found, _, failed := e.read(ctx, p.Team)
 	if failed {
 		return Outcome{Status: Undecided}
 	}
-	if out := p.settle(standingOf(pair)); found && out.Status == Accepted {
+	if out := p.resolve(currentOf(pair)); found && out.Status == Accepted {
 		return out
 	}
-	return Outcome{Status: Unwritten}
+	return Outcome{Status: Unavailable}
 }
 
-func byHope(context.Context, *Editor, Put) Outcome { return Outcome{Status: Accepted} }
+func assumeAccepted(context.Context, *Editor, Put) Outcome { return Outcome{Status: Accepted} }
 
-func byGloom(context.Context, *Editor, Put) Outcome { return Outcome{Status: Unwritten} }
+func assumeUnwritten(context.Context, *Editor, Put) Outcome { return Outcome{Status: Unavailable} }
 
 // A checker that finds nothing proves nothing: each of these editors lies to
 // operators in a way that the checker has to catch.
-func TestRegisterCheckerCatches(t *testing.T) {
+func TestRegisterCheckerDetectsFaultyEditors(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		settle func(context.Context, *Editor, Put) Outcome
+		name        string
+		resolveLost func(context.Context, *Editor, Put) Outcome
 	}{
-		{"conflict for an own write", byRevision},
-		{"unwritten although the write is still on its way", byReading},
-		{"accepted without proof", byHope},
-		{"unwritten without proof", byGloom},
+		{"conflict for an own write", resolveByRevision},
+		{"unwritten although the write is still on its way", resolveByRead},
+		{"accepted without proof", assumeAccepted},
+		{"unwritten without proof", assumeUnwritten},
 	} {
 		caught := 0
-		for seed := range uint64(plantedSeeds) {
-			ops := record(t, seed, plantedWeather, func(e *Editor) putter { return careless{e, tt.settle} })
+		for seed := range uint64(faultySeeds) {
+			ops := record(t, seed, faultyEditorFaults, func(e *Editor) putter { return faultyEditor{e, tt.resolveLost} })
 			if porcupine.CheckOperationsTimeout(registerModel, ops, checkLimit) == porcupine.Illegal {
 				caught++
 			}
 		}
-		t.Logf("%s: caught in %d of %d histories", tt.name, caught, plantedSeeds)
+		t.Logf("%s: caught in %d of %d histories", tt.name, caught, faultySeeds)
 		assert.Assert(t, caught > 0, tt.name)
 	}
 }
--- a/coordination/settings/replica.go
+++ b/coordination/settings/replica.go
@@ -33,14 +33,14 @@
 	Removed
 )
 
-var verdicts = [...]string{"applied", "known", "older", "invalid", "removed"}
+var verdictNames = [...]string{"applied", "known", "older", "invalid", "removed"}
 
 // String returns the name of v as logs and metrics show it.
 func (v Verdict) String() string {
-	if v < 0 || int(v) >= len(verdicts) {
+	if v < 0 || int(v) >= len(verdictNames) {
 		return "unknown"
 	}
-	return verdicts[v]
+	return verdictNames[v]
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -48,7 +48,7 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (v *Verdict) UnmarshalText(text []byte) error {
-	i := slices.Index(verdicts[:], string(text))
+	i := slices.Index(verdictNames[:], string(text))
 	if i < 0 {
 		return fmt.Errorf("settings: %q is no verdict", text)
 	}
@@ -61,7 +61,7 @@
 type Snapshot struct {
 	Team     coordination.Team
 	Position Position
-	Settings *Team
+	Settings *TeamSettings
 	Value    Value
 	Since    time.Time // when they came into force on this router
 
@@ -100,14 +100,14 @@
 type Replica struct {
 	// telling is held from a decision until its observers are told, so that
 	// they see the decisions in their order.
-	telling   sync.Mutex
+	notifyMu  sync.Mutex
 	mu        sync.RWMutex
-	teams     map[coordination.Team]*state
+	teams     map[coordination.Team]*teamState
 	observers []func(Observation)
 }
 
 // state is what a replica knows of one team.
-type state struct {
+type teamState struct {
 	snapshot *Snapshot
 	refused  *Refusal
 }
@@ -139,7 +139,7 @@
 }
 
 // readPair returns the value of pair with its settings, or what is wrong.
-func readPair(team coordination.Team, pair kv.Pair) (Value, *Team, []Problem) {
+func readPair(team coordination.Team, pair kv.Pair) (Value, *TeamSettings, []Problem) {
 	v, err := decodeValue(pair.Value)
 	if err != nil {
 		return Value{}, nil, []Problem{{File: string(team), Message: err.Error()}}
@@ -150,32 +150,32 @@
 
 // decide applies the value offered or refuses it.
 func (r *Replica) decide(offered *Snapshot, problems []Problem) Verdict {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	st := r.state(offered.Team)
-	verdict := st.judge(offered, problems)
-	told := true
+	verdict := st.evaluate(offered, problems)
+	changed := true
 	switch verdict {
 	case Known:
-		told = false
+		changed = false
 	case Applied:
 		st.apply(offered)
 	default:
-		told = st.refuse(verdict, offered.Position.Revision, problems)
+		changed = st.refuse(verdict, offered.Position.Revision, problems)
 	}
 	o := Observation{Team: offered.Team, Verdict: verdict, Revision: offered.Position.Revision, Problems: problems, InForce: st.snapshot}
 	observers := r.observers
 	r.mu.Unlock()
-	if told {
-		tell(observers, o)
+	if changed {
+		notify(observers, o)
 	}
 	return verdict
 }
 
 // judge is the rule that nothing reverts. A value that is wrong in itself is
 // Invalid only if it is newer by its revision; a wrong one has no sequence.
-func (st *state) judge(offered *Snapshot, problems []Problem) Verdict {
+func (st *teamState) evaluate(offered *Snapshot, problems []Problem) Verdict {
 	revision := offered.Position.Revision
 	if st.refused != nil && st.refused.Revision == revision {
 		return Known
@@ -195,14 +195,14 @@
 	}
 }
 
-func (st *state) position() Position {
+func (st *teamState) position() Position {
 	if st.snapshot == nil {
 		return Position{}
 	}
 	return st.snapshot.Position
 }
 
-func (st *state) apply(s *Snapshot) {
+func (st *teamState) apply(s *Snapshot) {
 	st.snapshot = s
 	if st.refused != nil && st.refused.Revision < s.Position.Revision {
 		st.refused = nil
@@ -212,7 +212,7 @@
 // refuse remembers the newest value that stands in the platform and is not in
 // force, and reports whether this is one. What is behind the revision in force
 // is a stale read and no fault.
-func (st *state) refuse(verdict Verdict, revision kv.Revision, problems []Problem) bool {
+func (st *teamState) refuse(verdict Verdict, revision kv.Revision, problems []Problem) bool {
 	if revision <= st.position().Revision || st.refused != nil && revision < st.refused.Revision {
 		return false
 	}
@@ -223,8 +223,8 @@
 // Remove considers that the team's key was found deleted at revision. What is
 // in force stays: an accepted change holds until another is accepted.
 func (r *Replica) Remove(team coordination.Team, revision kv.Revision) Verdict {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	st, known := r.teams[team]
 	if !known || st.snapshot == nil || st.refused != nil && st.refused.Verdict == Removed || revision <= st.snapshot.Position.Revision {
@@ -235,31 +235,31 @@
 	o := Observation{Team: team, Verdict: Removed, Revision: revision, InForce: st.snapshot}
 	observers := r.observers
 	r.mu.Unlock()
-	tell(observers, o)
+	notify(observers, o)
 	return Removed
 }
 
-func tell(observers []func(Observation), o Observation) {
+func notify(observers []func(Observation), o Observation) {
 	for _, fn := range observers {
 		fn(o)
 	}
 }
 
 // state returns the state of team. Callers hold r.mu.
-func (r *Replica) state(team coordination.Team) *state {
+func (r *Replica) state(team coordination.Team) *teamState {
 	if r.teams == nil {
-		r.teams = make(map[coordination.Team]*state)
+		r.teams = make(map[coordination.Team]*teamState)
 	}
 	st, ok := r.teams[team]
 	if !ok {
-		st = &state{}
+		st = &teamState{}
 		r.teams[team] = st
 	}
 	return st
 }
 
 // Team returns the settings of name that are in force.
-func (r *Replica) Team(name coordination.Team) (*Team, bool) {
+func (r *Replica) Team(name coordination.Team) (*TeamSettings, bool) {
 	s, ok := r.Snapshot(name)
 	if !ok {
 		return nil, false
@@ -282,7 +282,7 @@
 func (r *Replica) Snapshots() []*Snapshot {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return lo.FilterMap(r.names(), func(n coordination.Team, _ int) (*Snapshot, bool) {
+	return lo.FilterMap(r.teamNames(), func(n coordination.Team, _ int) (*Snapshot, bool) {
 		s := r.teams[n].snapshot
 		return s, s != nil
 	})
@@ -292,10 +292,10 @@
 func (r *Replica) Status() []TeamStatus {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return lo.Map(r.names(), func(n coordination.Team, _ int) TeamStatus { return r.teams[n].status(n) })
+	return lo.Map(r.teamNames(), func(n coordination.Team, _ int) TeamStatus { return r.teams[n].status(n) })
 }
 
-func (st *state) status(team coordination.Team) TeamStatus {
+func (st *teamState) status(team coordination.Team) TeamStatus {
 	s := TeamStatus{Team: team, Refused: st.refused}
 	if st.snapshot != nil {
 		s.Position = st.snapshot.Position
@@ -305,7 +305,7 @@
 	return s
 }
 
-func (r *Replica) names() []coordination.Team {
+func (r *Replica) teamNames() []coordination.Team {
 	return slices.Sorted(maps.Keys(r.teams))
 }
 
--- a/coordination/settings/replica_test.go
+++ b/coordination/settings/replica_test.go
@@ -12,7 +12,7 @@
 
 // written returns a value as the platform holds it after the change that
 // follows previous with the given sequence.
-func written(t *testing.T, text string, sequence uint64, previous, revision kv.Revision) kv.Pair {
+func storedPair(t *testing.T, text string, sequence uint64, previous, revision kv.Revision) kv.Pair {
 	t.Helper()
 	v := Value{Text: text, Change: Change{
 		ID: NewChangeID(), Sequence: sequence, Previous: previous, Author: "a", Reason: "r", Digest: DigestOf(text),
@@ -22,7 +22,7 @@
 	return kv.Pair{Key: Key("solco"), Value: data, Revision: revision}
 }
 
-func deadline(t *testing.T, r *Replica) string {
+func deadlineOf(t *testing.T, r *Replica) string {
 	t.Helper()
 	team, ok := r.Team("solco")
 	assert.Assert(t, ok)
@@ -39,11 +39,11 @@
 // saw replaced.
 func TestStaleReadIsNotApplied(t *testing.T) {
 	var r Replica
-	first := written(t, oneSecond, 1, 0, 10)
+	first := storedPair(t, oneSecond, 1, 0, 10)
 	assert.Equal(t, r.Offer("solco", first), Applied)
-	assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 11, 10, 20)), Applied)
+	assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 11, 10, 20)), Applied)
 	assert.Equal(t, r.Offer("solco", first), Older)
-	assert.Equal(t, deadline(t, &r), "2s")
+	assert.Equal(t, deadlineOf(t, &r), "2s")
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
@@ -53,15 +53,15 @@
 // old value for want of anything better, and mends as soon as a peer tells it
 // of the later change.
 func TestRestoredValueIsNotApplied(t *testing.T) {
-	older := written(t, oneSecond, 1, 0, 10)
-	newer := written(t, twoSeconds, 11, 10, 20)
+	older := storedPair(t, oneSecond, 1, 0, 10)
+	newer := storedPair(t, twoSeconds, 11, 10, 20)
 	restored := kv.Pair{Key: older.Key, Value: older.Value, Revision: 30}
-	next := written(t, oneSecond, 31, 30, 40)
+	next := storedPair(t, oneSecond, 31, 30, 40)
 
 	var r Replica
 	r.Offer("solco", newer)
 	assert.Equal(t, r.Offer("solco", restored), Older)
-	assert.Equal(t, deadline(t, &r), "2s")
+	assert.Equal(t, deadlineOf(t, &r), "2s")
 	assert.Equal(t, r.Status()[0].Refused.Revision, kv.Revision(30))
 
 	var started Replica
@@ -77,7 +77,7 @@
 // Text is written straight into the platform, past every check. The last good
 // settings have to stay in force, and operators have to see what is wrong.
 func TestInvalidValueKeepsLastGood(t *testing.T) {
-	good := written(t, oneSecond, 1, 0, 10)
+	good := storedPair(t, oneSecond, 1, 0, 10)
 	edited := Value{}
 	assert.NilError(t, json.Unmarshal(good.Value, &edited))
 	edited.Text = twoSeconds
@@ -89,18 +89,18 @@
 	}{
 		{"raw text", kv.Pair{Value: []byte(twoSeconds), Revision: 20}},
 		{"text edited under its record", kv.Pair{Value: data, Revision: 20}},
-		{"bad setting", written(t, "[team]\ndeadline-default = 2\n", 11, 10, 20)},
+		{"bad setting", storedPair(t, "[team]\ndeadline-default = 2\n", 11, 10, 20)},
 		{"empty", kv.Pair{Revision: 20}},
 	} {
 		var r Replica
 		r.Offer("solco", good)
 		assert.Equal(t, r.Offer("solco", tt.pair), Invalid, tt.name)
 		assert.Equal(t, r.Offer("solco", tt.pair), Known, tt.name)
-		assert.Equal(t, deadline(t, &r), "1s", tt.name)
+		assert.Equal(t, deadlineOf(t, &r), "1s", tt.name)
 		refused := r.Status()[0].Refused
 		assert.Equal(t, refused.Revision, kv.Revision(20), tt.name)
 		assert.Assert(t, len(refused.Problems) > 0, tt.name)
-		assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 21, 20, 30)), Applied, tt.name)
+		assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 21, 20, 30)), Applied, tt.name)
 		assert.Assert(t, r.Status()[0].Refused == nil, tt.name)
 	}
 }
@@ -110,21 +110,21 @@
 func TestDeletionKeepsLastGood(t *testing.T) {
 	var r Replica
 	assert.Equal(t, r.Remove("solco", 5), Known)
-	r.Offer("solco", written(t, oneSecond, 1, 0, 10))
+	r.Offer("solco", storedPair(t, oneSecond, 1, 0, 10))
 	assert.Equal(t, r.Remove("solco", 5), Known)
 	assert.Equal(t, r.Remove("solco", 20), Removed)
 	assert.Equal(t, r.Remove("solco", 21), Known)
-	assert.Equal(t, deadline(t, &r), "1s")
+	assert.Equal(t, deadlineOf(t, &r), "1s")
 	assert.Equal(t, r.Status()[0].Refused.Verdict, Removed)
-	assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 11, 10, 30)), Applied)
+	assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 11, 10, 30)), Applied)
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
 // monotone checks that what a router has in force never goes back.
-type monotone struct{ last Position }
+type monotonicCheck struct{ last Position }
 
 // saw reports whether p is no step back.
-func (m *monotone) saw(p Position) bool {
+func (m *monotonicCheck) advance(p Position) bool {
 	if p.Before(m.last) {
 		return false
 	}
@@ -139,11 +139,11 @@
 
 // arrivals returns the values of eight changes in random order, each several
 // times, with an old value put back and a wrong one among them.
-func arrivals(t *testing.T, seed uint64) []kv.Pair {
+func shuffledPairs(t *testing.T, seed uint64) []kv.Pair {
 	t.Helper()
 	pairs := make([]kv.Pair, 0, orderChanges+2)
 	for i := range kv.Revision(orderChanges) {
-		pairs = append(pairs, written(t, oneSecond, uint64(10*i+1), 10*i, 10*(i+1)))
+		pairs = append(pairs, storedPair(t, oneSecond, uint64(10*i+1), 10*i, 10*(i+1)))
 	}
 	restored := pairs[3]
 	restored.Revision = 10*orderChanges + 5
@@ -161,15 +161,15 @@
 // Watches, reads and peers bring the same values in any order, with stale and
 // restored ones among them. All routers have to end with the same settings in
 // force, and none may go back on its way.
-func TestAnyOrderEndsTheSame(t *testing.T) {
+func TestOffersConvergeInAnyOrder(t *testing.T) {
 	last := Position{Sequence: 10*(orderChanges-1) + 1, Revision: 10 * orderChanges}
 	for seed := range uint64(orderSeeds) {
 		var r Replica
-		var m monotone
+		var m monotonicCheck
 		r.Observe(func(o Observation) {
-			assert.Assert(t, o.InForce == nil || m.saw(o.InForce.Position), "seed %d: went back", seed)
+			assert.Assert(t, o.InForce == nil || m.advance(o.InForce.Position), "seed %d: went back", seed)
 		})
-		for _, pair := range arrivals(t, seed) {
+		for _, pair := range shuffledPairs(t, seed) {
 			r.Offer("solco", pair)
 		}
 		assert.Equal(t, m.last, last, "seed %d", seed)
@@ -178,7 +178,7 @@
 
 // A replica that applies whatever comes, or whatever has the highest revision
 // of the platform, goes back at some point. The check has to see both.
-func TestMonotoneCatches(t *testing.T) {
+func TestMonotonicCheckDetectsRollback(t *testing.T) {
 	applies := map[string]func(in, offered Position) bool{
 		"whatever comes":   func(_, _ Position) bool { return true },
 		"highest revision": func(in, offered Position) bool { return offered.Revision > in.Revision },
@@ -187,14 +187,14 @@
 		caught := 0
 		for seed := range uint64(orderSeeds) {
 			var in Position
-			var m monotone
+			var m monotonicCheck
 			back := false
-			for _, pair := range arrivals(t, seed) {
+			for _, pair := range shuffledPairs(t, seed) {
 				v, err := decodeValue(pair.Value)
 				offered := Position{Sequence: v.Change.Sequence, Revision: pair.Revision}
 				if err == nil && apply(in, offered) {
 					in = offered
-					back = back || !m.saw(in)
+					back = back || !m.advance(in)
 				}
 			}
 			if back {
@@ -215,7 +215,7 @@
 	}
 	data, err := v.encode()
 	assert.NilError(t, err)
-	assert.Assert(t, len(data) <= maxValue)
+	assert.Assert(t, len(data) <= maxValueBytes)
 	var back Value
 	assert.NilError(t, json.Unmarshal(data, &back))
 	assert.Assert(t, len(back.Earlier) > 0 && len(back.Earlier) <= maxEarlier)
--- a/coordination/settings/schema/file.go
+++ b/coordination/settings/schema/file.go
@@ -31,7 +31,7 @@
 
 // options makes the library read each line as the scanner does: one line a
 // value, no escapes, a comment only after a space.
-var options = ini.LoadOptions{
+var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
 	KeyValueDelimiters:       "=",
@@ -42,7 +42,7 @@
 func (s Schema) Parse(file string, text []byte) (*File, []Problem) {
 	sc := &scanner{schema: s, file: file}
 	clean := sc.scan(text)
-	source, err := ini.LoadSources(options, []byte(clean))
+	source, err := ini.LoadSources(iniOptions, []byte(clean))
 	if err != nil {
 		sc.problem(0, "", "", fmt.Sprintf("the text is no INI: %v", err))
 		return nil, sc.problems
@@ -60,16 +60,16 @@
 }
 
 // values reads the keys of the section at p.
-func (s *scanner) values(p *place, source *ini.Section) Values {
+func (s *scanner) values(p *sectionEntry, source *ini.Section) Values {
 	v := Values{Name: p.name, Line: p.line, file: s.file, section: p.section, keys: make(map[string]value)}
 	written := source.KeysHash()
 	for _, k := range p.section.Keys {
 		line, set := p.keys[k.Name]
 		if !set {
-			v.keys[k.Name] = s.fallback(p, k)
+			v.keys[k.Name] = s.defaultValue(p, k)
 			continue
 		}
-		val, err := k.read(written[k.Name])
+		val, err := k.parse(written[k.Name])
 		if err != nil {
 			s.problem(line, p.title, k.Name, err.Error())
 		}
@@ -81,7 +81,7 @@
 
 // fallback returns the default of k. A wrong default is a fault of the
 // program.
-func (s *scanner) fallback(p *place, k Key) value {
+func (s *scanner) defaultValue(p *sectionEntry, k Key) value {
 	if k.Required {
 		s.problem(p.line, p.title, k.Name, "the key is missing; write "+k.expected())
 		return value{}
@@ -89,7 +89,7 @@
 	if k.Default == "" {
 		return value{}
 	}
-	v, err := k.read(k.Default)
+	v, err := k.parse(k.Default)
 	if err != nil {
 		panic(fmt.Sprintf("schema: key %s has the default %q", k.Name, k.Default))
 	}
@@ -99,18 +99,18 @@
 // addDefaults gives the plain sections that were left out their defaults.
 func (f *File) addDefaults(sc *scanner) {
 	for _, sec := range f.schema {
-		if _, written := sc.places[sec.Name]; written || sec.Named {
+		if _, written := sc.entries[sec.Name]; written || sec.Named {
 			continue
 		}
 		if sec.Required {
 			sc.problem(0, sec.Name, "", "the section is missing")
 			continue
 		}
-		p := &place{section: sec, title: sec.Name}
+		p := &sectionEntry{section: sec, title: sec.Name}
 		v := Values{file: sc.file, section: sec, keys: make(map[string]value)}
 		for _, k := range sec.Keys {
 			if !sec.Optional || !k.Required {
-				v.keys[k.Name] = sc.fallback(p, k)
+				v.keys[k.Name] = sc.defaultValue(p, k)
 			}
 		}
 		f.values = append(f.values, v)
@@ -158,18 +158,18 @@
 func (v Values) List(key string) []string { return slices.Clone(v.get(key, Names, Addresses).list) }
 
 // Int returns an Integer, or a Size in bytes.
-func (v Values) Int(key string) int { return int(v.get(key, Integer, Size).whole) }
+func (v Values) Int(key string) int { return int(v.get(key, Integer, Size).integer) }
 
 // Float returns a Number.
 func (v Values) Float(key string) float64 { return v.get(key, Number).number }
 
 // Duration returns a Duration.
 func (v Values) Duration(key string) time.Duration {
-	return time.Duration(v.get(key, Duration).whole)
+	return time.Duration(v.get(key, Duration).integer)
 }
 
 // Bool returns a Boolean.
-func (v Values) Bool(key string) bool { return v.get(key, Boolean).truth }
+func (v Values) Bool(key string) bool { return v.get(key, Boolean).boolean }
 
 // get returns the value of key. Asking for a key that the table does not have
 // in one of these kinds is a fault of the program.
--- a/coordination/settings/schema/reference.go
+++ b/coordination/settings/schema/reference.go
@@ -15,14 +15,14 @@
 		b.WriteString("| --- | --- | --- | --- | --- | --- |\n")
 		for _, k := range sec.Keys {
 			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n",
-				k.Name, k.Kind, dash(k.Unit), k.fallbackText(), dash(k.bounds()), k.Doc)
+				k.Name, k.Kind, dashIfEmpty(k.Unit), k.defaultText(), dashIfEmpty(k.bounds()), k.Doc)
 		}
 		b.WriteString("\n")
 	}
 	return strings.TrimRight(b.String(), "\n") + "\n"
 }
 
-func (k Key) fallbackText() string {
+func (k Key) defaultText() string {
 	if k.Required {
 		return "required"
 	}
@@ -32,7 +32,7 @@
 	return "`" + k.Default + "`"
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/coordination/settings/schema/scan.go
+++ b/coordination/settings/schema/scan.go
@@ -10,19 +10,19 @@
 )
 
 // header matches a section header with its optional name, quoted or not.
-var header = regexp.MustCompile(`^\[\s*([A-Za-z][A-Za-z0-9-]*)(?:\s+(?:"([^"\]]*)"|([^"\]\s]+)))?\s*\]\s*(?:[;#].*)?$`)
+var headerPattern = regexp.MustCompile(`^\[\s*([A-Za-z][A-Za-z0-9-]*)(?:\s+(?:"([^"\]]*)"|([^"\]\s]+)))?\s*\]\s*(?:[;#].*)?$`)
 
 var (
-	validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@:/-]{0,127}$`)
-	validKey  = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@:/-]{0,127}$`)
+	keyPattern  = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 )
 
 // ValidName reports whether s may name a model, an account and the like: a
 // letter or digit, then up to 127 letters, digits or any of . _ @ : / -
-func ValidName(s string) bool { return validName.MatchString(s) }
+func ValidName(s string) bool { return namePattern.MatchString(s) }
 
 // place is where a section or one of its keys is written.
-type place struct {
+type sectionEntry struct {
 	section Section
 	name    string
 	title   string // as in model "chat"
@@ -34,22 +34,22 @@
 // tell. It passes on only lines that it understands and the table knows, so
 // that the library cannot read a line in another way than the scanner did.
 type scanner struct {
-	schema   Schema
-	file     string
-	problems []Problem
-	places   map[string]*place
-	order    []*place
-	current  *place
-	inside   bool // some header came before, even if it was refused
-	clean    strings.Builder
+	schema     Schema
+	file       string
+	problems   []Problem
+	entries    map[string]*sectionEntry
+	order      []*sectionEntry
+	current    *sectionEntry
+	seenHeader bool // some header came before, even if it was refused
+	clean      strings.Builder
 }
 
 // scan returns the lines of text that follow the table.
 func (s *scanner) scan(text []byte) string {
-	s.places = make(map[string]*place)
+	s.entries = make(map[string]*sectionEntry)
 	body := strings.TrimPrefix(string(text), "\ufeff")
 	for i, line := range strings.Split(body, "\n") {
-		kept := s.line(i+1, strings.TrimSpace(line))
+		kept := s.scanLine(i+1, strings.TrimSpace(line))
 		s.clean.WriteString(kept)
 		s.clean.WriteByte('\n')
 	}
@@ -57,26 +57,26 @@
 }
 
 // line returns what the library should read in place of the line n.
-func (s *scanner) line(n int, line string) string {
+func (s *scanner) scanLine(n int, scanLine string) string {
 	switch {
-	case !utf8.ValidString(line) || strings.ContainsRune(line, 0):
-		s.report(n, "", "the line is not UTF-8 text")
+	case !utf8.ValidString(scanLine) || strings.ContainsRune(scanLine, 0):
+		s.problemf(n, "", "the line is not UTF-8 text")
 		return ""
-	case line == "" || line[0] == ';' || line[0] == '#':
+	case scanLine == "" || scanLine[0] == ';' || scanLine[0] == '#':
 		return ""
-	case line[0] == '[':
-		return s.header(n, line)
+	case scanLine[0] == '[':
+		return s.scanHeader(n, scanLine)
 	default:
-		return s.key(n, line)
+		return s.scanKey(n, scanLine)
 	}
 }
 
-func (s *scanner) header(n int, line string) string {
+func (s *scanner) scanHeader(n int, line string) string {
 	s.current = nil
-	s.inside = true
-	m := header.FindStringSubmatch(line)
+	s.seenHeader = true
+	m := headerPattern.FindStringSubmatch(line)
 	if m == nil {
-		s.report(n, "", `%s is no section header; write [section] or [section "name"]`, line)
+		s.problemf(n, "", `%s is no section header; write [section] or [section "name"]`, line)
 		return ""
 	}
 	name := m[2] + m[3]
@@ -85,19 +85,19 @@
 		s.problem(n, m[1], "", "unknown section; known are "+s.schema.titles())
 		return ""
 	}
-	p := &place{section: sec, name: name, title: sec.title(name), line: n, keys: make(map[string]int)}
-	if !s.fits(p) {
+	p := &sectionEntry{section: sec, name: name, title: sec.title(name), line: n, keys: make(map[string]int)}
+	if !s.checkHeader(p) {
 		return ""
 	}
-	s.places[p.title] = p
+	s.entries[p.title] = p
 	s.order = append(s.order, p)
 	s.current = p
 	return "[" + p.title + "]"
 }
 
 // fits reports whether the section at p may stand there.
-func (s *scanner) fits(p *place) bool {
-	earlier, twice := s.places[p.title]
+func (s *scanner) checkHeader(p *sectionEntry) bool {
+	earlier, twice := s.entries[p.title]
 	switch {
 	case p.section.Named && p.name == "":
 		s.problem(p.line, p.section.Name, "", fmt.Sprintf(`the section needs a name: [%s "name"]`, p.section.Name))
@@ -113,11 +113,11 @@
 	return false
 }
 
-func (s *scanner) key(n int, line string) string {
+func (s *scanner) scanKey(n int, line string) string {
 	key, value, found := strings.Cut(line, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
-	if !s.inside {
-		s.report(n, "", "%q stands before any section; sections are %s", key, s.schema.titles())
+	if !s.seenHeader {
+		s.problemf(n, "", "%q stands before any section; sections are %s", key, s.schema.titles())
 		return ""
 	}
 	if s.current == nil {
@@ -125,11 +125,11 @@
 	}
 	p := s.current
 	if !found {
-		s.report(n, "", "%q is neither a section nor a key; write key = value", line)
+		s.problemf(n, "", "%q is neither a section nor a key; write key = value", line)
 		return ""
 	}
-	if _, known := p.section.key(key); !known || !validKey.MatchString(key) {
-		s.problem(n, p.title, key, "unknown key; known are "+p.section.names())
+	if _, known := p.section.key(key); !known || !keyPattern.MatchString(key) {
+		s.problem(n, p.title, key, "unknown key; known are "+p.section.keyNames())
 		return ""
 	}
 	if earlier, twice := p.keys[key]; twice {
@@ -144,7 +144,7 @@
 	return line
 }
 
-func (s *scanner) report(n int, key, format string, args ...any) {
+func (s *scanner) problemf(n int, key, format string, args ...any) {
 	title := ""
 	if s.current != nil {
 		title = s.current.title
@@ -164,7 +164,7 @@
 	return fmt.Sprintf("%s %q", s.Name, name)
 }
 
-func (s Section) names() string {
+func (s Section) keyNames() string {
 	return strings.Join(lo.Map(s.Keys, func(k Key, _ int) string { return k.Name }), ", ")
 }
 
--- a/coordination/settings/schema/value.go
+++ b/coordination/settings/schema/value.go
@@ -16,22 +16,22 @@
 
 // value is what a key was found to hold.
 type value struct {
-	text   string
-	list   []string
-	whole  int64   // integers, bytes, nanoseconds
-	number float64 // whole as a number too, for bounds
-	truth  bool
-	line   int // zero for a default
+	text    string
+	list    []string
+	integer int64   // integers, bytes, nanoseconds
+	number  float64 // whole as a number too, for bounds
+	boolean bool
+	line    int // zero for a default
 }
 
 // sizes are the units of a Size, longest suffix first.
-var sizes = []struct {
+var sizeUnits = []struct {
 	unit  string
 	bytes int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
 // forms says for each kind what an operator should have written.
-var forms = map[Kind]string{
+var expectedForms = map[Kind]string{
 	Text:      "text on one line",
 	Name:      "a name of letters, digits and . _ @ : / -",
 	Names:     "names separated by commas",
@@ -45,11 +45,11 @@
 	URL:       "an absolute URL, as in http://10.0.0.9:2379",
 }
 
-var errForm = errors.New("schema: wrong form")
+var errSyntax = errors.New("schema: wrong form")
 
 // read returns the value that text has for k, or an error if it has none.
-func (k Key) read(text string) (value, error) {
-	v, err := k.Kind.read(text)
+func (k Key) parse(text string) (value, error) {
+	v, err := k.Kind.parse(text)
 	if err != nil || len(k.OneOf) > 0 && !slices.Contains(k.OneOf, v.text) {
 		return value{}, fmt.Errorf("%q is not right; write %s", text, k.expected())
 	}
@@ -61,7 +61,7 @@
 
 // expected says what would be right for k.
 func (k Key) expected() string {
-	s := forms[k.Kind]
+	s := expectedForms[k.Kind]
 	if k.Unit != "" {
 		s += " (" + k.Unit + ")"
 	}
@@ -95,87 +95,87 @@
 
 // bound reads a bound of the table. A wrong table is a fault of the program.
 func (k Key) bound(text string) float64 {
-	v, err := k.Kind.read(text)
+	v, err := k.Kind.parse(text)
 	if err != nil {
 		panic(fmt.Sprintf("schema: key %s has the bound %q", k.Name, text))
 	}
 	return v.number
 }
 
-func (k Kind) read(text string) (value, error) {
+func (k Kind) parse(text string) (value, error) {
 	v := value{text: text}
 	var err error
 	switch k {
 	case Text:
 	case Name:
-		err = check(ValidName(text))
+		err = syntaxErrorUnless(ValidName(text))
 	case Names:
-		v.list = split(text)
-		err = check(lo.EveryBy(v.list, ValidName))
+		v.list = splitList(text)
+		err = syntaxErrorUnless(lo.EveryBy(v.list, ValidName))
 	case Integer:
-		v.whole, err = strconv.ParseInt(text, 10, 64)
-		v.number = float64(v.whole)
+		v.integer, err = strconv.ParseInt(text, 10, 64)
+		v.number = float64(v.integer)
 	case Number:
-		v.number, err = readNumber(text)
+		v.number, err = parseNumber(text)
 	case Duration:
-		v.whole, err = readDuration(text)
-		v.number = float64(v.whole)
+		v.integer, err = parseDuration(text)
+		v.number = float64(v.integer)
 	case Size:
-		v.whole, err = readSize(text)
-		v.number = float64(v.whole)
+		v.integer, err = parseSize(text)
+		v.number = float64(v.integer)
 	case Boolean:
-		v.truth = text == "true"
-		err = check(v.truth || text == "false")
+		v.boolean = text == "true"
+		err = syntaxErrorUnless(v.boolean || text == "false")
 	case Address:
-		err = check(validAddress(text))
+		err = syntaxErrorUnless(validAddress(text))
 	case Addresses:
-		v.list = split(text)
-		err = check(lo.EveryBy(v.list, validAddress))
+		v.list = splitList(text)
+		err = syntaxErrorUnless(lo.EveryBy(v.list, validAddress))
 	case URL:
-		err = check(validURL(text))
+		err = syntaxErrorUnless(validURL(text))
 	}
 	return v, err
 }
 
-func check(ok bool) error {
+func syntaxErrorUnless(ok bool) error {
 	if ok {
 		return nil
 	}
-	return errForm
+	return errSyntax
 }
 
 // readNumber leaves out what ParseFloat accepts beyond plain decimal numbers:
 // NaN passes every bound, since it compares false with all.
-func readNumber(text string) (float64, error) {
+func parseNumber(text string) (float64, error) {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || strings.ContainsAny(text, "xX_") {
-		return 0, errForm
+		return 0, errSyntax
 	}
 	return f, nil
 }
 
 // readDuration refuses a bare 0, which ParseDuration takes without a unit.
-func readDuration(text string) (int64, error) {
+func parseDuration(text string) (int64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || !strings.ContainsAny(text, "hmsuµ") {
-		return 0, errForm
+		return 0, errSyntax
 	}
 	return int64(d), nil
 }
 
-func readSize(text string) (int64, error) {
-	for _, s := range sizes {
+func parseSize(text string) (int64, error) {
+	for _, s := range sizeUnits {
 		digits, found := strings.CutSuffix(text, s.unit)
 		if !found {
 			continue
 		}
 		n, err := strconv.ParseInt(digits, 10, 64)
 		if err != nil || n < 0 || n > math.MaxInt64/s.bytes {
-			return 0, errForm
+			return 0, errSyntax
 		}
 		return n * s.bytes, nil
 	}
-	return 0, errForm
+	return 0, errSyntax
 }
 
 func validAddress(text string) bool {
@@ -194,7 +194,7 @@
 
 // split returns the parts of a list without the spaces around them; an empty
 // text is an empty list.
-func split(text string) []string {
+func splitList(text string) []string {
 	if strings.TrimSpace(text) == "" {
 		return nil
 	}
--- a/coordination/settings/silent_test.go
+++ b/coordination/settings/silent_test.go
@@ -63,15 +63,15 @@
 		started := time.Now()
 		time.Sleep(20 * time.Second)
 		for _, r := range f.routers {
-			age, ever := r.sync.Fresh()
+			age, ever := r.sync.ConfirmationAge()
 			assert.Assert(t, ever)
-			assert.Assert(t, age >= time.Since(started)-signTimeout, "%s has settings confirmed %v ago", r.member.Instance, age)
+			assert.Assert(t, age >= time.Since(started)-probeTimeout, "%s has settings confirmed %v ago", r.member.Instance, age)
 		}
 		store.setSilent(false)
 		time.Sleep(10 * time.Second)
 		for _, r := range f.routers {
-			age, _ := r.sync.Fresh()
-			assert.Assert(t, age <= 2*confirmEvery+signTimeout, "%s has settings confirmed %v ago", r.member.Instance, age)
+			age, _ := r.sync.ConfirmationAge()
+			assert.Assert(t, age <= 2*confirmInterval+probeTimeout, "%s has settings confirmed %v ago", r.member.Instance, age)
 		}
 	})
 }
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -15,22 +15,22 @@
 // Topics of the messages between routers. TopicChange must never be dropped
 // for want of bandwidth.
 const (
-	TopicChange = topicChange
-	TopicFresh  = topicFresh
+	TopicChange       = topicChange
+	TopicConfirmation = topicConfirmation
 
-	topicChange = "settings"
-	topicFresh  = "settings-fresh"
-	topicValue  = "settings-value"
-	topicIndex  = "settings-index"
+	topicChange       = "settings"
+	topicConfirmation = "settings-fresh"
+	topicValue        = "settings-value"
+	topicIndex        = "settings-index"
 )
 
 // maxServed bounds the values that a router serves at a time. Without it the
 // router that announces a change would send it to the whole fleet at once.
-const maxServed = 8
+const maxConcurrentServes = 8
 
 // announcement is the rumour of a change. It does not carry the value, which
 // may be large; who lacks it asks for it.
-type announcement struct {
+type changeNotice struct {
 	Position Position              `cbor:"1,keyasint"`
 	Origin   coordination.Instance `cbor:"2,keyasint"`
 }
@@ -84,21 +84,21 @@
 	}
 	p := o.InForce.Position
 	s.mu.Lock()
-	wanted, told := s.wanted[o.Team]
+	wanted, fetching := s.wanted[o.Team]
 	s.mu.Unlock()
-	if told && !wanted.Before(p) {
+	if fetching && !wanted.Before(p) {
 		return
 	}
-	s.peers.Broadcast(topicChange, string(o.Team), p.Sequence, encode(announcement{Position: p, Origin: s.cfg.Self}))
+	s.peers.Broadcast(topicChange, string(o.Team), p.Sequence, encode(changeNotice{Position: p, Origin: s.cfg.Self}))
 }
 
 // heardChange wants the value of a change that the replica lacks.
-func (s *Sync) heardChange(key string, _ uint64, payload []byte) {
-	var a announcement
+func (s *Sync) handleChangeRumor(key string, _ uint64, payload []byte) {
+	var a changeNotice
 	if cbor.Unmarshal(payload, &a) != nil || !ValidTeam(coordination.Team(key)) {
 		return
 	}
-	s.want(coordination.Team(key), a.Position, a.Origin)
+	s.requestValue(coordination.Team(key), a.Position, a.Origin)
 }
 
 // confirm tells the fleet that the platform was seen at revision, unless
@@ -107,20 +107,20 @@
 	now := time.Now()
 	c := confirmation{Revision: revision, Fingerprint: s.replica.Fingerprint(), Origin: s.cfg.Self, Time: now.UnixMilli()}
 	s.mu.Lock()
-	recent := s.fresh.Fingerprint == c.Fingerprint && now.Sub(s.freshAt) < confirmEvery*9/10
+	recent := s.lastConfirmation.Fingerprint == c.Fingerprint && now.Sub(s.lastConfirmedAt) < confirmInterval*9/10
 	if !recent {
-		s.fresh, s.freshAt = c, now
+		s.lastConfirmation, s.lastConfirmedAt = c, now
 		s.stats.Confirmed++
 	}
 	s.mu.Unlock()
 	if !recent {
-		s.peers.Broadcast(topicFresh, string(s.cfg.Self), uint64(c.Time), encode(c))
+		s.peers.Broadcast(topicConfirmation, string(s.cfg.Self), uint64(c.Time), encode(c))
 	}
 }
 
 // heardFresh takes a confirmation at the time of its origin, or now if that
 // clock is ahead. An old rumour that is told again proves nothing.
-func (s *Sync) heardFresh(_ string, _ uint64, payload []byte) {
+func (s *Sync) handleConfirmationRumor(_ string, _ uint64, payload []byte) {
 	var c confirmation
 	if cbor.Unmarshal(payload, &c) != nil {
 		return
@@ -131,8 +131,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.After(s.freshAt) {
-		s.fresh, s.freshAt = c, at
+	if at.After(s.lastConfirmedAt) {
+		s.lastConfirmation, s.lastConfirmedAt = c, at
 	}
 }
 
@@ -147,8 +147,8 @@
 		return encode(valueAnswer{}), nil
 	}
 	select {
-	case s.slots <- struct{}{}:
-		defer func() { <-s.slots }()
+	case s.serveSlots <- struct{}{}:
+		defer func() { <-s.serveSlots }()
 	default:
 		return encode(valueAnswer{Busy: true}), nil
 	}
@@ -161,7 +161,7 @@
 	teams := lo.Map(s.replica.Snapshots(), func(in *Snapshot, _ int) indexEntry {
 		return indexEntry{Team: in.Team, Position: in.Position}
 	})
-	age, ever := s.Fresh()
+	age, ever := s.ConfirmationAge()
 	a := indexAnswer{Teams: teams, Age: age.Milliseconds()}
 	if !ever {
 		a.Age = -1
--- a/coordination/settings/sync.go
+++ b/coordination/settings/sync.go
@@ -46,15 +46,15 @@
 // Times of Sync. A change that its editor or a watcher announces reaches the
 // others by gossip; the times below are for when that fails.
 const (
-	tickEvery    = 250 * time.Millisecond
-	confirmEvery = 2 * time.Second         // the fleet confirms this often
-	freshFor     = 10 * time.Second        // without a confirmation, ask the platform
-	rereadEvery  = time.Minute             // a watcher reads all, in case its watch is stuck
-	driftAfter   = 1500 * time.Millisecond // a difference this old is no mere delay
-	driftPause   = 30 * time.Second        // after asking about a difference in vain
-	listTimeout  = 3 * time.Second
-	signTimeout  = time.Second            // for a sign of life of the platform
-	checkEach    = 200 * time.Millisecond // between two routers that look at the platform
+	tickInterval       = 250 * time.Millisecond
+	confirmInterval    = 2 * time.Second         // the fleet confirms this often
+	maxConfirmationAge = 10 * time.Second        // without a confirmation, ask the platform
+	relistInterval     = time.Minute             // a watcher reads all, in case its watch is stuck
+	driftThreshold     = 1500 * time.Millisecond // a difference this old is no mere delay
+	driftQueryInterval = 30 * time.Second        // after asking about a difference in vain
+	listTimeout        = 3 * time.Second
+	probeTimeout       = time.Second            // for a sign of life of the platform
+	listSpacing        = 200 * time.Millisecond // between two routers that look at the platform
 )
 
 // Config tells a Sync where it runs.
@@ -74,25 +74,25 @@
 	store   SyncStore
 	peers   Peers
 
-	ctx   context.Context
-	group sync.WaitGroup
-	ready chan struct{}
-	slots chan struct{} // bounds the values served at a time
-	calls chan struct{} // bounds the values fetched at a time
+	ctx        context.Context
+	group      sync.WaitGroup
+	ready      chan struct{}
+	serveSlots chan struct{} // bounds the values served at a time
+	fetchSlots chan struct{} // bounds the values fetched at a time
 
-	mu       sync.Mutex
-	members  []Member // at the last choice of watchers
-	chosen   bool     // whether that choice fell on this router
-	watcher  *watcher
-	wanted   map[coordination.Team]Position
-	fresh    confirmation // the newest that was heard or made
-	freshAt  time.Time
-	checkAt  time.Time // of the next direct look at the platform
-	driftAt  time.Time // since when the fingerprints differ
-	indexAt  time.Time // before which no index is asked for
-	indexFor uint64    // the fingerprint that the last index was asked for
-	loaded   bool
-	stats    Stats
+	mu                 sync.Mutex
+	members            []Member // at the last choice of watchers
+	selected           bool     // whether that choice fell on this router
+	watcher            *watcher
+	wanted             map[coordination.Team]Position
+	lastConfirmation   confirmation // the newest that was heard or made
+	lastConfirmedAt    time.Time
+	nextListAt         time.Time // of the next direct look at the platform
+	driftSince         time.Time // since when the fingerprints differ
+	nextIndexAt        time.Time // before which no index is asked for
+	indexedFingerprint uint64    // the fingerprint that the last index was asked for
+	loaded             bool
+	stats              Stats
 }
 
 // Stats counts what a Sync did, for metrics.
@@ -103,7 +103,7 @@
 	Indexes   int // indexes asked of peers
 	Served    int // values given to peers
 	Confirmed int // confirmations spread
-	Signs     int // signs of life asked of the platform
+	Probes    int // signs of life asked of the platform
 }
 
 // NewSync returns a Sync at work, and a function that stops it.
@@ -113,21 +113,21 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Sync{
-		cfg:     cfg,
-		replica: replica,
-		store:   store,
-		peers:   peers,
-		ctx:     ctx,
-		ready:   make(chan struct{}),
-		slots:   make(chan struct{}, maxServed),
-		calls:   make(chan struct{}, maxFetches),
-		wanted:  make(map[coordination.Team]Position),
+		cfg:        cfg,
+		replica:    replica,
+		store:      store,
+		peers:      peers,
+		ctx:        ctx,
+		ready:      make(chan struct{}),
+		serveSlots: make(chan struct{}, maxConcurrentServes),
+		fetchSlots: make(chan struct{}, maxConcurrentFetches),
+		wanted:     make(map[coordination.Team]Position),
 	}
 	replica.Observe(s.observe)
 	peers.Handle(topicValue, s.serveValue)
 	peers.Handle(topicIndex, s.serveIndex)
-	peers.OnRumor(topicChange, s.heardChange)
-	peers.OnRumor(topicFresh, s.heardFresh)
+	peers.OnRumor(topicChange, s.handleChangeRumor)
+	peers.OnRumor(topicConfirmation, s.handleConfirmationRumor)
 	s.group.Add(2)
 	go s.loop()
 	go (&loader{s}).run()
@@ -141,12 +141,12 @@
 // peer that does.
 func (s *Sync) Ready() <-chan struct{} { return s.ready }
 
-// Fresh returns how long ago the platform last confirmed the settings, on any
+// ConfirmationAge returns how long ago the platform last confirmed the settings, on any
 // router, and whether it ever did.
-func (s *Sync) Fresh() (age time.Duration, ever bool) {
+func (s *Sync) ConfirmationAge() (age time.Duration, ever bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.freshAt), !s.freshAt.IsZero()
+	return time.Since(s.lastConfirmedAt), !s.lastConfirmedAt.IsZero()
 }
 
 // Watching reports whether this router watches the platform.
@@ -172,11 +172,11 @@
 // loop does what is due until the Sync is stopped.
 func (s *Sync) loop() {
 	defer s.group.Done()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		s.checkRole()
-		s.checkFreshness()
+		s.checkConfirmationAge()
 		s.checkDrift()
 		select {
 		case <-ticker.C:
@@ -189,7 +189,7 @@
 
 // checkRole starts or stops watching as the live routers change.
 func (s *Sync) checkRole() {
-	if !s.isWatcher() {
+	if !s.shouldWatch() {
 		s.stopWatching()
 		return
 	}
@@ -217,9 +217,9 @@
 // and the first of the rest. Routers whose lists of members differ may choose
 // more or fewer for a while, which only costs calls or leaves the work to the
 // remaining ones.
-func watchers(perZone int, members []Member) []coordination.Instance {
+func selectWatchers(perZone int, members []Member) []coordination.Instance {
 	ranked := slices.Clone(members)
-	slices.SortFunc(ranked, func(a, b Member) int { return cmp.Compare(weight(b.Instance), weight(a.Instance)) })
+	slices.SortFunc(ranked, func(a, b Member) int { return cmp.Compare(watcherHash(b.Instance), watcherHash(a.Instance)) })
 	inZone := make(map[coordination.Zone]int)
 	var chosen []coordination.Instance
 	extra := false
@@ -238,18 +238,18 @@
 }
 
 // isWatcher reports whether this router is to watch.
-func (s *Sync) isWatcher() bool {
+func (s *Sync) shouldWatch() bool {
 	members := s.peers.Members()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Equal(members, s.members) {
 		s.members = members
-		s.chosen = slices.Contains(watchers(s.cfg.WatchersPerZone, members), s.cfg.Self)
+		s.selected = slices.Contains(selectWatchers(s.cfg.WatchersPerZone, members), s.cfg.Self)
 	}
-	return s.chosen
+	return s.selected
 }
 
-func weight(i coordination.Instance) uint64 {
+func watcherHash(i coordination.Instance) uint64 {
 	return xxhash.Sum64String("settings-watcher/" + string(i))
 }
 
@@ -257,21 +257,21 @@
 // confirmation for a while. The first router that succeeds confirms for all. The
 // times are spread by the size of the fleet: else all would ask at once, again
 // and again for as long as an outage lasts.
-func (s *Sync) checkFreshness() {
+func (s *Sync) checkConfirmationAge() {
 	s.mu.Lock()
 	now := time.Now()
-	if s.watcher != nil || !s.loaded || now.Sub(s.freshAt) < freshFor {
-		s.checkAt = time.Time{}
+	if s.watcher != nil || !s.loaded || now.Sub(s.lastConfirmedAt) < maxConfirmationAge {
+		s.nextListAt = time.Time{}
 		s.mu.Unlock()
 		return
 	}
-	spread := max(2*freshFor, time.Duration(len(s.members))*checkEach)
-	if s.checkAt.IsZero() {
-		s.checkAt = now.Add(rand.N(spread))
+	spread := max(2*maxConfirmationAge, time.Duration(len(s.members))*listSpacing)
+	if s.nextListAt.IsZero() {
+		s.nextListAt = now.Add(rand.N(spread))
 	}
-	due := !now.Before(s.checkAt)
+	due := !now.Before(s.nextListAt)
 	if due {
-		s.checkAt = now.Add(freshFor + rand.N(spread))
+		s.nextListAt = now.Add(maxConfirmationAge + rand.N(spread))
 	}
 	s.mu.Unlock()
 	if due {
--- a/coordination/settings/table.go
+++ b/coordination/settings/table.go
@@ -34,8 +34,8 @@
 	keyActionTimeout   = "action-timeout"
 )
 
-// Table declares every setting of a team.
-var Table = schema.Schema{
+// Schema declares every setting of a team.
+var Schema = schema.Schema{
 	{
 		Name: sectionTeam,
 		Doc:  "How the team's requests rank, and how long they may take.",
--- a/coordination/settings/team.go
+++ b/coordination/settings/team.go
@@ -22,9 +22,9 @@
 // Problem is one fault of a team's settings.
 type Problem = schema.Problem
 
-// Team is the settings of one team. It does not change once it is parsed, and
+// TeamSettings is the settings of one team. It does not change once it is parsed, and
 // may be read by any number of goroutines.
-type Team struct {
+type TeamSettings struct {
 	priorityDefault coordination.Priority
 	priorityCap     coordination.Priority
 	retryBudget     float64
@@ -80,18 +80,18 @@
 
 // Parse reads a team's settings. The name of the file is for the problems. The
 // Team is nil if there is any problem; all problems are reported at once.
-func Parse(file string, text []byte) (*Team, []Problem) {
+func Parse(file string, text []byte) (*TeamSettings, []Problem) {
 	if len(text) > MaxText {
 		return nil, []Problem{{File: file, Message: fmt.Sprintf("the text has %d bytes; at most %d are allowed", len(text), MaxText)}}
 	}
-	f, problems := Table.Parse(file, text)
+	f, problems := Schema.Parse(file, text)
 	if f == nil {
 		return nil, problems
 	}
 	if problems = crossCheck(f); len(problems) > 0 {
 		return nil, problems
 	}
-	return newTeam(f), nil
+	return newTeamSettings(f), nil
 }
 
 // crossCheck finds values that are right alone but not together.
@@ -118,11 +118,11 @@
 	return problems
 }
 
-func newTeam(f *schema.File) *Team {
+func newTeamSettings(f *schema.File) *TeamSettings {
 	team := f.Section(sectionTeam)
 	actions := f.Section(sectionActions)
 	accounts := f.Section(sectionAccounts)
-	return &Team{
+	return &TeamSettings{
 		priorityDefault: coordination.Priority(team.Int(keyPriorityDefault)),
 		priorityCap:     coordination.Priority(team.Int(keyPriorityCap)),
 		retryBudget:     team.Float(keyRetryBudget),
@@ -173,7 +173,7 @@
 
 // Priority returns the priority of a request that asks for one, or that names
 // none.
-func (t *Team) Priority(asked coordination.Priority, named bool) coordination.Priority {
+func (t *TeamSettings) Priority(asked coordination.Priority, named bool) coordination.Priority {
 	if !named {
 		return t.priorityDefault
 	}
@@ -181,42 +181,42 @@
 }
 
 // RetryBudget returns the share of requests that may be tried a second time.
-func (t *Team) RetryBudget() float64 { return t.retryBudget }
+func (t *TeamSettings) RetryBudget() float64 { return t.retryBudget }
 
 // Deadline returns the time in which an answer must start if the request names
 // none.
-func (t *Team) Deadline() time.Duration { return t.deadline }
+func (t *TeamSettings) Deadline() time.Duration { return t.deadline }
 
 // Actions returns how non-idempotent actions are remembered.
-func (t *Team) Actions() Actions { return t.actions }
+func (t *TeamSettings) Actions() Actions { return t.actions }
 
 // Model returns what is set for name, and whether the team has that model.
-func (t *Team) Model(name coordination.Model) (Model, bool) {
+func (t *TeamSettings) Model(name coordination.Model) (Model, bool) {
 	m, ok := t.models[name]
 	return m, ok
 }
 
 // Models returns the team's models, by name.
-func (t *Team) Models() []Model {
+func (t *TeamSettings) Models() []Model {
 	return lo.Map(slices.Sorted(maps.Keys(t.models)), func(n coordination.Model, _ int) Model { return t.models[n] })
 }
 
 // Service returns what is set for name, and whether the team has that service.
-func (t *Team) Service(name coordination.Service) (Service, bool) {
+func (t *TeamSettings) Service(name coordination.Service) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
 // Services returns the team's services, by name.
-func (t *Team) Services() []Service {
+func (t *TeamSettings) Services() []Service {
 	return lo.Map(slices.Sorted(maps.Keys(t.services)), func(n coordination.Service, _ int) Service { return t.services[n] })
 }
 
 // Weights returns the weights of the client accounts that are listed.
-func (t *Team) Weights() map[coordination.Account]float64 { return maps.Clone(t.weights) }
+func (t *TeamSettings) Weights() map[coordination.Account]float64 { return maps.Clone(t.weights) }
 
 // Account returns the weight of name, and whether the team serves it.
-func (t *Team) Account(name coordination.Account) (weight float64, allowed bool) {
+func (t *TeamSettings) Account(name coordination.Account) (weight float64, allowed bool) {
 	if w, listed := t.weights[name]; listed {
 		return w, true
 	}
--- a/coordination/settings/value.go
+++ b/coordination/settings/value.go
@@ -21,12 +21,12 @@
 
 // Bounds of one value. The platform holds values up to a megabyte.
 const (
-	MaxText    = 64 << 10  // bytes of a team's settings
-	maxValue   = 192 << 10 // bytes of an encoded value
-	maxEarlier = 64        // change records kept beside the last one
-	maxDiff    = 1 << 10   // bytes of the difference kept in a change record
-	maxReason  = 500       // bytes of a reason
-	maxAuthor  = 100       // bytes of an author's name
+	MaxText       = 64 << 10  // bytes of a team's settings
+	maxValueBytes = 192 << 10 // bytes of an encoded value
+	maxEarlier    = 64        // change records kept beside the last one
+	maxDiff       = 1 << 10   // bytes of the difference kept in a change record
+	maxReason     = 500       // bytes of a reason
+	maxAuthor     = 100       // bytes of an author's name
 )
 
 // ChangeID identifies one change, however often it is sent. It is a UUIDv7.
@@ -110,7 +110,7 @@
 	return schema.ValidName(string(team)) && !strings.Contains(string(team), "/")
 }
 
-var errRecord = errors.New("settings: the change record is missing or does not fit the text")
+var errInvalidRecord = errors.New("settings: the change record is missing or does not fit the text")
 
 // decodeValue reads what the platform holds.
 func decodeValue(data []byte) (Value, error) {
@@ -119,7 +119,7 @@
 		return Value{}, fmt.Errorf("settings: the value is no JSON: %w", err)
 	}
 	if v.Change.Sequence == 0 || v.Change.ID == "" || v.Change.Digest != DigestOf(v.Text) {
-		return Value{}, errRecord
+		return Value{}, errInvalidRecord
 	}
 	return v, nil
 }
@@ -133,11 +133,11 @@
 		if err != nil {
 			return nil, fmt.Errorf("settings: encoding a value: %w", err)
 		}
-		if len(data) <= maxValue {
+		if len(data) <= maxValueBytes {
 			return data, nil
 		}
 		if len(v.Earlier) == 0 {
-			return nil, fmt.Errorf("settings: the value has %d bytes; at most %d are allowed", len(data), maxValue)
+			return nil, fmt.Errorf("settings: the value has %d bytes; at most %d are allowed", len(data), maxValueBytes)
 		}
 		v.Earlier = v.Earlier[:len(v.Earlier)-1]
 	}
--- a/coordination/settings/watch.go
+++ b/coordination/settings/watch.go
@@ -19,10 +19,10 @@
 // ends.
 func (w *watcher) run(ctx context.Context) {
 	defer w.s.group.Done()
-	wait := firstBackoff
+	wait := initialBackoff
 	for ctx.Err() == nil {
-		if w.follow(ctx) {
-			wait = firstBackoff
+		if w.listAndWatch(ctx) {
+			wait = initialBackoff
 		}
 		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
 			return
@@ -33,7 +33,7 @@
 
 // follow reads all settings once and follows a watch from there until it
 // breaks. It reports whether the watch was opened.
-func (w *watcher) follow(ctx context.Context) bool {
+func (w *watcher) listAndWatch(ctx context.Context) bool {
 	revision, ok := w.s.list(ctx)
 	if !ok {
 		return false
@@ -45,18 +45,18 @@
 	if res.Status != kv.Applied {
 		return false
 	}
-	w.drain(ctx, batches, revision)
+	w.consume(ctx, batches, revision)
 	return true
 }
 
 // drain takes batches until the watch breaks. An open watch can miss changes
 // without a sign, as when it is stuck behind a broken connection; reading all
 // settings once in a while bounds how long that goes unnoticed.
-func (w *watcher) drain(ctx context.Context, batches <-chan kv.Batch, revision kv.Revision) {
-	confirm := time.NewTimer(confirmPause())
+func (w *watcher) consume(ctx context.Context, batches <-chan kv.Batch, revision kv.Revision) {
+	confirm := time.NewTimer(nextConfirmDelay())
 	defer confirm.Stop()
-	reread := time.NewTimer(rereadEvery/2 + rand.N(rereadEvery))
-	defer reread.Stop()
+	relist := time.NewTimer(relistInterval/2 + rand.N(relistInterval))
+	defer relist.Stop()
 	for {
 		ok := true
 		select {
@@ -65,12 +65,12 @@
 				return
 			}
 			revision = max(revision, b.Revision)
-			ok = w.take(ctx, b)
+			ok = w.applyBatch(ctx, b)
 		case <-confirm.C:
-			confirm.Reset(confirmPause())
+			confirm.Reset(nextConfirmDelay())
 			ok = w.confirm(ctx, revision)
-		case <-reread.C:
-			reread.Reset(rereadEvery/2 + rand.N(rereadEvery))
+		case <-relist.C:
+			relist.Reset(relistInterval/2 + rand.N(relistInterval))
 			_, ok = w.s.list(ctx)
 		case <-ctx.Done():
 			return
@@ -87,9 +87,9 @@
 // that nobody had asked for, and no other router would look. It reports whether
 // the watch is still good.
 func (w *watcher) confirm(ctx context.Context, revision kv.Revision) bool {
-	ctx, cancel := context.WithTimeout(ctx, signTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	w.s.count(func(st *Stats) { st.Signs++ })
+	w.s.count(func(st *Stats) { st.Probes++ })
 	switch w.s.store.Get(ctx, Prefix).Status {
 	case kv.Applied:
 		w.s.confirm(revision)
@@ -103,10 +103,10 @@
 
 // confirmPause spreads the confirmations of the watchers, so that most of them
 // find that another has just spread one.
-func confirmPause() time.Duration { return confirmEvery + rand.N(confirmEvery) }
+func nextConfirmDelay() time.Duration { return confirmInterval + rand.N(confirmInterval) }
 
 // take offers what a batch brings. It reports whether the watch is still good.
-func (w *watcher) take(ctx context.Context, b kv.Batch) bool {
+func (w *watcher) applyBatch(ctx context.Context, b kv.Batch) bool {
 	for _, e := range b.Events {
 		team, ok := TeamOf(e.Pair.Key)
 		switch {
--- a/coordination/settings/watchers_test.go
+++ b/coordination/settings/watchers_test.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/coordination"
 )
 
-func routersOf(n, zones int) []Member {
+func newMembers(n, zones int) []Member {
 	return lo.Times(n, func(i int) Member {
 		return Member{Instance: coordination.Instance(fmt.Sprintf("r%d", i)), Zone: coordination.Zone(fmt.Sprintf("z%d", i%zones))}
 	})
@@ -19,25 +19,25 @@
 
 // The number of watches must not grow with the fleet: the platform counts each
 // waiting watch as a call.
-func TestWatchersAreFew(t *testing.T) {
+func TestWatcherCountIsBounded(t *testing.T) {
 	for _, tt := range []struct{ routers, zones, want int }{
 		{0, 1, 0}, {1, 3, 1}, {3, 3, 3}, {7, 3, 4}, {330, 5, 6}, {2000, 5, 6},
 	} {
-		members := routersOf(tt.routers, tt.zones)
-		chosen := watchers(1, members)
+		members := newMembers(tt.routers, tt.zones)
+		chosen := selectWatchers(1, members)
 		assert.Equal(t, len(chosen), tt.want, "%d routers", tt.routers)
 		rand.New(rand.NewPCG(1, 1)).Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		assert.DeepEqual(t, watchers(1, members), chosen)
+		assert.DeepEqual(t, selectWatchers(1, members), chosen)
 	}
 }
 
 // A watcher that goes is replaced by one of its zone, and the others stay:
 // each change of watchers costs a read of all settings.
-func TestWatchersStay(t *testing.T) {
-	members := routersOf(330, 5)
-	before := watchers(1, members)
+func TestWatcherSetIsStable(t *testing.T) {
+	members := newMembers(330, 5)
+	before := selectWatchers(1, members)
 	gone := before[2]
-	after := watchers(1, lo.Filter(members, func(m Member, _ int) bool { return m.Instance != gone }))
+	after := selectWatchers(1, lo.Filter(members, func(m Member, _ int) bool { return m.Instance != gone }))
 	left, added := lo.Difference(before, after)
 	assert.DeepEqual(t, left, []coordination.Instance{gone})
 	assert.Equal(t, len(added), 1)
@@ -45,10 +45,10 @@
 
 func BenchmarkWatchers(b *testing.B) {
 	for _, n := range []int{7, 330, 2000} {
-		members := routersOf(n, 5)
+		members := newMembers(n, 5)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				watchers(1, members)
+				selectWatchers(1, members)
 			}
 		})
 	}
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -90,7 +90,7 @@
 
 func (s *status) platform() operator.PlatformStatus {
 	p := operator.PlatformStatus{Watching: s.teams.sync.Watching(), ConfirmedMsAgo: -1}
-	if age, ever := s.teams.sync.Fresh(); ever {
+	if age, ever := s.teams.sync.ConfirmationAge(); ever {
 		p.ConfirmedMsAgo = age.Round(time.Millisecond).Milliseconds()
 	}
 	return p
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -31,7 +31,7 @@
 var topics = map[string]membership.Topic{
 	topicLeaving:          {TTL: leavingLife},
 	settings.TopicChange:  {Keep: true},
-	settings.TopicFresh:   {TTL: freshLife},
+	settings.TopicConfirmation:   {TTL: freshLife},
 	suspicion.TopicRecord: {TTL: suspicionLife},
 }
 
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -130,7 +130,7 @@
 }
 
 // find returns the settings of a team that serves the account.
-func (t *teams) find(name coordination.Team, account coordination.Account) (*settings.Team, *outcome.Refusal) {
+func (t *teams) find(name coordination.Team, account coordination.Account) (*settings.TeamSettings, *outcome.Refusal) {
 	team, ok := t.replica.Team(name)
 	if !ok {
 		return nil, unknown(outcome.UnknownTeam, "team %q has no settings in force", name)
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -65,7 +65,7 @@
 			Incarnation: coordination.Incarnation(time.Now().UnixMilli()),
 		},
 		Seeds:  seeds,
-		Topics: map[string]membership.Topic{settings.TopicChange: {Keep: true}, settings.TopicFresh: {}},
+		Topics: map[string]membership.Topic{settings.TopicChange: {Keep: true}, settings.TopicConfirmation: {}},
 	})
 	assert.NilError(t, err)
 	links := http.NewServeMux()
@@ -195,7 +195,7 @@
 		for _, t := range r.node.Stats().Traffic {
 			switch {
 			case !t.Sent || !strings.HasPrefix(t.Topic, settings.TopicChange):
-			case t.Topic == settings.TopicFresh:
+			case t.Topic == settings.TopicConfirmation:
 				s.fresh += t.Bytes
 			default:
 				s.changes += t.Bytes
--- a/wisteriarouter/operator/operator.go
+++ b/wisteriarouter/operator/operator.go
@@ -17,7 +17,7 @@
 // Editor reads and changes the settings of teams. *settings.Editor is one.
 type Editor interface {
 	Put(ctx context.Context, p settings.Put) settings.Outcome
-	Read(ctx context.Context, team coordination.Team) (settings.Standing, bool)
+	Read(ctx context.Context, team coordination.Team) (settings.Current, bool)
 }
 
 // Replica is what this router has in force. *settings.Replica is one.
--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -39,9 +39,9 @@
 	return &settingsOutput{Body: s.view(team, standing, fresh)}, nil
 }
 
-func (s *Server) read(ctx context.Context, team coordination.Team) (settings.Standing, bool, *Failure) {
+func (s *Server) read(ctx context.Context, team coordination.Team) (settings.Current, bool, *Failure) {
 	if !settings.ValidTeam(team) {
-		return settings.Standing{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
+		return settings.Current{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
 	standing, fresh := s.Editor.Read(ctx, team)
 	switch {
@@ -53,7 +53,7 @@
 	return standing, fresh, nil
 }
 
-func (s *Server) view(team coordination.Team, standing settings.Standing, fresh bool) Settings {
+func (s *Server) view(team coordination.Team, standing settings.Current, fresh bool) Settings {
 	v := Settings{Team: team, Text: standing.Text, Revision: standing.Revision, Fresh: fresh}
 	if standing.Value != nil {
 		v.Change = &standing.Value.Change
@@ -112,14 +112,14 @@
 func (s *Server) failure(p settings.Put, out settings.Outcome) *Failure {
 	f := &Failure{RetryAfterMs: out.RetryAfter.Milliseconds()}
 	switch out.Status {
-	case settings.Conflicting:
-		standing := s.view(p.Team, out.Standing, true)
+	case settings.Conflict:
+		standing := s.view(p.Team, out.Current, true)
 		f.Code, f.Standing, f.Diff = CodeConflict, &standing, out.Diff
 		f.Message = "another change stands; nothing was written. The difference leads from it to yours"
 	case settings.Rejected:
 		f.Code, f.Problems = CodeInvalid, out.Problems
 		f.Message = "the change has problems; nothing was written"
-	case settings.Unwritten:
+	case settings.Unavailable:
 		f.Code = CodeUnavailable
 		f.Message = "the platform could not be reached; nothing was written. The settings in force stay"
 	default:
@@ -167,6 +167,6 @@
 	return &historyOutput{Body: h}, nil
 }
 
-func hides(standing settings.Standing, in *settings.Snapshot) bool {
+func hides(standing settings.Current, in *settings.Snapshot) bool {
 	return standing.Value == nil || standing.Value.Change.Sequence < in.Position.Sequence
 }
