--- a/coordination/settings/bench_test.go
+++ b/coordination/settings/bench_test.go
@@ -8,7 +8,8 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// BenchmarkTeam is what every request pays to find its team's settings.
+// BenchmarkTeam measures the lookup of a team's settings, which every request
+// makes.
 func BenchmarkTeam(b *testing.B) {
 	var r Replica
 	v := Value{Text: oneSecond, Change: Change{ID: NewChangeID(), Sequence: 1, Digest: DigestOf(oneSecond)}}
@@ -19,13 +20,14 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if _, ok := r.Team(testTeam); !ok {
-				b.Error("the team is gone")
+				b.Error("team not found")
 			}
 		}
 	})
 }
 
-// BenchmarkOffer is what a router pays for one change.
+// BenchmarkOffer measures how a replica decodes and applies a value and its
+// successor, each with a full history.
 func BenchmarkOffer(b *testing.B) {
 	pairs := make([]kv.Pair, 2)
 	for i := range pairs {
--- a/coordination/settings/churn_test.go
+++ b/coordination/settings/churn_test.go
@@ -15,8 +15,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// staleStore is a platform whose lists are sometimes answered by a replica
-// that lags behind.
+// staleStore is a platform whose lists sometimes return stale results, as from a
+// lagging replica.
 type staleStore struct {
 	*kvtest.Store
 	mu   sync.Mutex
@@ -35,11 +35,11 @@
 	return res
 }
 
-// churn does to a fleet what may happen to it, all in one run.
+// churn applies random changes, replacements and faults to a fleet.
 type churn struct {
 	*fleet
 	rnd        *rand.Rand
-	oldValues  []kv.Pair // values that stood once
+	oldValues  []kv.Pair // all values accepted so far
 	accepted   Position
 	acceptedAt time.Time
 	acceptedBy *router
@@ -51,10 +51,9 @@
 	churnSteps = 80
 )
 
-// Routers are replaced one after the other while operators make changes,
-// watches fall silent, reads are stale and somebody puts old values back. An
-// operator who saw a change accepted must find it, or a later one, in force on
-// every router from then on.
+// An accepted change must stay in force on every router until a later one
+// replaces it, while routers are replaced, operators make changes, watches drop
+// events, lists are stale and old values are restored directly in the platform.
 func TestNoRollbackUnderChurn(t *testing.T) {
 	counts := make(map[string]int)
 	for seed := range uint64(churnSeeds) {
@@ -100,14 +99,14 @@
 	current, _ := r.editor.Read(t.Context(), testTeam)
 	out := r.editor.Put(t.Context(), change(fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+c.rnd.IntN(1000)), current.Revision))
 	assert.Equal(t, out.Status, Accepted)
-	assert.Assert(t, c.accepted.Before(out.Position), "accepted behind an accepted change")
+	assert.Assert(t, c.accepted.Before(out.Position), "accepted at a position before an accepted change")
 	c.accepted, c.acceptedAt, c.acceptedBy = out.Position, time.Now(), r
 	c.oldValues = append(c.oldValues, c.store.Get(t.Context(), Key(testTeam)).Pairs[0])
 	c.counts["changes"]++
 }
 
-// replace replaces a router, but not the one that alone knows of the last
-// change, whose loss TestStuckWatch is about.
+// replaceRouter replaces a random router, except the one that may be the only one
+// to know the last change. TestStuckWatch covers its loss.
 func (c *churn) replaceRouter() {
 	i := c.rnd.IntN(len(c.routers))
 	if c.routers[i] == c.acceptedBy && time.Since(c.acceptedAt) < inForceTimeout {
@@ -133,7 +132,7 @@
 	for _, r := range c.routers {
 		select {
 		case <-r.sync.Ready():
-			assert.Assert(t, !r.position().Before(c.accepted), "%s lacks %v", r.member.Instance, c.accepted)
+			assert.Assert(t, !r.position().Before(c.accepted), "%s does not have %v in force", r.member.Instance, c.accepted)
 		default:
 		}
 	}
--- a/coordination/settings/diff.go
+++ b/coordination/settings/diff.go
@@ -6,12 +6,13 @@
 	"github.com/samber/lo"
 )
 
-// maxTable bounds the table of the comparison; beyond it, the lines that
-// differ are shown as replaced as a whole.
+// maxDiffCells limits the size of the longest-common-subsequence table. Larger
+// inputs are shown as one block of removed and one block of added lines.
 const maxDiffCells = 1 << 20
 
-// Diff returns the lines that differ between two texts, those of before with
-// a minus and those of after with a plus. It is empty if the texts are equal.
+// Diff returns the lines that differ between two texts, without context: removed
+// lines with the prefix "-", added lines with the prefix "+". It is empty if the
+// texts are equal.
 func Diff(before, after string) string {
 	if before == after {
 		return ""
@@ -33,7 +34,8 @@
 	return out.String()
 }
 
-// compare writes the shortest difference by the longest common subsequence.
+// writeShortestDiff writes a minimal diff of a and b, computed from their longest
+// common subsequence.
 func writeShortestDiff(out *strings.Builder, a, b []string) {
 	common := commonLengths(a, b)
 	i, j := 0, 0
@@ -86,7 +88,8 @@
 	})
 }
 
-// cut shortens s to at most n bytes at the end of a line.
+// truncateLines shortens s to at most n bytes, at a line boundary, and marks the
+// cut with a line of dots.
 func truncateLines(s string, n int) string {
 	if len(s) <= n {
 		return s
--- a/coordination/settings/editor.go
+++ b/coordination/settings/editor.go
@@ -9,19 +9,20 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// EditorStore is the part of the platform's service that an Editor needs.
+// EditorStore is the part of the platform's key-value service that an Editor
+// uses.
 type EditorStore interface {
 	Get(ctx context.Context, key string) kv.Result
 	CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result
 }
 
-// Times of an Editor.
+// Timeouts and backoff of an Editor.
 const (
 	callTimeout       = time.Second
-	settleTimeout     = 6 * time.Second // in which a lost answer is settled
+	settleTimeout     = 6 * time.Second // limit of one Put, including retries after a lost response
 	initialBackoff    = 50 * time.Millisecond
 	maxBackoff        = 800 * time.Millisecond
-	defaultRetryAfter = time.Second // Retry-After when the platform names none
+	defaultRetryAfter = time.Second // wait suggested to the caller after Unavailable or Undecided
 )
 
 // Editor changes the settings of teams.
@@ -30,19 +31,19 @@
 	replica *Replica
 }
 
-// NewEditor returns an editor that writes to store and offers what it writes
-// and reads to replica.
+// NewEditor returns an Editor that writes to store and offers every value that
+// it reads or writes to replica.
 func NewEditor(store EditorStore, replica *Replica) *Editor {
 	return &Editor{store: store, replica: replica}
 }
 
 var (
-	errStaleRead  = errors.New("settings: the platform answered with an old revision")
-	errKeyDeleted = errors.New("settings: the key was deleted meanwhile")
+	errStaleRead  = errors.New("settings: platform returned a revision older than the base")
+	errKeyDeleted = errors.New("settings: key was deleted concurrently")
 )
 
-// Put makes the change p. It may be called again with the same p until it is
-// settled: the change is accepted at most once.
+// Put makes the change p. It may be repeated with the same p until the outcome is
+// known: the change is accepted at most once.
 func (e *Editor) Put(ctx context.Context, p Put) Outcome {
 	if problems := p.problems(); len(problems) > 0 {
 		return Outcome{Status: Rejected, Problems: problems}
@@ -69,10 +70,10 @@
 	}
 }
 
-// basis finds what p is put on. The outcome counts if settled is true. The
-// platform is read even if the replica holds the base: in an outage a read
-// fails without harm, while a write that gets no answer leaves it open whether
-// the change was made.
+// findBase determines the state that p is based on. If settled is true, the Put
+// ends with the returned outcome. The platform is read even if the replica holds
+// the base: during an outage a read fails without side effects, whereas a write
+// without a response leaves it unknown whether the change was made.
 func (e *Editor) findBase(ctx context.Context, p Put) (b putBase, out Outcome, settled bool) {
 	in, _ := e.replica.Snapshot(p.Team)
 	if in != nil {
@@ -93,15 +94,15 @@
 	case pair.Revision > p.Base:
 		return b, p.resolve(current), true
 	case pair.Revision < p.Base && b.inForce.Revision != p.Base:
-		// Either the read was stale or the author saw a revision that the
-		// platform has lost since. Nothing can be said of the base.
+		// Either the read was stale or the platform has lost the revision that
+		// the author saw, so the base cannot be verified.
 		return b, Outcome{Status: Unavailable, Err: errStaleRead, RetryAfter: defaultRetryAfter}, true
 	}
 	return b, Outcome{}, false
 }
 
-// basisWithoutKey is for a key that does not exist, or no longer. Then the
-// change is put on what is in force.
+// baseForMissingKey determines the base if the key does not exist or was
+// deleted. The change is then based on the value in force.
 func (e *Editor) baseForMissingKey(p Put, b putBase, in *Snapshot) (putBase, Outcome, bool) {
 	switch {
 	case in != nil && in.Position.Revision != p.Base:
@@ -113,7 +114,7 @@
 	return b, Outcome{}, false
 }
 
-// read reads the team's key and offers what it finds to the replica.
+// read reads the team's key and offers the result to the replica.
 func (e *Editor) read(ctx context.Context, team coordination.Team) (pair kv.Pair, found bool, out Outcome, failed bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -129,10 +130,10 @@
 	return res.Pairs[0], true, Outcome{}, false
 }
 
-// write puts p on b. After a lost answer it writes again on the same base: of
-// all these writes at most one takes effect, and a conflict shows whether one
-// did. A mere read could not settle it, since a write that is still on its way
-// may take effect after the read.
+// write applies p on top of b. After a lost response it repeats the
+// compare-and-swap with the same expected revision: at most one of these writes
+// takes effect, and a conflict shows whether one did. A read alone could not
+// resolve it, since a write in flight may take effect after the read.
 func (e *Editor) write(ctx context.Context, p Put, b putBase) Outcome {
 	v := b.newValue(p, time.Now())
 	data, err := v.encode()
@@ -167,9 +168,9 @@
 	return e.store.CompareAndSwap(ctx, Key(team), data, expect, 0)
 }
 
-// afterConflict settles p by what stands in the platform. If an answer was
-// lost before, the standing value has to prove that this change was not
-// accepted in between.
+// resolveConflict determines the outcome of p after a failed compare-and-swap. If
+// an earlier response was lost, the history of the current value must prove that
+// p was not accepted in between.
 func (e *Editor) resolveConflict(p Put, b putBase, res kv.Result, lost bool) Outcome {
 	if len(res.Pairs) == 0 {
 		e.replica.Remove(p.Team, res.Revision)
@@ -184,8 +185,8 @@
 	return out
 }
 
-// unproven is the outcome of a change that no value shows: it was not written
-// only if every answer came.
+// unprovenOutcome returns the outcome of a change that was found in no value:
+// Unavailable if every response arrived, Undecided if one was lost.
 func unprovenOutcome(lost bool, err error) Outcome {
 	out := Outcome{Status: Unavailable, Err: err, RetryAfter: defaultRetryAfter}
 	if lost {
@@ -194,7 +195,7 @@
 	return out
 }
 
-// settle tells, by the value that stands, how p ended.
+// resolve determines the outcome of p from the current value.
 func (p Put) resolve(current Current) Outcome {
 	if current.Value != nil {
 		if entry, found := current.Value.find(p.ID, current.Revision); found {
@@ -208,8 +209,8 @@
 	return Outcome{Status: Conflict, Current: current, Diff: Diff(current.Text, p.Text)}
 }
 
-// excludes reports whether the history of s shows another change than id on
-// previous, so that id can never have been accepted there.
+// excludes reports whether the history of s contains another change than id that
+// replaced the revision previous, which proves that id was not accepted there.
 func (s Current) excludes(id ChangeID, previous kv.Revision) bool {
 	if s.Value == nil {
 		return false
@@ -222,8 +223,8 @@
 	return false
 }
 
-// standingOf returns what stands in pair. A value without a readable record is
-// shown as it is.
+// currentOf decodes pair. If the value has no valid change record, the Text is
+// the raw value.
 func currentOf(pair kv.Pair) Current {
 	v, err := decodeValue(pair.Value)
 	if err != nil {
@@ -236,9 +237,10 @@
 	return Current{Revision: s.Position.Revision, Text: s.Value.Text, Value: &s.Value}
 }
 
-// Read returns what stands in the platform for team. If the platform does not
-// answer, or the key is gone, it returns what is in force here, and fresh is
-// false. A Standing with revision zero means that the team has no settings.
+// Read returns the value of team in the platform. If the platform does not
+// respond or the key was deleted, it returns the value in force on this router,
+// and fresh is false. A Current with revision zero means that no settings are
+// known for the team.
 func (e *Editor) Read(ctx context.Context, team coordination.Team) (current Current, fresh bool) {
 	pair, found, _, failed := e.read(ctx, team)
 	if found {
--- a/coordination/settings/editor_test.go
+++ b/coordination/settings/editor_test.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// Two operators start from the same revision. The second must not overwrite
-// what the first was told is accepted, and has to see what differs.
+// Two operators edit the same revision. The second must not overwrite the accepted
+// change of the first, and must get the diff between the two.
 func TestConflictShowsDifference(t *testing.T) {
 	e, _, store := newEditor()
 	first := put(t, e, oneSecond, 0)
@@ -38,8 +38,9 @@
 	}
 }
 
-// The same change is sent again after it was accepted, through a router that
-// knows of it and one that does not, also when later changes stand on it.
+// A Put that is repeated after it was accepted must return the original position
+// and write nothing, on a router that knows the change and on one that does not,
+// even if a later change was made.
 func TestRepeatedPut(t *testing.T) {
 	e, _, store := newEditor()
 	p := change(oneSecond, 0)
@@ -54,8 +55,8 @@
 	assert.Equal(t, store.Calls("cas"), 2)
 }
 
-// The team's key was deleted past the routers. Operators go on from what is in
-// force, and their change must come after it everywhere.
+// The team's key was deleted directly in the platform. A change based on the value
+// in force must be accepted at a later position and keep the history.
 func TestPutAfterDeletion(t *testing.T) {
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
@@ -70,9 +71,9 @@
 	assert.Equal(t, len(in.Value.History(0)), 2)
 }
 
-// The platform was rebuilt from a backup, so that its revisions start low. A
-// change accepted there has to be in force, although its revision is below
-// the one in force.
+// After the platform was rebuilt, its revisions start again from a low number. A
+// change accepted there must come into force although its revision is below the
+// one in force.
 func TestPutOnRebuiltPlatform(t *testing.T) {
 	e, replica, store := newEditor()
 	for range 5 {
@@ -90,8 +91,8 @@
 	assert.Equal(t, in.Position, out.Position)
 }
 
-// Somebody wrote raw text past the routers. The next change goes on top of it
-// and keeps the history of what was accepted before.
+// Raw text was written directly in the platform. The next change must replace it
+// and keep the history of the accepted changes.
 func TestPutOnRawText(t *testing.T) {
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
@@ -117,11 +118,9 @@
 	assert.Equal(t, store.Calls("cas")+store.Calls("get"), 0)
 }
 
-// The platform is down. Nothing can be accepted, and the operator has to be
-// told at once that nothing was written.
-//
-// A platform that is down may also answer in a way that leaves open whether a
-// write took effect. Nothing must be written then that was not read before.
+// During an outage a Put must report that nothing was written. That includes an
+// outage in which calls get no response: a write would then be undecided, so the
+// Put must fail at its read and not attempt a write.
 func TestPutInOutage(t *testing.T) {
 	for _, f := range []kvtest.Faults{
 		{Down: true},
--- a/coordination/settings/fetch.go
+++ b/coordination/settings/fetch.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	maxConcurrentFetches = 4 // values that a router asks for at a time
+	maxConcurrentFetches = 4 // values that a router fetches at a time
 	maxFetchAttempts     = 40
 	peerCallTimeout      = time.Second
 	fetchRetryInterval   = 100 * time.Millisecond
-	smallFleetSize       = 8                // routers that may all ask the origin
-	fetchJitterPerRouter = time.Millisecond // spread of the first questions, per router
+	smallFleetSize       = 8                // largest fleet in which all routers may ask the origin first
+	fetchJitterPerRouter = time.Millisecond // largest random delay before the first request, per router in the fleet
 	maxFetchJitter       = 600 * time.Millisecond
 
 	loadPeerCount      = 3
 	loadRetryInterval  = 250 * time.Millisecond
-	watcherPeerWait    = time.Second     // with peers, before a watcher asks the platform
-	nonWatcherPeerWait = 4 * time.Second // the same for the others
+	watcherPeerWait    = time.Second     // time for which a starting watcher tries peers only
+	nonWatcherPeerWait = 4 * time.Second // the same for other routers
 	loadValuesTimeout  = 2 * time.Second
 )
 
-// fetch gets one value from peers.
+// fetcher fetches the current value of one team from peers.
 type fetcher struct {
 	s      *Sync
 	team   coordination.Team
 	origin coordination.Instance
 }
 
-// want starts to fetch a value that the replica lacks, unless a fetch for the
-// team is under way, which then goes on to the later position.
+// requestValue starts a fetch if the replica has nothing at p or later for team.
+// If a fetch for the team is running, it raises that fetch's target instead.
 func (s *Sync) requestValue(team coordination.Team, p Position, origin coordination.Instance) {
 	if s.hasOrRefused(team, p) {
 		return
@@ -57,8 +57,8 @@
 	go (&fetcher{s: s, team: team, origin: origin}).run()
 }
 
-// holds reports whether the replica has p of team, or later, or has refused a
-// value that is no earlier.
+// hasOrRefused reports whether the replica has a value of team at p or later, or
+// has refused the value at p's revision.
 func (s *Sync) hasOrRefused(team coordination.Team, p Position) bool {
 	in, ok := s.replica.Snapshot(team)
 	if ok && !in.Position.Before(p) {
@@ -67,8 +67,7 @@
 	return s.replica.refusedRevision(team) == p.Revision
 }
 
-// refusedAt returns the revision of the value of team that was refused, or
-// zero.
+// refusedRevision returns the revision of the last refused value of team, or zero.
 func (r *Replica) refusedRevision(team coordination.Team) kv.Revision {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -79,9 +78,9 @@
 	return st.refused.Revision
 }
 
-// run asks peers until the replica has what is wanted. At first it asks any
-// router, so that the value spreads over the fleet as the rumour did; only
-// then the origin, which alone is sure to have it.
+// run asks peers until the replica has the target. In a large fleet it asks
+// random routers first, so that the load of serving the value spreads with the
+// gossip, and only then the origin, the one router certain to have the value.
 func (f *fetcher) run() {
 	defer f.s.group.Done()
 	defer f.done()
@@ -116,7 +115,8 @@
 	delete(f.s.wanted, f.team)
 }
 
-// peer chooses whom to ask.
+// choosePeer returns the peer to ask in the given attempt. Every second choice
+// among other routers prefers the own availability zone.
 func (f *fetcher) choosePeer(attempt, members int) coordination.Instance {
 	small := members <= smallFleetSize
 	if f.origin != f.s.cfg.Self && (small && attempt%2 == 0 || !small && attempt%3 == 2) {
@@ -133,7 +133,7 @@
 	return lo.Sample(others).Instance
 }
 
-// ask asks one peer and offers its answer to the replica.
+// fetchFrom requests the value from peer and offers the response to the replica.
 func (f *fetcher) fetchFrom(peer coordination.Instance, p Position) {
 	select {
 	case f.s.fetchSlots <- struct{}{}:
@@ -149,7 +149,8 @@
 	f.s.replica.Offer(f.team, kv.Pair{Key: Key(f.team), Value: a.Data, Revision: a.Revision})
 }
 
-// call asks a peer and reports whether it answered well.
+// callPeer calls a peer, decodes its response into answer and reports whether
+// both succeeded.
 func (s *Sync) callPeer(peer coordination.Instance, topic string, request []byte, answer any) bool {
 	ctx, cancel := context.WithTimeout(s.ctx, peerCallTimeout)
 	defer cancel()
@@ -161,7 +162,8 @@
 	return lo.Filter(s.peers.Members(), func(m Member, _ int) bool { return m.Instance != s.cfg.Self })
 }
 
-// index asks a peer what it has in force and wants what the replica lacks.
+// queryIndex asks a peer for the positions it has in force and starts to fetch
+// the values that the replica lacks.
 func (s *Sync) queryIndex(peer coordination.Instance) (a indexAnswer, ok bool) {
 	s.count(func(st *Stats) { st.Indexes++ })
 	if !s.callPeer(peer, topicIndex, nil, &a) {
@@ -175,9 +177,9 @@
 	return a, true
 }
 
-// checkDrift asks the router that confirmed last what it has in force, if its
-// settings have differed from ours for longer than a change takes to spread.
-// It mends what a lost rumour left behind.
+// checkDrift queries the index of the router that confirmed last if its settings
+// have differed from those of this router for longer than a change takes to
+// spread. It recovers changes whose rumor was lost.
 func (s *Sync) checkDrift() {
 	own := s.replica.Fingerprint()
 	s.mu.Lock()
@@ -205,14 +207,14 @@
 	}
 }
 
-// loader gets the settings that a new router starts from.
+// loader loads the initial settings of a router.
 type loader struct{ s *Sync }
 
-// run loads from peers, and from the platform if no peer has them. Peers come
-// first: they know of accepted changes that the platform may have lost to
-// somebody who put an old value back, and they answer during an outage. Those
-// that are to watch give up on peers before the others do, so that a fleet
-// that starts as a whole does not ask the platform all at once.
+// run loads the settings from peers, or from the platform if no peer has them.
+// Peers come first because they know accepted changes that are lost in the
+// platform if an old value was restored there, and because they respond during
+// an outage. Watchers fall back to the platform sooner than other routers, so
+// that a fleet that starts as a whole does not query the platform all at once.
 func (l *loader) run() {
 	defer l.s.group.Done()
 	start := time.Now()
@@ -236,8 +238,8 @@
 	return ok
 }
 
-// fromPeers asks a few peers. It reports whether one of them had loaded its
-// settings and all of these have come.
+// fromPeers asks a few random peers. It reports whether one of them had loaded
+// its settings and the replica now has all of these.
 func (l *loader) fromPeers() bool {
 	loaded := false
 	for _, m := range lo.Samples(l.s.otherMembers(), loadPeerCount) {
@@ -251,7 +253,8 @@
 	return loaded
 }
 
-// takeAge takes over when a peer last saw the platform confirm.
+// mergeConfirmationAge adopts a peer's time since the last confirmation, in
+// milliseconds, if it is more recent. Negative means that there was none.
 func (s *Sync) mergeConfirmationAge(milliseconds int64) {
 	if milliseconds < 0 {
 		return
@@ -264,7 +267,8 @@
 	}
 }
 
-// await waits until the replica holds all of teams, or gives up.
+// awaitValues waits until the replica has all of teams. It reports false after
+// loadValuesTimeout.
 func (l *loader) awaitValues(teams []indexEntry) bool {
 	deadline := time.Now().Add(loadValuesTimeout)
 	for time.Now().Before(deadline) {
--- a/coordination/settings/fleet_test.go
+++ b/coordination/settings/fleet_test.go
@@ -16,7 +16,7 @@
 
 const testTeam = coordination.Team("solco")
 
-// router is one router of a fleet under test.
+// router is one router of a fleet.
 type router struct {
 	*node
 	replica *Replica
@@ -26,11 +26,11 @@
 	applied monotonicCheck
 }
 
-// fleet is several routers on one fake platform and one fake hub.
+// fleet is a set of routers on one fake platform and one hub.
 type fleet struct {
 	t       testing.TB
 	store   *kvtest.Store
-	read    SyncStore // that the routers watch
+	read    SyncStore // used by the routers to list and watch
 	hub     *hub
 	routers []*router
 	started int
@@ -41,7 +41,8 @@
 	return newFleetOn(t, seed, n, store, store)
 }
 
-// newFleetOn returns a fleet whose routers watch the platform through read.
+// newFleetOn returns a fleet whose routers list and watch the platform through
+// read.
 func newFleetOn(t testing.TB, seed uint64, n int, store *kvtest.Store, read SyncStore) *fleet {
 	f := &fleet{t: t, store: store, read: read, hub: newHub(seed)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -69,7 +70,7 @@
 	return r
 }
 
-// kill takes the router at i away.
+// kill removes and stops router i.
 func (f *fleet) kill(i int) {
 	r := f.routers[i]
 	f.routers = append(f.routers[:i:i], f.routers[i+1:]...)
@@ -77,7 +78,7 @@
 	r.stop()
 }
 
-// check holds the router to the promise that nothing reverts.
+// check fails the test if the router reverts to an earlier position.
 func (r *router) check(t testing.TB, o Observation) {
 	if o.Verdict != Applied {
 		return
@@ -85,7 +86,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.applied.advance(o.InForce.Position) {
-		t.Errorf("%s went back from %v to %v", r.member.Instance, r.applied.last, o.InForce.Position)
+		t.Errorf("%s reverted from %v to %v", r.member.Instance, r.applied.last, o.InForce.Position)
 	}
 }
 
@@ -101,7 +102,8 @@
 	return Put{Team: testTeam, Text: text, Base: base, ID: NewChangeID(), Author: "op", Reason: "test"}
 }
 
-// accept makes a change through r and returns its position.
+// mustPut makes a change through r, which must be accepted, and returns its
+// position.
 func (r *router) mustPut(t testing.TB, text string) Position {
 	t.Helper()
 	out := r.editor.Put(context.Background(), change(text, r.position().Revision))
@@ -109,7 +111,7 @@
 	return out.Position
 }
 
-// behind counts the routers that do not have p in force.
+// countBehind counts the routers that have neither p nor a later value in force.
 func (f *fleet) countBehind(p Position) int {
 	n := 0
 	for _, r := range f.routers {
@@ -120,13 +122,14 @@
 	return n
 }
 
-// await returns after how long p is in force on all routers.
+// await waits until p or a later value is in force on all routers and returns the
+// time taken. It fails the test after limit.
 func (f *fleet) await(p Position, limit time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for f.countBehind(p) > 0 {
 		if time.Since(start) >= limit {
-			f.t.Fatalf("after %v, %d of %d routers lack %v", limit, f.countBehind(p), len(f.routers), p)
+			f.t.Fatalf("after %v, %d of %d routers do not have %v in force", limit, f.countBehind(p), len(f.routers), p)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -135,9 +138,9 @@
 
 const inForceTimeout = 4 * time.Second
 
-// The plain path at several sizes: changes are in force everywhere in time, and
-// the calls to the platform do not grow with the fleet. The times reported are
-// those of the paused clock, with gossip modelled by rounds as hub does it.
+// Without faults, changes must come into force on all routers in time, and the
+// number of calls to the platform must not grow with the fleet. The times logged
+// are those of the fake clock with the gossip model of hub.
 func TestChangeReachesAll(t *testing.T) {
 	const changes = 12
 	for _, n := range []int{1, 2, 7, 15, 30, 60} {
@@ -152,20 +155,20 @@
 				longest = max(longest, f.await(p, inForceTimeout))
 				time.Sleep(time.Second)
 			}
-			t.Logf("%d routers: in force on the last after %v at most; lists while %d changes were made: %d",
+			t.Logf("%d routers: in force everywhere after %v at most; lists during %d changes: %d",
 				n, longest, changes, f.store.Calls("list")-lists)
 			assert.Equal(t, f.store.Calls("cas"), changes)
 			assert.Equal(t, f.store.Calls("get"), changes+f.probes())
-			assert.Assert(t, f.probes() <= 4*int(time.Since(started)/confirmInterval), "%d signs of life in %v", f.probes(), time.Since(started))
+			assert.Assert(t, f.probes() <= 4*int(time.Since(started)/confirmInterval), "%d health probes in %v", f.probes(), time.Since(started))
 			assert.Assert(t, f.store.Calls("list")-lists <= 4)
 			assert.Assert(t, watches <= 4, "%d routers, %d watches", n, watches)
 		})
 	}
 }
 
-// The platform goes down right after it accepted a change, and with it every
-// watch. Routers have to get the change from each other, keep it, and start
-// from each other; no new change can be accepted, and operators are told so.
+// The platform and all watches fail right after a change was accepted. Routers
+// must get the change from each other, keep it in force and load it from peers
+// when they start. A new change must fail as Unavailable.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 7)
@@ -173,7 +176,7 @@
 		p := f.routers[3].mustPut(t, oneSecond)
 		f.store.SetFaults(kvtest.Faults{Down: true})
 		f.await(p, inForceTimeout)
-		for range 7 { // all are replaced, one after the other
+		for range 7 { // replace all routers one by one
 			f.kill(0)
 			started := time.Now()
 			r := f.start()
@@ -191,8 +194,8 @@
 	})
 }
 
-// The router that accepted a change dies before it could tell anybody. The
-// watchers have to see the change in the platform.
+// The router that accepted a change fails before it announces it. The watchers
+// must find the change in the platform.
 func TestChangeSurvivesEditorFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, 30)
@@ -205,8 +208,8 @@
 	})
 }
 
-// A whole fleet starts at once, as after a power cut, while the platform holds
-// settings. It must be ready soon and not ask the platform all together.
+// A whole fleet starts at once, as after a power failure, while the platform holds
+// settings. All routers must become ready with at most a few lists in total.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7, 0)
@@ -223,8 +226,8 @@
 	})
 }
 
-// The platform is down for minutes. The routers go on looking for it, but no
-// more often than a few times a second, however many they are.
+// During an outage of minutes, a fleet of 60 routers must not try more than a few
+// lists per second in total, and few again after the outage.
 func TestOutageReadRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 60)
@@ -234,17 +237,17 @@
 		before := f.lists()
 		time.Sleep(2 * time.Minute)
 		perSecond := float64(f.lists()-before) / 120
-		t.Logf("%.1f reads a second tried by 60 routers", perSecond)
+		t.Logf("%.1f lists per second tried by 60 routers", perSecond)
 		assert.Assert(t, perSecond < 6)
 		f.store.SetFaults(kvtest.Faults{})
 		time.Sleep(10 * time.Second)
 		before = f.lists()
 		time.Sleep(time.Minute)
-		assert.Assert(t, f.lists()-before <= 10, "%d reads a minute after the outage", f.lists()-before)
+		assert.Assert(t, f.lists()-before <= 10, "%d lists in a minute after the outage", f.lists()-before)
 	})
 }
 
-// lists counts the reads of all settings that the routers have tried.
+// lists counts the lists that the routers have tried.
 func (f *fleet) lists() int {
 	n := 0
 	for _, r := range f.routers {
@@ -253,7 +256,7 @@
 	return n
 }
 
-// signs counts the signs of life that the routers have asked of the platform.
+// probes counts the health probes that the routers have made.
 func (f *fleet) probes() int {
 	n := 0
 	for _, r := range f.routers {
@@ -262,9 +265,8 @@
 	return n
 }
 
-// A watch delivers nothing for a while and then goes on. A change that the
-// platform took in between, from a router that died before it could tell
-// anybody, would stay unknown to the fleet.
+// All watches drop events for a while. A change written during the gap, by a
+// router that failed before it announced it, must still reach the fleet.
 func TestWatchGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 7)
@@ -279,8 +281,9 @@
 	})
 }
 
-// All watches are stuck without a sign, and the router that made the change
-// died at once. Only the watchers' regular reading of everything shows it.
+// All watches drop events without an error, and the router that made a change
+// fails before it announces it. Only the periodic list of the watchers finds the
+// change.
 func TestStuckWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 7)
@@ -294,8 +297,8 @@
 	})
 }
 
-// copyOf returns a replica with the same settings of team in force, of which
-// the fleet knows nothing.
+// copyOf returns a replica with the same settings of team in force that is not
+// part of the fleet.
 func (r *Replica) copyOf(team coordination.Team) *Replica {
 	var c Replica
 	in, _ := r.Snapshot(team)
@@ -303,8 +306,9 @@
 	return &c
 }
 
-// A router never hears the rumour of a change, as when it was cut off until
-// the rumour had died out. It must notice that it lacks something.
+// A router misses the rumor of a change, as after a network partition that lasts
+// until the rumor is no longer spread. It must detect the difference and fetch the
+// change.
 func TestMissedRumorIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, 30)
@@ -319,19 +323,19 @@
 	})
 }
 
-// plain returns a router other than the first that is no watcher.
+// nonWatcher returns a router, other than the first, that does not watch.
 func (f *fleet) nonWatcher(t *testing.T) *router {
 	for _, r := range f.routers[1:] {
 		if !r.sync.Watching() {
 			return r
 		}
 	}
-	t.Fatal("all routers watch")
+	t.Fatal("all routers are watchers")
 	return nil
 }
 
-// The platform loses an accepted change to somebody who puts an older value
-// back. Routers that are started then, with peers, must not serve by it.
+// An older value is restored directly in the platform after a change was accepted.
+// Routers that start then must load the accepted change from their peers.
 func TestRestoredValueReachesNoRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, 7)
--- a/coordination/settings/hub_test.go
+++ b/coordination/settings/hub_test.go
@@ -25,23 +25,23 @@
 type rumor struct {
 	version uint64
 	payload []byte
-	rounds  int // for which it was passed on
+	rounds  int // number of rounds in which it was sent
 }
 
-// hub is a fake of the connections between routers. Gossip is modelled by
-// rounds: every 100 ms each router passes its new rumours on to three others,
-// for six rounds; every tenth round it swaps all rumours with one other.
+// hub is a fake of the connections between routers. Gossip is modeled in rounds:
+// every 100 ms each router sends its new rumors to three others, for six rounds.
+// Every tenth round it sends all its rumors to one other.
 type hub struct {
 	mu            sync.Mutex
 	rnd           *rand.Rand
 	nodes         map[coordination.Instance]*node
 	names         []coordination.Instance
-	loss          float64 // share of passes that are lost
+	loss          float64 // share of sends that are lost
 	calls         int
 	deliveryCount int
 }
 
-// node is one router's end of the hub.
+// node is the connection of one router to the hub. It implements Peers.
 type node struct {
 	hub           *hub
 	member        Member
@@ -49,7 +49,7 @@
 	known         map[rumorID]rumor
 	handlers      map[string]func(context.Context, coordination.Instance, []byte) ([]byte, error)
 	rumorHandlers map[string]func(string, uint64, []byte)
-	droppedTopic  string // the topic of which no rumour arrives
+	droppedTopic  string // topic whose rumors are not received
 }
 
 func newHub(seed uint64) *hub {
@@ -82,7 +82,7 @@
 	}
 }
 
-// run gossips until ctx ends.
+// run executes gossip rounds until ctx ends.
 func (h *hub) run(ctx context.Context) {
 	for round := 1; ; round++ {
 		select {
--- a/coordination/settings/page_test.go
+++ b/coordination/settings/page_test.go
@@ -17,7 +17,8 @@
 	end   = "<!-- end -->"
 )
 
-// The page for operators must not say anything else than the table does.
+// The reference on the page for operators must match the schema. With -update the
+// test rewrites it.
 func TestPageMatchesSchema(t *testing.T) {
 	data, err := os.ReadFile(page)
 	assert.NilError(t, err)
@@ -33,7 +34,7 @@
 	assert.Equal(t, reference, want)
 }
 
-// The example on the page is copied by people who start.
+// The example on the page must be valid, since new users copy it.
 func TestPageExample(t *testing.T) {
 	data, err := os.ReadFile(page)
 	assert.NilError(t, err)
--- a/coordination/settings/put.go
+++ b/coordination/settings/put.go
@@ -9,37 +9,37 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Put asks for a change of a team's settings.
+// Put is a request to change a team's settings.
 type Put struct {
 	Team   coordination.Team
 	Text   string
-	Base   kv.Revision // the revision that the author started from; 0 for a new team
-	ID     ChangeID    // the same one for every try of the same change
+	Base   kv.Revision // revision that the author edited; 0 for a new team
+	ID     ChangeID    // the same for every retry of the change
 	Author string
 	Reason string
 }
 
-// PutStatus tells how a Put ended.
+// PutStatus is the result of a Put.
 type PutStatus int
 
-// The ways in which a Put ends.
+// The results of a Put.
 const (
-	// Undecided means that the change may or may not be accepted; the same
-	// Put with the same id settles it.
+	// Undecided means that it is unknown whether the change was accepted.
+	// Repeating the Put with the same ID resolves it.
 	Undecided PutStatus = iota
-	// Accepted means that the change is durable.
+	// Accepted means that the change was written durably.
 	Accepted
-	// Conflict means that another change stands on the base; nothing was
-	// written.
+	// Conflict means that the base is no longer the current revision; nothing
+	// was written.
 	Conflict
-	// Rejected means that the request has problems; nothing was written.
+	// Rejected means that the request is invalid; nothing was written.
 	Rejected
-	// Unavailable means that the platform could not be reached or refused the
-	// call; nothing was written.
+	// Unavailable means that the platform was unreachable, refused the call or
+	// answered with stale data; nothing was written.
 	Unavailable
 )
 
-// String returns the name of s as answers, logs and metrics show it.
+// String returns the name of s that is used in responses, logs and metrics.
 func (s PutStatus) String() string {
 	names := [...]string{"unknown", "accepted", "conflict", "invalid", "unavailable"}
 	if s < 0 || int(s) >= len(names) {
@@ -48,31 +48,32 @@
 	return names[s]
 }
 
-// Current is what stands in the platform for a team, or else is in force.
+// Current is a team's current value in the platform or, if that cannot be read,
+// the one in force on this router.
 type Current struct {
 	Revision kv.Revision
 	Text     string
-	Value    *Value // nil if the value has no readable change record
+	Value    *Value // nil if the value has no valid change record
 }
 
-// position returns the position of s, which has a readable record.
+// position returns the position of s, whose Value must not be nil.
 func (s Current) position() Position {
 	return Position{Sequence: s.Value.Change.Sequence, Revision: s.Revision}
 }
 
-// Outcome is how a Put ended.
+// Outcome is the result of a Put with its details.
 type Outcome struct {
 	Status     PutStatus
 	Position   Position      // if Accepted
-	Repeated   bool          // accepted by an earlier try with the same id
+	Repeated   bool          // already accepted by an earlier Put with the same ID
 	Problems   []Problem     // if Rejected
-	Current    Current       // if Conflicting
-	Diff       string        // from Standing to the text of the Put
-	RetryAfter time.Duration // if Unwritten or Undecided
-	Err        error         // detail for logs
+	Current    Current       // if Conflict
+	Diff       string        // if Conflict, from Current to the text of the Put
+	RetryAfter time.Duration // if Unavailable or Undecided
+	Err        error         // cause, for logs
 }
 
-// problems returns what is wrong with p.
+// problems validates p and returns all problems found.
 func (p Put) problems() []Problem {
 	file := string(p.Team)
 	var found []Problem
@@ -80,37 +81,38 @@
 		found = append(found, Problem{File: file, Key: key, Section: "change", Message: message})
 	}
 	if !ValidTeam(p.Team) {
-		add("team", fmt.Sprintf("%q is no name of a team; write letters, digits and . _ @ : -, at most 128", p.Team))
+		add("team", fmt.Sprintf("%q is not a valid team name; use letters, digits and . _ @ : -, at most 128", p.Team))
 	}
 	if !p.ID.Valid() {
-		add("change-id", fmt.Sprintf("%q is no UUIDv7 in lower case", p.ID))
+		add("change-id", fmt.Sprintf("%q is not a lowercase UUIDv7", p.ID))
 	}
 	if !validLine(p.Author, maxAuthor) {
-		add("author", fmt.Sprintf("say who makes the change, in one line of at most %d bytes", maxAuthor))
+		add("author", fmt.Sprintf("the author is missing or invalid; write one line of at most %d bytes", maxAuthor))
 	}
 	if !validLine(p.Reason, maxReason) {
-		add("reason", fmt.Sprintf("say why the change is made, in one line of at most %d bytes", maxReason))
+		add("reason", fmt.Sprintf("the reason is missing or invalid; write one line of at most %d bytes", maxReason))
 	}
 	if p.Base < 0 {
-		add("base-revision", "a revision is not negative; write 0 for a new team")
+		add("base-revision", "a revision must not be negative; write 0 for a new team")
 	}
 	_, problems := Parse(file, []byte(p.Text))
 	return append(found, problems...)
 }
 
+// validLine reports whether s is a single non-blank line of at most limit bytes.
 func validLine(s string, limit int) bool {
 	return strings.TrimSpace(s) != "" && len(s) <= limit && !strings.ContainsAny(s, "\r\n")
 }
 
-// basis is what a change is put on.
+// putBase is the state that a change is based on.
 type putBase struct {
-	expect   kv.Revision // of the key; 0 if it does not exist
-	previous kv.Revision // that the change record names
-	newest   Current     // the latest change that is known
+	expect   kv.Revision // current revision of the key; 0 if it does not exist
+	previous kv.Revision // recorded in the change as the revision it replaced
+	newest   Current     // the latest known value with a valid change record
 	inForce  Position
 }
 
-// raise makes s the latest change known to b if it is later.
+// updateNewest replaces b.newest by s if s is later.
 func (b *putBase) updateNewest(s Current) {
 	if s.Value == nil {
 		return
@@ -120,7 +122,7 @@
 	}
 }
 
-// change returns the value that puts p on b.
+// newValue returns the value that applies p on top of b.
 func (b putBase) newValue(p Put, now time.Time) Value {
 	v := Value{Text: p.Text, Change: Change{
 		ID:       p.ID,
@@ -138,9 +140,9 @@
 	return v
 }
 
-// sequence returns a sequence above all that this router can know of. The
-// revision replaced keeps it above changes that this router has missed, the
-// sequence in force above those that the platform has lost.
+// nextSequence returns a sequence greater than that of every earlier change. The
+// replaced revision accounts for changes that this router has missed, the
+// sequence in force for changes that the platform has lost.
 func (b putBase) nextSequence() uint64 {
 	highest := max(b.inForce.Sequence+1, uint64(b.previous), uint64(b.expect))
 	if b.newest.Value != nil {
--- a/coordination/settings/register_test.go
+++ b/coordination/settings/register_test.go
@@ -20,24 +20,24 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// putter is an editor, or one with a planted fault.
+// putter is an Editor or a variant with a deliberate fault.
 type putter interface {
 	Put(ctx context.Context, p Put) Outcome
 	Read(ctx context.Context, team coordination.Team) (Current, bool)
 }
 
-// registerInput is one operation on the settings register: a put of id on
-// base, or a read if id is empty.
+// registerInput is one operation on the settings register: a put of change id based
+// on change base, or a read if id is empty.
 type registerInput struct{ id, base ChangeID }
 
 type registerOutput struct {
 	status   PutStatus
 	repeated bool
-	current  ChangeID // that was read, or that a conflict showed
+	current  ChangeID // change that was read or reported by a conflict
 }
 
-// registerModel is the settings register of one team. Its state is the list of
-// the changes accepted so far.
+// registerModel is the sequential specification of one team's settings register.
+// Its state is the list of accepted changes.
 var registerModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// recorder collects a history. Its clock counts, since many operations happen
-// at one time of the paused clock.
+// recorder collects a history. It uses a logical clock because many operations
+// happen at the same time of the fake clock.
 type recorder struct {
 	mu  sync.Mutex
 	now atomic.Int64
@@ -93,8 +93,8 @@
 	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: r.now.Add(1)})
 }
 
-// history returns what was recorded. An undecided put may take effect at any
-// later time, so it returns last.
+// history returns the recorded operations. An undecided put may take effect at any
+// later time, so its return is moved to the end.
 func (r *recorder) history() []porcupine.Operation {
 	end := r.now.Add(1)
 	for i := range r.ops {
@@ -157,16 +157,16 @@
 	return s.Value.Change.ID
 }
 
-// lateStore is the platform behind a link that loses and delays: some writes
-// take effect long after their caller has given up on them.
+// lateStore is a platform behind a lossy, slow link: some writes take effect long
+// after their caller timed out.
 type lateStore struct {
 	*kvtest.Store
 	mu        sync.Mutex
 	rnd       *rand.Rand
-	lateShare float64 // of the writes that come late
+	lateShare float64 // share of writes that are delayed
 }
 
-// late returns by how much the next write comes late, or zero.
+// nextDelay returns the delay of the next write, zero if it is not delayed.
 func (s *lateStore) nextDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +187,7 @@
 	return kv.Result{Status: kv.Unknown, Err: ctx.Err()}
 }
 
-// lateWrite is a write that takes effect when nobody waits for it any more.
+// lateWrite is a write that takes effect after its caller timed out.
 type lateWrite struct {
 	s      *kvtest.Store
 	delay  time.Duration
@@ -201,29 +201,29 @@
 	w.s.CompareAndSwap(context.Background(), w.key, w.value, w.expect, 0)
 }
 
-// disturb changes the platform's faults until ctx ends.
+// faultInjector changes the faults of the platform at random.
 type faultInjector struct {
 	store      *kvtest.Store
 	rnd        *rand.Rand
-	faultKinds int // of faults
+	faultKinds int // number of fault kinds in use, 1 to 7
 }
 
-// weather is how bad it gets for one history.
+// faultMix selects the faults of one history.
 type faultMix struct {
-	faultKinds int     // of faults
-	lateShare  float64 // share of writes that come late
+	faultKinds int     // number of fault kinds in use, 1 to 7
+	lateShare  float64 // share of writes that are delayed
 }
 
-// Honest editors see all faults. Those with planted faults are spared the one
-// that leaves many puts undecided, which makes a wrong history slow to check,
-// and see more late writes.
+// The correct editor is tested with all faults. Faulty editors get more delayed
+// writes, but not the fault that leaves many puts undecided, because it makes an
+// invalid history slow to check.
 var (
 	correctEditorFaults = faultMix{faultKinds: 7, lateShare: 0.15}
 	faultyEditorFaults  = faultMix{faultKinds: 5, lateShare: 0.4}
 )
 
 func (d *faultInjector) run(ctx context.Context) {
-	// Few reads are lost, since a put whose read is lost never writes.
+	// Reads are lost less often, since a put whose read is lost never writes.
 	lose := func(share float64) func(string, string) bool {
 		seed := d.rnd.Uint64()
 		var n atomic.Uint64
@@ -249,7 +249,7 @@
 			f.LoseCall = lose(0.5)
 		case 4:
 			f.DropWatch = true
-		case 5: // long enough to leave puts undecided
+		case 5: // long enough for puts to time out undecided
 			f.LoseReply = lose(1)
 			wait = settleTimeout + time.Second
 		}
@@ -259,8 +259,8 @@
 	d.store.SetFaults(kvtest.Faults{})
 }
 
-// record runs four operators against five routers under faults and returns
-// their history. Each editor is passed through plant.
+// record runs four operators against five routers under faults and returns their
+// history. Each editor is replaced by the result of wrap.
 func record(t *testing.T, seed uint64, w faultMix, wrap func(*Editor) putter) []porcupine.Operation {
 	rec := &recorder{}
 	synctest.Test(t, func(t *testing.T) {
@@ -289,7 +289,8 @@
 	return rec.history()
 }
 
-// settled checks that what stands in the end is in force everywhere.
+// checkConverged checks that the final value in the platform comes into force on
+// all routers.
 func (f *fleet) checkConverged(t *testing.T) {
 	res := f.store.Get(t.Context(), Key(testTeam))
 	if len(res.Pairs) == 0 {
@@ -308,11 +309,11 @@
 	checkLimit    = 20 * time.Second
 )
 
-// Operators race through different routers while the platform is down, slow,
-// loses calls or answers, or applies writes long after they were given up. An
-// operator who is told of a conflict although the change was accepted would
-// make it twice; one who is told of acceptance although it was not would rely
-// on settings that nobody has.
+// Histories of concurrent operators on different routers must be linearizable
+// while the platform is down, slow, loses calls or responses, or applies writes
+// after their timeout. A conflict reported for an accepted change would make an
+// operator repeat it; an acceptance reported for a change that was not made would
+// leave settings assumed that are in force nowhere.
 func TestRegisterHistories(t *testing.T) {
 	counts := make(map[PutStatus]int)
 	repeated := 0
@@ -331,13 +332,13 @@
 	}
 	t.Logf("%d histories, puts: %v, repeated: %d", registerSeeds, counts, repeated)
 	for _, s := range []PutStatus{Undecided, Accepted, Conflict, Unavailable} {
-		assert.Assert(t, counts[s] > 0, "no put was %v, so the faults are too weak", s)
+		assert.Assert(t, counts[s] > 0, "no put was %v; the faults are too rare", s)
 	}
-	assert.Assert(t, repeated > 0, "no lost answer was settled")
+	assert.Assert(t, repeated > 0, "no lost response was resolved")
 }
 
-// careless is an editor that writes once and settles a lost answer in a wrong
-// way.
+// faultyEditor is an Editor that writes once and resolves a lost response with an
+// incorrect method.
 type faultyEditor struct {
 	*Editor
 	resolveLost func(ctx context.Context, e *Editor, p Put) Outcome
@@ -363,8 +364,8 @@
 	}
 }
 
-// byRevision reads back and compares revisions, without looking for the
-// change itself.
+// resolveByRevision reads the key and compares revisions, without searching the
+// history for the change.
 func resolveByRevision(ctx context.Context, e *Editor, p Put) Outcome {
 	pair, found, _, failed := e.read(ctx, p.Team)
 	if failed {
@@ -376,7 +377,8 @@
 	return Outcome{Status: Undecided}
 }
 
-// byReading reads back once and takes what it does not find for never written.
+// resolveByRead reads the key once and reports a change that it does not find as
+// not written.
 func resolveByRead(ctx context.Context, e *Editor, p Put) Outcome {
 	pair, found, _, failed := e.read(ctx, p.Team)
 	if failed {
@@ -392,8 +394,8 @@
 
 func assumeUnwritten(context.Context, *Editor, Put) Outcome { return Outcome{Status: Unavailable} }
 
-// A checker that finds nothing proves nothing: each of these editors lies to
-// operators in a way that the checker has to catch.
+// The history checker must detect faulty editors; otherwise its success on the
+// correct editor would prove nothing.
 func TestRegisterCheckerDetectsFaultyEditors(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -411,7 +413,7 @@
 				caught++
 			}
 		}
-		t.Logf("%s: caught in %d of %d histories", tt.name, caught, faultySeeds)
+		t.Logf("%s: detected in %d of %d histories", tt.name, caught, faultySeeds)
 		assert.Assert(t, caught > 0, tt.name)
 	}
 }
--- a/coordination/settings/replica.go
+++ b/coordination/settings/replica.go
@@ -15,27 +15,29 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Verdict is what a replica made of a value that it was offered.
+// Verdict is the result of offering a value to a Replica.
 type Verdict int
 
 // The verdicts of a replica.
 const (
-	// Applied means that the value is in force now.
+	// Applied means that the value is now in force.
 	Applied Verdict = iota
-	// Known means that the value was offered before.
+	// Known means that the value was already offered.
 	Known
-	// Older means that the value is behind the one in force: a stale read, or
-	// an old value that was put back past the routers.
+	// Older means that the value is before the one in force: a stale read, or
+	// an old value that was restored directly in the platform.
 	Older
-	// Invalid means that the value is not right; the last good one stays.
+	// Invalid means that the value failed validation; the last valid one
+	// stays in force.
 	Invalid
-	// Removed means that the key is gone; the last good value stays.
+	// Removed means that the key was deleted; the last valid value stays in
+	// force.
 	Removed
 )
 
 var verdictNames = [...]string{"applied", "known", "older", "invalid", "removed"}
 
-// String returns the name of v as logs and metrics show it.
+// String returns the name of v that is used in logs and metrics.
 func (v Verdict) String() string {
 	if v < 0 || int(v) >= len(verdictNames) {
 		return "unknown"
@@ -50,25 +52,24 @@
 func (v *Verdict) UnmarshalText(text []byte) error {
 	i := slices.Index(verdictNames[:], string(text))
 	if i < 0 {
-		return fmt.Errorf("settings: %q is no verdict", text)
+		return fmt.Errorf("settings: unknown verdict %q", text)
 	}
 	*v = Verdict(i)
 	return nil
 }
 
-// Snapshot is the settings of one team as they are in force. It does not
-// change.
+// Snapshot holds the settings of one team that are in force. It is immutable.
 type Snapshot struct {
 	Team     coordination.Team
 	Position Position
 	Settings *TeamSettings
 	Value    Value
-	Since    time.Time // when they came into force on this router
+	Since    time.Time // time at which they came into force on this router
 
-	data []byte // the value as the platform holds it, for peers
+	data []byte // the encoded value, served to peers
 }
 
-// Refusal tells of a value that stands in the platform and is not in force.
+// Refusal describes a value in the platform that was not applied.
 type Refusal struct {
 	Verdict  Verdict     `json:"verdict"`
 	Revision kv.Revision `json:"revision"`
@@ -76,7 +77,7 @@
 	Time     time.Time   `json:"time"`
 }
 
-// TeamStatus tells operators what a router has in force for one team.
+// TeamStatus reports what a router has in force for one team.
 type TeamStatus struct {
 	Team     coordination.Team `json:"team"`
 	Position Position          `json:"in_force"` // zero if nothing is
@@ -85,46 +86,48 @@
 	Refused  *Refusal          `json:"refused,omitempty"`
 }
 
-// Observation is what a replica tells its observers of.
+// Observation describes the result of an offer to the observers of a Replica.
 type Observation struct {
 	Team     coordination.Team
 	Verdict  Verdict
-	Revision kv.Revision // of the value offered
+	Revision kv.Revision // of the offered value, or of the deletion
 	Problems []Problem
 	InForce  *Snapshot // after the offer; nil if nothing is in force
 }
 
-// Replica is what one router has in force for all teams. It applies only
-// values that are after the one in force, so that it never reverts, in
-// whatever order values reach it. The zero value is ready for use.
+// Replica holds the settings of all teams that are in force on one router. It
+// applies only values that are after the one in force, so it never reverts,
+// regardless of the order in which values arrive. The zero value is ready to
+// use, and a Replica is safe for concurrent use.
 type Replica struct {
-	// telling is held from a decision until its observers are told, so that
-	// they see the decisions in their order.
+	// notifyMu is held from a decision until its observers were called, so
+	// that they see decisions in order.
 	notifyMu  sync.Mutex
 	mu        sync.RWMutex
 	teams     map[coordination.Team]*teamState
 	observers []func(Observation)
 }
 
-// state is what a replica knows of one team.
+// teamState is the state of one team in a Replica.
 type teamState struct {
 	snapshot *Snapshot
 	refused  *Refusal
 }
 
-// Observe has fn called after each offer that changes what is in force or what
-// is refused, in order. It must not offer anything itself. Observers are to be
-// set before the first offer.
+// Observe registers fn to be called, in order, after each offer or removal that
+// changes what is in force or refused. fn must not call Offer or Remove.
+// Observers must be registered before the first offer.
 func (r *Replica) Observe(fn func(Observation)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observers = append(r.observers, fn)
 }
 
-// Offer considers the value that the platform holds, or held, for a team.
+// Offer applies the value of a team, as read from the platform or from a peer, if
+// it is valid and after the one in force.
 func (r *Replica) Offer(team coordination.Team, pair kv.Pair) Verdict {
 	if in, ok := r.Snapshot(team); ok && in.Position.Revision == pair.Revision {
-		return Known // without parsing it again
+		return Known // avoid parsing it again
 	}
 	v, parsed, problems := readPair(team, pair)
 	offered := &Snapshot{
@@ -138,7 +141,7 @@
 	return r.decide(offered, problems)
 }
 
-// readPair returns the value of pair with its settings, or what is wrong.
+// readPair decodes and parses the value of pair, or returns its problems.
 func readPair(team coordination.Team, pair kv.Pair) (Value, *TeamSettings, []Problem) {
 	v, err := decodeValue(pair.Value)
 	if err != nil {
@@ -148,7 +151,7 @@
 	return v, parsed, problems
 }
 
-// decide applies the value offered or refuses it.
+// decide applies or refuses the offered value and notifies the observers.
 func (r *Replica) decide(offered *Snapshot, problems []Problem) Verdict {
 	r.notifyMu.Lock()
 	defer r.notifyMu.Unlock()
@@ -173,8 +176,10 @@
 	return verdict
 }
 
-// judge is the rule that nothing reverts. A value that is wrong in itself is
-// Invalid only if it is newer by its revision; a wrong one has no sequence.
+// evaluate returns the verdict on offered and ensures that settings never revert.
+// A value without valid settings may have no sequence, so it is compared by
+// revision alone: Older if its revision is below the one in force, otherwise
+// Invalid.
 func (st *teamState) evaluate(offered *Snapshot, problems []Problem) Verdict {
 	revision := offered.Position.Revision
 	if st.refused != nil && st.refused.Revision == revision {
@@ -209,9 +214,9 @@
 	}
 }
 
-// refuse remembers the newest value that stands in the platform and is not in
-// force, and reports whether this is one. What is behind the revision in force
-// is a stale read and no fault.
+// refuse records the newest value in the platform that was not applied, and
+// reports whether it recorded this one. A value at or below the revision in
+// force is a stale read and not recorded.
 func (st *teamState) refuse(verdict Verdict, revision kv.Revision, problems []Problem) bool {
 	if revision <= st.position().Revision || st.refused != nil && revision < st.refused.Revision {
 		return false
@@ -220,8 +225,8 @@
 	return true
 }
 
-// Remove considers that the team's key was found deleted at revision. What is
-// in force stays: an accepted change holds until another is accepted.
+// Remove records that the team's key was found deleted at revision. The settings
+// in force stay: an accepted change applies until another is accepted.
 func (r *Replica) Remove(team coordination.Team, revision kv.Revision) Verdict {
 	r.notifyMu.Lock()
 	defer r.notifyMu.Unlock()
@@ -245,7 +250,8 @@
 	}
 }
 
-// state returns the state of team. Callers hold r.mu.
+// state returns the state of team, which it creates if needed. The caller must
+// hold r.mu.
 func (r *Replica) state(team coordination.Team) *teamState {
 	if r.teams == nil {
 		r.teams = make(map[coordination.Team]*teamState)
@@ -258,7 +264,7 @@
 	return st
 }
 
-// Team returns the settings of name that are in force.
+// Team returns the settings of team name that are in force, if any.
 func (r *Replica) Team(name coordination.Team) (*TeamSettings, bool) {
 	s, ok := r.Snapshot(name)
 	if !ok {
@@ -267,7 +273,7 @@
 	return s.Settings, true
 }
 
-// Snapshot returns what is in force for team.
+// Snapshot returns what is in force for team, if anything.
 func (r *Replica) Snapshot(team coordination.Team) (*Snapshot, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -278,7 +284,7 @@
 	return st.snapshot, true
 }
 
-// Snapshots returns what is in force for all teams, by name.
+// Snapshots returns what is in force for all teams, sorted by team name.
 func (r *Replica) Snapshots() []*Snapshot {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -288,7 +294,8 @@
 	})
 }
 
-// Status returns what is in force and what is refused for all teams, by name.
+// Status returns what is in force and what was refused for all teams, sorted by
+// team name.
 func (r *Replica) Status() []TeamStatus {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -309,8 +316,8 @@
 	return slices.Sorted(maps.Keys(r.teams))
 }
 
-// Fingerprint returns a hash of the positions in force. Two replicas with the
-// same one have the same settings in force.
+// Fingerprint returns a hash of all teams' positions in force. Replicas with equal
+// fingerprints have the same settings in force.
 func (r *Replica) Fingerprint() uint64 {
 	h := xxhash.New()
 	for _, s := range r.Snapshots() {
--- a/coordination/settings/replica_test.go
+++ b/coordination/settings/replica_test.go
@@ -10,8 +10,8 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// written returns a value as the platform holds it after the change that
-// follows previous with the given sequence.
+// storedPair returns the pair that the platform stores for a change with the given
+// sequence that replaced previous.
 func storedPair(t *testing.T, text string, sequence uint64, previous, revision kv.Revision) kv.Pair {
 	t.Helper()
 	v := Value{Text: text, Change: Change{
@@ -34,9 +34,8 @@
 	twoSeconds = "[team]\ndeadline-default = 2s\n"
 )
 
-// A read that a lagging replica of the platform answers brings a value that
-// was replaced long ago. Callers would be served by settings that the operator
-// saw replaced.
+// A stale read from a lagging replica of the platform returns a value that was
+// replaced. It must not come into force again.
 func TestStaleReadIsNotApplied(t *testing.T) {
 	var r Replica
 	first := storedPair(t, oneSecond, 1, 0, 10)
@@ -47,11 +46,10 @@
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// Somebody restores an old value straight in the platform, which gives it a
-// new revision. The operator saw the later change accepted and would find the
-// old one in force. A router that starts from the platform meanwhile takes the
-// old value for want of anything better, and mends as soon as a peer tells it
-// of the later change.
+// An old value is restored directly in the platform and so gets a new revision. It
+// must not replace the later accepted change. A router that starts from the
+// platform then applies the old value, since it knows no other, and must apply the
+// later change once a peer offers it.
 func TestRestoredValueIsNotApplied(t *testing.T) {
 	older := storedPair(t, oneSecond, 1, 0, 10)
 	newer := storedPair(t, twoSeconds, 11, 10, 20)
@@ -74,8 +72,8 @@
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// Text is written straight into the platform, past every check. The last good
-// settings have to stay in force, and operators have to see what is wrong.
+// An invalid value is written directly in the platform, without validation. The
+// last valid settings must stay in force, and the problems must be reported.
 func TestInvalidValueKeepsLastGood(t *testing.T) {
 	good := storedPair(t, oneSecond, 1, 0, 10)
 	edited := Value{}
@@ -105,8 +103,8 @@
 	}
 }
 
-// The key is deleted in the platform. Without its settings a team would be
-// refused everywhere.
+// The key is deleted in the platform. The last valid settings must stay in force;
+// without any, all requests of the team would be refused.
 func TestDeletionKeepsLastGood(t *testing.T) {
 	var r Replica
 	assert.Equal(t, r.Remove("solco", 5), Known)
@@ -120,10 +118,10 @@
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// monotone checks that what a router has in force never goes back.
+// monotonicCheck checks that the position in force never decreases.
 type monotonicCheck struct{ last Position }
 
-// saw reports whether p is no step back.
+// advance records p and reports whether it is not before the last position.
 func (m *monotonicCheck) advance(p Position) bool {
 	if p.Before(m.last) {
 		return false
@@ -137,8 +135,8 @@
 	orderChanges = 8
 )
 
-// arrivals returns the values of eight changes in random order, each several
-// times, with an old value put back and a wrong one among them.
+// shuffledPairs returns the values of eight changes, an old value with a new
+// revision and an invalid value, each three times, in random order.
 func shuffledPairs(t *testing.T, seed uint64) []kv.Pair {
 	t.Helper()
 	pairs := make([]kv.Pair, 0, orderChanges+2)
@@ -158,16 +156,16 @@
 	return all
 }
 
-// Watches, reads and peers bring the same values in any order, with stale and
-// restored ones among them. All routers have to end with the same settings in
-// force, and none may go back on its way.
+// Watches, reads and peers deliver the same values in any order, including stale
+// and restored ones. All replicas must end with the same settings in force and
+// never revert in between.
 func TestOffersConvergeInAnyOrder(t *testing.T) {
 	last := Position{Sequence: 10*(orderChanges-1) + 1, Revision: 10 * orderChanges}
 	for seed := range uint64(orderSeeds) {
 		var r Replica
 		var m monotonicCheck
 		r.Observe(func(o Observation) {
-			assert.Assert(t, o.InForce == nil || m.advance(o.InForce.Position), "seed %d: went back", seed)
+			assert.Assert(t, o.InForce == nil || m.advance(o.InForce.Position), "seed %d: reverted", seed)
 		})
 		for _, pair := range shuffledPairs(t, seed) {
 			r.Offer("solco", pair)
@@ -176,8 +174,8 @@
 	}
 }
 
-// A replica that applies whatever comes, or whatever has the highest revision
-// of the platform, goes back at some point. The check has to see both.
+// monotonicCheck must detect a replica that applies every value, and one that
+// applies the value with the highest revision of the platform.
 func TestMonotonicCheckDetectsRollback(t *testing.T) {
 	applies := map[string]func(in, offered Position) bool{
 		"whatever comes":   func(_, _ Position) bool { return true },
@@ -201,13 +199,14 @@
 				caught++
 			}
 		}
-		t.Logf("%s: caught with %d of %d seeds", name, caught, orderSeeds)
+		t.Logf("%s: detected with %d of %d seeds", name, caught, orderSeeds)
 		assert.Assert(t, caught > orderSeeds/2, name)
 	}
 }
 
-// History drops its oldest entries rather than outgrow the platform's limit;
-// a value that cannot be written would stop all changes of the team.
+// An encoded value must stay within the size limit by dropping its oldest history
+// entries. Otherwise it could not be written, which would block all changes of the
+// team.
 func TestValueStaysBounded(t *testing.T) {
 	v := Value{Text: string(make([]byte, 20<<10)), Change: Change{ID: "x", Diff: string(make([]byte, maxDiff))}}
 	for range 200 {
--- a/coordination/settings/schema/file.go
+++ b/coordination/settings/schema/file.go
@@ -9,19 +9,18 @@
 	"gopkg.in/ini.v1"
 )
 
-// File holds the values of a settings file that follows its table. It does
-// not change once it is read.
+// File holds the values of a valid settings file. It is immutable.
 type File struct {
 	name   string
 	schema Schema
 	values []Values
 }
 
-// Values are the values of one section, defaults included.
+// Values holds the values of one section, including defaults.
 type Values struct {
 	// Name is the name of a named section, as in [model "chat"].
 	Name string
-	// Line is where the section starts, zero if it was left out.
+	// Line is the line of the section header, zero if the section is absent.
 	Line int
 
 	file    string
@@ -29,22 +28,22 @@
 	keys    map[string]value
 }
 
-// options makes the library read each line as the scanner does: one line a
-// value, no escapes, a comment only after a space.
+// iniOptions makes the INI library parse lines as the scanner does: one line per
+// value, no continuation lines, inline comments only after a space.
 var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
 	KeyValueDelimiters:       "=",
 }
 
-// Parse reads text against s. The name of the file is for the problems. The
-// File is nil if there is any problem.
+// Parse parses text and validates it against s. The file name is used in problems
+// only. If there are problems, it returns all of them and a nil File.
 func (s Schema) Parse(file string, text []byte) (*File, []Problem) {
 	sc := &scanner{schema: s, file: file}
 	clean := sc.scan(text)
 	source, err := ini.LoadSources(iniOptions, []byte(clean))
 	if err != nil {
-		sc.problem(0, "", "", fmt.Sprintf("the text is no INI: %v", err))
+		sc.problem(0, "", "", fmt.Sprintf("the text is not valid INI: %v", err))
 		return nil, sc.problems
 	}
 	f := &File{name: file, schema: s}
@@ -59,7 +58,7 @@
 	return f, nil
 }
 
-// values reads the keys of the section at p.
+// values parses the keys of the section at p.
 func (s *scanner) values(p *sectionEntry, source *ini.Section) Values {
 	v := Values{Name: p.name, Line: p.line, file: s.file, section: p.section, keys: make(map[string]value)}
 	written := source.KeysHash()
@@ -79,8 +78,8 @@
 	return v
 }
 
-// fallback returns the default of k. A wrong default is a fault of the
-// program.
+// defaultValue returns the default of k, or reports that a required key is
+// missing. It panics if the declared default is invalid.
 func (s *scanner) defaultValue(p *sectionEntry, k Key) value {
 	if k.Required {
 		s.problem(p.line, p.title, k.Name, "the key is missing; write "+k.expected())
@@ -91,12 +90,12 @@
 	}
 	v, err := k.parse(k.Default)
 	if err != nil {
-		panic(fmt.Sprintf("schema: key %s has the default %q", k.Name, k.Default))
+		panic(fmt.Sprintf("schema: key %s has the invalid default %q", k.Name, k.Default))
 	}
 	return v
 }
 
-// addDefaults gives the plain sections that were left out their defaults.
+// addDefaults adds the absent plain sections with their default values.
 func (f *File) addDefaults(sc *scanner) {
 	for _, sec := range f.schema {
 		if _, written := sc.entries[sec.Name]; written || sec.Named {
@@ -117,7 +116,8 @@
 	}
 }
 
-// Section returns the values of the plain section name.
+// Section returns the values of the plain section name. It panics if the schema
+// has no such section.
 func (f *File) Section(name string) Values {
 	for _, v := range f.values {
 		if v.section.Name == name && !v.section.Named {
@@ -127,7 +127,7 @@
 	panic("schema: no section " + name)
 }
 
-// Named returns the sections of this kind in the order of the file.
+// Named returns the named sections of this kind, in file order.
 func (f *File) Named(kind string) []Values {
 	var all []Values
 	for _, v := range f.values {
@@ -138,8 +138,9 @@
 	return all
 }
 
-// Problem returns a problem with key of this section, for checks that reach
-// beyond one key.
+// Problem returns a problem with key of this section, for checks that involve
+// several keys. Its line is that of the key or, if the key is not set, of the
+// section.
 func (v Values) Problem(key, message string) Problem {
 	line := v.keys[key].line
 	if line == 0 {
@@ -148,35 +149,37 @@
 	return Problem{File: v.file, Line: line, Section: v.section.title(v.Name), Key: key, Message: message}
 }
 
-// IsSet reports whether key was written, rather than left to its default.
+// IsSet reports whether key is set in the file. It panics if the section declares
+// no such key.
 func (v Values) IsSet(key string) bool { return v.get(key).line > 0 }
 
-// Text returns a Text, Name, Address or URL.
+// Text returns the value of a Text, Name, Address or URL key. Like the other
+// typed accessors, it panics if the section declares no such key of these kinds.
 func (v Values) Text(key string) string { return v.get(key, Text, Name, Address, URL).text }
 
-// List returns Names or Addresses.
+// List returns a copy of the value of a Names or Addresses key.
 func (v Values) List(key string) []string { return slices.Clone(v.get(key, Names, Addresses).list) }
 
-// Int returns an Integer, or a Size in bytes.
+// Int returns the value of an Integer key, or of a Size key in bytes.
 func (v Values) Int(key string) int { return int(v.get(key, Integer, Size).integer) }
 
-// Float returns a Number.
+// Float returns the value of a Number key.
 func (v Values) Float(key string) float64 { return v.get(key, Number).number }
 
-// Duration returns a Duration.
+// Duration returns the value of a Duration key.
 func (v Values) Duration(key string) time.Duration {
 	return time.Duration(v.get(key, Duration).integer)
 }
 
-// Bool returns a Boolean.
+// Bool returns the value of a Boolean key.
 func (v Values) Bool(key string) bool { return v.get(key, Boolean).boolean }
 
-// get returns the value of key. Asking for a key that the table does not have
-// in one of these kinds is a fault of the program.
+// get returns the value of key. It panics if the section declares no such key, or
+// not with one of the given kinds.
 func (v Values) get(key string, kinds ...Kind) value {
 	k, ok := v.section.key(key)
 	if !ok || len(kinds) > 0 && !slices.Contains(kinds, k.Kind) {
-		panic(fmt.Sprintf("schema: section %s has no such key %s", v.section.Name, key))
+		panic(fmt.Sprintf("schema: section %s has no key %s of the requested kind", v.section.Name, key))
 	}
 	return v.keys[key]
 }
--- a/coordination/settings/schema/reference.go
+++ b/coordination/settings/schema/reference.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Markdown returns the reference of all sections and keys for operators. Each
-// section is a heading of the given level.
+// Markdown returns the reference of all sections and keys in Markdown, with one
+// heading of the given level and one table per section.
 func (s Schema) Markdown(level int) string {
 	var b strings.Builder
 	for _, sec := range s {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// String returns the short name of k in the reference.
+// String returns the name of k that is used in the reference.
 func (k Kind) String() string {
 	names := [...]string{
 		"text", "name", "names", "integer", "number", "duration", "size",
--- a/coordination/settings/schema/scan.go
+++ b/coordination/settings/schema/scan.go
@@ -9,7 +9,7 @@
 	"github.com/samber/lo"
 )
 
-// header matches a section header with its optional name, quoted or not.
+// headerPattern matches a section header with an optional name, quoted or not.
 var headerPattern = regexp.MustCompile(`^\[\s*([A-Za-z][A-Za-z0-9-]*)(?:\s+(?:"([^"\]]*)"|([^"\]\s]+)))?\s*\]\s*(?:[;#].*)?$`)
 
 var (
@@ -17,11 +17,12 @@
 	keyPattern  = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 )
 
-// ValidName reports whether s may name a model, an account and the like: a
-// letter or digit, then up to 127 letters, digits or any of . _ @ : / -
+// ValidName reports whether s is a valid name of a section, model, account or the
+// like: an ASCII letter or digit, then up to 127 ASCII letters, digits or any of
+// . _ @ : / -
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// place is where a section or one of its keys is written.
+// sectionEntry is a section of the file with the lines of its header and keys.
 type sectionEntry struct {
 	section Section
 	name    string
@@ -30,9 +31,9 @@
 	keys    map[string]int
 }
 
-// scanner finds the lines of sections and keys, which the INI library does not
-// tell. It passes on only lines that it understands and the table knows, so
-// that the library cannot read a line in another way than the scanner did.
+// scanner records the lines of sections and keys, which the INI library does not
+// report. It passes on only lines that it understands and that the schema
+// declares, so that the library cannot interpret a line differently.
 type scanner struct {
 	schema     Schema
 	file       string
@@ -40,11 +41,11 @@
 	entries    map[string]*sectionEntry
 	order      []*sectionEntry
 	current    *sectionEntry
-	seenHeader bool // some header came before, even if it was refused
+	seenHeader bool // a header was read before, valid or not
 	clean      strings.Builder
 }
 
-// scan returns the lines of text that follow the table.
+// scan returns text with comment lines and invalid lines blanked.
 func (s *scanner) scan(text []byte) string {
 	s.entries = make(map[string]*sectionEntry)
 	body := strings.TrimPrefix(string(text), "\ufeff")
@@ -56,7 +57,7 @@
 	return s.clean.String()
 }
 
-// line returns what the library should read in place of the line n.
+// scanLine returns the text that the INI library gets in place of line n.
 func (s *scanner) scanLine(n int, scanLine string) string {
 	switch {
 	case !utf8.ValidString(scanLine) || strings.ContainsRune(scanLine, 0):
@@ -76,7 +77,7 @@
 	s.seenHeader = true
 	m := headerPattern.FindStringSubmatch(line)
 	if m == nil {
-		s.problemf(n, "", `%s is no section header; write [section] or [section "name"]`, line)
+		s.problemf(n, "", `%s is not a section header; write [section] or [section "name"]`, line)
 		return ""
 	}
 	name := m[2] + m[3]
@@ -95,18 +96,19 @@
 	return "[" + p.title + "]"
 }
 
-// fits reports whether the section at p may stand there.
+// checkHeader reports whether the header of p is valid, and records a problem if
+// it is not.
 func (s *scanner) checkHeader(p *sectionEntry) bool {
 	earlier, twice := s.entries[p.title]
 	switch {
 	case p.section.Named && p.name == "":
 		s.problem(p.line, p.section.Name, "", fmt.Sprintf(`the section needs a name: [%s "name"]`, p.section.Name))
 	case p.section.Named && !ValidName(p.name):
-		s.problem(p.line, p.title, "", fmt.Sprintf("%q is no name; letters, digits and . _ @ : / - are allowed, at most 128", p.name))
+		s.problem(p.line, p.title, "", fmt.Sprintf("%q is not a valid name; use letters, digits and . _ @ : / -, at most 128", p.name))
 	case !p.section.Named && p.name != "":
 		s.problem(p.line, p.section.Name, "", fmt.Sprintf("the section takes no name; write [%s]", p.section.Name))
 	case twice:
-		s.problem(p.line, p.title, "", fmt.Sprintf("the section stands already at line %d; write its keys there", earlier.line))
+		s.problem(p.line, p.title, "", fmt.Sprintf("the section is already defined at line %d; write its keys there", earlier.line))
 	default:
 		return true
 	}
@@ -117,11 +119,11 @@
 	key, value, found := strings.Cut(line, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
 	if !s.seenHeader {
-		s.problemf(n, "", "%q stands before any section; sections are %s", key, s.schema.titles())
+		s.problemf(n, "", "%q is outside any section; known sections are %s", key, s.schema.titles())
 		return ""
 	}
 	if s.current == nil {
-		return "" // under a refused header: one problem is enough
+		return "" // below an invalid header, which is already reported
 	}
 	p := s.current
 	if !found {
@@ -133,11 +135,11 @@
 		return ""
 	}
 	if earlier, twice := p.keys[key]; twice {
-		s.problem(n, p.title, key, fmt.Sprintf("the key stands already at line %d", earlier))
+		s.problem(n, p.title, key, fmt.Sprintf("the key is already set at line %d", earlier))
 		return ""
 	}
 	if strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`") {
-		s.problem(n, p.title, key, "a value stands on one line, plain or in double quotes")
+		s.problem(n, p.title, key, "a value must be on one line, plain or in double quotes")
 		return ""
 	}
 	p.keys[key] = n
@@ -156,7 +158,7 @@
 	s.problems = append(s.problems, Problem{File: s.file, Line: n, Section: section, Key: key, Message: message})
 }
 
-// title returns the section's header without its brackets.
+// title returns the header of the section without brackets.
 func (s Section) title(name string) string {
 	if !s.Named {
 		return s.Name
--- a/coordination/settings/schema/schema.go
+++ b/coordination/settings/schema/schema.go
@@ -1,20 +1,19 @@
-// Package schema reads settings written in INI against a declared table of
-// sections and keys. Every key has a form, a unit, a default and bounds; what
-// does not follow the table is refused with its file, line and key and with
-// what would be right, all problems at once. The same table yields the
-// reference page for operators.
+// Package schema parses INI settings files against a declared schema of sections
+// and keys. Each key has a kind, a unit, a default and bounds. All violations are
+// reported at once, each with its file, line, section and key and the expected
+// form. The same schema generates the reference page for operators.
 package schema
 
 import "fmt"
 
-// Kind is the form in which a value is written.
+// Kind is the type and syntax of a value.
 type Kind int
 
-// The forms of a value.
+// The kinds of values.
 const (
 	// Text is any text on one line.
 	Text Kind = iota
-	// Name is a name as ValidName accepts it.
+	// Name is a name that ValidName accepts.
 	Name
 	// Names are names separated by commas.
 	Names
@@ -36,37 +35,37 @@
 	URL
 )
 
-// Key declares one key of a section. Default, Min and Max are written as an
-// operator would write them; an empty bound is open.
+// Key declares one key of a section. Default, Min and Max use the syntax of the
+// key's Kind. An empty Min or Max means no bound.
 type Key struct {
 	Name     string
 	Kind     Kind
-	Unit     string // for the reference and for messages, as in "requests"
+	Unit     string // shown in the reference and in messages, for example "requests"
 	Default  string
-	Required bool // the key has no default and has to be written
+	Required bool // the key must be set; it has no default
 	Min, Max string
-	OneOf    []string // the only values of a Name; any name if empty
+	OneOf    []string // the allowed values of a Name; any valid name if empty
 	Doc      string
 }
 
-// Section declares one section. A section with Named set may stand several
-// times, each time with another name: [model "chat"].
+// Section declares one section. A Named section may occur several times, each
+// with a different name, as in [model "chat"].
 type Section struct {
 	Name     string
 	Named    bool
-	Required bool // the section has to be written; not for Named ones
-	// Optional means that the section may be left out although it has required
+	Required bool // the section must be present; not used for Named sections
+	// Optional means that the section may be absent although it has required
 	// keys, which are then empty.
 	Optional bool
 	Doc      string
 	Keys     []Key
 }
 
-// Schema is the table of all sections of a file.
+// Schema declares all sections of a file.
 type Schema []Section
 
-// Problem is one fault of a settings file. Line is zero when the fault has no
-// line, as for a missing section.
+// Problem describes one error in a settings file. Line is zero if the error has
+// no line, for instance if a section is missing.
 type Problem struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -75,7 +74,7 @@
 	Message string `json:"message"`
 }
 
-// String returns p on one line, as a compiler would print it.
+// String formats p like a compiler error: "file:line: [section] key: message".
 func (p Problem) String() string {
 	where := p.File
 	if p.Line > 0 {
--- a/coordination/settings/schema/schema_test.go
+++ b/coordination/settings/schema/schema_test.go
@@ -49,7 +49,7 @@
 
 func TestProblems(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
-		{"wait = 1ms", `f.ini:1: "wait" stands before any section; sections are [server], [model "name"]`},
+		{"wait = 1ms", `f.ini:1: "wait" is outside any section; known sections are [server], [model "name"]`},
 		{"[server]\nwat = 1ms", "f.ini:2: [server] wat: unknown key; known are listen, seeds, platform, wait, limit, open"},
 		{"[server]\nwait = 10", `f.ini:2: [server] wait: "10" is not right; write a duration with a unit, as in 250ms, 30s or 24h, from 0ms to 100ms`},
 		{"[server]\nwait = 0", `f.ini:2: [server] wait: "0" is not right; write a duration with a unit, as in 250ms, 30s or 24h, from 0ms to 100ms`},
@@ -61,18 +61,18 @@
 		{"[server]\nlisten = 1.2.3.4", `f.ini:2: [server] listen: "1.2.3.4" is not right; write host:port, as in 10.0.0.7:8080`},
 		{"[server]\nplatform = x:1", `f.ini:2: [server] platform: "x:1" is not right; write an absolute URL, as in http://10.0.0.9:2379`},
 		{"[server]\nwait: 1ms", `f.ini:2: [server]: "wait: 1ms" is neither a section nor a key; write key = value`},
-		{"[server]\nwait = 1ms\nwait = 2ms", "f.ini:3: [server] wait: the key stands already at line 2"},
-		{"[server]\n[server]", "f.ini:2: [server]: the section stands already at line 1; write its keys there"},
+		{"[server]\nwait = 1ms\nwait = 2ms", "f.ini:3: [server] wait: the key is already set at line 2"},
+		{"[server]\n[server]", "f.ini:2: [server]: the section is already defined at line 1; write its keys there"},
 		{"[server x]", "f.ini:1: [server]: the section takes no name; write [server]"},
 		{"[model]", `f.ini:1: [model]: the section needs a name: [model "name"]`},
-		{"[model \"a b\"]", `f.ini:1: [model "a b"]: "a b" is no name; letters, digits and . _ @ : / - are allowed, at most 128`},
+		{"[model \"a b\"]", `f.ini:1: [model "a b"]: "a b" is not a valid name; use letters, digits and . _ @ : / -, at most 128`},
 		{"[model a]\nslots = 4ms", `f.ini:2: [model "a"] slots: "4ms" is not right; write a whole number without a unit (requests), at least 1`},
 		{"[model a]\nslots = 1\nbound = NaN", `f.ini:3: [model "a"] bound: "NaN" is not right; write a decimal number without a unit (times the mean), from 1 to 10`},
 		{"[model a]", `f.ini:1: [model "a"] slots: the key is missing; write a whole number without a unit (requests), at least 1`},
 		{"[model a]\nslots = 1\ntags = a,,b", `f.ini:3: [model "a"] tags: "a,,b" is not right; write names separated by commas`},
-		{"[model a]\nslots = 1\ntitle = \"\"\"a", `f.ini:3: [model "a"] title: a value stands on one line, plain or in double quotes`},
+		{"[model a]\nslots = 1\ntitle = \"\"\"a", `f.ini:3: [model "a"] title: a value must be on one line, plain or in double quotes`},
 		{"[models]\nx = 1", `f.ini:1: [models]: unknown section; known are [server], [model "name"]`},
-		{"[server", `f.ini:1: [server is no section header; write [section] or [section "name"]`},
+		{"[server", `f.ini:1: [server is not a section header; write [section] or [section "name"]`},
 		{"[server]\nwait = \xff", "f.ini:2: [server]: the line is not UTF-8 text"},
 	} {
 		f, problems := table.Parse("f.ini", []byte(tt.text))
@@ -82,7 +82,8 @@
 	}
 }
 
-// An operator who is told of one fault at a time needs one round per fault.
+// All problems must be reported at once. If only the first one were, an operator
+// would need one attempt per problem.
 func TestAllProblemsAtOnce(t *testing.T) {
 	text := "[server]\nwait = 1\nopen = maybe\n[nothing]\na = 1\n[model m]\nbound = 11\n"
 	_, problems := table.Parse("f.ini", []byte(text))
@@ -103,8 +104,8 @@
 	assert.Assert(t, strings.Contains(page, "## `[model \"name\"]`"))
 }
 
-// The scanner finds the lines and the library the values; if they read a line
-// differently, a setting would silently get another value or none.
+// The scanner finds the lines and the INI library the values. If they interpreted
+// a line differently, a setting would silently get another value or none.
 func FuzzParse(f *testing.F) {
 	f.Add("[server]\nwait = 1ms\n")
 	f.Add("[model \"x\"]\nslots = 1\ntitle = 'a' ; b\n")
--- a/coordination/settings/schema/value.go
+++ b/coordination/settings/schema/value.go
@@ -14,23 +14,24 @@
 	"github.com/samber/lo"
 )
 
-// value is what a key was found to hold.
+// value is the parsed value of a key.
 type value struct {
 	text    string
 	list    []string
-	integer int64   // integers, bytes, nanoseconds
-	number  float64 // whole as a number too, for bounds
+	integer int64   // Integer, Size in bytes or Duration in nanoseconds
+	number  float64 // Number, or integer converted for the bounds check
 	boolean bool
-	line    int // zero for a default
+	line    int // zero if the key is not set
 }
 
-// sizes are the units of a Size, longest suffix first.
+// sizeUnits are the units of a Size. B comes last because it is a suffix of the
+// others.
 var sizeUnits = []struct {
 	unit  string
 	bytes int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// forms says for each kind what an operator should have written.
+// expectedForms describes the syntax of each kind, for messages.
 var expectedForms = map[Kind]string{
 	Text:      "text on one line",
 	Name:      "a name of letters, digits and . _ @ : / -",
@@ -45,9 +46,10 @@
 	URL:       "an absolute URL, as in http://10.0.0.9:2379",
 }
 
-var errSyntax = errors.New("schema: wrong form")
+var errSyntax = errors.New("schema: invalid syntax")
 
-// read returns the value that text has for k, or an error if it has none.
+// parse parses text as the value of k and checks the allowed values and bounds.
+// Its error says what is expected.
 func (k Key) parse(text string) (value, error) {
 	v, err := k.Kind.parse(text)
 	if err != nil || len(k.OneOf) > 0 && !slices.Contains(k.OneOf, v.text) {
@@ -59,7 +61,7 @@
 	return v, nil
 }
 
-// expected says what would be right for k.
+// expected describes the valid values of k.
 func (k Key) expected() string {
 	s := expectedForms[k.Kind]
 	if k.Unit != "" {
@@ -93,11 +95,11 @@
 	return k.Max == "" || v.number <= k.bound(k.Max)
 }
 
-// bound reads a bound of the table. A wrong table is a fault of the program.
+// bound parses a declared bound of k. It panics if the bound is invalid.
 func (k Key) bound(text string) float64 {
 	v, err := k.Kind.parse(text)
 	if err != nil {
-		panic(fmt.Sprintf("schema: key %s has the bound %q", k.Name, text))
+		panic(fmt.Sprintf("schema: key %s has the invalid bound %q", k.Name, text))
 	}
 	return v.number
 }
@@ -144,8 +146,9 @@
 	return errSyntax
 }
 
-// readNumber leaves out what ParseFloat accepts beyond plain decimal numbers:
-// NaN passes every bound, since it compares false with all.
+// parseNumber rejects what ParseFloat accepts beyond decimal numbers:
+// hexadecimal numbers, underscores, infinities and NaN, which would pass every
+// bound because all comparisons with it are false.
 func parseNumber(text string) (float64, error) {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || strings.ContainsAny(text, "xX_") {
@@ -154,7 +157,7 @@
 	return f, nil
 }
 
-// readDuration refuses a bare 0, which ParseDuration takes without a unit.
+// parseDuration rejects a bare 0, which ParseDuration accepts without a unit.
 func parseDuration(text string) (int64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || !strings.ContainsAny(text, "hmsuµ") {
@@ -192,8 +195,8 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != ""
 }
 
-// split returns the parts of a list without the spaces around them; an empty
-// text is an empty list.
+// splitList splits a comma-separated list and trims spaces around its elements.
+// Blank text yields an empty list.
 func splitList(text string) []string {
 	if strings.TrimSpace(text) == "" {
 		return nil
--- a/coordination/settings/silent_test.go
+++ b/coordination/settings/silent_test.go
@@ -13,8 +13,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// silentStore is a platform that can fall silent: its watches stay open and
-// hear nothing, and reads have no answer.
+// silentStore is a platform that can become unresponsive: its watches stay open
+// without events, and reads get no response.
 type silentStore struct {
 	*kvtest.Store
 	silent atomic.Bool
@@ -47,13 +47,10 @@
 	return s.Store.List(ctx, prefix)
 }
 
-// The platform falls silent to the routers that watch it, and their watches
-// stay open. They went on to tell the fleet that it had confirmed the settings,
-// so that nobody else looked for a change: an operator saw fresh settings on
-// every router for a minute and a half, while none of them had heard anything.
-//
-// A watch that waits was taken for a sign of life. The confirmations of a fleet
-// without any answer of the platform prove it.
+// The platform becomes unresponsive while its watches stay open. Watchers that
+// took an open watch for a response kept announcing confirmations, so no other
+// router listed the platform, and all routers showed their settings as confirmed
+// for 90 s without any response.
 func TestSilentPlatformIsNotConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &silentStore{Store: kvtest.New()}
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -12,8 +12,8 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Topics of the messages between routers. TopicChange must never be dropped
-// for want of bandwidth.
+// Topics of the messages between routers. Messages of TopicChange must not be
+// dropped to save bandwidth.
 const (
 	TopicChange       = topicChange
 	TopicConfirmation = topicConfirmation
@@ -24,29 +24,29 @@
 	topicIndex        = "settings-index"
 )
 
-// maxServed bounds the values that a router serves at a time. Without it the
-// router that announces a change would send it to the whole fleet at once.
+// maxConcurrentServes limits the values that a router serves at a time. Without
+// it, the router that announces a change would send it to the whole fleet at once.
 const maxConcurrentServes = 8
 
-// announcement is the rumour of a change. It does not carry the value, which
-// may be large; who lacks it asks for it.
+// changeNotice announces a change by gossip. It does not carry the value, which
+// may be large; routers that lack the value fetch it.
 type changeNotice struct {
 	Position Position              `cbor:"1,keyasint"`
 	Origin   coordination.Instance `cbor:"2,keyasint"`
 }
 
-// confirmation is the rumour that the platform was seen at a revision. Its
-// fingerprint shows a router that it lacks something.
+// confirmation announces by gossip that the platform responded at a revision. The
+// fingerprint lets a router detect that its settings differ from the origin's.
 type confirmation struct {
 	Revision    kv.Revision           `cbor:"1,keyasint"`
 	Fingerprint uint64                `cbor:"2,keyasint"`
 	Origin      coordination.Instance `cbor:"3,keyasint"`
-	Time        int64                 `cbor:"4,keyasint"` // milliseconds since 1970
+	Time        int64                 `cbor:"4,keyasint"` // Unix time in milliseconds
 }
 
 type valueRequest struct {
 	Team coordination.Team `cbor:"1,keyasint"`
-	From Position          `cbor:"2,keyasint"` // what is asked for, or later
+	From Position          `cbor:"2,keyasint"` // lowest acceptable position
 }
 
 type valueAnswer struct {
@@ -75,9 +75,10 @@
 	return data
 }
 
-// observe announces what came into force on this router, unless a peer told of
-// it: its rumour is on its way already, and one more origin for each router
-// would make the fleet spread the same change again and again.
+// observe announces a value that came into force on this router, unless the router
+// learned of it from a peer. That peer's rumor is already spreading, and with
+// every router as an additional origin the fleet would spread the same change
+// repeatedly.
 func (s *Sync) observe(o Observation) {
 	if o.Verdict != Applied {
 		return
@@ -92,7 +93,7 @@
 	s.peers.Broadcast(topicChange, string(o.Team), p.Sequence, encode(changeNotice{Position: p, Origin: s.cfg.Self}))
 }
 
-// heardChange wants the value of a change that the replica lacks.
+// handleChangeRumor requests the value of a change that the replica lacks.
 func (s *Sync) handleChangeRumor(key string, _ uint64, payload []byte) {
 	var a changeNotice
 	if cbor.Unmarshal(payload, &a) != nil || !ValidTeam(coordination.Team(key)) {
@@ -101,8 +102,8 @@
 	s.requestValue(coordination.Team(key), a.Position, a.Origin)
 }
 
-// confirm tells the fleet that the platform was seen at revision, unless
-// another router has just done so for the same settings.
+// confirm announces that the platform responded at revision, unless a router has
+// recently done so for the same settings.
 func (s *Sync) confirm(revision kv.Revision) {
 	now := time.Now()
 	c := confirmation{Revision: revision, Fingerprint: s.replica.Fingerprint(), Origin: s.cfg.Self, Time: now.UnixMilli()}
@@ -118,8 +119,9 @@
 	}
 }
 
-// heardFresh takes a confirmation at the time of its origin, or now if that
-// clock is ahead. An old rumour that is told again proves nothing.
+// handleConfirmationRumor records a confirmation with its origin's time, or the
+// current time if the origin's clock is ahead. The time of receipt would not do:
+// a rumor that is repeated late says nothing about the platform now.
 func (s *Sync) handleConfirmationRumor(_ string, _ uint64, payload []byte) {
 	var c confirmation
 	if cbor.Unmarshal(payload, &c) != nil {
@@ -136,11 +138,11 @@
 	}
 }
 
-// serveValue answers a peer that lacks a value.
+// serveValue responds to a peer that requests a value.
 func (s *Sync) serveValue(_ context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req valueRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("settings: value request: %w", err)
+		return nil, fmt.Errorf("settings: decoding a value request: %w", err)
 	}
 	in, ok := s.replica.Snapshot(req.Team)
 	if !ok || in.Position.Before(req.From) {
@@ -156,7 +158,7 @@
 	return encode(valueAnswer{Found: true, Revision: in.Position.Revision, Data: in.data}), nil
 }
 
-// serveIndex answers a peer that wants to know what is in force here.
+// serveIndex responds to a peer with the positions in force on this router.
 func (s *Sync) serveIndex(context.Context, coordination.Instance, []byte) ([]byte, error) {
 	teams := lo.Map(s.replica.Snapshots(), func(in *Snapshot, _ int) indexEntry {
 		return indexEntry{Team: in.Team, Position: in.Position}
--- a/coordination/settings/sync.go
+++ b/coordination/settings/sync.go
@@ -14,60 +14,62 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Member is a live router, as Peers reports it.
+// Member is a live router as reported by Peers.
 type Member struct {
 	Instance coordination.Instance
 	Zone     coordination.Zone
 }
 
-// Peers is what Sync needs of the connections between routers.
+// Peers is the part of the connections between routers that Sync uses.
 type Peers interface {
-	// Members returns the live routers, this one among them.
+	// Members returns the live routers, including this one.
 	Members() []Member
-	// Broadcast spreads a rumour to all; of one key only the highest version
-	// has to arrive.
+	// Broadcast spreads a rumor to all routers by gossip. For each key, only
+	// the highest version has to arrive.
 	Broadcast(topic, key string, version uint64, payload []byte)
-	// OnRumor has fn called with each rumour of topic. It must not block.
+	// OnRumor registers fn to be called with each rumor of topic. fn must not
+	// block.
 	OnRumor(topic string, fn func(key string, version uint64, payload []byte))
-	// Call asks one router and waits for its answer.
+	// Call sends a request to one router and returns its response.
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
-	// Handle sets what answers the calls of topic.
+	// Handle registers fn to respond to the calls of topic.
 	Handle(topic string, fn func(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error))
 }
 
-// SyncStore is the part of the platform's service that Sync needs.
+// SyncStore is the part of the platform's key-value service that Sync uses.
 type SyncStore interface {
-	// Get reads one key, as a sign of life.
+	// Get reads one key. It is used as a health probe.
 	Get(ctx context.Context, key string) kv.Result
 	List(ctx context.Context, prefix string) kv.Result
 	Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result)
 }
 
-// Times of Sync. A change that its editor or a watcher announces reaches the
-// others by gossip; the times below are for when that fails.
+// Intervals and timeouts of Sync. A change that its editor or a watcher announces
+// reaches the other routers by gossip; these values apply when that fails.
 const (
 	tickInterval       = 250 * time.Millisecond
-	confirmInterval    = 2 * time.Second         // the fleet confirms this often
-	maxConfirmationAge = 10 * time.Second        // without a confirmation, ask the platform
-	relistInterval     = time.Minute             // a watcher reads all, in case its watch is stuck
-	driftThreshold     = 1500 * time.Millisecond // a difference this old is no mere delay
-	driftQueryInterval = 30 * time.Second        // after asking about a difference in vain
+	confirmInterval    = 2 * time.Second         // the fleet confirms about this often
+	maxConfirmationAge = 10 * time.Second        // a router without a confirmation for this long lists the platform
+	relistInterval     = time.Minute             // mean time between a watcher's lists, in case its watch is stuck
+	driftThreshold     = 1500 * time.Millisecond // a difference that lasts this long is not a propagation delay
+	driftQueryInterval = 30 * time.Second        // least time between two index queries for one fingerprint
 	listTimeout        = 3 * time.Second
-	probeTimeout       = time.Second            // for a sign of life of the platform
-	listSpacing        = 200 * time.Millisecond // between two routers that look at the platform
+	probeTimeout       = time.Second            // of a health probe of the platform
+	listSpacing        = 200 * time.Millisecond // range of the random delay between lists, per router in the fleet
 )
 
-// Config tells a Sync where it runs.
+// Config configures a Sync.
 type Config struct {
 	Self coordination.Instance
 	Zone coordination.Zone
-	// WatchersPerZone bounds the routers that watch the platform; one more
-	// watches for all zones. Zero means one.
+	// WatchersPerZone is the number of routers per availability zone that
+	// watch the platform, in addition to one for the whole fleet. Zero means
+	// one.
 	WatchersPerZone int
 }
 
-// Sync keeps a replica up to date: from the platform if this router is one of
-// the few watchers, from its peers otherwise.
+// Sync keeps a Replica up to date: from the platform if this router is one of the
+// few watchers, from peers otherwise.
 type Sync struct {
 	cfg     Config
 	replica *Replica
@@ -77,36 +79,37 @@
 	ctx        context.Context
 	group      sync.WaitGroup
 	ready      chan struct{}
-	serveSlots chan struct{} // bounds the values served at a time
-	fetchSlots chan struct{} // bounds the values fetched at a time
+	serveSlots chan struct{} // limits the values served at a time
+	fetchSlots chan struct{} // limits the values fetched at a time
 
 	mu                 sync.Mutex
-	members            []Member // at the last choice of watchers
-	selected           bool     // whether that choice fell on this router
+	members            []Member // at the last selection of watchers
+	selected           bool     // whether this router was selected
 	watcher            *watcher
 	wanted             map[coordination.Team]Position
-	lastConfirmation   confirmation // the newest that was heard or made
+	lastConfirmation   confirmation // the newest that was received or made
 	lastConfirmedAt    time.Time
-	nextListAt         time.Time // of the next direct look at the platform
-	driftSince         time.Time // since when the fingerprints differ
-	nextIndexAt        time.Time // before which no index is asked for
-	indexedFingerprint uint64    // the fingerprint that the last index was asked for
+	nextListAt         time.Time // time of the next list if there is no confirmation
+	driftSince         time.Time // time since which the fingerprints differ
+	nextIndexAt        time.Time // time before which no index is queried
+	indexedFingerprint uint64    // fingerprint for which an index was last queried
 	loaded             bool
 	stats              Stats
 }
 
-// Stats counts what a Sync did, for metrics.
+// Stats counts the operations of a Sync.
 type Stats struct {
-	Lists     int // reads of all settings from the platform
+	Lists     int // lists of all settings in the platform
 	Watches   int // watches opened
-	Fetches   int // values asked of peers
-	Indexes   int // indexes asked of peers
-	Served    int // values given to peers
-	Confirmed int // confirmations spread
-	Probes    int // signs of life asked of the platform
+	Fetches   int // values requested from peers
+	Indexes   int // indexes queried from peers
+	Served    int // values served to peers
+	Confirmed int // confirmations broadcast
+	Probes    int // health probes of the platform
 }
 
-// NewSync returns a Sync at work, and a function that stops it.
+// NewSync starts a Sync and returns it with a function that stops it and waits for
+// its goroutines.
 func NewSync(cfg Config, replica *Replica, store SyncStore, peers Peers) (*Sync, func()) {
 	if cfg.WatchersPerZone <= 0 {
 		cfg.WatchersPerZone = 1
@@ -137,12 +140,12 @@
 	}
 }
 
-// Ready is closed once the replica holds the settings of the platform or of a
-// peer that does.
+// Ready returns a channel that is closed once the replica has loaded the settings
+// from the platform or from a peer that has loaded them.
 func (s *Sync) Ready() <-chan struct{} { return s.ready }
 
-// ConfirmationAge returns how long ago the platform last confirmed the settings, on any
-// router, and whether it ever did.
+// ConfirmationAge returns the time since the platform last confirmed the settings
+// on any router, and whether it ever did.
 func (s *Sync) ConfirmationAge() (age time.Duration, ever bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +159,7 @@
 	return s.watcher != nil
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (s *Sync) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +172,7 @@
 	fn(&s.stats)
 }
 
-// loop does what is due until the Sync is stopped.
+// loop runs the periodic checks until the Sync is stopped.
 func (s *Sync) loop() {
 	defer s.group.Done()
 	ticker := time.NewTicker(tickInterval)
@@ -187,7 +190,7 @@
 	}
 }
 
-// checkRole starts or stops watching as the live routers change.
+// checkRole starts or stops the watcher as the set of live routers changes.
 func (s *Sync) checkRole() {
 	if !s.shouldWatch() {
 		s.stopWatching()
@@ -213,10 +216,10 @@
 	}
 }
 
-// watchers returns who watches the platform: the first of each zone by hash,
-// and the first of the rest. Routers whose lists of members differ may choose
-// more or fewer for a while, which only costs calls or leaves the work to the
-// remaining ones.
+// selectWatchers returns the routers that watch the platform: the perZone routers
+// of each zone with the highest hashes, and the highest of the rest. Routers with
+// different member lists may select more or fewer watchers for a while, which
+// only costs additional calls or leaves fewer watchers.
 func selectWatchers(perZone int, members []Member) []coordination.Instance {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Member) int { return cmp.Compare(watcherHash(b.Instance), watcherHash(a.Instance)) })
@@ -237,7 +240,7 @@
 	return chosen
 }
 
-// isWatcher reports whether this router is to watch.
+// shouldWatch reports whether this router is selected as a watcher.
 func (s *Sync) shouldWatch() bool {
 	members := s.peers.Members()
 	s.mu.Lock()
@@ -253,10 +256,10 @@
 	return xxhash.Sum64String("settings-watcher/" + string(i))
 }
 
-// checkFreshness looks at the platform directly once no peer has shown a
-// confirmation for a while. The first router that succeeds confirms for all. The
-// times are spread by the size of the fleet: else all would ask at once, again
-// and again for as long as an outage lasts.
+// checkConfirmationAge lists the platform once the last confirmation is older than
+// maxConfirmationAge. The first router that succeeds confirms for all. The random
+// delay grows with the fleet; otherwise all routers would query the platform at
+// once, repeatedly, for as long as an outage lasts.
 func (s *Sync) checkConfirmationAge() {
 	s.mu.Lock()
 	now := time.Now()
@@ -279,8 +282,8 @@
 	}
 }
 
-// list reads all settings from the platform, offers them and confirms. It
-// returns the revision that was read.
+// list reads all settings from the platform, offers them to the replica and
+// confirms. It returns the revision of the read, and false if the read failed.
 func (s *Sync) list(ctx context.Context) (kv.Revision, bool) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
--- a/coordination/settings/team.go
+++ b/coordination/settings/team.go
@@ -1,10 +1,10 @@
-// Package settings holds what a team has agreed: its settings, their history,
-// the editor that changes them and the replica that each router keeps.
+// Package settings provides the settings of teams: parsing, change history, the
+// editor that changes them and the replica that each router keeps.
 //
-// A team's settings and the audit entry of their last change are one value of
-// the platform's key-value service, so that both are written by one
-// compare-and-swap. A few routers watch the service; the others get changes by
-// gossip. A router that has a change in force never goes back behind it.
+// A team's settings and the audit record of their last change are one value of
+// the platform's key-value service, so that one compare-and-swap writes both. A
+// few routers watch the service; the others receive changes by gossip. A router
+// never reverts to settings older than those it has in force.
 package settings
 
 import (
@@ -19,11 +19,11 @@
 	"wisteriaspool/coordination/settings/schema"
 )
 
-// Problem is one fault of a team's settings.
+// Problem describes one error in a team's settings or in a change request.
 type Problem = schema.Problem
 
-// TeamSettings is the settings of one team. It does not change once it is parsed, and
-// may be read by any number of goroutines.
+// TeamSettings holds the parsed settings of one team. It is immutable and safe
+// for concurrent use.
 type TeamSettings struct {
 	priorityDefault coordination.Priority
 	priorityCap     coordination.Priority
@@ -37,33 +37,34 @@
 	services        map[coordination.Service]Service
 }
 
-// Model is what a team has set for one model.
+// Model holds a team's settings for one model.
 type Model struct {
 	Name         coordination.Model
 	Version      string
-	LoadBound    float64 // times the mean load of the pool
-	Capacity     int     // requests per endpoint; 0 takes the endpoint's report
+	LoadBound    float64 // highest load of an engine, as a multiple of the pool's mean
+	Capacity     int     // requests per endpoint; 0 uses the capacity that the endpoint reports
 	Queue        int     // requests that may wait per endpoint
 	WarmWait     time.Duration
 	MaxTokens    coordination.Tokens
-	Adapters     []string      // that every engine of the pool loads
-	LoadPace     time.Duration // between two loads in the pool
+	Adapters     []string      // loaded by every engine of the pool
+	LoadPace     time.Duration // minimum time between two adapter loads in the pool
 	StallTimeout time.Duration
 }
 
 // Pool returns the pool that serves m.
 func (m Model) Pool() coordination.Pool { return coordination.PoolOf(m.Name, m.Version) }
 
-// Service is what a team has set for one plain service.
+// Service holds a team's settings for one plain service.
 type Service struct {
 	Name          coordination.Service
 	ActionTimeout time.Duration
-	Capacity      int // requests per endpoint; 0 takes the endpoint's report
+	Capacity      int // requests per endpoint; 0 uses the capacity that the endpoint reports
 
 	nonIdempotent []coordination.Action
 }
 
-// NonIdempotent reports whether action may run at most once for each key.
+// NonIdempotent reports whether action may run at most once per idempotency
+// key.
 func (s Service) NonIdempotent(action coordination.Action) bool {
 	return slices.Contains(s.nonIdempotent, action)
 }
@@ -71,15 +72,16 @@
 // Pool returns the pool that serves s.
 func (s Service) Pool() coordination.Pool { return coordination.Pool(s.Name) }
 
-// Actions is how a team's non-idempotent actions are remembered.
+// Actions configures how long and at what size the outcomes of a team's
+// non-idempotent actions are kept.
 type Actions struct {
 	Retention   time.Duration
 	ClockSkew   time.Duration
-	AnswerLimit int // bytes
+	AnswerLimit int // bytes; of larger answers only the outcome is kept
 }
 
-// Parse reads a team's settings. The name of the file is for the problems. The
-// Team is nil if there is any problem; all problems are reported at once.
+// Parse parses a team's settings. The file name is used in problems only. If
+// there are problems, it returns all of them and a nil TeamSettings.
 func Parse(file string, text []byte) (*TeamSettings, []Problem) {
 	if len(text) > MaxText {
 		return nil, []Problem{{File: file, Message: fmt.Sprintf("the text has %d bytes; at most %d are allowed", len(text), MaxText)}}
@@ -94,7 +96,7 @@
 	return newTeamSettings(f), nil
 }
 
-// crossCheck finds values that are right alone but not together.
+// crossCheck validates constraints between keys and the syntax of version names.
 func crossCheck(f *schema.File) []Problem {
 	var problems []Problem
 	team := f.Section(sectionTeam)
@@ -171,8 +173,8 @@
 	}
 }
 
-// Priority returns the priority of a request that asks for one, or that names
-// none.
+// Priority returns the effective priority of a request: the requested one,
+// limited to the team's cap, or the default if named is false.
 func (t *TeamSettings) Priority(asked coordination.Priority, named bool) coordination.Priority {
 	if !named {
 		return t.priorityDefault
@@ -180,42 +182,43 @@
 	return min(asked, t.priorityCap)
 }
 
-// RetryBudget returns the share of requests that may be tried a second time.
+// RetryBudget returns the fraction of requests that may be retried, from 0 to 1.
 func (t *TeamSettings) RetryBudget() float64 { return t.retryBudget }
 
-// Deadline returns the time in which an answer must start if the request names
-// none.
+// Deadline returns the time within which the answer to a request must start if
+// the request sets no deadline.
 func (t *TeamSettings) Deadline() time.Duration { return t.deadline }
 
-// Actions returns how non-idempotent actions are remembered.
+// Actions returns the settings for the records of non-idempotent actions.
 func (t *TeamSettings) Actions() Actions { return t.actions }
 
-// Model returns what is set for name, and whether the team has that model.
+// Model returns the settings of model name, and whether the team has it.
 func (t *TeamSettings) Model(name coordination.Model) (Model, bool) {
 	m, ok := t.models[name]
 	return m, ok
 }
 
-// Models returns the team's models, by name.
+// Models returns the team's models, sorted by name.
 func (t *TeamSettings) Models() []Model {
 	return lo.Map(slices.Sorted(maps.Keys(t.models)), func(n coordination.Model, _ int) Model { return t.models[n] })
 }
 
-// Service returns what is set for name, and whether the team has that service.
+// Service returns the settings of service name, and whether the team has it.
 func (t *TeamSettings) Service(name coordination.Service) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Services returns the team's services, by name.
+// Services returns the team's services, sorted by name.
 func (t *TeamSettings) Services() []Service {
 	return lo.Map(slices.Sorted(maps.Keys(t.services)), func(n coordination.Service, _ int) Service { return t.services[n] })
 }
 
-// Weights returns the weights of the client accounts that are listed.
+// Weights returns a copy of the weights of the listed client accounts.
 func (t *TeamSettings) Weights() map[coordination.Account]float64 { return maps.Clone(t.weights) }
 
-// Account returns the weight of name, and whether the team serves it.
+// Account returns the weight of client account name, and whether the team
+// admits it.
 func (t *TeamSettings) Account(name coordination.Account) (weight float64, allowed bool) {
 	if w, listed := t.weights[name]; listed {
 		return w, true
--- a/coordination/settings/value.go
+++ b/coordination/settings/value.go
@@ -16,34 +16,36 @@
 	"wisteriaspool/coordination/settings/schema"
 )
 
-// Prefix is the key under which the settings of all teams stand.
+// Prefix is the key prefix of all teams' settings in the platform's key-value
+// service.
 const Prefix = "/wisteriaspool/settings/"
 
-// Bounds of one value. The platform holds values up to a megabyte.
+// Size limits of one stored value. The platform accepts values of up to 1 MB.
 const (
-	MaxText       = 64 << 10  // bytes of a team's settings
+	MaxText       = 64 << 10  // bytes of a team's settings text
 	maxValueBytes = 192 << 10 // bytes of an encoded value
-	maxEarlier    = 64        // change records kept beside the last one
-	maxDiff       = 1 << 10   // bytes of the difference kept in a change record
+	maxEarlier    = 64        // earlier change records kept with the latest
+	maxDiff       = 1 << 10   // bytes of the diff kept in a change record
 	maxReason     = 500       // bytes of a reason
 	maxAuthor     = 100       // bytes of an author's name
 )
 
-// ChangeID identifies one change, however often it is sent. It is a UUIDv7.
+// ChangeID identifies one change across all its retries. It is a UUIDv7 in
+// canonical lowercase form.
 type ChangeID string
 
-// NewChangeID returns a fresh id.
+// NewChangeID returns a new random ID.
 func NewChangeID() ChangeID {
 	return ChangeID(uuid.Must(uuid.NewV7()).String())
 }
 
-// Valid reports whether id is a UUIDv7.
+// Valid reports whether id is a UUIDv7 in canonical lowercase form.
 func (id ChangeID) Valid() bool {
 	u, err := uuid.Parse(string(id))
 	return err == nil && u.Version() == 7 && u.String() == string(id)
 }
 
-// Digest is the SHA-256 of a text, in hexadecimal.
+// Digest is the SHA-256 of a settings text, in hexadecimal.
 type Digest string
 
 // DigestOf returns the digest of text.
@@ -52,14 +54,15 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Change is the audit entry of one accepted change.
+// Change is the audit record of one accepted change.
 type Change struct {
 	ID ChangeID `json:"change_id"`
-	// Sequence rises with every change of a team. It is higher than that of
-	// the change before and at least the revision that the change replaced,
-	// so that a value put back past the routers is behind every later change.
+	// Sequence increases with every change of a team. It is greater than the
+	// sequence of the preceding change and at least the revision that the
+	// change replaced. An old value that is restored directly in the platform
+	// therefore sorts before every later change.
 	Sequence uint64 `json:"sequence"`
-	// Previous is the revision that the change replaced.
+	// Previous is the revision that the change replaced, zero for a new team.
 	Previous kv.Revision `json:"previous_revision"`
 	Author   string      `json:"author"`
 	Reason   string      `json:"reason"`
@@ -68,21 +71,21 @@
 	Diff     string      `json:"diff,omitempty"`
 }
 
-// Entry is a change with the revision at which it was written.
+// Entry is a Change and the revision at which it was written.
 type Entry struct {
 	Change
 	Revision kv.Revision `json:"revision"`
 }
 
-// Value is what the platform holds for one team.
+// Value is the value that the platform stores for one team.
 type Value struct {
 	Text    string  `json:"text"`
 	Change  Change  `json:"change"`
 	Earlier []Entry `json:"earlier,omitempty"` // newest first
 }
 
-// Position orders the accepted values of one team. The zero Position is before
-// all.
+// Position orders the accepted values of one team, by sequence and then by
+// revision. The zero Position is before all others.
 type Position struct {
 	Sequence uint64      `json:"sequence" cbor:"1,keyasint"`
 	Revision kv.Revision `json:"revision" cbor:"2,keyasint"`
@@ -96,27 +99,29 @@
 	return p.Revision < q.Revision
 }
 
-// Key returns the platform's key of a team.
+// Key returns the key under which the platform stores the settings of team.
 func Key(team coordination.Team) string { return Prefix + string(team) }
 
-// TeamOf returns the team of a key, and whether the key is a team's.
+// TeamOf returns the team that key belongs to, and whether key is a valid
+// settings key.
 func TeamOf(key string) (coordination.Team, bool) {
 	name, found := strings.CutPrefix(key, Prefix)
 	return coordination.Team(name), found && ValidTeam(coordination.Team(name))
 }
 
-// ValidTeam reports whether team may be a team's name.
+// ValidTeam reports whether team is a valid team name: a name as
+// schema.ValidName accepts it, without slashes.
 func ValidTeam(team coordination.Team) bool {
 	return schema.ValidName(string(team)) && !strings.Contains(string(team), "/")
 }
 
-var errInvalidRecord = errors.New("settings: the change record is missing or does not fit the text")
+var errInvalidRecord = errors.New("settings: change record is missing or does not match the text")
 
-// decodeValue reads what the platform holds.
+// decodeValue decodes a stored value and verifies its change record.
 func decodeValue(data []byte) (Value, error) {
 	var v Value
 	if err := json.Unmarshal(data, &v); err != nil {
-		return Value{}, fmt.Errorf("settings: the value is no JSON: %w", err)
+		return Value{}, fmt.Errorf("settings: value is not valid JSON: %w", err)
 	}
 	if v.Change.Sequence == 0 || v.Change.ID == "" || v.Change.Digest != DigestOf(v.Text) {
 		return Value{}, errInvalidRecord
@@ -124,8 +129,8 @@
 	return v, nil
 }
 
-// encode returns v as the platform holds it, and drops the oldest change
-// records as far as its bounds demand.
+// encode returns v as the platform stores it. It drops the oldest change
+// records until the size limits hold, and fails if the text alone exceeds them.
 func (v Value) encode() ([]byte, error) {
 	v.Earlier = v.Earlier[:min(len(v.Earlier), maxEarlier)]
 	for {
@@ -143,13 +148,14 @@
 	}
 }
 
-// History returns the changes that v knows of, newest first, when v stands at
-// revision.
+// History returns the changes recorded in v, newest first. The revision is that
+// of v itself.
 func (v Value) History(revision kv.Revision) []Entry {
 	return append([]Entry{{Change: v.Change, Revision: revision}}, v.Earlier...)
 }
 
-// find returns the entry of id when v stands at revision.
+// find returns the entry of id in the history of v, which has the given
+// revision.
 func (v Value) find(id ChangeID, revision kv.Revision) (Entry, bool) {
 	for _, e := range v.History(revision) {
 		if e.ID == id {
--- a/coordination/settings/watch.go
+++ b/coordination/settings/watch.go
@@ -9,14 +9,14 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// watcher watches the platform while its router is one of the watchers.
+// watcher watches the platform while its router is selected as a watcher.
 type watcher struct {
 	s      *Sync
 	cancel context.CancelFunc
 }
 
-// run reads all settings and watches for changes, again and again until ctx
-// ends.
+// run lists and watches the settings until ctx ends, with backoff between
+// attempts.
 func (w *watcher) run(ctx context.Context) {
 	defer w.s.group.Done()
 	wait := initialBackoff
@@ -31,8 +31,8 @@
 	}
 }
 
-// follow reads all settings once and follows a watch from there until it
-// breaks. It reports whether the watch was opened.
+// listAndWatch lists all settings and watches from the revision of the list until
+// the watch fails. It reports whether the watch was opened.
 func (w *watcher) listAndWatch(ctx context.Context) bool {
 	revision, ok := w.s.list(ctx)
 	if !ok {
@@ -49,9 +49,9 @@
 	return true
 }
 
-// drain takes batches until the watch breaks. An open watch can miss changes
-// without a sign, as when it is stuck behind a broken connection; reading all
-// settings once in a while bounds how long that goes unnoticed.
+// consume applies batches until the watch fails. An open watch can miss changes
+// without an error, for instance if its connection is broken; a periodic list
+// limits how long that goes undetected.
 func (w *watcher) consume(ctx context.Context, batches <-chan kv.Batch, revision kv.Revision) {
 	confirm := time.NewTimer(nextConfirmDelay())
 	defer confirm.Stop()
@@ -81,11 +81,11 @@
 	}
 }
 
-// confirm tells the fleet that the platform was seen, behind a sign of life. A
-// watch that waits looks the same whether nothing changes or the platform has
-// fallen silent; told without a sign, the fleet would count settings as fresh
-// that nobody had asked for, and no other router would look. It reports whether
-// the watch is still good.
+// confirm probes the platform and, if it responds, announces a confirmation. An
+// idle watch looks the same whether nothing changes or the platform does not
+// respond. Without the probe, the fleet would consider settings as confirmed that
+// nobody had checked, and no other router would list them. It reports whether the
+// watch is still usable.
 func (w *watcher) confirm(ctx context.Context, revision kv.Revision) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -94,18 +94,19 @@
 	case kv.Applied:
 		w.s.confirm(revision)
 		return true
-	case kv.Throttled: // this router may make no call now
+	case kv.Throttled: // rate limited: the probe shows nothing about the watch
 		return true
 	default:
 		return false
 	}
 }
 
-// confirmPause spreads the confirmations of the watchers, so that most of them
-// find that another has just spread one.
+// nextConfirmDelay returns the randomized delay before the next confirmation. The
+// jitter lets most watchers find that another one has just confirmed.
 func nextConfirmDelay() time.Duration { return confirmInterval + rand.N(confirmInterval) }
 
-// take offers what a batch brings. It reports whether the watch is still good.
+// applyBatch offers the events of a batch to the replica and lists all settings
+// after a gap. It reports whether the watch is still usable.
 func (w *watcher) applyBatch(ctx context.Context, b kv.Batch) bool {
 	for _, e := range b.Events {
 		team, ok := TeamOf(e.Pair.Key)
--- a/coordination/settings/watchers_test.go
+++ b/coordination/settings/watchers_test.go
@@ -17,8 +17,8 @@
 	})
 }
 
-// The number of watches must not grow with the fleet: the platform counts each
-// waiting watch as a call.
+// The number of watchers must not grow with the fleet, because the platform counts
+// each open watch as a call.
 func TestWatcherCountIsBounded(t *testing.T) {
 	for _, tt := range []struct{ routers, zones, want int }{
 		{0, 1, 0}, {1, 3, 1}, {3, 3, 3}, {7, 3, 4}, {330, 5, 6}, {2000, 5, 6},
@@ -31,8 +31,8 @@
 	}
 }
 
-// A watcher that goes is replaced by one of its zone, and the others stay:
-// each change of watchers costs a read of all settings.
+// When a watcher leaves, exactly one router must replace it and the other watchers
+// must stay, because each new watcher lists all settings.
 func TestWatcherSetIsStable(t *testing.T) {
 	members := newMembers(330, 5)
 	before := selectWatchers(1, members)
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -29,10 +29,10 @@
 
 // topics tells how the rumours of each topic spread.
 var topics = map[string]membership.Topic{
-	topicLeaving:          {TTL: leavingLife},
-	settings.TopicChange:  {Keep: true},
-	settings.TopicConfirmation:   {TTL: freshLife},
-	suspicion.TopicRecord: {TTL: suspicionLife},
+	topicLeaving:               {TTL: leavingLife},
+	settings.TopicChange:       {Keep: true},
+	settings.TopicConfirmation: {TTL: freshLife},
+	suspicion.TopicRecord:      {TTL: suspicionLife},
 }
 
 // leavingTeller tells the other routers of a leaving endpoint.
