--- a/coordination/settings/editor.go
+++ b/coordination/settings/editor.go
@@ -50,8 +50,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	if in, ok := e.replica.Snapshot(p.Team); ok {
-		if entry, found := in.Value.find(p.ID, in.Position.Revision); found {
+	if snapshot, ok := e.replica.Snapshot(p.Team); ok {
+		if entry, found := snapshot.Value.find(p.ID, snapshot.Position.Revision); found {
 			return acceptedOutcome(entry, true)
 		}
 	}
@@ -75,17 +75,17 @@
 // the base: during an outage a read fails without side effects, whereas a write
 // without a response leaves it unknown whether the change was made.
 func (e *Editor) findBase(ctx context.Context, p Put) (b putBase, out Outcome, settled bool) {
-	in, _ := e.replica.Snapshot(p.Team)
-	if in != nil {
-		b.inForce = in.Position
-		b.updateNewest(in.current())
+	snapshot, _ := e.replica.Snapshot(p.Team)
+	if snapshot != nil {
+		b.inForce = snapshot.Position
+		b.updateNewest(snapshot.current())
 	}
 	pair, found, out, failed := e.read(ctx, p.Team)
 	if failed {
 		return b, out, true
 	}
 	if !found {
-		return e.baseForMissingKey(p, b, in)
+		return e.baseForMissingKey(p, b, snapshot)
 	}
 	current := currentOf(pair)
 	b.updateNewest(current)
@@ -103,11 +103,11 @@
 
 // baseForMissingKey determines the base if the key does not exist or was
 // deleted. The change is then based on the value in force.
-func (e *Editor) baseForMissingKey(p Put, b putBase, in *Snapshot) (putBase, Outcome, bool) {
+func (e *Editor) baseForMissingKey(p Put, b putBase, snapshot *Snapshot) (putBase, Outcome, bool) {
 	switch {
-	case in != nil && in.Position.Revision != p.Base:
-		return b, p.conflictOutcome(in.current()), true
-	case in == nil && p.Base != 0:
+	case snapshot != nil && snapshot.Position.Revision != p.Base:
+		return b, p.conflictOutcome(snapshot.current()), true
+	case snapshot == nil && p.Base != 0:
 		return b, p.conflictOutcome(Current{}), true
 	}
 	b.previous = p.Base
@@ -140,7 +140,7 @@
 	if err != nil {
 		return Outcome{Status: Rejected, Problems: []Problem{{File: string(p.Team), Message: err.Error()}}}
 	}
-	lost := false
+	responseLost := false
 	for wait := initialBackoff; ; wait = min(2*wait, maxBackoff) {
 		res := e.compareAndSwap(ctx, p.Team, data, b.expect)
 		switch res.Status {
@@ -148,13 +148,13 @@
 			e.replica.Offer(p.Team, kv.Pair{Key: Key(p.Team), Value: data, Revision: res.Revision})
 			return acceptedOutcome(Entry{Change: v.Change, Revision: res.Revision}, false)
 		case kv.Conflict:
-			return e.resolveConflict(p, b, res, lost)
+			return e.resolveConflict(p, b, res, responseLost)
 		case kv.Unavailable, kv.Throttled:
-			if !lost {
-				return unprovenOutcome(lost, res.Err)
+			if !responseLost {
+				return unprovenOutcome(responseLost, res.Err)
 			}
 		default:
-			lost = true
+			responseLost = true
 		}
 		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
 			return Outcome{Status: Undecided, Err: res.Err, RetryAfter: defaultRetryAfter}
@@ -171,25 +171,25 @@
 // resolveConflict determines the outcome of p after a failed compare-and-swap. If
 // an earlier response was lost, the history of the current value must prove that
 // p was not accepted in between.
-func (e *Editor) resolveConflict(p Put, b putBase, res kv.Result, lost bool) Outcome {
+func (e *Editor) resolveConflict(p Put, b putBase, res kv.Result, responseLost bool) Outcome {
 	if len(res.Pairs) == 0 {
 		e.replica.Remove(p.Team, res.Revision)
-		return unprovenOutcome(lost, errKeyDeleted)
+		return unprovenOutcome(responseLost, errKeyDeleted)
 	}
 	e.replica.Offer(p.Team, res.Pairs[0])
 	current := currentOf(res.Pairs[0])
 	out := p.resolve(current)
-	if out.Status == Conflict && lost && !current.excludes(p.ID, b.previous) {
-		return unprovenOutcome(lost, nil)
+	if out.Status == Conflict && responseLost && !current.excludes(p.ID, b.previous) {
+		return unprovenOutcome(responseLost, nil)
 	}
 	return out
 }
 
 // unprovenOutcome returns the outcome of a change that was found in no value:
 // Unavailable if every response arrived, Undecided if one was lost.
-func unprovenOutcome(lost bool, err error) Outcome {
+func unprovenOutcome(responseLost bool, err error) Outcome {
 	out := Outcome{Status: Unavailable, Err: err, RetryAfter: defaultRetryAfter}
-	if lost {
+	if responseLost {
 		out.Status = Undecided
 	}
 	return out
@@ -246,8 +246,8 @@
 	if found {
 		return currentOf(pair), true
 	}
-	if in, ok := e.replica.Snapshot(team); ok {
-		return in.current(), false
+	if snapshot, ok := e.replica.Snapshot(team); ok {
+		return snapshot.current(), false
 	}
 	return Current{}, !failed
 }
--- a/coordination/settings/editor_test.go
+++ b/coordination/settings/editor_test.go
@@ -66,9 +66,9 @@
 	assert.Equal(t, current.Text, oneSecond)
 	out := put(t, e, twoSeconds, base.Revision)
 	assert.Assert(t, base.Before(out.Position))
-	in, _ := replica.Snapshot(testTeam)
-	assert.Equal(t, in.Position, out.Position)
-	assert.Equal(t, len(in.Value.History(0)), 2)
+	snapshot, _ := replica.Snapshot(testTeam)
+	assert.Equal(t, snapshot.Position, out.Position)
+	assert.Equal(t, len(snapshot.Value.History(0)), 2)
 }
 
 // After the platform was rebuilt, its revisions start again from a low number. A
@@ -87,8 +87,8 @@
 	out := put(t, e, twoSeconds, current.Revision)
 	assert.Assert(t, out.Position.Revision < before.Revision)
 	assert.Assert(t, before.Before(out.Position))
-	in, _ := replica.Snapshot(testTeam)
-	assert.Equal(t, in.Position, out.Position)
+	snapshot, _ := replica.Snapshot(testTeam)
+	assert.Equal(t, snapshot.Position, out.Position)
 }
 
 // Raw text was written directly in the platform. The next change must replace it
@@ -102,8 +102,8 @@
 	assert.Equal(t, current.Revision, raw.Revision)
 	assert.Equal(t, replica.Status()[0].Refused.Verdict, Invalid)
 	out := put(t, e, twoSeconds, raw.Revision)
-	in, _ := replica.Snapshot(testTeam)
-	history := in.Value.History(out.Position.Revision)
+	snapshot, _ := replica.Snapshot(testTeam)
+	history := snapshot.Value.History(out.Position.Revision)
 	assert.Equal(t, len(history), 2)
 	assert.Equal(t, history[1].Revision, base.Revision)
 	assert.Assert(t, replica.Status()[0].Refused == nil)
--- a/coordination/settings/fetch.go
+++ b/coordination/settings/fetch.go
@@ -60,8 +60,8 @@
 // hasOrRefused reports whether the replica has a value of team at p or later, or
 // has refused the value at p's revision.
 func (s *Sync) hasOrRefused(team coordination.Team, p Position) bool {
-	in, ok := s.replica.Snapshot(team)
-	if ok && !in.Position.Before(p) {
+	snapshot, ok := s.replica.Snapshot(team)
+	if ok && !snapshot.Position.Before(p) {
 		return true
 	}
 	return s.replica.refusedRevision(team) == p.Revision
--- a/coordination/settings/fleet_test.go
+++ b/coordination/settings/fleet_test.go
@@ -91,11 +91,11 @@
 }
 
 func (r *router) position() Position {
-	in, ok := r.replica.Snapshot(testTeam)
+	snapshot, ok := r.replica.Snapshot(testTeam)
 	if !ok {
 		return Position{}
 	}
-	return in.Position
+	return snapshot.Position
 }
 
 func change(text string, base kv.Revision) Put {
@@ -201,8 +201,8 @@
 		f := newFleet(t, 6, 30)
 		time.Sleep(10 * time.Second)
 		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
 		f.await(out.Position, inForceTimeout)
 	})
@@ -273,8 +273,8 @@
 		time.Sleep(10 * time.Second)
 		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
 		f.store.SetFaults(kvtest.Faults{})
 		f.await(out.Position, inForceTimeout)
@@ -290,8 +290,8 @@
 		time.Sleep(10 * time.Second)
 		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
 		f.await(out.Position, 3*relistInterval/2+inForceTimeout)
 	})
@@ -301,8 +301,8 @@
 // part of the fleet.
 func (r *Replica) copyOf(team coordination.Team) *Replica {
 	var c Replica
-	in, _ := r.Snapshot(team)
-	c.Offer(team, kv.Pair{Value: in.data, Revision: in.Position.Revision})
+	snapshot, _ := r.Snapshot(team)
+	c.Offer(team, kv.Pair{Value: snapshot.data, Revision: snapshot.Position.Revision})
 	return &c
 }
 
@@ -314,8 +314,8 @@
 		f := newFleet(t, 4, 30)
 		time.Sleep(10 * time.Second)
 		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
-		lone := f.nonWatcher(t)
-		lone.dropTopic(topicChange)
+		isolated := f.nonWatcher(t)
+		isolated.dropTopic(topicChange)
 		p := f.routers[0].mustPut(t, twoSeconds)
 		time.Sleep(time.Second)
 		assert.Equal(t, f.countBehind(p), 1)
--- a/coordination/settings/hub_test.go
+++ b/coordination/settings/hub_test.go
@@ -108,14 +108,14 @@
 	var all []delivery
 	for i, name := range h.names {
 		from := h.nodes[name]
-		swap := (round+i)%10 == 0
+		sendAll := (round+i)%10 == 0
 		for range roundFanout {
 			to := h.nodes[h.names[h.rnd.IntN(len(h.names))]]
 			if to == from || h.rnd.Float64() < h.loss {
 				continue
 			}
-			all = append(all, from.deliveries(to, swap)...)
-			swap = false
+			all = append(all, from.deliveries(to, sendAll)...)
+			sendAll = false
 		}
 		from.ageRumors()
 	}
@@ -123,12 +123,12 @@
 	return all
 }
 
-func (n *node) deliveries(to *node, swap bool) []delivery {
+func (n *node) deliveries(to *node, sendAll bool) []delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var all []delivery
 	for id, r := range n.known {
-		if swap || r.rounds < spreadRounds {
+		if sendAll || r.rounds < spreadRounds {
 			all = append(all, delivery{to, id, r})
 		}
 	}
--- a/coordination/settings/replica.go
+++ b/coordination/settings/replica.go
@@ -126,7 +126,7 @@
 // Offer applies the value of a team, as read from the platform or from a peer, if
 // it is valid and after the one in force.
 func (r *Replica) Offer(team coordination.Team, pair kv.Pair) Verdict {
-	if in, ok := r.Snapshot(team); ok && in.Position.Revision == pair.Revision {
+	if snapshot, ok := r.Snapshot(team); ok && snapshot.Position.Revision == pair.Revision {
 		return Known // avoid parsing it again
 	}
 	v, parsed, problems := readPair(team, pair)
@@ -185,15 +185,15 @@
 	if st.refused != nil && st.refused.Revision == revision {
 		return Known
 	}
-	in := st.position()
+	inForce := st.position()
 	switch {
-	case offered.Settings == nil && revision < in.Revision:
+	case offered.Settings == nil && revision < inForce.Revision:
 		return Older
 	case offered.Settings == nil || len(problems) > 0:
 		return Invalid
-	case in == offered.Position:
+	case inForce == offered.Position:
 		return Known
-	case !in.Before(offered.Position):
+	case !inForce.Before(offered.Position):
 		return Older
 	default:
 		return Applied
--- a/coordination/settings/replica_test.go
+++ b/coordination/settings/replica_test.go
@@ -177,22 +177,22 @@
 // monotonicCheck must detect a replica that applies every value, and one that
 // applies the value with the highest revision of the platform.
 func TestMonotonicCheckDetectsRollback(t *testing.T) {
-	applies := map[string]func(in, offered Position) bool{
+	applies := map[string]func(inForce, offered Position) bool{
 		"whatever comes":   func(_, _ Position) bool { return true },
-		"highest revision": func(in, offered Position) bool { return offered.Revision > in.Revision },
+		"highest revision": func(inForce, offered Position) bool { return offered.Revision > inForce.Revision },
 	}
 	for name, apply := range applies {
 		caught := 0
 		for seed := range uint64(orderSeeds) {
-			var in Position
+			var inForce Position
 			var m monotonicCheck
 			back := false
 			for _, pair := range shuffledPairs(t, seed) {
 				v, err := decodeValue(pair.Value)
 				offered := Position{Sequence: v.Change.Sequence, Revision: pair.Revision}
-				if err == nil && apply(in, offered) {
-					in = offered
-					back = back || !m.advance(in)
+				if err == nil && apply(inForce, offered) {
+					inForce = offered
+					back = back || !m.advance(inForce)
 				}
 			}
 			if back {
--- a/coordination/settings/schema/scan.go
+++ b/coordination/settings/schema/scan.go
@@ -99,7 +99,7 @@
 // checkHeader reports whether the header of p is valid, and records a problem if
 // it is not.
 func (s *scanner) checkHeader(p *sectionEntry) bool {
-	earlier, twice := s.entries[p.title]
+	earlier, duplicate := s.entries[p.title]
 	switch {
 	case p.section.Named && p.name == "":
 		s.problem(p.line, p.section.Name, "", fmt.Sprintf(`the section needs a name: [%s "name"]`, p.section.Name))
@@ -107,7 +107,7 @@
 		s.problem(p.line, p.title, "", fmt.Sprintf("%q is not a valid name; use letters, digits and . _ @ : / -, at most 128", p.name))
 	case !p.section.Named && p.name != "":
 		s.problem(p.line, p.section.Name, "", fmt.Sprintf("the section takes no name; write [%s]", p.section.Name))
-	case twice:
+	case duplicate:
 		s.problem(p.line, p.title, "", fmt.Sprintf("the section is already defined at line %d; write its keys there", earlier.line))
 	default:
 		return true
@@ -134,7 +134,7 @@
 		s.problem(n, p.title, key, "unknown key; known are "+p.section.keyNames())
 		return ""
 	}
-	if earlier, twice := p.keys[key]; twice {
+	if earlier, duplicate := p.keys[key]; duplicate {
 		s.problem(n, p.title, key, fmt.Sprintf("the key is already set at line %d", earlier))
 		return ""
 	}
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -144,8 +144,8 @@
 	if err := cbor.Unmarshal(payload, &req); err != nil {
 		return nil, fmt.Errorf("settings: decoding a value request: %w", err)
 	}
-	in, ok := s.replica.Snapshot(req.Team)
-	if !ok || in.Position.Before(req.From) {
+	snapshot, ok := s.replica.Snapshot(req.Team)
+	if !ok || snapshot.Position.Before(req.From) {
 		return encode(valueAnswer{}), nil
 	}
 	select {
@@ -155,13 +155,13 @@
 		return encode(valueAnswer{Busy: true}), nil
 	}
 	s.count(func(st *Stats) { st.Served++ })
-	return encode(valueAnswer{Found: true, Revision: in.Position.Revision, Data: in.data}), nil
+	return encode(valueAnswer{Found: true, Revision: snapshot.Position.Revision, Data: snapshot.data}), nil
 }
 
 // serveIndex responds to a peer with the positions in force on this router.
 func (s *Sync) serveIndex(context.Context, coordination.Instance, []byte) ([]byte, error) {
-	teams := lo.Map(s.replica.Snapshots(), func(in *Snapshot, _ int) indexEntry {
-		return indexEntry{Team: in.Team, Position: in.Position}
+	teams := lo.Map(s.replica.Snapshots(), func(snapshot *Snapshot, _ int) indexEntry {
+		return indexEntry{Team: snapshot.Team, Position: snapshot.Position}
 	})
 	age, ever := s.ConfirmationAge()
 	a := indexAnswer{Teams: teams, Age: age.Milliseconds()}
--- a/coordination/settings/sync.go
+++ b/coordination/settings/sync.go
@@ -299,9 +299,9 @@
 			s.replica.Offer(team, pair)
 		}
 	}
-	for _, in := range s.replica.Snapshots() {
-		if !found[in.Team] {
-			s.replica.Remove(in.Team, res.Revision)
+	for _, snapshot := range s.replica.Snapshots() {
+		if !found[snapshot.Team] {
+			s.replica.Remove(snapshot.Team, res.Revision)
 		}
 	}
 	s.confirm(res.Revision)
--- a/coordination/settings/watchers_test.go
+++ b/coordination/settings/watchers_test.go
@@ -36,10 +36,10 @@
 func TestWatcherSetIsStable(t *testing.T) {
 	members := newMembers(330, 5)
 	before := selectWatchers(1, members)
-	gone := before[2]
-	after := selectWatchers(1, lo.Filter(members, func(m Member, _ int) bool { return m.Instance != gone }))
+	removed := before[2]
+	after := selectWatchers(1, lo.Filter(members, func(m Member, _ int) bool { return m.Instance != removed }))
 	left, added := lo.Difference(before, after)
-	assert.DeepEqual(t, left, []coordination.Instance{gone})
+	assert.DeepEqual(t, left, []coordination.Instance{removed})
 	assert.Equal(t, len(added), 1)
 }
 
