--- a/coordination/settings/editor_test.go
+++ b/coordination/settings/editor_test.go
@@ -24,23 +24,24 @@
 	return out
 }
 
-// Two operators start from the same revision. The second must not overwrite
-// what the first was told is accepted, and has to see what differs.
+// Two operators edit the same revision. The second must not overwrite the accepted
+// change of the first, and must get the diff between the two.
 func TestConflictShowsDifference(t *testing.T) {
 	e, _, store := newEditor()
 	first := put(t, e, oneSecond, 0)
 	put(t, e, twoSeconds, first.Position.Revision)
 	for _, other := range []*Editor{e, NewEditor(store, &Replica{})} {
 		out := other.Put(t.Context(), change("[team]\ndeadline-default = 3s\n", first.Position.Revision))
-		assert.Equal(t, out.Status, Conflicting)
-		assert.Equal(t, out.Standing.Text, twoSeconds)
+		assert.Equal(t, out.Status, Conflict)
+		assert.Equal(t, out.Current.Text, twoSeconds)
 		assert.Equal(t, out.Diff, "-deadline-default = 2s\n+deadline-default = 3s\n")
 	}
 }
 
-// The same change is sent again after it was accepted, through a router that
-// knows of it and one that does not, also when later changes stand on it.
-func TestSameChangeAgain(t *testing.T) {
+// A Put that is repeated after it was accepted must return the original position
+// and write nothing, on a router that knows the change and on one that does not,
+// even if a later change was made.
+func TestRepeatedPut(t *testing.T) {
 	e, _, store := newEditor()
 	p := change(oneSecond, 0)
 	first := e.Put(t.Context(), p)
@@ -54,25 +55,25 @@
 	assert.Equal(t, store.Calls("cas"), 2)
 }
 
-// The team's key was deleted past the routers. Operators go on from what is in
-// force, and their change must come after it everywhere.
+// The team's key was deleted directly in the platform. A change based on the value
+// in force must be accepted at a later position and keep the history.
 func TestPutAfterDeletion(t *testing.T) {
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
 	assert.Equal(t, store.Delete(t.Context(), Key(testTeam), base.Revision).Status, kv.Applied)
-	standing, fresh := e.Read(t.Context(), testTeam)
+	current, fresh := e.Read(t.Context(), testTeam)
 	assert.Assert(t, !fresh)
-	assert.Equal(t, standing.Text, oneSecond)
+	assert.Equal(t, current.Text, oneSecond)
 	out := put(t, e, twoSeconds, base.Revision)
 	assert.Assert(t, base.Before(out.Position))
-	in, _ := replica.Snapshot(testTeam)
-	assert.Equal(t, in.Position, out.Position)
-	assert.Equal(t, len(in.Value.History(0)), 2)
+	snapshot, _ := replica.Snapshot(testTeam)
+	assert.Equal(t, snapshot.Position, out.Position)
+	assert.Equal(t, len(snapshot.Value.History(0)), 2)
 }
 
-// The platform was rebuilt from a backup, so that its revisions start low. A
-// change accepted there has to be in force, although its revision is below
-// the one in force.
+// After the platform was rebuilt, its revisions start again from a low number. A
+// change accepted there must come into force although its revision is below the
+// one in force.
 func TestPutOnRebuiltPlatform(t *testing.T) {
 	e, replica, store := newEditor()
 	for range 5 {
@@ -82,27 +83,27 @@
 	before := put(t, e, oneSecond, 0).Position
 	rebuilt := kvtest.New()
 	e.store = rebuilt
-	standing, _ := e.Read(t.Context(), testTeam)
-	out := put(t, e, twoSeconds, standing.Revision)
+	current, _ := e.Read(t.Context(), testTeam)
+	out := put(t, e, twoSeconds, current.Revision)
 	assert.Assert(t, out.Position.Revision < before.Revision)
 	assert.Assert(t, before.Before(out.Position))
-	in, _ := replica.Snapshot(testTeam)
-	assert.Equal(t, in.Position, out.Position)
+	snapshot, _ := replica.Snapshot(testTeam)
+	assert.Equal(t, snapshot.Position, out.Position)
 }
 
-// Somebody wrote raw text past the routers. The next change goes on top of it
-// and keeps the history of what was accepted before.
+// Raw text was written directly in the platform. The next change must replace it
+// and keep the history of the accepted changes.
 func TestPutOnRawText(t *testing.T) {
 	e, replica, store := newEditor()
 	base := put(t, e, oneSecond, 0).Position
 	raw := store.CompareAndSwap(t.Context(), Key(testTeam), []byte(twoSeconds), base.Revision, 0)
-	standing, fresh := e.Read(t.Context(), testTeam)
+	current, fresh := e.Read(t.Context(), testTeam)
 	assert.Assert(t, fresh)
-	assert.Equal(t, standing.Revision, raw.Revision)
+	assert.Equal(t, current.Revision, raw.Revision)
 	assert.Equal(t, replica.Status()[0].Refused.Verdict, Invalid)
 	out := put(t, e, twoSeconds, raw.Revision)
-	in, _ := replica.Snapshot(testTeam)
-	history := in.Value.History(out.Position.Revision)
+	snapshot, _ := replica.Snapshot(testTeam)
+	history := snapshot.Value.History(out.Position.Revision)
 	assert.Equal(t, len(history), 2)
 	assert.Equal(t, history[1].Revision, base.Revision)
 	assert.Assert(t, replica.Status()[0].Refused == nil)
@@ -117,11 +118,9 @@
 	assert.Equal(t, store.Calls("cas")+store.Calls("get"), 0)
 }
 
-// The platform is down. Nothing can be accepted, and the operator has to be
-// told at once that nothing was written.
-//
-// A platform that is down may also answer in a way that leaves open whether a
-// write took effect. Nothing must be written then that was not read before.
+// During an outage a Put must report that nothing was written. That includes an
+// outage in which calls get no response: a write would then be undecided, so the
+// Put must fail at its read and not attempt a write.
 func TestPutInOutage(t *testing.T) {
 	for _, f := range []kvtest.Faults{
 		{Down: true},
@@ -137,7 +136,7 @@
 	store.SetFaults(f)
 	for _, other := range []*Editor{e, NewEditor(store, &Replica{})} {
 		out := other.Put(t.Context(), change(twoSeconds, base.Revision))
-		assert.Equal(t, out.Status, Unwritten)
+		assert.Equal(t, out.Status, Unavailable)
 		assert.Assert(t, out.RetryAfter > 0)
 	}
 }
--- a/coordination/settings/fleet_test.go
+++ b/coordination/settings/fleet_test.go
@@ -16,21 +16,21 @@
 
 const testTeam = coordination.Team("solco")
 
-// router is one router of a fleet under test.
+// router is one router of a fleet.
 type router struct {
 	*node
 	replica *Replica
 	editor  *Editor
 	sync    *Sync
 	stop    func()
-	seen    monotone
+	applied monotonicCheck
 }
 
-// fleet is several routers on one fake platform and one fake hub.
+// fleet is a set of routers on one fake platform and one hub.
 type fleet struct {
 	t       testing.TB
 	store   *kvtest.Store
-	read    SyncStore // that the routers watch
+	read    SyncStore // used by the routers to list and watch
 	hub     *hub
 	routers []*router
 	started int
@@ -41,7 +41,8 @@
 	return newFleetOn(t, seed, n, store, store)
 }
 
-// newFleetOn returns a fleet whose routers watch the platform through read.
+// newFleetOn returns a fleet whose routers list and watch the platform through
+// read.
 func newFleetOn(t testing.TB, seed uint64, n int, store *kvtest.Store, read SyncStore) *fleet {
 	f := &fleet{t: t, store: store, read: read, hub: newHub(seed)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -69,7 +70,7 @@
 	return r
 }
 
-// kill takes the router at i away.
+// kill removes and stops router i.
 func (f *fleet) kill(i int) {
 	r := f.routers[i]
 	f.routers = append(f.routers[:i:i], f.routers[i+1:]...)
@@ -77,40 +78,41 @@
 	r.stop()
 }
 
-// check holds the router to the promise that nothing reverts.
+// check fails the test if the router reverts to an earlier position.
 func (r *router) check(t testing.TB, o Observation) {
 	if o.Verdict != Applied {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.seen.saw(o.InForce.Position) {
-		t.Errorf("%s went back from %v to %v", r.member.Instance, r.seen.last, o.InForce.Position)
+	if !r.applied.advance(o.InForce.Position) {
+		t.Errorf("%s reverted from %v to %v", r.member.Instance, r.applied.last, o.InForce.Position)
 	}
 }
 
 func (r *router) position() Position {
-	in, ok := r.replica.Snapshot(testTeam)
+	snapshot, ok := r.replica.Snapshot(testTeam)
 	if !ok {
 		return Position{}
 	}
-	return in.Position
+	return snapshot.Position
 }
 
 func change(text string, base kv.Revision) Put {
 	return Put{Team: testTeam, Text: text, Base: base, ID: NewChangeID(), Author: "op", Reason: "test"}
 }
 
-// accept makes a change through r and returns its position.
-func (r *router) accept(t testing.TB, text string) Position {
+// mustPut makes a change through r, which must be accepted, and returns its
+// position.
+func (r *router) mustPut(t testing.TB, text string) Position {
 	t.Helper()
 	out := r.editor.Put(context.Background(), change(text, r.position().Revision))
 	assert.Equal(t, out.Status, Accepted, "%v %v", out.Err, out.Problems)
 	return out.Position
 }
 
-// behind counts the routers that do not have p in force.
-func (f *fleet) behind(p Position) int {
+// countBehind counts the routers that have neither p nor a later value in force.
+func (f *fleet) countBehind(p Position) int {
 	n := 0
 	for _, r := range f.routers {
 		if r.position().Before(p) {
@@ -120,24 +122,25 @@
 	return n
 }
 
-// await returns after how long p is in force on all routers.
+// await waits until p or a later value is in force on all routers and returns the
+// time taken. It fails the test after limit.
 func (f *fleet) await(p Position, limit time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
-	for f.behind(p) > 0 {
+	for f.countBehind(p) > 0 {
 		if time.Since(start) >= limit {
-			f.t.Fatalf("after %v, %d of %d routers lack %v", limit, f.behind(p), len(f.routers), p)
+			f.t.Fatalf("after %v, %d of %d routers do not have %v in force", limit, f.countBehind(p), len(f.routers), p)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-const inForceWithin = 4 * time.Second
+const inForceTimeout = 4 * time.Second
 
-// The plain path at several sizes: changes are in force everywhere in time, and
-// the calls to the platform do not grow with the fleet. The times reported are
-// those of the paused clock, with gossip modelled by rounds as hub does it.
+// Without faults, changes must come into force on all routers in time, and the
+// number of calls to the platform must not grow with the fleet. The times logged
+// are those of the fake clock with the gossip model of hub.
 func TestChangeReachesAll(t *testing.T) {
 	const changes = 12
 	for _, n := range []int{1, 2, 7, 15, 30, 60} {
@@ -148,32 +151,32 @@
 			watches, lists := f.store.Calls("watch"), f.store.Calls("list")
 			var longest time.Duration
 			for i := range changes {
-				p := f.routers[i*5%n].accept(t, fmt.Sprintf("[team]\ndeadline-default = %ds\n", i+1))
-				longest = max(longest, f.await(p, inForceWithin))
+				p := f.routers[i*5%n].mustPut(t, fmt.Sprintf("[team]\ndeadline-default = %ds\n", i+1))
+				longest = max(longest, f.await(p, inForceTimeout))
 				time.Sleep(time.Second)
 			}
-			t.Logf("%d routers: in force on the last after %v at most; lists while %d changes were made: %d",
+			t.Logf("%d routers: in force everywhere after %v at most; lists during %d changes: %d",
 				n, longest, changes, f.store.Calls("list")-lists)
 			assert.Equal(t, f.store.Calls("cas"), changes)
-			assert.Equal(t, f.store.Calls("get"), changes+f.signs())
-			assert.Assert(t, f.signs() <= 4*int(time.Since(started)/confirmEvery), "%d signs of life in %v", f.signs(), time.Since(started))
+			assert.Equal(t, f.store.Calls("get"), changes+f.probes())
+			assert.Assert(t, f.probes() <= 4*int(time.Since(started)/confirmInterval), "%d health probes in %v", f.probes(), time.Since(started))
 			assert.Assert(t, f.store.Calls("list")-lists <= 4)
 			assert.Assert(t, watches <= 4, "%d routers, %d watches", n, watches)
 		})
 	}
 }
 
-// The platform goes down right after it accepted a change, and with it every
-// watch. Routers have to get the change from each other, keep it, and start
-// from each other; no new change can be accepted, and operators are told so.
+// The platform and all watches fail right after a change was accepted. Routers
+// must get the change from each other, keep it in force and load it from peers
+// when they start. A new change must fail as Unavailable.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 7)
 		time.Sleep(10 * time.Second)
-		p := f.routers[3].accept(t, oneSecond)
+		p := f.routers[3].mustPut(t, oneSecond)
 		f.store.SetFaults(kvtest.Faults{Down: true})
-		f.await(p, inForceWithin)
-		for range 7 { // all are replaced, one after the other
+		f.await(p, inForceTimeout)
+		for range 7 { // replace all routers one by one
 			f.kill(0)
 			started := time.Now()
 			r := f.start()
@@ -183,30 +186,30 @@
 			time.Sleep(30 * time.Second)
 		}
 		out := f.routers[0].editor.Put(t.Context(), change(twoSeconds, p.Revision))
-		assert.Equal(t, out.Status, Unwritten)
+		assert.Equal(t, out.Status, Unavailable)
 		assert.Assert(t, out.RetryAfter > 0)
 		f.store.SetFaults(kvtest.Faults{})
 		time.Sleep(5 * time.Second)
-		f.await(f.routers[0].accept(t, twoSeconds), inForceWithin)
+		f.await(f.routers[0].mustPut(t, twoSeconds), inForceTimeout)
 	})
 }
 
-// The router that accepted a change dies before it could tell anybody. The
-// watchers have to see the change in the platform.
-func TestEditorDies(t *testing.T) {
+// The router that accepted a change fails before it announces it. The watchers
+// must find the change in the platform.
+func TestChangeSurvivesEditorFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, 30)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
 
-// A whole fleet starts at once, as after a power cut, while the platform holds
-// settings. It must be ready soon and not ask the platform all together.
+// A whole fleet starts at once, as after a power failure, while the platform holds
+// settings. All routers must become ready with at most a few lists in total.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7, 0)
@@ -223,28 +226,28 @@
 	})
 }
 
-// The platform is down for minutes. The routers go on looking for it, but no
-// more often than a few times a second, however many they are.
-func TestOutageIsNoStampede(t *testing.T) {
+// During an outage of minutes, a fleet of 60 routers must not try more than a few
+// lists per second in total, and few again after the outage.
+func TestOutageReadRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 60)
 		time.Sleep(10 * time.Second)
 		f.store.SetFaults(kvtest.Faults{Down: true})
-		time.Sleep(freshFor)
+		time.Sleep(maxConfirmationAge)
 		before := f.lists()
 		time.Sleep(2 * time.Minute)
 		perSecond := float64(f.lists()-before) / 120
-		t.Logf("%.1f reads a second tried by 60 routers", perSecond)
+		t.Logf("%.1f lists per second tried by 60 routers", perSecond)
 		assert.Assert(t, perSecond < 6)
 		f.store.SetFaults(kvtest.Faults{})
 		time.Sleep(10 * time.Second)
 		before = f.lists()
 		time.Sleep(time.Minute)
-		assert.Assert(t, f.lists()-before <= 10, "%d reads a minute after the outage", f.lists()-before)
+		assert.Assert(t, f.lists()-before <= 10, "%d lists in a minute after the outage", f.lists()-before)
 	})
 }
 
-// lists counts the reads of all settings that the routers have tried.
+// lists counts the lists that the routers have tried.
 func (f *fleet) lists() int {
 	n := 0
 	for _, r := range f.routers {
@@ -253,93 +256,94 @@
 	return n
 }
 
-// signs counts the signs of life that the routers have asked of the platform.
-func (f *fleet) signs() int {
+// probes counts the health probes that the routers have made.
+func (f *fleet) probes() int {
 	n := 0
 	for _, r := range f.routers {
-		n += r.sync.Stats().Signs
+		n += r.sync.Stats().Probes
 	}
 	return n
 }
 
-// A watch delivers nothing for a while and then goes on. A change that the
-// platform took in between, from a router that died before it could tell
-// anybody, would stay unknown to the fleet.
+// All watches drop events for a while. A change written during the gap, by a
+// router that failed before it announced it, must still reach the fleet.
 func TestWatchGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 7)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
 		f.store.SetFaults(kvtest.Faults{})
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
 
-// All watches are stuck without a sign, and the router that made the change
-// died at once. Only the watchers' regular reading of everything shows it.
+// All watches drop events without an error, and the router that made a change
+// fails before it announces it. Only the periodic list of the watchers finds the
+// change.
 func TestStuckWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 7)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
 		f.store.SetFaults(kvtest.Faults{DropWatch: true})
-		lone := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
-		out := lone.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
+		detached := NewEditor(f.store, f.routers[0].replica.copyOf(testTeam))
+		out := detached.Put(t.Context(), change(twoSeconds, f.routers[0].position().Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, 3*rereadEvery/2+inForceWithin)
+		f.await(out.Position, 3*relistInterval/2+inForceTimeout)
 	})
 }
 
-// copyOf returns a replica with the same settings of team in force, of which
-// the fleet knows nothing.
+// copyOf returns a replica with the same settings of team in force that is not
+// part of the fleet.
 func (r *Replica) copyOf(team coordination.Team) *Replica {
 	var c Replica
-	in, _ := r.Snapshot(team)
-	c.Offer(team, kv.Pair{Value: in.data, Revision: in.Position.Revision})
+	snapshot, _ := r.Snapshot(team)
+	c.Offer(team, kv.Pair{Value: snapshot.data, Revision: snapshot.Position.Revision})
 	return &c
 }
 
-// A router never hears the rumour of a change, as when it was cut off until
-// the rumour had died out. It must notice that it lacks something.
-func TestDriftIsMended(t *testing.T) {
+// A router misses the rumor of a change, as after a network partition that lasts
+// until the rumor is no longer spread. It must detect the difference and fetch the
+// change.
+func TestMissedRumorIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, 30)
 		time.Sleep(10 * time.Second)
-		f.await(f.routers[0].accept(t, oneSecond), inForceWithin)
-		lone := f.plain(t)
-		lone.setDeaf(topicChange)
-		p := f.routers[0].accept(t, twoSeconds)
+		f.await(f.routers[0].mustPut(t, oneSecond), inForceTimeout)
+		isolated := f.nonWatcher(t)
+		isolated.dropTopic(topicChange)
+		p := f.routers[0].mustPut(t, twoSeconds)
 		time.Sleep(time.Second)
-		assert.Equal(t, f.behind(p), 1)
-		f.await(p, confirmEvery+inForceWithin)
+		assert.Equal(t, f.countBehind(p), 1)
+		f.await(p, confirmInterval+inForceTimeout)
 	})
 }
 
-// plain returns a router other than the first that is no watcher.
-func (f *fleet) plain(t *testing.T) *router {
+// nonWatcher returns a router, other than the first, that does not watch.
+func (f *fleet) nonWatcher(t *testing.T) *router {
 	for _, r := range f.routers[1:] {
 		if !r.sync.Watching() {
 			return r
 		}
 	}
-	t.Fatal("all routers watch")
+	t.Fatal("all routers are watchers")
 	return nil
 }
 
-// The platform loses an accepted change to somebody who puts an older value
-// back. Routers that are started then, with peers, must not serve by it.
+// An older value is restored directly in the platform after a change was accepted.
+// Routers that start then must load the accepted change from their peers.
 func TestRestoredValueReachesNoRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, 7)
 		time.Sleep(10 * time.Second)
-		f.routers[0].accept(t, oneSecond)
+		f.routers[0].mustPut(t, oneSecond)
 		older := f.store.Get(t.Context(), Key(testTeam)).Pairs[0]
-		p := f.routers[0].accept(t, twoSeconds)
-		f.await(p, inForceWithin)
+		p := f.routers[0].mustPut(t, twoSeconds)
+		f.await(p, inForceTimeout)
 		res := f.store.CompareAndSwap(t.Context(), older.Key, older.Value, p.Revision, 0)
 		assert.Equal(t, res.Status, kv.Applied)
 		time.Sleep(5 * time.Second)
@@ -351,12 +355,12 @@
 			time.Sleep(15 * time.Second)
 		}
 		assert.Assert(t, f.routers[0].replica.Status()[0].Position == p)
-		standing, fresh := f.routers[0].editor.Read(t.Context(), testTeam)
+		current, fresh := f.routers[0].editor.Read(t.Context(), testTeam)
 		assert.Assert(t, fresh)
-		assert.Equal(t, standing.Revision, res.Revision)
+		assert.Equal(t, current.Revision, res.Revision)
 		assert.Equal(t, f.routers[0].replica.Status()[0].Refused.Verdict, Older)
 		out := f.routers[1].editor.Put(t.Context(), change(oneSecond, res.Revision))
 		assert.Equal(t, out.Status, Accepted)
-		f.await(out.Position, inForceWithin)
+		f.await(out.Position, inForceTimeout)
 	})
 }
--- a/coordination/settings/page_test.go
+++ b/coordination/settings/page_test.go
@@ -17,15 +17,16 @@
 	end   = "<!-- end -->"
 )
 
-// The page for operators must not say anything else than the table does.
-func TestPageHasTheTable(t *testing.T) {
+// The reference on the page for operators must match the schema. With -update the
+// test rewrites it.
+func TestPageMatchesSchema(t *testing.T) {
 	data, err := os.ReadFile(page)
 	assert.NilError(t, err)
 	before, rest, found := strings.Cut(string(data), begin)
 	assert.Assert(t, found)
 	reference, after, found := strings.Cut(rest, end)
 	assert.Assert(t, found)
-	want := "\n" + settings.Table.Markdown(3) + "\n"
+	want := "\n" + settings.Schema.Markdown(3) + "\n"
 	if golden.FlagUpdate() {
 		assert.NilError(t, os.WriteFile(page, []byte(before+begin+want+end+after), 0o644))
 		return
@@ -33,7 +34,7 @@
 	assert.Equal(t, reference, want)
 }
 
-// The example on the page is copied by people who start.
+// The example on the page must be valid, since new users copy it.
 func TestPageExample(t *testing.T) {
 	data, err := os.ReadFile(page)
 	assert.NilError(t, err)
--- a/coordination/settings/replica_test.go
+++ b/coordination/settings/replica_test.go
@@ -10,9 +10,9 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// written returns a value as the platform holds it after the change that
-// follows previous with the given sequence.
-func written(t *testing.T, text string, sequence uint64, previous, revision kv.Revision) kv.Pair {
+// storedPair returns the pair that the platform stores for a change with the given
+// sequence that replaced previous.
+func storedPair(t *testing.T, text string, sequence uint64, previous, revision kv.Revision) kv.Pair {
 	t.Helper()
 	v := Value{Text: text, Change: Change{
 		ID: NewChangeID(), Sequence: sequence, Previous: previous, Author: "a", Reason: "r", Digest: DigestOf(text),
@@ -22,7 +22,7 @@
 	return kv.Pair{Key: Key("solco"), Value: data, Revision: revision}
 }
 
-func deadline(t *testing.T, r *Replica) string {
+func deadlineOf(t *testing.T, r *Replica) string {
 	t.Helper()
 	team, ok := r.Team("solco")
 	assert.Assert(t, ok)
@@ -34,34 +34,32 @@
 	twoSeconds = "[team]\ndeadline-default = 2s\n"
 )
 
-// A read that a lagging replica of the platform answers brings a value that
-// was replaced long ago. Callers would be served by settings that the operator
-// saw replaced.
+// A stale read from a lagging replica of the platform returns a value that was
+// replaced. It must not come into force again.
 func TestStaleReadIsNotApplied(t *testing.T) {
 	var r Replica
-	first := written(t, oneSecond, 1, 0, 10)
+	first := storedPair(t, oneSecond, 1, 0, 10)
 	assert.Equal(t, r.Offer("solco", first), Applied)
-	assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 11, 10, 20)), Applied)
+	assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 11, 10, 20)), Applied)
 	assert.Equal(t, r.Offer("solco", first), Older)
-	assert.Equal(t, deadline(t, &r), "2s")
+	assert.Equal(t, deadlineOf(t, &r), "2s")
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// Somebody restores an old value straight in the platform, which gives it a
-// new revision. The operator saw the later change accepted and would find the
-// old one in force. A router that starts from the platform meanwhile takes the
-// old value for want of anything better, and mends as soon as a peer tells it
-// of the later change.
+// An old value is restored directly in the platform and so gets a new revision. It
+// must not replace the later accepted change. A router that starts from the
+// platform then applies the old value, since it knows no other, and must apply the
+// later change once a peer offers it.
 func TestRestoredValueIsNotApplied(t *testing.T) {
-	older := written(t, oneSecond, 1, 0, 10)
-	newer := written(t, twoSeconds, 11, 10, 20)
+	older := storedPair(t, oneSecond, 1, 0, 10)
+	newer := storedPair(t, twoSeconds, 11, 10, 20)
 	restored := kv.Pair{Key: older.Key, Value: older.Value, Revision: 30}
-	next := written(t, oneSecond, 31, 30, 40)
+	next := storedPair(t, oneSecond, 31, 30, 40)
 
 	var r Replica
 	r.Offer("solco", newer)
 	assert.Equal(t, r.Offer("solco", restored), Older)
-	assert.Equal(t, deadline(t, &r), "2s")
+	assert.Equal(t, deadlineOf(t, &r), "2s")
 	assert.Equal(t, r.Status()[0].Refused.Revision, kv.Revision(30))
 
 	var started Replica
@@ -74,10 +72,10 @@
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// Text is written straight into the platform, past every check. The last good
-// settings have to stay in force, and operators have to see what is wrong.
+// An invalid value is written directly in the platform, without validation. The
+// last valid settings must stay in force, and the problems must be reported.
 func TestInvalidValueKeepsLastGood(t *testing.T) {
-	good := written(t, oneSecond, 1, 0, 10)
+	good := storedPair(t, oneSecond, 1, 0, 10)
 	edited := Value{}
 	assert.NilError(t, json.Unmarshal(good.Value, &edited))
 	edited.Text = twoSeconds
@@ -89,42 +87,42 @@
 	}{
 		{"raw text", kv.Pair{Value: []byte(twoSeconds), Revision: 20}},
 		{"text edited under its record", kv.Pair{Value: data, Revision: 20}},
-		{"bad setting", written(t, "[team]\ndeadline-default = 2\n", 11, 10, 20)},
+		{"bad setting", storedPair(t, "[team]\ndeadline-default = 2\n", 11, 10, 20)},
 		{"empty", kv.Pair{Revision: 20}},
 	} {
 		var r Replica
 		r.Offer("solco", good)
 		assert.Equal(t, r.Offer("solco", tt.pair), Invalid, tt.name)
 		assert.Equal(t, r.Offer("solco", tt.pair), Known, tt.name)
-		assert.Equal(t, deadline(t, &r), "1s", tt.name)
+		assert.Equal(t, deadlineOf(t, &r), "1s", tt.name)
 		refused := r.Status()[0].Refused
 		assert.Equal(t, refused.Revision, kv.Revision(20), tt.name)
 		assert.Assert(t, len(refused.Problems) > 0, tt.name)
-		assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 21, 20, 30)), Applied, tt.name)
+		assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 21, 20, 30)), Applied, tt.name)
 		assert.Assert(t, r.Status()[0].Refused == nil, tt.name)
 	}
 }
 
-// The key is deleted in the platform. Without its settings a team would be
-// refused everywhere.
+// The key is deleted in the platform. The last valid settings must stay in force;
+// without any, all requests of the team would be refused.
 func TestDeletionKeepsLastGood(t *testing.T) {
 	var r Replica
 	assert.Equal(t, r.Remove("solco", 5), Known)
-	r.Offer("solco", written(t, oneSecond, 1, 0, 10))
+	r.Offer("solco", storedPair(t, oneSecond, 1, 0, 10))
 	assert.Equal(t, r.Remove("solco", 5), Known)
 	assert.Equal(t, r.Remove("solco", 20), Removed)
 	assert.Equal(t, r.Remove("solco", 21), Known)
-	assert.Equal(t, deadline(t, &r), "1s")
+	assert.Equal(t, deadlineOf(t, &r), "1s")
 	assert.Equal(t, r.Status()[0].Refused.Verdict, Removed)
-	assert.Equal(t, r.Offer("solco", written(t, twoSeconds, 11, 10, 30)), Applied)
+	assert.Equal(t, r.Offer("solco", storedPair(t, twoSeconds, 11, 10, 30)), Applied)
 	assert.Assert(t, r.Status()[0].Refused == nil)
 }
 
-// monotone checks that what a router has in force never goes back.
-type monotone struct{ last Position }
+// monotonicCheck checks that the position in force never decreases.
+type monotonicCheck struct{ last Position }
 
-// saw reports whether p is no step back.
-func (m *monotone) saw(p Position) bool {
+// advance records p and reports whether it is not before the last position.
+func (m *monotonicCheck) advance(p Position) bool {
 	if p.Before(m.last) {
 		return false
 	}
@@ -137,13 +135,13 @@
 	orderChanges = 8
 )
 
-// arrivals returns the values of eight changes in random order, each several
-// times, with an old value put back and a wrong one among them.
-func arrivals(t *testing.T, seed uint64) []kv.Pair {
+// shuffledPairs returns the values of eight changes, an old value with a new
+// revision and an invalid value, each three times, in random order.
+func shuffledPairs(t *testing.T, seed uint64) []kv.Pair {
 	t.Helper()
 	pairs := make([]kv.Pair, 0, orderChanges+2)
 	for i := range kv.Revision(orderChanges) {
-		pairs = append(pairs, written(t, oneSecond, uint64(10*i+1), 10*i, 10*(i+1)))
+		pairs = append(pairs, storedPair(t, oneSecond, uint64(10*i+1), 10*i, 10*(i+1)))
 	}
 	restored := pairs[3]
 	restored.Revision = 10*orderChanges + 5
@@ -158,56 +156,57 @@
 	return all
 }
 
-// Watches, reads and peers bring the same values in any order, with stale and
-// restored ones among them. All routers have to end with the same settings in
-// force, and none may go back on its way.
-func TestAnyOrderEndsTheSame(t *testing.T) {
+// Watches, reads and peers deliver the same values in any order, including stale
+// and restored ones. All replicas must end with the same settings in force and
+// never revert in between.
+func TestOffersConvergeInAnyOrder(t *testing.T) {
 	last := Position{Sequence: 10*(orderChanges-1) + 1, Revision: 10 * orderChanges}
 	for seed := range uint64(orderSeeds) {
 		var r Replica
-		var m monotone
+		var m monotonicCheck
 		r.Observe(func(o Observation) {
-			assert.Assert(t, o.InForce == nil || m.saw(o.InForce.Position), "seed %d: went back", seed)
+			assert.Assert(t, o.InForce == nil || m.advance(o.InForce.Position), "seed %d: reverted", seed)
 		})
-		for _, pair := range arrivals(t, seed) {
+		for _, pair := range shuffledPairs(t, seed) {
 			r.Offer("solco", pair)
 		}
 		assert.Equal(t, m.last, last, "seed %d", seed)
 	}
 }
 
-// A replica that applies whatever comes, or whatever has the highest revision
-// of the platform, goes back at some point. The check has to see both.
-func TestMonotoneCatches(t *testing.T) {
-	applies := map[string]func(in, offered Position) bool{
+// monotonicCheck must detect a replica that applies every value, and one that
+// applies the value with the highest revision of the platform.
+func TestMonotonicCheckDetectsRollback(t *testing.T) {
+	applies := map[string]func(inForce, offered Position) bool{
 		"whatever comes":   func(_, _ Position) bool { return true },
-		"highest revision": func(in, offered Position) bool { return offered.Revision > in.Revision },
+		"highest revision": func(inForce, offered Position) bool { return offered.Revision > inForce.Revision },
 	}
 	for name, apply := range applies {
 		caught := 0
 		for seed := range uint64(orderSeeds) {
-			var in Position
-			var m monotone
+			var inForce Position
+			var m monotonicCheck
 			back := false
-			for _, pair := range arrivals(t, seed) {
+			for _, pair := range shuffledPairs(t, seed) {
 				v, err := decodeValue(pair.Value)
 				offered := Position{Sequence: v.Change.Sequence, Revision: pair.Revision}
-				if err == nil && apply(in, offered) {
-					in = offered
-					back = back || !m.saw(in)
+				if err == nil && apply(inForce, offered) {
+					inForce = offered
+					back = back || !m.advance(inForce)
 				}
 			}
 			if back {
 				caught++
 			}
 		}
-		t.Logf("%s: caught with %d of %d seeds", name, caught, orderSeeds)
+		t.Logf("%s: detected with %d of %d seeds", name, caught, orderSeeds)
 		assert.Assert(t, caught > orderSeeds/2, name)
 	}
 }
 
-// History drops its oldest entries rather than outgrow the platform's limit;
-// a value that cannot be written would stop all changes of the team.
+// An encoded value must stay within the size limit by dropping its oldest history
+// entries. Otherwise it could not be written, which would block all changes of the
+// team.
 func TestValueStaysBounded(t *testing.T) {
 	v := Value{Text: string(make([]byte, 20<<10)), Change: Change{ID: "x", Diff: string(make([]byte, maxDiff))}}
 	for range 200 {
@@ -215,7 +214,7 @@
 	}
 	data, err := v.encode()
 	assert.NilError(t, err)
-	assert.Assert(t, len(data) <= maxValue)
+	assert.Assert(t, len(data) <= maxValueBytes)
 	var back Value
 	assert.NilError(t, json.Unmarshal(data, &back))
 	assert.Assert(t, len(back.Earlier) > 0 && len(back.Earlier) <= maxEarlier)
--- a/coordination/settings/schema/reference.go
+++ b/coordination/settings/schema/reference.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Markdown returns the reference of all sections and keys for operators. Each
-// section is a heading of the given level.
+// Markdown returns the reference of all sections and keys in Markdown, with one
+// heading of the given level and one table per section.
 func (s Schema) Markdown(level int) string {
 	var b strings.Builder
 	for _, sec := range s {
@@ -15,14 +15,14 @@
 		b.WriteString("| --- | --- | --- | --- | --- | --- |\n")
 		for _, k := range sec.Keys {
 			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n",
-				k.Name, k.Kind, dash(k.Unit), k.fallbackText(), dash(k.bounds()), k.Doc)
+				k.Name, k.Kind, dashIfEmpty(k.Unit), k.defaultText(), dashIfEmpty(k.bounds()), k.Doc)
 		}
 		b.WriteString("\n")
 	}
 	return strings.TrimRight(b.String(), "\n") + "\n"
 }
 
-func (k Key) fallbackText() string {
+func (k Key) defaultText() string {
 	if k.Required {
 		return "required"
 	}
@@ -32,14 +32,14 @@
 	return "`" + k.Default + "`"
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// String returns the short name of k in the reference.
+// String returns the name of k that is used in the reference.
 func (k Kind) String() string {
 	names := [...]string{
 		"text", "name", "names", "integer", "number", "duration", "size",
