--- a/coordination/execution/bench_test.go
+++ b/coordination/execution/bench_test.go
@@ -17,9 +17,9 @@
 	}{
 		{"plain", func(*execution.Ledger, execution.Key) {}},
 		{"repeat", func(l *execution.Ledger, key execution.Key) {
-			l.Run(b.Context(), order(key), &sender{answer: "booked"})
+			l.Run(b.Context(), newRequest(key), &sender{answer: "booked"})
 		}},
-		{"in progress", func(l *execution.Ledger, key execution.Key) { l.Begin(b.Context(), order(key)) }},
+		{"in progress", func(l *execution.Ledger, key execution.Key) { l.Begin(b.Context(), newRequest(key)) }},
 	}
 	for _, kind := range kinds {
 		b.Run(kind.name, func(b *testing.B) {
@@ -31,7 +31,7 @@
 				key := execution.Key(fmt.Sprint(i))
 				kind.before(l, key)
 				from := store.Calls("cas")
-				l.Run(b.Context(), order(key), &sender{answer: "booked"})
+				l.Run(b.Context(), newRequest(key), &sender{answer: "booked"})
 				calls += store.Calls("cas") - from
 			}
 			b.ReportMetric(float64(calls)/float64(b.N), "calls/action")
--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -60,16 +60,16 @@
 
 // Defaults of Config.
 const (
-	DefaultRetention     = 24 * time.Hour
-	DefaultClockSkew     = time.Minute
-	DefaultDispatchLimit = 10 * time.Second
-	DefaultCallTimeout   = time.Second
-	DefaultCreateWait    = 2 * time.Second
-	DefaultFinishWait    = 500 * time.Millisecond
-	DefaultKeepLimit     = 64 << 10
-	DefaultMaxHeld       = 8 << 20
-	DefaultMaxOpen       = 1024
-	DefaultCreateTries   = 3
+	DefaultRetention       = 24 * time.Hour
+	DefaultClockSkew       = time.Minute
+	DefaultDispatchLimit   = 10 * time.Second
+	DefaultCallTimeout     = time.Second
+	DefaultCreateTimeout   = 2 * time.Second
+	DefaultFinishWait      = 500 * time.Millisecond
+	DefaultAnswerLimit     = 64 << 10
+	DefaultMaxPendingBytes = 8 << 20
+	DefaultMaxOpen         = 1024
+	DefaultCreateAttempts  = 3
 )
 
 // Config is what a Ledger needs. Zero fields take the defaults.
@@ -91,18 +91,18 @@
 	DispatchLimit time.Duration
 	// CallTimeout bounds one call to the platform.
 	CallTimeout time.Duration
-	// CreateWait bounds the time that Begin takes.
-	CreateWait time.Duration
+	// CreateTimeout bounds the time that Begin takes.
+	CreateTimeout time.Duration
 	// FinishWait is how long Finish and Abandon hold up their caller while
 	// the platform does not answer. The work goes on behind.
 	FinishWait time.Duration
 	// MaxOpen bounds the records that this router holds open at a time, those
 	// included that it could not yet finish; it bounds memory in an outage.
 	MaxOpen int
-	// MaxHeld bounds the bytes of answers that wait to be put on record.
-	MaxHeld int
-	// CreateTries bounds the calls that create one record.
-	CreateTries int
+	// MaxPendingBytes bounds the bytes of answers that wait to be put on record.
+	MaxPendingBytes int
+	// CreateAttempts bounds the calls that create one record.
+	CreateAttempts int
 	// Observe, if set, is told of what metrics and logs should show.
 	Observe func(Event)
 }
@@ -112,11 +112,11 @@
 	setDuration(&c.ClockSkew, DefaultClockSkew)
 	setDuration(&c.DispatchLimit, DefaultDispatchLimit)
 	setDuration(&c.CallTimeout, DefaultCallTimeout)
-	setDuration(&c.CreateWait, DefaultCreateWait)
+	setDuration(&c.CreateTimeout, DefaultCreateTimeout)
 	setDuration(&c.FinishWait, DefaultFinishWait)
-	setInt(&c.MaxHeld, DefaultMaxHeld)
+	setInt(&c.MaxPendingBytes, DefaultMaxPendingBytes)
 	setInt(&c.MaxOpen, DefaultMaxOpen)
-	setInt(&c.CreateTries, DefaultCreateTries)
+	setInt(&c.CreateAttempts, DefaultCreateAttempts)
 	if c.Observe == nil {
 		c.Observe = func(Event) {}
 	}
@@ -135,14 +135,14 @@
 	}
 }
 
-// bucket is how long one lease is used for new records.
-func (c Config) bucket() time.Duration { return c.Retention / 4 }
+// leaseReusePeriod is how long one lease is used for new records.
+func (c Config) leaseReusePeriod() time.Duration { return c.Retention / 4 }
 
-// life is how long a record stands at least, from its creation. A key is
+// minRecordLifetime is how long a record stands at least, from its creation. A key is
 // accepted from issue-ClockSkew until issue+Retention-ClockSkew by clocks that
 // are off by ClockSkew at most, and the last creation may come DispatchLimit
 // later: over that whole span the first record has to stand.
-func (c Config) life() time.Duration {
+func (c Config) minRecordLifetime() time.Duration {
 	return c.Retention + 2*c.ClockSkew + c.DispatchLimit
 }
 
@@ -150,14 +150,14 @@
 // chosen within bucket of its grant, and the record is created within
 // DispatchLimit of that, or is not used.
 func (c Config) leaseTTL() time.Duration {
-	return c.life() + c.bucket() + c.DispatchLimit
+	return c.minRecordLifetime() + c.leaseReusePeriod() + c.DispatchLimit
 }
 
 // Rules are what a team has set for its actions.
 type Rules struct {
-	Retention time.Duration // how long a key is accepted; at most Config.Retention
-	ClockSkew time.Duration // how far clocks may differ; at most Config.ClockSkew
-	KeepLimit int           // the longest answer kept for repeats, in bytes
+	Retention   time.Duration // how long a key is accepted; at most Config.Retention
+	ClockSkew   time.Duration // how far clocks may differ; at most Config.ClockSkew
+	AnswerLimit int           // the longest answer kept for repeats, in bytes
 }
 
 // Request identifies an action to be run at most once.
@@ -175,7 +175,7 @@
 // rules returns the rules of r within the limits of c.
 func (c Config) rules(r Request) Rules {
 	if r.Rules == (Rules{}) {
-		return Rules{Retention: c.Retention, ClockSkew: c.ClockSkew, KeepLimit: DefaultKeepLimit}
+		return Rules{Retention: c.Retention, ClockSkew: c.ClockSkew, AnswerLimit: DefaultAnswerLimit}
 	}
 	rules := r.Rules
 	rules.Retention = min(rules.Retention, c.Retention)
--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -15,48 +15,48 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// rates are the chances, in percent, with which things go wrong.
-type rates struct {
+// faultRates are the chances, in percent, with which things go wrong.
+type faultRates struct {
 	loseCall, loseReply, landLate, slow int // of calls to the platform
 	refuse, decline, loseAnswer         int // of calls to the service
 	freeze, kill                        int // of a router, at each of its steps
 	outage                              int // of the platform, every ten seconds
 }
 
-// planted is a fault that a checker has to find.
-type planted int
+// injectedFault is a fault that a checker has to find.
+type injectedFault int
 
 const (
-	noFault planted = iota
+	noFault injectedFault = iota
 	takeOver
 	retryAfterCut
 	denyAfterSending
 	shortLeases
 )
 
-// chance draws from one seeded source, for several goroutines.
-type chance struct {
+// randomSource draws from one seeded source, for several goroutines.
+type randomSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func newChance(seed, stream uint64) *chance {
-	return &chance{rng: rand.New(rand.NewPCG(seed, stream))}
+func newChance(seed, stream uint64) *randomSource {
+	return &randomSource{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (c *chance) percent(n int) bool {
+func (c *randomSource) percent(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(100) < n
 }
 
-func (c *chance) duration(most time.Duration) time.Duration {
+func (c *randomSource) duration(most time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.rng.Int64N(int64(most)))
 }
 
-func (c *chance) intN(n int) int {
+func (c *randomSource) intN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
@@ -65,8 +65,8 @@
 // fleet is some routers before one platform and one service.
 type fleet struct {
 	seed    uint64
-	rates   rates
-	planted planted
+	rates   faultRates
+	planted injectedFault
 	store   *kvtest.Store
 	history *history
 	work    sync.WaitGroup // calls, also of callers that went away, and late writes
@@ -80,7 +80,7 @@
 // goes through step, where it may be frozen or killed.
 type router struct {
 	fleet   *fleet
-	chance  *chance
+	chance  *randomSource
 	ledger  *execution.Ledger
 	cleanup func()
 
@@ -91,7 +91,7 @@
 
 const retention = 10 * time.Minute
 
-func newFleet(seed uint64, n int, r rates, p planted) *fleet {
+func newFleet(seed uint64, n int, r faultRates, p injectedFault) *fleet {
 	f := &fleet{seed: seed, rates: r, planted: p, store: kvtest.New(), history: newHistory()}
 	f.routers = make([]*router, n)
 	for i := range f.routers {
@@ -239,7 +239,7 @@
 	defer close(x.done)
 	x.router.step()
 	res := x.router.ledger.Run(context.Background(), x.request(), x)
-	if x.router.fleet.planted == takeOver && x.seize(res) {
+	if x.router.fleet.planted == takeOver && x.deleteOverdueRecord(res) {
 		res = x.router.ledger.Run(context.Background(), x.request(), x)
 	}
 	x.router.step()
@@ -264,14 +264,14 @@
 	r.fleet.history.arrive(x.key, x.id)
 	time.Sleep(r.chance.duration(200 * time.Millisecond))
 	if r.chance.percent(rates.loseAnswer) {
-		return x.cutOff()
+		return x.resultOfCut()
 	}
 	r.step()
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: fmt.Append(nil, int(x.id))}}
 }
 
-// cutOff is what becomes of a call whose connection broke after it was sent.
-func (x *exchange) cutOff() execution.Result {
+// resultOfCut is what becomes of a call whose connection broke after it was sent.
+func (x *exchange) resultOfCut() execution.Result {
 	switch x.router.fleet.planted {
 	case retryAfterCut:
 		return x.Send(context.Background())
@@ -281,9 +281,9 @@
 	return execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}
 }
 
-// seize does what a design with timeouts would do: it frees the key of a
+// deleteOverdueRecord does what a design with timeouts would do: it frees the key of a
 // holder that is silent past its deadline.
-func (x *exchange) seize(res execution.Result) bool {
+func (x *exchange) deleteOverdueRecord(res execution.Result) bool {
 	if res.Refusal == nil || res.Refusal.Code != outcome.InProgress {
 		return false
 	}
@@ -306,7 +306,7 @@
 	id     int
 	key    string
 	issued time.Time
-	chance *chance
+	chance *randomSource
 	tries  int
 }
 
@@ -343,14 +343,14 @@
 	}
 }
 
-// weather makes outages of the platform, and replaces dead routers.
-type weather struct {
+// faultInjector makes outages of the platform, and replaces dead routers.
+type faultInjector struct {
 	fleet  *fleet
-	chance *chance
+	chance *randomSource
 	ended  chan struct{}
 }
 
-func (w *weather) run() {
+func (w *faultInjector) run() {
 	defer w.fleet.work.Done()
 	for {
 		select {
--- a/coordination/execution/gate.go
+++ b/coordination/execution/gate.go
@@ -9,64 +9,64 @@
 )
 
 const (
-	// gateFailures is how many calls in a row fail before the gate shuts.
-	gateFailures = 3
-	// gateInterval is the time between two probes while the gate is shut, give
+	// breakerThreshold is how many calls in a row fail before the gate shuts.
+	breakerThreshold = 3
+	// probeInterval is the time between two probes while the gate is shut, give
 	// or take half. With 330 routers it makes 165 calls a second, which the
 	// service can take when it comes back.
-	gateInterval = 2 * time.Second
+	probeInterval = 2 * time.Second
 )
 
-// gate refuses new actions at once while the service does not answer. Without
+// breaker refuses new actions at once while the service does not answer. Without
 // it each action of an outage would wait for its own timeout, hold a slot, and
 // add a call to those that meet the service when it returns.
-type gate struct {
-	mu       sync.Mutex
-	failures int // in a row
-	next     time.Time
+type breaker struct {
+	mu        sync.Mutex
+	failures  int // in a row
+	nextProbe time.Time
 }
 
-// enter tells whether a call may be made: always while calls succeed, and as a
+// allow tells whether a call may be made: always while calls succeed, and as a
 // probe now and then otherwise.
-func (g *gate) enter() bool {
+func (g *breaker) allow() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.failures < gateFailures {
+	if g.failures < breakerThreshold {
 		return true
 	}
 	now := time.Now()
-	if now.Before(g.next) {
+	if now.Before(g.nextProbe) {
 		return false
 	}
-	g.postpone(now)
+	g.scheduleProbe(now)
 	return true
 }
 
-// note takes in how a call ended, and tells whether that shut or opened the
+// record takes in how a call ended, and tells whether that shut or opened the
 // gate. A refusal for the rate is an answer, too.
-func (g *gate) note(s kv.Status) (e Event, changed bool) {
+func (g *breaker) record(s kv.Status) (e Event, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if s != kv.Unknown && s != kv.Unavailable {
-		changed = g.failures >= gateFailures
+		changed = g.failures >= breakerThreshold
 		g.failures = 0
 		return PlatformBack, changed
 	}
 	g.failures++
-	if g.failures != gateFailures {
+	if g.failures != breakerThreshold {
 		return 0, false
 	}
-	g.postpone(time.Now())
+	g.scheduleProbe(time.Now())
 	return PlatformLost, true
 }
 
-func (g *gate) postpone(now time.Time) {
-	g.next = now.Add(gateInterval/2 + rand.N(gateInterval))
+func (g *breaker) scheduleProbe(now time.Time) {
+	g.nextProbe = now.Add(probeInterval/2 + rand.N(probeInterval))
 }
 
-// note takes in how a call to the platform ended.
-func (l *Ledger) note(s kv.Status) {
-	if e, changed := l.gate.note(s); changed {
+// recordStatus takes in how a call to the platform ended.
+func (l *Ledger) recordStatus(s kv.Status) {
+	if e, changed := l.breaker.record(s); changed {
 		l.cfg.Observe(e)
 	}
 }
--- a/coordination/execution/lease.go
+++ b/coordination/execution/lease.go
@@ -8,14 +8,14 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// leaseHold keeps a lease from being replaced again at once after the service
+// minLeaseAge keeps a lease from being replaced again at once after the service
 // refused it, since an outage looks the same.
-const leaseHold = time.Second
+const minLeaseAge = time.Second
 
-// leases holds the lease that new records are attached to. Records of a whole
+// leaseCache holds the lease that new records are attached to. Records of a whole
 // bucket of time share one lease, so that they cost no call for their expiry:
 // it lapses by itself and takes them with it.
-type leases struct {
+type leaseCache struct {
 	mu       sync.Mutex
 	id       kv.Lease
 	granted  time.Time     // before the call that granted it
@@ -26,7 +26,7 @@
 // if the present one is older than the bucket.
 func (l *Ledger) lease(ctx context.Context) (kv.Lease, kv.Result) {
 	for {
-		id, wait := l.leases.current(l.cfg.bucket())
+		id, wait := l.leases.current(l.cfg.leaseReusePeriod())
 		if id != 0 {
 			return id, kv.Result{Status: kv.Applied}
 		}
@@ -43,7 +43,7 @@
 
 // current returns a lease that may be used, or a channel that tells when the
 // grant under way has ended, or neither: the caller has to grant one then.
-func (s *leases) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
+func (s *leaseCache) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id != 0 && elapsed(s.granted) < bucket {
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithTimeout(l.ctx, l.cfg.CallTimeout)
 		id, res = l.cfg.Store.Grant(ctx, l.cfg.leaseTTL())
 		cancel()
-		l.note(res.Status)
+		l.recordStatus(res.Status)
 	}
 	s := &l.leases
 	s.mu.Lock()
@@ -79,10 +79,10 @@
 
 // drop forgets a lease after the service refused a record attached to it: the
 // service may have lost it.
-func (s *leases) drop(id kv.Lease) {
+func (s *leaseCache) drop(id kv.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.id == id && elapsed(s.granted) > leaseHold {
+	if s.id == id && elapsed(s.granted) > minLeaseAge {
 		s.id = 0
 	}
 }
--- a/coordination/execution/ledger.go
+++ b/coordination/execution/ledger.go
@@ -14,18 +14,18 @@
 // Ledger creates and settles the execution records of one router. It is safe
 // for concurrent use.
 type Ledger struct {
-	cfg    Config
-	leases leases
-	gate   gate
-	ctx    context.Context
-	work   sync.WaitGroup
-
-	mu     sync.Mutex
-	closed bool
-	spare  int           // calls taken from the budget and not used yet
-	held   int           // bytes of answers in settlements
-	open   int           // records being created, held, or being settled
-	idle   chan struct{} // closed when open falls to zero; nil if nobody waits
+	cfg     Config
+	leases  leaseCache
+	breaker breaker
+	ctx     context.Context
+	work    sync.WaitGroup
+
+	mu            sync.Mutex
+	closed        bool
+	reservedCalls int           // calls taken from the budget and not used yet
+	pendingBytes  int           // bytes of answers in settlements
+	open          int           // records being created, held, or being settled
+	idle          chan struct{} // closed when open falls to zero; nil if nobody waits
 }
 
 // New returns a ledger, and a function that ends its background work. What it
@@ -47,7 +47,7 @@
 // owns the token, and has to end it with Finish or Abandon.
 func (l *Ledger) Begin(ctx context.Context, req Request) Decision {
 	start := time.Now()
-	if d, ok := l.admit(req, start); !ok {
+	if d, ok := l.checkKey(req, start); !ok {
 		return d
 	}
 	if !l.acquire() {
@@ -60,8 +60,8 @@
 	return d
 }
 
-// admit checks the key before any call to the platform.
-func (l *Ledger) admit(req Request, now time.Time) (Decision, bool) {
+// checkKey checks the key before any call to the platform.
+func (l *Ledger) checkKey(req Request, now time.Time) (Decision, bool) {
 	if req.Key == "" || len(req.Key) > MaxKey || req.Team == "" {
 		return refused(outcome.Malformed, "the idempotency key must have 1 to 255 bytes", 0), false
 	}
@@ -79,10 +79,10 @@
 // claim tries to own the record of req. It tells whether the slot taken for it
 // is still needed, by the token or by work in the background.
 func (l *Ledger) claim(ctx context.Context, req Request, start time.Time) (Decision, bool) {
-	if !l.gate.enter() {
+	if !l.breaker.allow() {
 		return unreachable(kv.Unavailable), false
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.cfg.CreateWait)
+	ctx, cancel := context.WithTimeout(ctx, l.cfg.CreateTimeout)
 	defer cancel()
 	lease, res := l.lease(ctx)
 	if res.Status != kv.Applied {
@@ -92,17 +92,17 @@
 		return throttled(wait), false
 	}
 	c := &claim{
-		path:   req.path(),
-		record: l.newRecord(req, start),
-		keep:   l.cfg.rules(req).KeepLimit,
-		lease:  lease,
-		start:  start,
+		path:        req.path(),
+		record:      l.newRecord(req, start),
+		answerLimit: l.cfg.rules(req).AnswerLimit,
+		lease:       lease,
+		start:       start,
 	}
 	d := l.create(ctx, c)
 	if d.Verdict == Execute {
 		return d, true
 	}
-	if c.doubt {
+	if c.unconfirmed {
 		// The record may stand, or land later, as pending. Only we know that
 		// it will never be dispatched, so we free the key. A create that lands
 		// after that finds another revision than it expects.
@@ -133,7 +133,7 @@
 func (l *Ledger) create(ctx context.Context, c *claim) Decision {
 	value := c.record.encode()
 	status := kv.Unavailable
-	for try := range l.cfg.CreateTries {
+	for try := range l.cfg.CreateAttempts {
 		if try > 0 && !l.mayRetry(ctx, status, try) {
 			break
 		}
@@ -143,18 +143,18 @@
 		case kv.Applied:
 			return l.execute(c, res.Revision)
 		case kv.Conflict:
-			c.doubt = false
-			if d, over := l.judge(c, res.Pairs); over {
+			c.unconfirmed = false
+			if d, over := l.resolveExisting(c, res.Pairs); over {
 				return d
 			}
 			continue
 		case kv.Unknown:
-			c.doubt = true
+			c.unconfirmed = true
 			l.cfg.Observe(CreateUnanswered)
 		case kv.Unavailable:
 			l.leases.drop(c.lease)
 		}
-		if !c.doubt {
+		if !c.unconfirmed {
 			break // certainly nothing stands
 		}
 	}
@@ -178,21 +178,21 @@
 	ctx, cancel := context.WithTimeout(l.ctx, l.cfg.CallTimeout)
 	defer cancel()
 	res := l.cfg.Store.CompareAndSwap(ctx, path, value, expect, lease)
-	l.note(res.Status)
+	l.recordStatus(res.Status)
 	return res
 }
 
 func (l *Ledger) execute(c *claim, revision kv.Revision) Decision {
-	c.doubt = false
+	c.unconfirmed = false
 	return Decision{
 		Verdict: Execute,
 		Token:   &Token{claim: *c, revision: revision, limit: l.cfg.DispatchLimit},
 	}
 }
 
-// judge decides by what stands under the key. It is not over if the claim is
+// resolveExisting decides by what stands under the key. It is not over if the claim is
 // to be made again, on top of an abandoned record or of none.
-func (l *Ledger) judge(c *claim, standing []kv.Pair) (Decision, bool) {
+func (l *Ledger) resolveExisting(c *claim, standing []kv.Pair) (Decision, bool) {
 	if len(standing) == 0 {
 		c.expect = 0
 		return Decision{}, false
--- a/coordination/execution/ledger_test.go
+++ b/coordination/execution/ledger_test.go
@@ -33,8 +33,8 @@
 	return l
 }
 
-// order returns a request of now under key.
-func order(key execution.Key) execution.Request {
+// newRequest returns a request of now under key.
+func newRequest(key execution.Key) execution.Request {
 	return execution.Request{
 		Team: "solco", Key: key, IssuedAt: time.Now(), Timeout: 5 * time.Second,
 		Fingerprint: execution.FingerprintOf([]byte("book"), []byte("slot 7")),
@@ -60,9 +60,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		s := &sender{answer: "booked"}
-		first := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		first := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, first.Outcome, outcome.Ran)
-		second := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		second := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, second.Outcome, outcome.Ran)
 		assert.Assert(t, second.Repeated)
 		assert.DeepEqual(t, second.Answer, first.Answer)
@@ -71,7 +71,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	other := order("k")
+	other := newRequest("k")
 	other.Fingerprint = execution.FingerprintOf([]byte("book"), []byte("slot 8"))
 	tests := []struct {
 		name    string
@@ -93,9 +93,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newLedger(t, kvtest.New(), nil)
-				held := l.Begin(t.Context(), order("k"))
+				held := l.Begin(t.Context(), newRequest("k"))
 				assert.Equal(t, held.Verdict, execution.Execute)
-				req := order("k")
+				req := newRequest("k")
 				tt.change(&req)
 				d := l.Begin(t.Context(), req)
 				assert.Equal(t, d.Verdict, tt.verdict)
@@ -121,7 +121,7 @@
 			return first
 		}})
 		s := &sender{}
-		res := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		res := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
 		assert.Equal(t, s.sent, 1)
 		assert.Equal(t, store.Calls("cas"), 3)
@@ -137,13 +137,13 @@
 		store.SetFaults(kvtest.Faults{LoseReply: func(op, _ string) bool { return op == "cas" }})
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		res := l.Run(t.Context(), order("k"), s)
+		res := l.Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.NotRun)
 		assert.Equal(t, res.Refusal.Code, outcome.PlatformUnavailable)
 		assert.Equal(t, s.sent, 0)
 		store.SetFaults(kvtest.Faults{})
 		assert.Assert(t, l.Drain(t.Context()))
-		res = newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		res = newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
 		assert.Equal(t, s.sent, 1)
 	})
@@ -157,14 +157,14 @@
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("warm"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("warm"), s).Outcome, outcome.Ran)
 		store.SetFaults(kvtest.Faults{LoseCall: func(string, string) bool { return true }})
 		for range 10 {
-			l.Run(t.Context(), order("k"), s)
+			l.Run(t.Context(), newRequest("k"), s)
 		}
 		start := time.Now()
 		for range 100 {
-			res := l.Run(t.Context(), order("k"), s)
+			res := l.Run(t.Context(), newRequest("k"), s)
 			assert.Equal(t, res.Outcome, outcome.NotRun)
 			assert.Equal(t, res.Refusal.Code, outcome.PlatformUnavailable)
 			assert.Assert(t, res.Refusal.RetryAfter > 0)
@@ -173,7 +173,7 @@
 		assert.Equal(t, s.sent, 1)
 		store.SetFaults(kvtest.Faults{})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, l.Run(t.Context(), order("k"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), s).Outcome, outcome.Ran)
 	})
 }
 
@@ -182,7 +182,7 @@
 func TestFrozenHolderDoesNotDispatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
-		d := l.Begin(t.Context(), order("k"))
+		d := l.Begin(t.Context(), newRequest("k"))
 		time.Sleep(execution.DefaultDispatchLimit + time.Nanosecond)
 		assert.Assert(t, !d.Token.Dispatch())
 		assert.Assert(t, l.Abandon(d.Token))
@@ -193,7 +193,7 @@
 func TestTokenDispatchesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
-		token := l.Begin(t.Context(), order("k")).Token
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		assert.Assert(t, !token.Dispatch())
 		l.Finish(token, outcome.Ran, nil)
@@ -210,7 +210,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
-		token := l.Begin(t.Context(), order("k")).Token
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		store.SetFaults(kvtest.Faults{Down: true})
 		start := time.Now()
@@ -219,7 +219,7 @@
 		time.Sleep(5 * time.Minute)
 		store.SetFaults(kvtest.Faults{})
 		assert.Assert(t, l.Drain(t.Context()))
-		res := newLedger(t, store, nil).Run(t.Context(), order("k"), &sender{})
+		res := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), &sender{})
 		assert.Equal(t, string(res.Answer.Body), "booked")
 	})
 }
@@ -232,9 +232,9 @@
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		l.Run(t.Context(), order("first"), s)
+		l.Run(t.Context(), newRequest("first"), s)
 		time.Sleep(retention/4 - time.Second)
-		req := order("k")
+		req := newRequest("k")
 		req.IssuedAt = req.IssuedAt.Add(5 * time.Second) // a caller whose clock is ahead
 		assert.Equal(t, l.Run(t.Context(), req, s).Outcome, outcome.Ran)
 		assert.Equal(t, store.Calls("grant"), 1)
@@ -250,13 +250,13 @@
 	})
 }
 
-// lapsing is a service that has lost its leases, as after a restore.
-type lapsing struct {
+// lostLeaseStore is a service that has lost its leases, as after a restore.
+type lostLeaseStore struct {
 	*kvtest.Store
 	lost bool
 }
 
-func (s *lapsing) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (s *lostLeaseStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	if s.lost && lease == 1 {
 		return kv.Result{Status: kv.Unavailable}
 	}
@@ -267,14 +267,14 @@
 // If the router kept it, all orders would be refused for hours.
 func TestLostLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &lapsing{Store: kvtest.New()}
+		store := &lostLeaseStore{Store: kvtest.New()}
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("a"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("a"), s).Outcome, outcome.Ran)
 		store.lost = true
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, l.Run(t.Context(), order("b"), s).Outcome, outcome.NotRun)
-		assert.Equal(t, l.Run(t.Context(), order("b"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("b"), s).Outcome, outcome.NotRun)
+		assert.Equal(t, l.Run(t.Context(), newRequest("b"), s).Outcome, outcome.Ran)
 		assert.Equal(t, store.Calls("grant"), 2)
 	})
 }
@@ -285,8 +285,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		s := &sender{answer: "booked"}
-		req := order("k")
-		req.Rules = execution.Rules{Retention: retention, KeepLimit: 4}
+		req := newRequest("k")
+		req.Rules = execution.Rules{Retention: retention, AnswerLimit: 4}
 		assert.Equal(t, string(l.Run(t.Context(), req, s).Answer.Body), "booked")
 		res := l.Run(t.Context(), req, s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
@@ -302,8 +302,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		s := &sender{result: &execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}}
-		assert.Equal(t, l.Run(t.Context(), order("k"), s).Outcome, outcome.Unknown)
-		res := l.Run(t.Context(), order("k"), s)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), s).Outcome, outcome.Unknown)
+		res := l.Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Unknown)
 		assert.Equal(t, res.Refusal.Code, outcome.EndpointLost)
 		assert.Equal(t, s.sent, 1)
@@ -320,9 +320,9 @@
 		l := newLedger(t, kvtest.New(), nil)
 		func() {
 			defer func() { assert.Equal(t, recover(), "boom") }()
-			l.Run(t.Context(), order("k"), panicking{})
+			l.Run(t.Context(), newRequest("k"), panicking{})
 		}()
-		assert.Equal(t, l.Run(t.Context(), order("k"), &sender{}).Outcome, outcome.Unknown)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), &sender{}).Outcome, outcome.Unknown)
 		assert.Equal(t, l.Open(), 0)
 	})
 }
@@ -330,18 +330,18 @@
 func TestOpenRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), func(c *execution.Config) { c.MaxOpen = 1 })
-		held := l.Begin(t.Context(), order("a"))
+		held := l.Begin(t.Context(), newRequest("a"))
 		assert.Equal(t, held.Verdict, execution.Execute)
-		d := l.Begin(t.Context(), order("b"))
+		d := l.Begin(t.Context(), newRequest("b"))
 		assert.Equal(t, d.Refusal.Code, outcome.Overloaded)
 		l.Abandon(held.Token)
-		assert.Equal(t, l.Begin(t.Context(), order("b")).Verdict, execution.Execute)
+		assert.Equal(t, l.Begin(t.Context(), newRequest("b")).Verdict, execution.Execute)
 	})
 }
 
-type allowance struct{ left int }
+type fixedBudget struct{ left int }
 
-func (a *allowance) Allow(budget.Class) (bool, time.Duration) {
+func (a *fixedBudget) Allow(budget.Class) (bool, time.Duration) {
 	a.left--
 	return a.left >= 0, 3 * time.Second
 }
@@ -349,10 +349,10 @@
 func TestBudgetRefusesBeforeCalling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
-		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &allowance{left: 3} })
+		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &fixedBudget{left: 3} })
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("a"), s).Outcome, outcome.Ran)
-		res := l.Run(t.Context(), order("b"), s)
+		assert.Equal(t, l.Run(t.Context(), newRequest("a"), s).Outcome, outcome.Ran)
+		res := l.Run(t.Context(), newRequest("b"), s)
 		assert.Equal(t, res.Outcome, outcome.NotRun)
 		assert.Equal(t, res.Refusal.Code, outcome.Overloaded)
 		assert.Equal(t, res.Refusal.RetryAfter, 3*time.Second)
@@ -365,8 +365,8 @@
 func TestBudgetDoesNotStarveFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
-		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &allowance{left: 3} })
-		token := l.Begin(t.Context(), order("k")).Token
+		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &fixedBudget{left: 3} })
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		store.SetFaults(kvtest.Faults{Down: true})
 		l.Finish(token, outcome.Ran, nil)
--- a/coordination/execution/limits.go
+++ b/coordination/execution/limits.go
@@ -73,13 +73,13 @@
 func (l *Ledger) allowAction() (ok bool, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.spare < callsPerAction {
+	for l.reservedCalls < callsPerAction {
 		if ok, retryAfter = l.allow(); !ok {
 			return false, retryAfter
 		}
-		l.spare++
+		l.reservedCalls++
 	}
-	l.spare -= callsPerAction
+	l.reservedCalls -= callsPerAction
 	return true, 0
 }
 
@@ -87,14 +87,14 @@
 func (l *Ledger) refund() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.spare++
+	l.reservedCalls++
 }
 
-// mayTry tells whether the given try of a settlement may be made. Begin has
+// mayAttempt tells whether the given try of a settlement may be made. Begin has
 // paid for the first. Of the others the budget can hold back every second one
 // only: in a surge new actions take each call as it comes, and a key whose
 // action has long run would stay in progress for as long as the surge lasts.
-func (l *Ledger) mayTry(try int) bool {
+func (l *Ledger) mayAttempt(try int) bool {
 	if try == 0 {
 		return true
 	}
@@ -102,28 +102,28 @@
 	return ok || try%2 == 0
 }
 
-// hold counts the bytes of an answer that waits to be put on record, and tells
+// reserveAnswer counts the bytes of an answer that waits to be put on record, and tells
 // whether there is room for it. Without a bound an outage that begins while
-// many actions run would hold all their answers in memory.
-func (l *Ledger) hold(a *Answer) bool {
+// many actions run would reserveAnswer all their answers in memory.
+func (l *Ledger) reserveAnswer(a *Answer) bool {
 	if a == nil {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held+len(a.Body) > l.cfg.MaxHeld {
+	if l.pendingBytes+len(a.Body) > l.cfg.MaxPendingBytes {
 		return false
 	}
-	l.held += len(a.Body)
+	l.pendingBytes += len(a.Body)
 	return true
 }
 
-// unhold takes back what hold counted.
-func (l *Ledger) unhold(a *Answer) {
+// releaseAnswer takes back what hold counted.
+func (l *Ledger) releaseAnswer(a *Answer) {
 	if a == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held -= len(a.Body)
+	l.pendingBytes -= len(a.Body)
 }
--- a/coordination/execution/rate_test.go
+++ b/coordination/execution/rate_test.go
@@ -20,19 +20,19 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// capped is a service that takes a number of writes a second and answers in
+// rateLimitedStore is a service that takes a number of writes a second and answers in
 // milliseconds.
-type capped struct {
+type rateLimitedStore struct {
 	*kvtest.Store
 	limit   *rate.Limiter
 	offered atomic.Int64 // writes, those refused included
 }
 
-func newCapped(writes float64) *capped {
-	return &capped{Store: kvtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
+func newCapped(writes float64) *rateLimitedStore {
+	return &rateLimitedStore{Store: kvtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
 }
 
-func (s *capped) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (s *rateLimitedStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	time.Sleep(3 * time.Millisecond)
 	s.offered.Add(1)
 	if !s.limit.Allow() {
@@ -82,7 +82,7 @@
 func (o *offer) run(ctx context.Context, work *sync.WaitGroup) {
 	defer work.Done()
 	start := time.Now()
-	res := o.ledger.Run(ctx, order(execution.Key(o.key)), o)
+	res := o.ledger.Run(ctx, newRequest(execution.Key(o.key)), o)
 	took := time.Since(start)
 	s := o.surge
 	s.mu.Lock()
@@ -163,7 +163,7 @@
 	}
 }
 
-func (s *surge) log(t *testing.T, store *capped) {
+func (s *surge) log(t *testing.T, store *rateLimitedStore) {
 	span := s.span.Seconds()
 	t.Logf("ran %.0f/s, refused %.0f/s, slowest refusal %v, writes offered per action run %.2f",
 		float64(s.ran)/span, float64(s.refused)/span, s.slowest, float64(store.offered.Load())/float64(s.ran))
--- a/coordination/execution/record.go
+++ b/coordination/execution/record.go
@@ -80,8 +80,8 @@
 	return r
 }
 
-// keepNone is a limit that leaves out any answer.
-const keepNone = -1
+// omitAnswer is a limit that leaves out any answer.
+const omitAnswer = -1
 
 // finished returns r as its holder marks it at the end of the action. An
 // answer longer than limit bytes is left out.
--- a/coordination/execution/refusal.go
+++ b/coordination/execution/refusal.go
@@ -10,11 +10,11 @@
 
 // When to come back after the refusals of a Ledger.
 const (
-	retryPlatform = 2 * time.Second
-	retryRate     = time.Second
-	retryProgress = time.Second
-	retrySilent   = 30 * time.Second
-	retryNever    = time.Hour // another try with this key cannot succeed
+	retryAfterOutage       = 2 * time.Second
+	retryAfterThrottle     = time.Second
+	retryAfterInProgress   = time.Second
+	retryAfterSilentHolder = 30 * time.Second
+	retryAfterFinal        = time.Hour // another try with this key cannot succeed
 )
 
 func refused(code outcome.Code, message string, after time.Duration) Decision {
@@ -28,9 +28,9 @@
 // does not.
 func unreachable(s kv.Status) Decision {
 	if s == kv.Throttled {
-		return throttled(retryRate)
+		return throttled(retryAfterThrottle)
 	}
-	return refused(outcome.PlatformUnavailable, "the action could not be put on record; repeat with the same key", retryPlatform)
+	return refused(outcome.PlatformUnavailable, "the action could not be put on record; repeat with the same key", retryAfterOutage)
 }
 
 // throttled refuses an action beyond the rate that the platform takes.
@@ -45,7 +45,7 @@
 		Code:       outcome.KeyExpired,
 		Message:    fmt.Sprintf("the idempotency key is older than %v; find out whether an earlier try ran before using a new key", retention),
 		Outcome:    outcome.Unknown,
-		RetryAfter: retryNever,
+		RetryAfter: retryAfterFinal,
 	}}
 }
 
@@ -63,7 +63,7 @@
 		Code:       outcome.Conflict,
 		Message:    "the idempotency key belongs to another request",
 		Outcome:    outcome.NotRun,
-		RetryAfter: retryNever,
+		RetryAfter: retryAfterFinal,
 	}}
 }
 
@@ -73,7 +73,7 @@
 		Code:       outcome.Conflict,
 		Message:    "the record of this idempotency key cannot be read",
 		Outcome:    outcome.Unknown,
-		RetryAfter: retrySilent,
+		RetryAfter: retryAfterSilentHolder,
 	}}
 }
 
@@ -84,11 +84,11 @@
 		Code:       outcome.InProgress,
 		Message:    "an earlier try with this key is being run; repeat to get its answer",
 		Outcome:    outcome.Unknown,
-		RetryAfter: retryProgress,
+		RetryAfter: retryAfterInProgress,
 	}
 	if toUnixMilli(time.Now()) > r.Deadline {
 		refusal.Message = fmt.Sprintf("an earlier try with this key has not been reported by router %s; it may have run", r.Holder)
-		refusal.RetryAfter = retrySilent
+		refusal.RetryAfter = retryAfterSilentHolder
 	}
 	return Decision{Verdict: InProgress, Record: r, Refusal: refusal}
 }
@@ -99,7 +99,7 @@
 		Code:       outcome.Deadline,
 		Message:    "the router was too slow to send the action; repeat with the same key",
 		Outcome:    outcome.NotRun,
-		RetryAfter: retryRate,
+		RetryAfter: retryAfterThrottle,
 	}
 }
 
@@ -109,7 +109,7 @@
 		Code:       outcome.Conflict,
 		Message:    "the action ran; its answer was too large to keep",
 		Outcome:    outcome.Ran,
-		RetryAfter: retryNever,
+		RetryAfter: retryAfterFinal,
 	}
 }
 
@@ -119,6 +119,6 @@
 		Code:       outcome.EndpointLost,
 		Message:    "the action was sent and its answer was lost; it may have run and is not sent again",
 		Outcome:    outcome.Unknown,
-		RetryAfter: retryNever,
+		RetryAfter: retryAfterFinal,
 	}
 }
--- a/coordination/execution/safety_test.go
+++ b/coordination/execution/safety_test.go
@@ -12,16 +12,16 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// weathers are ways in which things go wrong, singly and all together.
-var weathers = []struct {
+// faultProfiles are ways in which things go wrong, singly and all together.
+var faultProfiles = []struct {
 	name  string
-	rates rates
+	rates faultRates
 }{
-	{"lost answers", rates{loseCall: 5, loseReply: 15, landLate: 10, slow: 10, loseAnswer: 5}},
-	{"freezes", rates{freeze: 3, loseReply: 3}},
-	{"kills", rates{kill: 2, loseReply: 3}},
-	{"outages", rates{outage: 40, refuse: 10, decline: 10, landLate: 3}},
-	{"all together", rates{
+	{"lost answers", faultRates{loseCall: 5, loseReply: 15, landLate: 10, slow: 10, loseAnswer: 5}},
+	{"freezes", faultRates{freeze: 3, loseReply: 3}},
+	{"kills", faultRates{kill: 2, loseReply: 3}},
+	{"outages", faultRates{outage: 40, refuse: 10, decline: 10, landLate: 3}},
+	{"all together", faultRates{
 		loseCall: 5, loseReply: 10, landLate: 5, slow: 10,
 		refuse: 10, decline: 5, loseAnswer: 10, freeze: 1, kill: 1, outage: 20,
 	}},
@@ -35,11 +35,11 @@
 )
 
 // simulate runs callers against a fleet and returns what happened.
-func simulate(t *testing.T, seed uint64, r rates, p planted) *history {
+func simulate(t *testing.T, seed uint64, r faultRates, p injectedFault) *history {
 	var h *history
 	synctest.Test(t, func(*testing.T) {
 		f := newFleet(seed, fleetRouters, r, p)
-		w := &weather{fleet: f, chance: newChance(seed, 1<<32), ended: make(chan struct{})}
+		w := &faultInjector{fleet: f, chance: newChance(seed, 1<<32), ended: make(chan struct{})}
 		f.work.Add(1)
 		go w.run()
 		var callers sync.WaitGroup
@@ -65,9 +65,9 @@
 // sender gave up, and is down; routers freeze past every deadline and wake, or
 // die; and the service cuts connections. An order that ran twice, or that ran
 // although its caller was told not-run, is what no user may ever see.
-func TestAtMostOnceInFoulWeather(t *testing.T) {
+func TestAtMostOnceUnderFaults(t *testing.T) {
 	const seeds = 60
-	for _, tt := range weathers {
+	for _, tt := range faultProfiles {
 		t.Run(tt.name, func(t *testing.T) {
 			var sum tally
 			for seed := range uint64(seeds) {
@@ -83,17 +83,17 @@
 
 // The checker must see the faults that the design is there to prevent, or its
 // silence means nothing.
-func TestCheckerFindsPlantedFaults(t *testing.T) {
+func TestCheckerFindsInjectedFaults(t *testing.T) {
 	const seeds = 20
 	tests := []struct {
 		name  string
-		fault planted
-		rates rates
+		fault injectedFault
+		rates faultRates
 	}{
-		{"take-over of a silent holder's record", takeOver, rates{freeze: 4}},
-		{"retry after a cut connection", retryAfterCut, rates{loseAnswer: 50}},
-		{"not-run after bytes were sent", denyAfterSending, rates{loseAnswer: 50}},
-		{"records that lapse before their keys expire", shortLeases, rates{}},
+		{"take-over of a silent holder's record", takeOver, faultRates{freeze: 4}},
+		{"retry after a cut connection", retryAfterCut, faultRates{loseAnswer: 50}},
+		{"not-run after bytes were sent", denyAfterSending, faultRates{loseAnswer: 50}},
+		{"records that lapse before their keys expire", shortLeases, faultRates{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/coordination/execution/settlement.go
+++ b/coordination/execution/settlement.go
@@ -14,9 +14,9 @@
 // lives. The caller's own answer need not wait for more.
 func (l *Ledger) Finish(t *Token, o outcome.Outcome, a *Answer) bool {
 	t.settle()
-	r := t.claim.record.finished(o, a, t.claim.keep)
-	if !l.hold(r.Answer) {
-		r = t.claim.record.finished(o, a, keepNone)
+	r := t.claim.record.finished(o, a, t.claim.answerLimit)
+	if !l.reserveAnswer(r.Answer) {
+		r = t.claim.record.finished(o, a, omitAnswer)
 	}
 	s := l.settle(t.claim.path, r, t.revision, t.claim.lease)
 	return l.await(s)
@@ -35,7 +35,7 @@
 	defer timer.Stop()
 	select {
 	case <-s.ended:
-		return s.stands
+		return s.written
 	case <-timer.C:
 		l.cfg.Observe(SettlementDelayed)
 		return false
@@ -46,13 +46,13 @@
 // keeps the record's lease: a write without one would make the record stay for
 // ever.
 type settlement struct {
-	ledger *Ledger
-	path   string
-	record Record
-	expect kv.Revision
-	lease  kv.Lease
-	ended  chan struct{}
-	stands bool // valid once ended is closed
+	ledger  *Ledger
+	path    string
+	record  Record
+	expect  kv.Revision
+	lease   kv.Lease
+	ended   chan struct{}
+	written bool // valid once ended is closed
 }
 
 // settle starts a settlement, which owns one slot until it ends. A ledger that
@@ -77,39 +77,39 @@
 	defer l.work.Done()
 	defer close(s.ended)
 	defer l.release()
-	defer l.unhold(s.record.Answer)
+	defer l.releaseAnswer(s.record.Answer)
 	value := s.record.encode()
 	start := time.Now()
-	for try := 0; elapsed(start) < l.cfg.life(); try++ {
+	for try := 0; elapsed(start) < l.cfg.minRecordLifetime(); try++ {
 		if try > 0 && !coordination.Sleep(l.ctx, backoff(try)) {
 			break
 		}
-		if !l.mayTry(try) {
+		if !l.mayAttempt(try) {
 			continue
 		}
 		res := l.swap(s.path, value, s.expect, s.lease)
-		if s.over(res) {
+		if s.handleResult(res) {
 			return
 		}
 	}
 	l.cfg.Observe(SettlementGivenUp)
 }
 
-// over tells whether res ends the settlement, and reports how.
-func (s *settlement) over(res kv.Result) bool {
+// handleResult tells whether res ends the settlement, and reports how.
+func (s *settlement) handleResult(res kv.Result) bool {
 	switch res.Status {
 	case kv.Applied:
 		s.report()
 		return true
 	case kv.Conflict:
-		return s.meets(res.Pairs)
+		return s.resolveConflict(res.Pairs)
 	default:
 		return false
 	}
 }
 
-// meets judges what stands instead of the expected revision.
-func (s *settlement) meets(standing []kv.Pair) bool {
+// resolveConflict judges what stands instead of the expected revision.
+func (s *settlement) resolveConflict(standing []kv.Pair) bool {
 	if len(standing) > 0 {
 		r, err := DecodeRecord(standing[0].Value)
 		if err == nil && r.Nonce == s.record.Nonce {
@@ -128,7 +128,7 @@
 }
 
 func (s *settlement) report() {
-	s.stands = true
+	s.written = true
 	if s.record.State == Finished {
 		s.ledger.cfg.Observe(RecordFinished)
 		return
--- a/coordination/execution/token.go
+++ b/coordination/execution/token.go
@@ -9,13 +9,13 @@
 
 // claim is what one call of Begin does to own a record.
 type claim struct {
-	path   string
-	record Record
-	keep   int // the longest answer to keep, in bytes
-	lease  kv.Lease
-	start  time.Time   // of Begin
-	expect kv.Revision // that the create expects
-	doubt  bool        // a create got no answer and may stand, or may yet land
+	path        string
+	record      Record
+	answerLimit int // the longest answer to keep, in bytes
+	lease       kv.Lease
+	start       time.Time   // of Begin
+	expect      kv.Revision // that the create expects
+	unconfirmed bool        // a create got no answer and may stand, or may yet land
 }
 
 // The life of a token.
--- a/coordination/order/giver.go
+++ b/coordination/order/giver.go
@@ -9,16 +9,16 @@
 	"wisteriaspool/coordination"
 )
 
-// Engines gives an order to an engine.
-type Engines interface {
-	Order(ctx context.Context, t Target, o Order, f Fencing) Result
+// EngineClient gives an order to an engine.
+type EngineClient interface {
+	Order(ctx context.Context, t Target, o Order, f FencingToken) Result
 }
 
 // Pools tells what this router knows of the pools.
 type Pools interface {
-	// Duties returns the pools whose orders this router should give now, as far
+	// AssignedPools returns the pools whose orders this router should give now, as far
 	// as it knows. Two routers may think so at once; the lease decides.
-	Duties() []coordination.Pool
+	AssignedPools() []coordination.Pool
 	// Targets returns the engines of a pool that are not leaving.
 	Targets(p coordination.Pool) []Target
 	// Plan returns what the settings in force ask of a pool's engines.
@@ -60,24 +60,24 @@
 	}
 }
 
-// Giver gives the orders of the pools that this router holds.
-type Giver struct {
+// Reconciler gives the orders of the pools that this router holds.
+type Reconciler struct {
 	cfg     Config
 	store   Store
 	pools   Pools
-	engines Engines
-	held    map[coordination.Pool]*hold // used by the loop alone
+	engines EngineClient
+	active  map[coordination.Pool]*poolReconciler // used by the loop alone
 }
 
 // New starts a giver, and returns the function that stops it. Its leases then
 // lapse by themselves.
-func New(cfg Config, store Store, pools Pools, engines Engines) (*Giver, func()) {
-	g := &Giver{
+func New(cfg Config, store Store, pools Pools, engines EngineClient) (*Reconciler, func()) {
+	g := &Reconciler{
 		cfg:     cfg.withDefaults(),
 		store:   store,
 		pools:   pools,
 		engines: engines,
-		held:    make(map[coordination.Pool]*hold),
+		active:  make(map[coordination.Pool]*poolReconciler),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -88,9 +88,9 @@
 	}
 }
 
-func (g *Giver) loop(ctx context.Context) {
+func (g *Reconciler) loop(ctx context.Context) {
 	for {
-		g.round(ctx)
+		g.reconcileAll(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -99,108 +99,108 @@
 	}
 }
 
-// round does what is due for each pool on duty. A pool that is no longer on
+// reconcileAll does what is due for each pool on duty. A pool that is no longer on
 // duty is let go: its lease lapses, and another router takes it.
-func (g *Giver) round(ctx context.Context) {
+func (g *Reconciler) reconcileAll(ctx context.Context) {
 	duty := make(map[coordination.Pool]bool)
-	for _, p := range g.pools.Duties() {
+	for _, p := range g.pools.AssignedPools() {
 		duty[p] = true
-		h := g.held[p]
+		h := g.active[p]
 		if h == nil {
-			h = &hold{giver: g, pool: p}
-			g.held[p] = h
+			h = &poolReconciler{parent: g, pool: p}
+			g.active[p] = h
 		}
-		h.round(ctx)
+		h.reconcile(ctx)
 	}
-	for p := range g.held {
+	for p := range g.active {
 		if !duty[p] {
-			delete(g.held, p)
+			delete(g.active, p)
 		}
 	}
 }
 
-// hold is a giver's work on one pool.
-type hold struct {
-	giver *Giver
-	pool  coordination.Pool
-	lease lease
-	plan  Plan
-	given map[Target]int // orders of the plan that the engine has taken
-	taken time.Time      // when the lease was acquired
-	again bool           // the second round has begun
-	heavy time.Time      // when the last heavy order was given
+// poolReconciler is a giver's work on one pool.
+type poolReconciler struct {
+	parent     *Reconciler
+	pool       coordination.Pool
+	lease      lease
+	plan       Plan
+	progress   map[Target]int // orders of the plan that the engine has taken
+	acquiredAt time.Time      // when the lease was acquired
+	restarted  bool           // the second round has begun
+	lastHeavy  time.Time      // when the last heavy order was given
 }
 
-func (h *hold) round(ctx context.Context) {
-	if !h.keep(ctx) {
+func (h *poolReconciler) reconcile(ctx context.Context) {
+	if !h.ensureLease(ctx) {
 		return
 	}
-	h.follow()
-	targets := h.giver.pools.Targets(h.pool)
-	h.forget(targets)
+	h.refreshPlan()
+	targets := h.parent.pools.Targets(h.pool)
+	h.forgetRemoved(targets)
 	for _, t := range targets {
-		if !h.serve(ctx, t) {
+		if !h.sendPending(ctx, t) {
 			return
 		}
 	}
 }
 
-// keep acquires or renews the lease and reports whether orders may be given.
-func (h *hold) keep(ctx context.Context) bool {
-	cfg := h.giver.cfg
+// ensureLease acquires or renews the lease and reports whether orders may be given.
+func (h *poolReconciler) ensureLease(ctx context.Context) bool {
+	cfg := h.parent.cfg
 	ctx, cancel := context.WithTimeout(ctx, cfg.TTL/5)
 	defer cancel()
 	now := time.Now()
 	if h.lease.fencing != 0 && now.Sub(h.lease.renewed) > cfg.TTL/5 {
-		h.lease.renew(ctx, h.giver.store)
+		h.lease.renew(ctx, h.parent.store)
 	}
-	if h.lease.held(time.Now()) {
+	if h.lease.usable(time.Now()) {
 		return true
 	}
-	if !h.lease.acquire(ctx, h.giver.store, h.pool, cfg.Self, cfg.TTL) {
+	if !h.lease.acquire(ctx, h.parent.store, h.pool, cfg.Self, cfg.TTL) {
 		return false
 	}
-	h.taken, h.again = time.Now(), false
-	h.given = make(map[Target]int)
+	h.acquiredAt, h.restarted = time.Now(), false
+	h.progress = make(map[Target]int)
 	return true
 }
 
-// follow starts anew when the plan has changed, and once more a while after the
+// refreshPlan starts anew when the plan has changed, and once more a while after the
 // lease was acquired: an engine that ignores fencing numbers may since have
 // taken an order that the last holder sent before it was frozen.
-func (h *hold) follow() {
-	plan := h.giver.pools.Plan(h.pool)
+func (h *poolReconciler) refreshPlan() {
+	plan := h.parent.pools.Plan(h.pool)
 	if !plan.Equal(h.plan) {
 		h.plan = plan
-		h.given = make(map[Target]int)
+		h.progress = make(map[Target]int)
 	}
-	if !h.again && time.Since(h.taken) > 2*h.giver.cfg.TTL {
-		h.again = true
-		h.given = make(map[Target]int)
+	if !h.restarted && time.Since(h.acquiredAt) > 2*h.parent.cfg.TTL {
+		h.restarted = true
+		h.progress = make(map[Target]int)
 	}
 }
 
-// forget drops what it knows of engines that have gone or restarted.
-func (h *hold) forget(targets []Target) {
-	for t := range h.given {
+// forgetRemoved drops what it knows of engines that have gone or restarted.
+func (h *poolReconciler) forgetRemoved(targets []Target) {
+	for t := range h.progress {
 		if !slices.Contains(targets, t) {
-			delete(h.given, t)
+			delete(h.progress, t)
 		}
 	}
 }
 
-// serve gives one engine what it lacks and reports whether the round goes on.
-func (h *hold) serve(ctx context.Context, t Target) bool {
-	for h.given[t] < len(h.plan) {
-		o := h.plan[h.given[t]]
-		if o.Kind.Heavy() && time.Since(h.heavy) < h.giver.cfg.Pace(h.pool) {
+// sendPending gives one engine what it lacks and reports whether the round goes on.
+func (h *poolReconciler) sendPending(ctx context.Context, t Target) bool {
+	for h.progress[t] < len(h.plan) {
+		o := h.plan[h.progress[t]]
+		if o.Kind.ReadsWeights() && time.Since(h.lastHeavy) < h.parent.cfg.Pace(h.pool) {
 			return false
 		}
 		// Right before sending: the process may have been frozen since keep.
-		if !h.lease.held(time.Now()) {
+		if !h.lease.usable(time.Now()) {
 			return false
 		}
-		r := h.give(ctx, t, o)
+		r := h.send(ctx, t, o)
 		if r == Fenced {
 			h.lease.fencing = 0
 			return false
@@ -208,18 +208,18 @@
 		if r == Unknown {
 			return true // tried again in the next round
 		}
-		h.given[t]++
+		h.progress[t]++
 	}
 	return true
 }
 
-func (h *hold) give(ctx context.Context, t Target, o Order) Result {
-	ctx, cancel := context.WithTimeout(ctx, h.giver.cfg.TTL/5)
+func (h *poolReconciler) send(ctx context.Context, t Target, o Order) Result {
+	ctx, cancel := context.WithTimeout(ctx, h.parent.cfg.TTL/5)
 	defer cancel()
-	if o.Kind.Heavy() {
-		h.heavy = time.Now()
+	if o.Kind.ReadsWeights() {
+		h.lastHeavy = time.Now()
 	}
-	r := h.giver.engines.Order(ctx, t, o, h.lease.fencing)
-	h.giver.cfg.OnResult(h.pool, t, o, r)
+	r := h.parent.engines.Order(ctx, t, o, h.lease.fencing)
+	h.parent.cfg.OnResult(h.pool, t, o, r)
 	return r
 }
--- a/coordination/order/lease.go
+++ b/coordination/order/lease.go
@@ -19,25 +19,25 @@
 	KeepAlive(ctx context.Context, lease kv.Lease) kv.Result
 }
 
-// margin is the part of its term behind which a holder gives no more orders. An
+// usableShare is the part of its term behind which a holder gives no more orders. An
 // order that is sent then still arrives before the lease can lapse, if the
 // network takes less than the rest of the term; for one that takes longer the
 // engine has the fencing number, and the next holder's second round.
-const margin = 0.5
+const usableShare = 0.5
 
 // lease is a router's hold on one pool. The zero value holds nothing.
 type lease struct {
 	id      kv.Lease
-	fencing Fencing
+	fencing FencingToken
 	renewed time.Time // before the call that last renewed it
 	ttl     time.Duration
 }
 
-// held reports whether the holder may give orders at now. It relies on the
+// usable reports whether the holder may give orders at now. It relies on the
 // process's own monotonic clock only: a process that was frozen finds its
 // lease old when it wakes.
-func (l *lease) held(now time.Time) bool {
-	return l.fencing != 0 && now.Sub(l.renewed) < time.Duration(margin*float64(l.ttl))
+func (l *lease) usable(now time.Time) bool {
+	return l.fencing != 0 && now.Sub(l.renewed) < time.Duration(usableShare*float64(l.ttl))
 }
 
 // acquire tries to become the holder of a pool. The value tells who holds it,
@@ -60,22 +60,22 @@
 		res = s.Get(ctx, key)
 	}
 	l.id = id
-	l.fencing = own(res, id)
-	return l.held(time.Now())
+	l.fencing = ownedToken(res, id)
+	return l.usable(time.Now())
 }
 
-// own returns the fencing number if the result shows the key under our lease.
-func own(res kv.Result, id kv.Lease) Fencing {
+// ownedToken returns the fencing number if the result shows the key under our lease.
+func ownedToken(res kv.Result, id kv.Lease) FencingToken {
 	if res.Status != kv.Applied {
 		return 0
 	}
 	if len(res.Pairs) == 0 {
-		return Fencing(res.Revision)
+		return FencingToken(res.Revision)
 	}
 	if res.Pairs[0].Lease != id {
 		return 0
 	}
-	return Fencing(res.Pairs[0].Revision)
+	return FencingToken(res.Pairs[0].Revision)
 }
 
 // renew extends the lease. When the service says that it has lapsed, or nothing
--- a/coordination/order/order.go
+++ b/coordination/order/order.go
@@ -28,9 +28,9 @@
 	SetRole     Kind = "set-role"
 )
 
-// Heavy reports whether carrying out k reads from the weight store, whose rate
+// ReadsWeights reports whether carrying out k reads from the weight store, whose rate
 // is limited.
-func (k Kind) Heavy() bool { return k != SetRole }
+func (k Kind) ReadsWeights() bool { return k != SetRole }
 
 // Order asks an engine for one piece of its state. Giving it again changes
 // nothing.
@@ -40,9 +40,9 @@
 	Version string `json:"version,omitempty"`
 }
 
-// Fencing is the number of a holder; a later holder has a higher one. Its
+// FencingToken is the number of a holder; a later holder has a higher one. Its
 // source is the revision at which the platform granted the pool to the holder.
-type Fencing kv.Revision
+type FencingToken kv.Revision
 
 // Target is one engine that orders are given to.
 type Target struct {
--- a/coordination/order/order_test.go
+++ b/coordination/order/order_test.go
@@ -16,22 +16,22 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// given is one order as an engine got it.
-type given struct {
+// sentOrder is one order as an engine got it.
+type sentOrder struct {
 	at      time.Time
-	fencing order.Fencing
+	fencing order.FencingToken
 	order   order.Order
 	target  order.Target
 }
 
-// part is one piece of an engine's state, and loaded the version of each. An
+// stateKey is one piece of an engine's state, and loaded the version of each. An
 // order that comes twice changes nothing.
-type part struct {
+type stateKey struct {
 	kind order.Kind
 	name string
 }
 
-type loaded map[part]string
+type loaded map[stateKey]string
 
 // site is a pool of engines with the routers that give them orders.
 type site struct {
@@ -39,9 +39,9 @@
 	plan    order.Plan
 	duty    map[coordination.Instance]bool
 	targets []order.Target
-	highest map[order.Target]order.Fencing
+	highest map[order.Target]order.FencingToken
 	state   map[order.Target]loaded
-	history []given
+	history []sentOrder
 	ignores bool // the engines take old fencing numbers
 	loss    float64
 	random  *rand.Rand
@@ -51,7 +51,7 @@
 func newSite(seed uint64, engines int) *site {
 	s := &site{
 		duty:    make(map[coordination.Instance]bool),
-		highest: make(map[order.Target]order.Fencing),
+		highest: make(map[order.Target]order.FencingToken),
 		state:   make(map[order.Target]loaded),
 		frozen:  make(map[coordination.Instance]chan struct{}),
 		random:  rand.New(rand.NewPCG(seed, 0)),
@@ -81,7 +81,7 @@
 	old  *order.Plan // what a router with old settings goes by
 }
 
-func (v view) Duties() []coordination.Pool {
+func (v view) AssignedPools() []coordination.Pool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.duty[v.self] {
@@ -101,9 +101,9 @@
 	return v.plan
 }
 
-// Order implements order.Engines. A router that is frozen has its order on the
+// Order implements order.EngineClient. A router that is frozen has its order on the
 // way until it wakes.
-func (v view) Order(ctx context.Context, t order.Target, o order.Order, f order.Fencing) order.Result {
+func (v view) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
 	v.mu.Lock()
 	frozen := v.frozen[v.self]
 	v.mu.Unlock()
@@ -119,8 +119,8 @@
 	if v.state[t] == nil {
 		v.state[t] = make(loaded)
 	}
-	v.state[t][part{o.Kind, o.Name}] = o.Version
-	v.history = append(v.history, given{at: time.Now(), fencing: f, order: o, target: t})
+	v.state[t][stateKey{o.Kind, o.Name}] = o.Version
+	v.history = append(v.history, sentOrder{at: time.Now(), fencing: f, order: o, target: t})
 	if v.random.Float64() < v.loss {
 		return order.Unknown
 	}
@@ -148,7 +148,7 @@
 	var found []string
 	for _, t := range s.targets {
 		for _, o := range s.plan {
-			if got := s.state[t][part{o.Kind, o.Name}]; got != o.Version {
+			if got := s.state[t][stateKey{o.Kind, o.Name}]; got != o.Version {
 				found = append(found, fmt.Sprintf("%s ends with %s %s at %q, want %q", t.Endpoint, o.Kind, o.Name, got, o.Version))
 			}
 		}
@@ -189,7 +189,7 @@
 // its lease. Another router takes over with newer settings. Then the first one
 // wakes, and its order arrives: an engine that ignores fencing numbers carries
 // it out, and users would be served by an old version for good.
-func TestFrozenHolderDoesNotHaveTheLastWord(t *testing.T) {
+func TestOrderOfFrozenHolderIsOverwritten(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSite(2, 3)
@@ -249,7 +249,7 @@
 
 // The check has to see an engine that is left behind and loads that come too
 // close together, or its silence means nothing.
-func TestCheckCatchesPlantedFaults(t *testing.T) {
+func TestCheckCatchesInjectedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 2)
 		s.setPlan("1")
--- a/coordination/transfer/load.go
+++ b/coordination/transfer/load.go
@@ -12,7 +12,7 @@
 	Requests int // running and waiting
 	Capacity int // zero if unknown
 	Leaving  bool
-	Read     time.Time
+	ReadAt   time.Time
 }
 
 // loadTTL is how long a report counts.
@@ -24,8 +24,8 @@
 	last map[coordination.Endpoint]Load
 }
 
-// Learn takes a report.
-func (l *Loads) Learn(id coordination.Endpoint, r Load) {
+// Update takes a report.
+func (l *Loads) Update(id coordination.Endpoint, r Load) {
 	if l.last == nil {
 		l.last = make(map[coordination.Endpoint]Load)
 	}
@@ -35,13 +35,13 @@
 // Fresh reports whether the last report of an engine still counts.
 func (l *Loads) Fresh(now time.Time, id coordination.Endpoint) bool {
 	r, ok := l.last[id]
-	return ok && now.Sub(r.Read) < loadTTL
+	return ok && now.Sub(r.ReadAt) < loadTTL
 }
 
-// Room reports whether an engine may receive a chat: whether it stays clear of
+// CanAccept reports whether an engine may receive a chat: whether it stays clear of
 // its capacity and of the bound over the mean of those that have reported. An
 // engine that has not reported may not.
-func (l *Loads) Room(id coordination.Endpoint, cfg Config) bool {
+func (l *Loads) CanAccept(id coordination.Endpoint, cfg Config) bool {
 	r, ok := l.last[id]
 	if !ok || r.Leaving {
 		return false
--- a/coordination/transfer/plan.go
+++ b/coordination/transfer/plan.go
@@ -57,24 +57,24 @@
 
 // candidate is a chat that the leaving engine has cached.
 type candidate struct {
-	chat    coordination.Chat
-	seq     Sequence // of its last event
-	evicted bool
-	done    Sequence // the event up to which it was dealt with
-	moving  bool
-	began   time.Time // its move
-	after   time.Time // not to be moved before
+	chat       coordination.Chat
+	lastSeq    Sequence // of its last event
+	evicted    bool
+	handledSeq Sequence // the event up to which it was dealt with
+	moving     bool
+	startedAt  time.Time // its move
+	notBefore  time.Time // not to be moved before
 }
 
 // Plan decides about the chats of one leaving engine. It is not safe for
 // concurrent use.
 type Plan struct {
-	cfg      Config
-	end      time.Time
-	chats    map[coordination.Chat]*candidate
-	moving   int
-	free     time.Time // when the link budget is free again
-	failures int       // in a row
+	cfg        Config
+	end        time.Time
+	chats      map[coordination.Chat]*candidate
+	moving     int
+	linkFreeAt time.Time // when the link budget is free again
+	failures   int       // in a row
 }
 
 // NewPlan returns the plan for an engine that was first seen to leave at now.
@@ -83,13 +83,13 @@
 	return &Plan{cfg: cfg, end: now.Add(cfg.Window), chats: make(map[coordination.Chat]*candidate)}
 }
 
-// Learn takes cache events that the leaving engine has answered with, in any
+// AddEvents takes cache events that the leaving engine has answered with, in any
 // order and with gaps.
-func (p *Plan) Learn(events []Event) {
+func (p *Plan) AddEvents(events []Event) {
 	p.failures = 0
 	for _, e := range events {
 		if e.Chat != "" && (e.Kind == Stored || e.Kind == Evicted) {
-			p.learn(e)
+			p.addEvent(e)
 		}
 	}
 	if len(p.chats) > maxChats {
@@ -97,14 +97,14 @@
 	}
 }
 
-func (p *Plan) learn(e Event) {
+func (p *Plan) addEvent(e Event) {
 	c := p.chats[e.Chat]
 	if c == nil {
 		c = &candidate{chat: e.Chat}
 		p.chats[e.Chat] = c
 	}
-	if e.Seq > c.seq {
-		c.seq = e.Seq
+	if e.Seq > c.lastSeq {
+		c.lastSeq = e.Seq
 		c.evicted = e.Kind == Evicted
 	}
 }
@@ -112,7 +112,7 @@
 // prune drops the chats stored longest ago.
 func (p *Plan) prune() {
 	all := lo.Values(p.chats)
-	slices.SortFunc(all, func(a, b *candidate) int { return cmp.Compare(b.seq, a.seq) })
+	slices.SortFunc(all, func(a, b *candidate) int { return cmp.Compare(b.lastSeq, a.lastSeq) })
 	for _, c := range all[maxChats/2:] {
 		if !c.moving {
 			delete(p.chats, c.chat)
@@ -121,22 +121,22 @@
 }
 
 // Next returns the next step. A chat that it says to move is on its way until
-// [Plan.End].
+// [Plan.MoveEnded].
 func (p *Plan) Next(now time.Time) Step {
-	if !now.Before(p.end) || p.failures >= p.cfg.Failures {
+	if !now.Before(p.end) || p.failures >= p.cfg.MaxFailures {
 		return Step{Action: Stop}
 	}
-	if p.moving >= p.cfg.Concurrent {
+	if p.moving >= p.cfg.MaxConcurrent {
 		return Step{Action: Wait, Wait: p.cfg.Interval}
 	}
-	if wait := p.free.Sub(now); wait > 0 {
+	if wait := p.linkFreeAt.Sub(now); wait > 0 {
 		return Step{Action: Wait, Wait: min(wait, p.cfg.Interval)}
 	}
 	c := p.latest(now)
 	if c == nil {
 		return Step{Action: Wait, Wait: p.cfg.Interval}
 	}
-	c.moving, c.done, c.began = true, c.seq, now
+	c.moving, c.handledSeq, c.startedAt = true, c.lastSeq, now
 	p.moving++
 	return Step{Action: Move, Chat: c.chat}
 }
@@ -146,42 +146,42 @@
 func (p *Plan) latest(now time.Time) *candidate {
 	var best *candidate
 	for _, c := range p.chats {
-		if c.moving || c.evicted || c.done == c.seq || now.Before(c.after) {
+		if c.moving || c.evicted || c.handledSeq == c.lastSeq || now.Before(c.notBefore) {
 			continue
 		}
-		if best == nil || c.seq > best.seq {
+		if best == nil || c.lastSeq > best.lastSeq {
 			best = c
 		}
 	}
 	return best
 }
 
-// End takes what became of a move and how many bytes it took from the leaving
+// MoveEnded takes what became of a move and how many bytes it took from the leaving
 // engine. They are charged to the link budget: the next move waits until it is
 // free again.
-func (p *Plan) End(now time.Time, chat coordination.Chat, r Result, bytes int64) {
+func (p *Plan) MoveEnded(now time.Time, chat coordination.Chat, r Result, bytes int64) {
 	c := p.chats[chat]
 	c.moving = false
 	p.moving--
-	p.spend(c.began, bytes)
+	p.chargeLink(c.startedAt, bytes)
 	switch r {
 	case Lost:
 		p.failures++
 	case Busy:
-		c.done = 0
-		c.after = now.Add(busyDelay)
+		c.handledSeq = 0
+		c.notBefore = now.Add(busyDelay)
 	default:
 		p.failures = 0
 	}
 }
 
-// Fail takes that the leaving engine did not answer a read of its events.
-func (p *Plan) Fail() { p.failures++ }
+// ReadFailed takes that the leaving engine did not answer a read of its events.
+func (p *Plan) ReadFailed() { p.failures++ }
 
-// spend charges bytes that were taken from a time on.
-func (p *Plan) spend(from time.Time, bytes int64) {
-	if p.free.Before(from) {
-		p.free = from
+// chargeLink charges bytes that were taken from a time on.
+func (p *Plan) chargeLink(from time.Time, bytes int64) {
+	if p.linkFreeAt.Before(from) {
+		p.linkFreeAt = from
 	}
-	p.free = p.free.Add(p.cfg.onLink(bytes))
+	p.linkFreeAt = p.linkFreeAt.Add(p.cfg.linkTime(bytes))
 }
--- a/coordination/transfer/plan_test.go
+++ b/coordination/transfer/plan_test.go
@@ -13,9 +13,9 @@
 
 var testStart = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// order lets a plan move all that it will, one at a time and at once, and
+// moveAll lets a plan move all that it will, one at a time and at once, and
 // returns the chats.
-func order(p *Plan) []coordination.Chat {
+func moveAll(p *Plan) []coordination.Chat {
 	var chats []coordination.Chat
 	for {
 		s := p.Next(testStart)
@@ -23,7 +23,7 @@
 			return chats
 		}
 		chats = append(chats, s.Chat)
-		p.End(testStart, s.Chat, Moved, 0)
+		p.MoveEnded(testStart, s.Chat, Moved, 0)
 	}
 }
 
@@ -44,8 +44,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPlan(testStart, Config{})
-			p.Learn(c.events)
-			assert.DeepEqual(t, order(p), c.want)
+			p.AddEvents(c.events)
+			assert.DeepEqual(t, moveAll(p), c.want)
 		})
 	}
 }
@@ -55,20 +55,20 @@
 // computed from where the move had left it.
 func TestChatStoredAgainMovesAgain(t *testing.T) {
 	p := NewPlan(testStart, Config{})
-	p.Learn([]Event{{1, "a", Stored}})
-	assert.DeepEqual(t, order(p), []coordination.Chat{"a"})
-	assert.Equal(t, len(order(p)), 0)
-	p.Learn([]Event{{1, "a", Stored}, {2, "a", Stored}})
-	assert.DeepEqual(t, order(p), []coordination.Chat{"a"})
+	p.AddEvents([]Event{{1, "a", Stored}})
+	assert.DeepEqual(t, moveAll(p), []coordination.Chat{"a"})
+	assert.Equal(t, len(moveAll(p)), 0)
+	p.AddEvents([]Event{{1, "a", Stored}, {2, "a", Stored}})
+	assert.DeepEqual(t, moveAll(p), []coordination.Chat{"a"})
 }
 
 // The engine to which a chat goes next is near its bound for a moment. The chat
 // waits its turn rather than being given up.
 func TestBusyChatIsTriedAgain(t *testing.T) {
 	p := NewPlan(testStart, Config{})
-	p.Learn([]Event{{1, "a", Stored}})
+	p.AddEvents([]Event{{1, "a", Stored}})
 	assert.Equal(t, p.Next(testStart).Action, Move)
-	p.End(testStart, "a", Busy, 0)
+	p.MoveEnded(testStart, "a", Busy, 0)
 	assert.Equal(t, p.Next(testStart).Action, Wait)
 	assert.Equal(t, p.Next(testStart.Add(busyDelay)), Step{Action: Move, Chat: "a"})
 }
@@ -77,11 +77,11 @@
 // asking a dead address for the rest of its window.
 func TestPlanStopsWhenEngineIsGone(t *testing.T) {
 	p := NewPlan(testStart, Config{})
-	p.Learn([]Event{{1, "a", Stored}})
-	p.Fail()
-	p.Fail()
+	p.AddEvents([]Event{{1, "a", Stored}})
+	p.ReadFailed()
+	p.ReadFailed()
 	assert.Equal(t, p.Next(testStart).Action, Move)
-	p.End(testStart, "a", Lost, 0)
+	p.MoveEnded(testStart, "a", Lost, 0)
 	assert.Equal(t, p.Next(testStart).Action, Stop)
 }
 
@@ -90,7 +90,7 @@
 func TestPlanIsBounded(t *testing.T) {
 	p := NewPlan(testStart, Config{})
 	for n := range 3 * maxChats {
-		p.Learn([]Event{{Sequence(n + 1), coordination.Chat(fmt.Sprint(n)), Stored}})
+		p.AddEvents([]Event{{Sequence(n + 1), coordination.Chat(fmt.Sprint(n)), Stored}})
 		assert.Assert(t, len(p.chats) <= maxChats)
 	}
 	assert.Equal(t, p.Next(testStart).Chat, coordination.Chat(fmt.Sprint(3*maxChats-1)))
@@ -100,7 +100,7 @@
 // budget and to its number of moves at a time.
 func TestPlanKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Budget: 1000, Concurrent: 2, Window: 10 * time.Second}
+		cfg := Config{Bandwidth: 1000, MaxConcurrent: 2, Window: 10 * time.Second}
 		p := NewPlan(testStart, cfg)
 		now := testStart
 		const largest = 3000
@@ -110,7 +110,7 @@
 			"learn": func(t *rapid.T) {
 				chat := coordination.Chat(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "chat")))
 				kind := rapid.SampledFrom([]Kind{Stored, Evicted}).Draw(t, "kind")
-				p.Learn([]Event{{Sequence(rapid.IntRange(1, 100).Draw(t, "seq")), chat, kind}})
+				p.AddEvents([]Event{{Sequence(rapid.IntRange(1, 100).Draw(t, "seq")), chat, kind}})
 			},
 			"next": func(t *rapid.T) {
 				s := p.Next(now)
@@ -118,7 +118,7 @@
 					return
 				}
 				moving = append(moving, s.Chat)
-				if !now.Before(testStart.Add(cfg.Window)) || len(moving) > cfg.Concurrent {
+				if !now.Before(testStart.Add(cfg.Window)) || len(moving) > cfg.MaxConcurrent {
 					t.Fatalf("%d chats are moving at %v", len(moving), now.Sub(testStart))
 				}
 				if paid := 1000*now.Sub(testStart).Seconds() + 1; float64(bytes) > paid {
@@ -130,7 +130,7 @@
 					return
 				}
 				n := rapid.IntRange(0, largest).Draw(t, "bytes")
-				p.End(now, moving[0], rapid.SampledFrom([]Result{Moved, Cold, Busy, Refused}).Draw(t, "result"), int64(n))
+				p.MoveEnded(now, moving[0], rapid.SampledFrom([]Result{Moved, Cold, Busy, Refused}).Draw(t, "result"), int64(n))
 				moving = moving[1:]
 				bytes += n
 			},
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestPays(t *testing.T) {
+func TestWorthwhile(t *testing.T) {
 	const token = 128 << 10
 	cases := []struct {
 		name string
@@ -151,25 +151,25 @@
 	}{
 		{"long chat, fast link", Config{}, 1000 * token, true},
 		{"short chat: its overhead is more than its prompt", Config{}, 20 * token, false},
-		{"long chat, slow link", Config{Budget: 125e6}, 1000 * token, false},
-		{"slow link, small cache", Config{Budget: 125e6, BytesPerToken: 8 << 10}, 1000 * 8 << 10, true},
-		{"slow computing", Config{Budget: 125e6, Prefill: 2 * time.Millisecond}, 500 * token, true},
-		{"slow computing, but too long a move", Config{Budget: 125e6, Prefill: 2 * time.Millisecond}, 1000 * token, false},
-		{"slow computing, and time for it", Config{Budget: 125e6, Prefill: 2 * time.Millisecond, Longest: 3 * time.Second}, 1000 * token, true},
+		{"long chat, slow link", Config{Bandwidth: 125e6}, 1000 * token, false},
+		{"slow link, small cache", Config{Bandwidth: 125e6, BytesPerToken: 8 << 10}, 1000 * 8 << 10, true},
+		{"slow computing", Config{Bandwidth: 125e6, PrefillPerToken: 2 * time.Millisecond}, 500 * token, true},
+		{"slow computing, but too long a move", Config{Bandwidth: 125e6, PrefillPerToken: 2 * time.Millisecond}, 1000 * token, false},
+		{"slow computing, and time for it", Config{Bandwidth: 125e6, PrefillPerToken: 2 * time.Millisecond, MoveTimeout: 3 * time.Second}, 1000 * token, true},
 		{"longer than a move may take", Config{}, 10_000 * token, false},
 		{"unknown size, fast link", Config{}, -1, true},
-		{"unknown size, slow link", Config{Budget: 125e6}, -1, false},
+		{"unknown size, slow link", Config{Bandwidth: 125e6}, -1, false},
 		{"nothing", Config{}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.cfg.WithDefaults().Pays(c.size), c.want)
+			assert.Equal(t, c.cfg.WithDefaults().Worthwhile(c.size), c.want)
 		})
 	}
 }
 
-func TestRoom(t *testing.T) {
-	load := func(requests int) Load { return Load{Requests: requests, Capacity: 16, Read: testStart} }
+func TestCanAccept(t *testing.T) {
+	load := func(requests int) Load { return Load{Requests: requests, Capacity: 16, ReadAt: testStart} }
 	cases := []struct {
 		name string
 		to   Load
@@ -178,20 +178,20 @@
 		{"mean load", load(8), true},
 		{"under the bound", load(5), true},
 		{"near the bound", load(10), false},
-		{"near its capacity", Load{Requests: 8, Capacity: 10, Read: testStart}, false},
+		{"near its capacity", Load{Requests: 8, Capacity: 10, ReadAt: testStart}, false},
 		{"idle", load(0), true},
-		{"no capacity known", Load{Requests: 8, Read: testStart}, true},
-		{"leaving", Load{Requests: 0, Leaving: true, Read: testStart}, false},
+		{"no capacity known", Load{Requests: 8, ReadAt: testStart}, true},
+		{"leaving", Load{Requests: 0, Leaving: true, ReadAt: testStart}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var l Loads
 			for _, id := range []coordination.Endpoint{"e2", "e3", "e4"} {
-				l.Learn(id, load(8))
+				l.Update(id, load(8))
 			}
-			l.Learn("e1", c.to)
-			assert.Equal(t, l.Room("e1", Config{}.WithDefaults()), c.want)
-			assert.Assert(t, !l.Room("e9", Config{}.WithDefaults()), "nothing is known of it")
+			l.Update("e1", c.to)
+			assert.Equal(t, l.CanAccept("e1", Config{}.WithDefaults()), c.want)
+			assert.Assert(t, !l.CanAccept("e9", Config{}.WithDefaults()), "nothing is known of it")
 			assert.Assert(t, l.Fresh(testStart.Add(loadTTL/2), "e1"))
 			assert.Assert(t, !l.Fresh(testStart.Add(loadTTL), "e1"))
 		})
@@ -200,14 +200,14 @@
 
 // A team sets a bound close to the mean. Moves that kept to their own default
 // would bring chats to engines that placement passes over.
-func TestRoomUnderBoundOfPlacement(t *testing.T) {
+func TestCanAcceptUnderPlacementBound(t *testing.T) {
 	var l Loads
-	l.Learn("e1", Load{Requests: 109, Read: testStart})
-	l.Learn("e2", Load{Requests: 99, Read: testStart})
+	l.Update("e1", Load{Requests: 109, ReadAt: testStart})
+	l.Update("e2", Load{Requests: 99, ReadAt: testStart})
 	cfg := Config{}.WithDefaults()
-	assert.Assert(t, l.Room("e1", cfg))
-	assert.Assert(t, l.Room("e1", cfg.Under(0)))
-	assert.Assert(t, l.Room("e1", cfg.Under(2)))
-	assert.Assert(t, !l.Room("e1", cfg.Under(1.05)))
-	assert.Assert(t, l.Room("e2", cfg.Under(1.05)))
+	assert.Assert(t, l.CanAccept("e1", cfg))
+	assert.Assert(t, l.CanAccept("e1", cfg.WithPlacementBound(0)))
+	assert.Assert(t, l.CanAccept("e1", cfg.WithPlacementBound(2)))
+	assert.Assert(t, !l.CanAccept("e1", cfg.WithPlacementBound(1.05)))
+	assert.Assert(t, l.CanAccept("e2", cfg.WithPlacementBound(1.05)))
 }
--- a/coordination/transfer/transfer.go
+++ b/coordination/transfer/transfer.go
@@ -36,21 +36,21 @@
 
 // Config holds the settings of a plan. A zero field means its default.
 type Config struct {
-	// Budget is the bytes a second that may be moved away from one leaving
+	// Bandwidth is the bytes a second that may be moved away from one leaving
 	// engine, default 1.25e9: a link of 10 Gbit/s. It is also the rate that a
 	// move is taken to have when it is compared with computing.
-	Budget float64
+	Bandwidth float64
 
-	// Concurrent is the number of chats on their way at a time, default 2.
-	Concurrent int
+	// MaxConcurrent is the number of chats on their way at a time, default 2.
+	MaxConcurrent int
 
 	// Window is the longest time for which chats are moved away from an
 	// engine, default 30 s. The engine may be gone long before.
 	Window time.Duration
 
-	// Prefill is the time in which an engine computes one token of a prompt,
+	// PrefillPerToken is the time in which an engine computes one token of a prompt,
 	// default 200 µs.
-	Prefill time.Duration
+	PrefillPerToken time.Duration
 
 	// BytesPerToken is the size of the KV cache of one token, default 128 KiB.
 	BytesPerToken int
@@ -58,10 +58,10 @@
 	// Overhead is the time that a move takes besides its bytes, default 5 ms.
 	Overhead time.Duration
 
-	// Longest is the longest time of one move, default 2 s. An engine whose
+	// MoveTimeout is the longest time of one move, default 2 s. An engine whose
 	// process waits for its open connections is held up by at most that, and
 	// only by a move that was under way when everything else had ended.
-	Longest time.Duration
+	MoveTimeout time.Duration
 
 	// Bound is the multiple of the mean load, rounded up, above which an engine
 	// gets no chats; default 1.1, which is below the bound of placement, since
@@ -75,35 +75,35 @@
 	// Interval is the time between two reads of cache events, default 250 ms.
 	Interval time.Duration
 
-	// Failures is the number of failures in a row behind which the engine is
+	// MaxFailures is the number of failures in a row behind which the engine is
 	// taken to have gone, default 3.
-	Failures int
+	MaxFailures int
 }
 
 // WithDefaults returns c with the zero fields filled in.
 func (c Config) WithDefaults() Config {
-	setFloat(&c.Budget, 1.25e9)
-	setInt(&c.Concurrent, 2)
+	setFloat(&c.Bandwidth, 1.25e9)
+	setInt(&c.MaxConcurrent, 2)
 	setDuration(&c.Window, 30*time.Second)
-	setDuration(&c.Prefill, 200*time.Microsecond)
+	setDuration(&c.PrefillPerToken, 200*time.Microsecond)
 	setInt(&c.BytesPerToken, 128<<10)
 	setDuration(&c.Overhead, 5*time.Millisecond)
-	setDuration(&c.Longest, 2*time.Second)
+	setDuration(&c.MoveTimeout, 2*time.Second)
 	setFloat(&c.Bound, 1.1)
 	setFloat(&c.CapacityShare, 0.8)
 	setDuration(&c.Interval, 250*time.Millisecond)
-	setInt(&c.Failures, 3)
+	setInt(&c.MaxFailures, 3)
 	return c
 }
 
-// nearShare is the part of the room between the mean load and the bound of
+// reservedShare is the part of the room between the mean load and the bound of
 // placement that moves leave to requests.
-const nearShare = 0.6
+const reservedShare = 0.6
 
-// Under returns c for a pool with that bound of placement; zero says nothing.
-func (c Config) Under(bound float64) Config {
+// WithPlacementBound returns c for a pool with that bound of placement; zero says nothing.
+func (c Config) WithPlacementBound(bound float64) Config {
 	if bound > 1 {
-		c.Bound = min(c.Bound, 1+(1-nearShare)*(bound-1))
+		c.Bound = min(c.Bound, 1+(1-reservedShare)*(bound-1))
 	}
 	return c
 }
@@ -126,21 +126,21 @@
 	}
 }
 
-// Pays reports whether moving a KV cache of that many bytes takes less time
+// Worthwhile reports whether moving a KV cache of that many bytes takes less time
 // than computing its tokens, and can be done in time. If the size is not known,
 // it is below zero, and the cache of a long chat is assumed.
-func (c Config) Pays(size int64) bool {
-	perToken := c.onLink(int64(c.BytesPerToken))
+func (c Config) Worthwhile(size int64) bool {
+	perToken := c.linkTime(int64(c.BytesPerToken))
 	if size < 0 {
-		return perToken < c.Prefill
+		return perToken < c.PrefillPerToken
 	}
-	move := c.Overhead + c.onLink(size)
-	computing := time.Duration(size/int64(c.BytesPerToken)) * c.Prefill
+	move := c.Overhead + c.linkTime(size)
+	computing := time.Duration(size/int64(c.BytesPerToken)) * c.PrefillPerToken
 	// The bytes pass the link twice: to the router and from it.
-	return move < computing && move+c.onLink(size) < c.Longest
+	return move < computing && move+c.linkTime(size) < c.MoveTimeout
 }
 
-// onLink returns the time that bytes take on the link.
-func (c Config) onLink(bytes int64) time.Duration {
-	return time.Duration(float64(bytes) / c.Budget * float64(time.Second))
+// linkTime returns the time that bytes take on the link.
+func (c Config) linkTime(bytes int64) time.Duration {
+	return time.Duration(float64(bytes) / c.Bandwidth * float64(time.Second))
 }
--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -82,9 +82,9 @@
 		Timeout:       s.ActionTimeout,
 		NonIdempotent: s.NonIdempotent(a.Action),
 		Rules: execution.Rules{
-			Retention: rules.Retention,
-			ClockSkew: rules.ClockSkew,
-			KeepLimit: rules.AnswerLimit,
+			Retention:   rules.Retention,
+			ClockSkew:   rules.ClockSkew,
+			AnswerLimit: rules.AnswerLimit,
 		},
 	}, nil
 }
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -47,7 +47,7 @@
 	cfg := newServerConfig(i)
 	bound := do.MustInvoke[*listeners](i)
 	node := do.MustInvoke[*peer.Node](i)
-	do.MustInvoke[*order.Giver](i)
+	do.MustInvoke[*order.Reconciler](i)
 	s := &servers{node: node, log: logOf(i), failed: make(chan struct{})}
 	s.peers = newServer(bound.peers, peerHandler(node), cfg, s.fail)
 	s.operators = newServer(bound.operators, operatorHandler(i), cfg, s.fail)
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -30,7 +30,7 @@
 	directory *endpoint.Directory
 }
 
-func newOrders(i do.Injector) (*order.Giver, error) {
+func newOrders(i do.Injector) (*order.Reconciler, error) {
 	o := &orders{
 		self:      stateOf(i).instance,
 		teams:     do.MustInvoke[*teams](i),
@@ -68,9 +68,9 @@
 	return all
 }
 
-// Duties implements order.Pools: the pools of which this router is the root and
+// AssignedPools implements order.Pools: the pools of which this router is the root and
 // for which some team has set anything to load.
-func (o *orders) Duties() []coordination.Pool {
+func (o *orders) AssignedPools() []coordination.Pool {
 	view := o.placing.view.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
 		return view.Root(p, nobody) == o.self && len(o.Plan(p)) > 0
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -106,7 +106,7 @@
 // first seen to leave. If two routers take an engine for theirs, some chats are
 // moved twice. Nothing is asked of engines where computing beats moving.
 func (t *transfers) begin(ctx context.Context) {
-	if !t.cfg.Pays(unknownSize) {
+	if !t.cfg.Worthwhile(unknownSize) {
 		return
 	}
 	for _, k := range t.directory.All() {
@@ -180,8 +180,8 @@
 // transferConfig returns the settings of this router for transfers.
 func transferConfig(c config.Transfer) transfer.Config {
 	return transfer.Config{
-		Budget:        float64(c.Link),
-		BytesPerToken: c.BytesPerToken,
-		Prefill:       c.Prefill,
+		Bandwidth:       float64(c.Link),
+		BytesPerToken:   c.BytesPerToken,
+		PrefillPerToken: c.Prefill,
 	}
 }
--- a/wisteriarouter/daemon/transfer_bench_test.go
+++ b/wisteriarouter/daemon/transfer_bench_test.go
@@ -175,9 +175,9 @@
 		w.join()
 	}
 	if !m.off {
-		cfg := transfer.Config{Budget: m.budget, BytesPerToken: m.kv}
+		cfg := transfer.Config{Bandwidth: m.budget, BytesPerToken: m.kv}
 		if m.always {
-			cfg.Prefill = time.Hour
+			cfg.PrefillPerToken = time.Hour
 		}
 		w.transfer(cfg, sizedEngines{Client: w.client, kv: m.kv})
 	}
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -38,7 +38,7 @@
 		transfers: t,
 		from:      k,
 		plan:      transfer.NewPlan(time.Now(), t.cfg),
-		ended:     make(chan moveEnd, t.cfg.Concurrent),
+		ended:     make(chan moveEnd, t.cfg.MaxConcurrent),
 	}
 }
 
@@ -78,11 +78,11 @@
 	e.read = time.Now()
 	events, err := e.engines.CacheEvents(ctx, e.from.Address, e.since)
 	if err != nil {
-		e.plan.Fail()
+		e.plan.ReadFailed()
 		return
 	}
 	e.since = max(e.since, events.Next)
-	e.plan.Learn(events.Events)
+	e.plan.AddEvents(events.Events)
 }
 
 func (e *evacuation) wait(ctx context.Context, d time.Duration) {
@@ -105,7 +105,7 @@
 }
 
 func (e *evacuation) end(m moveEnd) {
-	e.plan.End(time.Now(), m.chat, m.result, m.bytes)
+	e.plan.MoveEnded(time.Now(), m.chat, m.result, m.bytes)
 	e.metrics.results.WithLabelValues(m.result.String()).Inc()
 	e.metrics.bytes.Add(float64(m.bytes))
 }
@@ -117,7 +117,7 @@
 }
 
 func (m move) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.cfg.Longest)
+	ctx, cancel := context.WithTimeout(ctx, m.cfg.MoveTimeout)
 	defer cancel()
 	result, n := m.do(ctx)
 	m.ended <- moveEnd{chat: m.chat, result: result, bytes: n}
@@ -140,7 +140,7 @@
 		return transfer.Lost, 0
 	}
 	defer kv.Body.Close()
-	if !m.cfg.Pays(kv.Size) {
+	if !m.cfg.Worthwhile(kv.Size) {
 		return transfer.Skipped, 0
 	}
 	n, err := m.engines.Import(ctx, to.Address, kv)
@@ -168,7 +168,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !fresh && err == nil {
-		m.loads.Learn(to.ID, l.Room(time.Now()))
+		m.loads.Update(to.ID, l.Room(time.Now()))
 	}
-	return err == nil && to.State == placement.Live && m.loads.Room(to.ID, m.cfg.Under(m.placed.bound()))
+	return err == nil && to.State == placement.Live && m.loads.CanAccept(to.ID, m.cfg.WithPlacementBound(m.placed.bound()))
 }
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -172,7 +172,7 @@
 		{"all events are lost", trial{options: standin.Options{EventLoss: 1}}, func(t *testing.T, w *evacuationWorld) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 		}},
-		{"the link is slow", trial{cfg: transfer.Config{Budget: 125e6}}, func(t *testing.T, w *evacuationWorld) {
+		{"the link is slow", trial{cfg: transfer.Config{Bandwidth: 125e6}}, func(t *testing.T, w *evacuationWorld) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 		}},
 		{"export fails", trial{wrap: only("/v1/kv/export", http.StatusInternalServerError)}, func(t *testing.T, w *evacuationWorld) {
@@ -251,7 +251,7 @@
 		start := time.Now()
 		assert.NilError(t, p.server.Shutdown(context.Background()))
 		took := time.Since(start)
-		assert.Assert(t, took <= transfer.Config{}.WithDefaults().Longest, "held up for %v", took)
+		assert.Assert(t, took <= transfer.Config{}.WithDefaults().MoveTimeout, "held up for %v", took)
 		time.Sleep(5 * time.Second)
 		moved := w.result(transfer.Moved)
 		assert.Assert(t, moved > 0 && moved < len(chats), "%d of %d moved", moved, len(chats))
--- a/wisteriarouter/engine/kv.go
+++ b/wisteriarouter/engine/kv.go
@@ -157,5 +157,5 @@
 
 // Room returns what a decision to move chats needs of a report.
 func (l Load) Room(now time.Time) transfer.Load {
-	return transfer.Load{Requests: l.Running + l.Waiting, Capacity: l.Capacity, Leaving: l.Leaving(), Read: now}
+	return transfer.Load{Requests: l.Running + l.Waiting, Capacity: l.Capacity, Leaving: l.Leaving(), ReadAt: now}
 }
--- a/wisteriarouter/engine/order.go
+++ b/wisteriarouter/engine/order.go
@@ -11,12 +11,12 @@
 
 // orderBody is an order on the wire.
 type orderBody struct {
-	Fencing order.Fencing `json:"fencing"`
+	Fencing order.FencingToken `json:"fencing"`
 	order.Order
 }
 
-// Order gives an order to an engine. It implements order.Engines.
-func (c *Client) Order(ctx context.Context, t order.Target, o order.Order, f order.Fencing) order.Result {
+// Order gives an order to an engine. It implements order.EngineClient.
+func (c *Client) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
 	ctx, cancel := context.WithTimeout(ctx, c.call)
 	defer cancel()
 	data, err := json.Marshal(orderBody{Fencing: f, Order: o})
