--- a/coordination/execution/bench_test.go
+++ b/coordination/execution/bench_test.go
@@ -8,8 +8,8 @@
 	"wisteriaspool/coordination/kv/kvtest"
 )
 
-// BenchmarkCallsPerAction reports the calls to the platform and the bytes of
-// one record, for a first try, a repeat, and a key that is in use.
+// BenchmarkCallsPerAction reports the platform calls and the size of one
+// record, for a first attempt, a repeat, and a key that is in use.
 func BenchmarkCallsPerAction(b *testing.B) {
 	kinds := []struct {
 		name   string
--- a/coordination/execution/execution.go
+++ b/coordination/execution/execution.go
@@ -1,16 +1,16 @@
-// Package execution makes an action run at most once, however often and
-// through however many routers its caller repeats it.
+// Package execution runs a non-idempotent action at most once, however often
+// and through however many routers its caller repeats it.
 //
-// Before a router sends a non-idempotent action to an endpoint it creates an
-// execution record in the platform's key-value service, under the caller's
-// idempotency key. Whoever created the record is its holder, and the only one
-// that may ever send the action. A record is never taken over: a holder that is
-// silent may be frozen between its last check and the sending, and no timeout
-// tells it from one that is dead. The price is that the action of a router that
-// died stays unknown until its key expires.
+// Before a router sends an action to an endpoint, it creates an execution
+// record in the platform's key-value service, under the caller's idempotency
+// key. The router that created the record is its holder, and only the holder
+// may send the action. A record is never taken over: no timeout can tell a dead
+// holder from one that was paused between its last check and sending the
+// action. The cost is that the outcome of an action stays unknown until its key
+// expires if its router died.
 //
-// A Ledger holds what one router knows of its records; the records themselves
-// live only in the service.
+// A Ledger holds one router's in-memory state about its records; the records
+// themselves are stored only in the service.
 package execution
 
 import (
@@ -26,17 +26,18 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Prefix is where the execution records stand, as prefix/team/key.
+// Prefix is the key prefix of execution records. The full key is Prefix + team
+// + "/" + idempotency key.
 const Prefix = "/wisteriaspool/actions/"
 
-// MaxKey is the longest idempotency key, in bytes.
+// MaxKey is the maximum length of an idempotency key, in bytes.
 const MaxKey = 255
 
-// Key is the idempotency key that a caller gave to an action.
+// Key is the idempotency key that a caller assigns to an action.
 type Key string
 
-// IssuedAt returns the time that a UUIDv7 carries, to the millisecond, and
-// whether k is one.
+// IssuedAt returns the timestamp in a UUIDv7 key, with millisecond precision,
+// and reports whether k is a UUIDv7.
 func (k Key) IssuedAt() (time.Time, bool) {
 	id, err := uuid.Parse(string(k))
 	if err != nil || id.Version() != 7 {
@@ -52,13 +53,15 @@
 	Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result)
 }
 
-// Budget bounds the calls to the platform, as package budget does.
+// Budget limits the rate of calls to the platform. See package budget.
 type Budget interface {
-	// Allow takes one call from the budget, or tells when there will be one.
+	// Allow takes one call from the budget, or returns how long to wait until
+	// one is available.
 	Allow(class budget.Class) (ok bool, retryAfter time.Duration)
 }
 
-// Defaults of Config.
+// Default values of the Config fields of the same name, and of
+// Rules.AnswerLimit.
 const (
 	DefaultRetention       = 24 * time.Hour
 	DefaultClockSkew       = time.Minute
@@ -72,38 +75,40 @@
 	DefaultCreateAttempts  = 3
 )
 
-// Config is what a Ledger needs. Zero fields take the defaults.
+// Config configures a Ledger. Fields that are zero take their default.
 type Config struct {
 	Store       Store
-	Budget      Budget // nil means no bound
+	Budget      Budget // nil means unlimited
 	Holder      coordination.Instance
 	Incarnation coordination.Incarnation
 
-	// Retention is the longest time after its issue for which any team may
-	// have a key accepted; records stand for longer than that. It has to be
-	// the same on all routers, and stays when a team changes its rules: were
-	// records kept for no longer than the rules of their time say, a team that
-	// raised its retention would have keys accepted whose records are gone.
+	// Retention is the maximum retention that a team may set: the time after
+	// its issue for which a key is accepted. Records are kept for longer than
+	// that. It must be the same on all routers and does not depend on the
+	// team's rules: if records were kept only as long as the rules at their
+	// creation required, a team that raised its retention would have keys
+	// accepted whose records have expired.
 	Retention time.Duration
-	// ClockSkew bounds how far the clock of any router or caller is off.
+	// ClockSkew is the maximum error of the clock of any router or caller.
 	ClockSkew time.Duration
-	// DispatchLimit is the time from Begin in which a dispatch may start.
+	// DispatchLimit is the time after Begin within which a dispatch may start.
 	DispatchLimit time.Duration
-	// CallTimeout bounds one call to the platform.
+	// CallTimeout is the timeout of one call to the platform.
 	CallTimeout time.Duration
-	// CreateTimeout bounds the time that Begin takes.
+	// CreateTimeout limits the duration of Begin.
 	CreateTimeout time.Duration
-	// FinishWait is how long Finish and Abandon hold up their caller while
-	// the platform does not answer. The work goes on behind.
+	// FinishWait is how long Finish and Abandon block while the platform does
+	// not answer. The write continues in the background.
 	FinishWait time.Duration
-	// MaxOpen bounds the records that this router holds open at a time, those
-	// included that it could not yet finish; it bounds memory in an outage.
+	// MaxOpen limits the open records of this router, including those whose
+	// final state is not written yet. It bounds memory use during an outage.
 	MaxOpen int
-	// MaxPendingBytes bounds the bytes of answers that wait to be put on record.
+	// MaxPendingBytes limits the total size of answers that wait to be written
+	// to their records.
 	MaxPendingBytes int
-	// CreateAttempts bounds the calls that create one record.
+	// CreateAttempts limits the calls made to create one record.
 	CreateAttempts int
-	// Observe, if set, is told of what metrics and logs should show.
+	// Observe, if set, is called with each event, for metrics and logs.
 	Observe func(Event)
 }
 
@@ -138,41 +143,42 @@
 // leaseReusePeriod is how long one lease is used for new records.
 func (c Config) leaseReusePeriod() time.Duration { return c.Retention / 4 }
 
-// minRecordLifetime is how long a record stands at least, from its creation. A key is
-// accepted from issue-ClockSkew until issue+Retention-ClockSkew by clocks that
-// are off by ClockSkew at most, and the last creation may come DispatchLimit
-// later: over that whole span the first record has to stand.
+// minRecordLifetime is the minimum time that a record exists after its
+// creation. With clocks off by at most ClockSkew, a key is accepted from
+// issue-ClockSkew until issue+Retention-ClockSkew, and the last attempt to
+// create its record may come DispatchLimit later. The first record must exist
+// for that whole span.
 func (c Config) minRecordLifetime() time.Duration {
 	return c.Retention + 2*c.ClockSkew + c.DispatchLimit
 }
 
 // leaseTTL is the lifetime of a lease, which is never renewed. A lease is
-// chosen within bucket of its grant, and the record is created within
-// DispatchLimit of that, or is not used.
+// selected within leaseReusePeriod of its grant, and the record is created
+// within DispatchLimit of that or is not used.
 func (c Config) leaseTTL() time.Duration {
 	return c.minRecordLifetime() + c.leaseReusePeriod() + c.DispatchLimit
 }
 
-// Rules are what a team has set for its actions.
+// Rules holds a team's settings for its actions.
 type Rules struct {
 	Retention   time.Duration // how long a key is accepted; at most Config.Retention
-	ClockSkew   time.Duration // how far clocks may differ; at most Config.ClockSkew
-	AnswerLimit int           // the longest answer kept for repeats, in bytes
+	ClockSkew   time.Duration // maximum clock error; at most Config.ClockSkew
+	AnswerLimit int           // maximum size of an answer stored for repeats, in bytes
 }
 
 // Request identifies an action to be run at most once.
 type Request struct {
 	Team        coordination.Team
 	Key         Key
-	IssuedAt    time.Time   // when the caller made the key
-	Fingerprint Fingerprint // of all that the caller asks for
-	Rules       Rules       // the zero value takes Config's limits and DefaultKeepLimit
-	// Timeout is how long the action may take; a repeat that comes later is
-	// told that the holder is silent.
+	IssuedAt    time.Time   // when the caller created the key
+	Fingerprint Fingerprint // of the whole content of the request
+	Rules       Rules       // the zero value means Config's limits and DefaultAnswerLimit
+	// Timeout is the time that the action may take. A repeat that arrives after
+	// it is told that the holder has not reported.
 	Timeout time.Duration
 }
 
-// rules returns the rules of r within the limits of c.
+// rules returns the rules of r, capped at the limits of c.
 func (c Config) rules(r Request) Rules {
 	if r.Rules == (Rules{}) {
 		return Rules{Retention: c.Retention, ClockSkew: c.ClockSkew, AnswerLimit: DefaultAnswerLimit}
@@ -183,33 +189,34 @@
 	return rules
 }
 
-// path returns the key of r's record in the service.
+// path returns the key of r's record in the key-value service.
 func (r Request) path() string {
 	return Prefix + url.PathEscape(string(r.Team)) + "/" + url.PathEscape(string(r.Key))
 }
 
-// Verdict is what Begin decided.
+// Verdict is the result of Begin.
 type Verdict int
 
-// The verdicts of Begin.
+// Verdicts returned by Begin.
 const (
-	// Refused means that no record could be created: nothing was dispatched.
+	// Refused means that no record could be created and nothing was sent.
 	Refused Verdict = iota
-	// Execute means that this router, and nobody else, may run the action.
+	// Execute means that this router, and no other, may run the action.
 	Execute
-	// InProgress means that a record stands whose holder has not reported.
+	// InProgress means that a record exists whose holder has not reported an
+	// outcome.
 	InProgress
-	// Done means that the action's end is on record.
+	// Done means that the record contains the outcome of the action.
 	Done
-	// KeyReused means that the key stands for another request.
+	// KeyReused means that the key was used for a different request.
 	KeyReused
-	// Expired means that the key is so old that its record may be gone.
+	// Expired means that the key is so old that its record may have expired.
 	Expired
-	// FromFuture means that the key's time of issue is yet to come.
+	// FromFuture means that the key's issue time is in the future.
 	FromFuture
 )
 
-// String returns the name of v as logs and metrics show it.
+// String returns the name of v as used in logs and metrics.
 func (v Verdict) String() string {
 	names := [...]string{"refused", "execute", "in-progress", "done", "key-reused", "expired", "from-future"}
 	if v < 0 || int(v) >= len(names) {
@@ -218,43 +225,44 @@
 	return names[v]
 }
 
-// Decision is the answer of Begin.
+// Decision is the return value of Begin.
 type Decision struct {
 	Verdict Verdict
-	Token   *Token           // set on Execute
-	Record  Record           // set on InProgress and Done
-	Refusal *outcome.Refusal // set unless Execute or Done
+	Token   *Token           // set if Verdict is Execute
+	Record  Record           // set if Verdict is InProgress or Done
+	Refusal *outcome.Refusal // set unless Verdict is Execute or Done
 }
 
-// Event is something that operators should see.
+// Event is an occurrence reported to Config.Observe.
 type Event int
 
-// The events of a Ledger.
+// Events reported by a Ledger.
 const (
-	// CreateUnanswered: a create got no answer and was sent again.
+	// CreateUnanswered: a create call got no answer, so its result is unknown.
 	CreateUnanswered Event = iota
-	// NotDispatched: a holder gave up before sending, since it woke after its
-	// dispatch limit or its caller had gone.
+	// NotDispatched: the action was not sent because the dispatch limit had
+	// passed or the caller had gone.
 	NotDispatched
 	// RecordAbandoned: a record was marked abandoned, which frees its key.
 	RecordAbandoned
-	// RecordFinished: a record was marked done.
+	// RecordFinished: a record was marked finished.
 	RecordFinished
-	// SettlementDelayed: a record could not be marked yet; tries go on.
+	// SettlementDelayed: the final state of a record is not written yet;
+	// retries continue.
 	SettlementDelayed
-	// SettlementGivenUp: a record was never marked. Its key stays in progress
-	// until it expires.
+	// SettlementGivenUp: the final state of a record was never written. Its key
+	// stays in progress until it expires.
 	SettlementGivenUp
-	// RecordLost: a record that this router held is gone, or is another's.
-	// The service lost it, or its lease lapsed early.
+	// RecordLost: a record that this router held is missing or was replaced by
+	// another one. The service lost it, or its lease expired early.
 	RecordLost
-	// PlatformLost: calls fail, and actions are refused without one.
+	// PlatformLost: calls fail, and new actions are refused without a call.
 	PlatformLost
 	// PlatformBack: calls are answered again.
 	PlatformBack
 )
 
-// String returns the name of e as logs and metrics show it.
+// String returns the name of e as used in logs and metrics.
 func (e Event) String() string {
 	names := [...]string{
 		"create-unanswered", "not-dispatched", "record-abandoned", "record-finished",
--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -15,15 +15,15 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// faultRates are the chances, in percent, with which things go wrong.
+// faultRates holds the probabilities of faults, in percent.
 type faultRates struct {
-	loseCall, loseReply, landLate, slow int // of calls to the platform
-	refuse, decline, loseAnswer         int // of calls to the service
-	freeze, kill                        int // of a router, at each of its steps
+	loseCall, loseReply, landLate, slow int // of platform calls
+	refuse, decline, loseAnswer         int // of service calls
+	freeze, kill                        int // of a router, at each step
 	outage                              int // of the platform, every ten seconds
 }
 
-// injectedFault is a fault that a checker has to find.
+// injectedFault is a design fault that the history check must detect.
 type injectedFault int
 
 const (
@@ -34,7 +34,7 @@
 	shortLeases
 )
 
-// randomSource draws from one seeded source, for several goroutines.
+// randomSource is a seeded random source that is safe for concurrent use.
 type randomSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -62,22 +62,22 @@
 	return c.rng.IntN(n)
 }
 
-// fleet is some routers before one platform and one service.
+// fleet is a set of routers with one platform and one service.
 type fleet struct {
 	seed    uint64
 	rates   faultRates
 	planted injectedFault
 	store   *kvtest.Store
 	history *history
-	work    sync.WaitGroup // calls, also of callers that went away, and late writes
+	work    sync.WaitGroup // calls, including abandoned ones, and late writes
 
 	mu      sync.Mutex
 	routers []*router
-	all     []*router // those that died, too
+	all     []*router // including dead ones
 }
 
-// router is one router. Each of its calls to the platform and to the service
-// goes through step, where it may be frozen or killed.
+// router is one router. Each of its platform and service calls passes through
+// step, where the router may be frozen or killed.
 type router struct {
 	fleet   *fleet
 	chance  *randomSource
@@ -85,7 +85,7 @@
 	cleanup func()
 
 	mu     sync.Mutex
-	frozen time.Time // until then
+	frozen time.Time // end of the current freeze
 	dead   bool
 }
 
@@ -100,7 +100,7 @@
 	return f
 }
 
-// start puts a new router in place i.
+// start replaces router i by a new one.
 func (f *fleet) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,8 +123,8 @@
 	return f.routers[i]
 }
 
-// stop waits until frozen routers have woken and late writes have landed, and
-// ends all background work.
+// stop waits until frozen routers have resumed and late writes have been
+// applied, and ends all background work.
 func (f *fleet) stop() {
 	f.work.Wait()
 	for _, r := range f.all {
@@ -133,8 +133,8 @@
 	f.work.Wait() // late writes of settlements
 }
 
-// step is where the router may be frozen, as by SIGSTOP, or killed. What a
-// killed router was doing just ends.
+// step may freeze the router, as by SIGSTOP, or kill it. The goroutine of a
+// killed router ends here.
 func (r *router) step() {
 	if r.chance.percent(r.fleet.rates.freeze) {
 		r.mu.Lock()
@@ -166,7 +166,7 @@
 	return r.dead
 }
 
-// CompareAndSwap implements execution.Store with faults.
+// CompareAndSwap implements execution.Store with injected faults.
 func (r *router) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	r.step()
 	defer r.step()
@@ -191,7 +191,7 @@
 	return res
 }
 
-// Grant implements execution.Store with faults.
+// Grant implements execution.Store with injected faults.
 func (r *router) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	r.step()
 	defer r.step()
@@ -205,8 +205,7 @@
 	return id, res
 }
 
-// lateWrite is a write that its sender has given up on, and that reaches the
-// service after all.
+// lateWrite is a write that is applied after its sender has given up on it.
 type lateWrite struct {
 	store  *kvtest.Store
 	key    string
@@ -222,8 +221,7 @@
 	w.store.CompareAndSwap(context.Background(), w.key, w.value, w.expect, w.lease)
 }
 
-// exchange is one call of a caller through one router. It implements
-// execution.Sender.
+// exchange is one call through one router. It implements execution.Sender.
 type exchange struct {
 	router *router
 	key    string
@@ -233,7 +231,7 @@
 	done   chan struct{}
 }
 
-// run makes the call. If its router dies, the caller is left with unknown.
+// run makes the call. If the router dies, the outcome stays unknown.
 func (x *exchange) run() {
 	defer x.router.fleet.work.Done()
 	defer close(x.done)
@@ -253,10 +251,11 @@
 	return execution.Request{Team: "team", Key: execution.Key(x.key), IssuedAt: x.issued, Timeout: 10 * time.Second}
 }
 
-// Send implements execution.Sender: it is the service, and the way to it.
+// Send implements execution.Sender. It simulates the service and the connection
+// to it.
 func (x *exchange) Send(context.Context) execution.Result {
 	r, rates := x.router, x.router.fleet.rates
-	r.step() // frozen between the last check and the sending
+	r.step() // a freeze between the last check and sending
 	switch {
 	case r.chance.percent(rates.refuse), r.chance.percent(rates.decline):
 		return execution.Result{Outcome: outcome.NotRun, Refusal: &outcome.Refusal{Outcome: outcome.NotRun}}
@@ -270,7 +269,8 @@
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: fmt.Append(nil, int(x.id))}}
 }
 
-// resultOfCut is what becomes of a call whose connection broke after it was sent.
+// resultOfCut returns the result of a call whose connection broke after the
+// action was sent.
 func (x *exchange) resultOfCut() execution.Result {
 	switch x.router.fleet.planted {
 	case retryAfterCut:
@@ -281,8 +281,8 @@
 	return execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}
 }
 
-// deleteOverdueRecord does what a design with timeouts would do: it frees the key of a
-// holder that is silent past its deadline.
+// deleteOverdueRecord frees the key of a holder that has not reported by its
+// deadline, as a design based on timeouts would.
 func (x *exchange) deleteOverdueRecord(res execution.Result) bool {
 	if res.Refusal == nil || res.Refusal.Code != outcome.InProgress {
 		return false
@@ -300,7 +300,7 @@
 	return store.Delete(context.Background(), path, got.Pairs[0].Revision).Status == kv.Applied
 }
 
-// caller repeats one key through one router after the other.
+// caller repeats one key through randomly chosen routers.
 type caller struct {
 	fleet  *fleet
 	id     int
@@ -322,8 +322,8 @@
 	}
 }
 
-// call makes one call. A caller whose router does not answer goes away after a
-// while, as callers do, and counts the outcome as unknown.
+// call makes one call. If the router does not answer within 30 s, the caller
+// disconnects and the outcome counts as unknown.
 func (c *caller) call() {
 	place, id := c.fleet.history.begin(c.id, c.key)
 	x := &exchange{
@@ -343,7 +343,7 @@
 	}
 }
 
-// faultInjector makes outages of the platform, and replaces dead routers.
+// faultInjector causes outages of the platform, and replaces dead routers.
 type faultInjector struct {
 	fleet  *fleet
 	chance *randomSource
--- a/coordination/execution/gate.go
+++ b/coordination/execution/gate.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// breakerThreshold is how many calls in a row fail before the gate shuts.
+	// breakerThreshold is the number of consecutive failures that open the
+	// circuit breaker.
 	breakerThreshold = 3
-	// probeInterval is the time between two probes while the gate is shut, give
-	// or take half. With 330 routers it makes 165 calls a second, which the
-	// service can take when it comes back.
+	// probeInterval is the mean time between two probes while the breaker is
+	// open, with a jitter of up to half of it. With 330 routers that makes 165
+	// calls a second, which the service can handle when it recovers.
 	probeInterval = 2 * time.Second
 )
 
-// breaker refuses new actions at once while the service does not answer. Without
-// it each action of an outage would wait for its own timeout, hold a slot, and
-// add a call to those that meet the service when it returns.
+// breaker is a circuit breaker that refuses new actions immediately while the
+// service does not answer. Without it, each action during an outage would wait
+// for its own timeout, occupy a slot, and add to the load on the service when
+// it recovers.
 type breaker struct {
 	mu        sync.Mutex
-	failures  int // in a row
+	failures  int // consecutive
 	nextProbe time.Time
 }
 
-// allow tells whether a call may be made: always while calls succeed, and as a
-// probe now and then otherwise.
+// allow reports whether a call may be made: always while the breaker is closed,
+// and as an occasional probe while it is open.
 func (g *breaker) allow() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,8 +44,9 @@
 	return true
 }
 
-// record takes in how a call ended, and tells whether that shut or opened the
-// gate. A refusal for the rate is an answer, too.
+// record records the status of a call and reports whether it opened or closed
+// the breaker, with the event to observe. A call refused for its rate counts as
+// answered.
 func (g *breaker) record(s kv.Status) (e Event, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,7 +67,8 @@
 	g.nextProbe = now.Add(probeInterval/2 + rand.N(probeInterval))
 }
 
-// recordStatus takes in how a call to the platform ended.
+// recordStatus records the status of a platform call and reports changes of the
+// circuit breaker.
 func (l *Ledger) recordStatus(s kv.Status) {
 	if e, changed := l.breaker.record(s); changed {
 		l.cfg.Observe(e)
--- a/coordination/execution/history_test.go
+++ b/coordination/execution/history_test.go
@@ -11,22 +11,22 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// callID numbers the calls of one key, from zero; below 64.
+// callID numbers the calls with one key, from 0 to 63.
 type callID int
 
-// none stands for no call.
+// none means no call.
 const none callID = -1
 
-// input is one operation on a key: a caller's call, or an arrival at the
-// service on behalf of a call.
+// input is one operation on a key: a call, or an arrival at the service on
+// behalf of a call.
 type input struct {
 	key     string
 	call    callID
 	arrival bool
 }
 
-// output is what a caller was told. The answer of a run is the id of the call
-// on whose behalf it arrived.
+// output is the result returned to a caller. The answer of an action that ran
+// is the ID of the call for which it ran.
 type output struct {
 	outcome outcome.Outcome
 	answer  callID
@@ -34,13 +34,13 @@
 
 // keyState is the state of one key in the model.
 type keyState struct {
-	ranFor callID // whose arrival ran
-	denied uint64 // calls that were told not-run, as bits
+	ranFor callID // call whose arrival ran
+	denied uint64 // bit set of the calls that returned not-run
 }
 
-// model says what may happen to a key: one run at most; no run, before or
-// after, on behalf of a call that was told not-run; and whoever is told ran
-// gets the answer of that run.
+// model specifies the legal operations on a key: the action runs at most once;
+// it never runs, before or after, for a call that returned not-run; and each
+// call that returns ran returns the answer of that run.
 var model = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return keyState{ranFor: none} },
@@ -89,12 +89,12 @@
 	mu    sync.Mutex
 	clock int64
 	ops   []porcupine.Operation
-	calls map[string]callID // how many were begun, by key
+	calls map[string]callID // number of calls begun, by key
 }
 
 func newHistory() *history { return &history{calls: map[string]callID{}} }
 
-// begin records the start of a call and returns its place.
+// begin records the start of a call and returns its index and ID.
 func (h *history) begin(client int, key string) (place int, id callID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +113,7 @@
 	h.ops[place].Return = h.clock
 }
 
-// arrive records an arrival at the service, which is the run itself.
+// arrive records an arrival at the service, which is the run of the action.
 func (h *history) arrive(key string, call callID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,7 +127,7 @@
 	})
 }
 
-// tally counts what a history holds.
+// tally counts the operations and outcomes in a history.
 type tally struct {
 	calls, arrivals, ran, notRun, unknown int
 }
--- a/coordination/execution/lease.go
+++ b/coordination/execution/lease.go
@@ -8,22 +8,22 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// minLeaseAge keeps a lease from being replaced again at once after the service
-// refused it, since an outage looks the same.
+// minLeaseAge is the age below which a lease is not replaced when the service
+// refuses it, since an outage looks the same.
 const minLeaseAge = time.Second
 
-// leaseCache holds the lease that new records are attached to. Records of a whole
-// bucket of time share one lease, so that they cost no call for their expiry:
-// it lapses by itself and takes them with it.
+// leaseCache holds the lease that new records are attached to. All records
+// created within one leaseReusePeriod share a lease, so their expiry needs no
+// calls: when the lease expires, the service deletes them.
 type leaseCache struct {
 	mu       sync.Mutex
 	id       kv.Lease
-	granted  time.Time     // before the call that granted it
-	granting chan struct{} // closed when the grant under way has ended
+	granted  time.Time     // start of the call that granted it
+	granting chan struct{} // closed when the grant in progress ends
 }
 
-// lease returns the lease for a record that is created now, granting a new one
-// if the present one is older than the bucket.
+// lease returns the lease for a record to be created now. It grants a new lease
+// if the cached one is older than the reuse period.
 func (l *Ledger) lease(ctx context.Context) (kv.Lease, kv.Result) {
 	for {
 		id, wait := l.leases.current(l.cfg.leaseReusePeriod())
@@ -41,8 +41,8 @@
 	}
 }
 
-// current returns a lease that may be used, or a channel that tells when the
-// grant under way has ended, or neither: the caller has to grant one then.
+// current returns a usable lease, or else a channel that is closed when the
+// grant in progress ends. If it returns neither, the caller must grant a lease.
 func (s *leaseCache) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 func (l *Ledger) grant() (kv.Lease, kv.Result) {
-	start := time.Now() // the lease cannot have begun earlier
+	start := time.Now() // the lease cannot have started earlier
 	res := kv.Result{Status: kv.Throttled}
 	var id kv.Lease
 	if ok, _ := l.allow(); ok {
@@ -77,8 +77,8 @@
 	return id, res
 }
 
-// drop forgets a lease after the service refused a record attached to it: the
-// service may have lost it.
+// drop discards a lease after the service refused a record attached to it,
+// since the service may have lost the lease.
 func (s *leaseCache) drop(id kv.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,9 +87,9 @@
 	}
 }
 
-// elapsed returns the time since t, by the clock that went further. The
-// monotonic clock stands still while a virtual machine is suspended, and the
-// wall clock can be set back; the lease goes on lapsing in both cases.
+// elapsed returns the time since t, by whichever clock advanced further. The
+// monotonic clock stops while a virtual machine is suspended, and the wall
+// clock can be set back; the lease keeps expiring in both cases.
 func elapsed(t time.Time) time.Duration {
 	now := time.Now()
 	return max(now.Sub(t), now.Round(0).Sub(t.Round(0)))
--- a/coordination/execution/ledger.go
+++ b/coordination/execution/ledger.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Ledger creates and settles the execution records of one router. It is safe
+// Ledger creates and finalizes the execution records of one router. It is safe
 // for concurrent use.
 type Ledger struct {
 	cfg     Config
@@ -22,15 +22,15 @@
 
 	mu            sync.Mutex
 	closed        bool
-	reservedCalls int           // calls taken from the budget and not used yet
-	pendingBytes  int           // bytes of answers in settlements
+	reservedCalls int           // calls taken from the budget but not used yet
+	pendingBytes  int           // size of the answers waiting to be written
 	open          int           // records being created, held, or being settled
 	idle          chan struct{} // closed when open falls to zero; nil if nobody waits
 }
 
-// New returns a ledger, and a function that ends its background work. What it
-// had not settled by then stays pending in the service until it expires; Drain
-// waits for it.
+// New returns a ledger and a function that stops its background work. Records
+// that are not settled by then stay pending in the service until they expire;
+// call Drain first to wait for them.
 func New(cfg Config) (*Ledger, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Ledger{cfg: cfg.withDefaults(), ctx: ctx}
@@ -43,8 +43,8 @@
 	}
 }
 
-// Begin decides whether req may be run by this router. On Execute the caller
-// owns the token, and has to end it with Finish or Abandon.
+// Begin decides whether this router may run req. If the verdict is Execute, the
+// caller owns the token and must end it with Finish or Abandon.
 func (l *Ledger) Begin(ctx context.Context, req Request) Decision {
 	start := time.Now()
 	if d, ok := l.checkKey(req, start); !ok {
@@ -60,7 +60,7 @@
 	return d
 }
 
-// checkKey checks the key before any call to the platform.
+// checkKey validates the key before any call to the platform.
 func (l *Ledger) checkKey(req Request, now time.Time) (Decision, bool) {
 	if req.Key == "" || len(req.Key) > MaxKey || req.Team == "" {
 		return refused(outcome.Malformed, "the idempotency key must have 1 to 255 bytes", 0), false
@@ -76,8 +76,8 @@
 	return Decision{}, true
 }
 
-// claim tries to own the record of req. It tells whether the slot taken for it
-// is still needed, by the token or by work in the background.
+// claim tries to become the holder of the record of req. It reports whether the
+// slot acquired for it is still needed, by the token or by background work.
 func (l *Ledger) claim(ctx context.Context, req Request, start time.Time) (Decision, bool) {
 	if !l.breaker.allow() {
 		return unreachable(kv.Unavailable), false
@@ -103,9 +103,10 @@
 		return d, true
 	}
 	if c.unconfirmed {
-		// The record may stand, or land later, as pending. Only we know that
-		// it will never be dispatched, so we free the key. A create that lands
-		// after that finds another revision than it expects.
+		// The create may have taken effect, or may do so later. Only this
+		// router knows that the action will never be sent, so it frees the
+		// key. A create that arrives after that fails because the revision
+		// has changed.
 		l.settle(c.path, c.record.abandoned(), c.expect, c.lease)
 		return d, true
 	}
@@ -126,10 +127,10 @@
 	}
 }
 
-// create sends the pending record until it is known whose record stands, or
-// the tries are spent. Sending it again after a lost answer is safe: the same
-// expected revision lets it land once at most, and the nonce in what stands
-// tells whether the first one did.
+// create writes the pending record, and retries until it is known whose record
+// exists or the attempts are used up. Retrying after a lost answer is safe: the
+// same expected revision lets the create take effect at most once, and the
+// nonce of the stored record shows whether an earlier attempt did.
 func (l *Ledger) create(ctx context.Context, c *claim) Decision {
 	value := c.record.encode()
 	status := kv.Unavailable
@@ -155,14 +156,14 @@
 			l.leases.drop(c.lease)
 		}
 		if !c.unconfirmed {
-			break // certainly nothing stands
+			break // no record was created
 		}
 	}
 	return unreachable(status)
 }
 
-// mayRetry waits before another try, unless the last one found a free key, and
-// tells whether it may be made.
+// mayRetry waits before the next attempt, unless the last one found the key
+// free, and reports whether the attempt may be made.
 func (l *Ledger) mayRetry(ctx context.Context, last kv.Status, try int) bool {
 	if last != kv.Conflict && !coordination.Sleep(ctx, backoff(try-1)) {
 		return false
@@ -171,9 +172,9 @@
 	return ok
 }
 
-// swap makes one call. It does not end with the caller's context: cut short, a
-// write would only be in doubt, and callers that hang up would look like a
-// service that does not answer.
+// swap makes one compare-and-swap call. It does not use the caller's context:
+// canceling a write would only make its result unknown, and callers that
+// disconnect would look like a service that does not answer.
 func (l *Ledger) swap(path string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	ctx, cancel := context.WithTimeout(l.ctx, l.cfg.CallTimeout)
 	defer cancel()
@@ -190,8 +191,8 @@
 	}
 }
 
-// resolveExisting decides by what stands under the key. It is not over if the claim is
-// to be made again, on top of an abandoned record or of none.
+// resolveExisting decides by the record that exists under the key. It returns
+// false if the create is to be retried, over an abandoned record or none.
 func (l *Ledger) resolveExisting(c *claim, standing []kv.Pair) (Decision, bool) {
 	if len(standing) == 0 {
 		c.expect = 0
@@ -211,19 +212,20 @@
 	case r.State == Finished:
 		return Decision{Verdict: Done, Record: r}, true
 	}
-	// Abandoned: its holder has said that it never dispatched and never will.
-	// Of all who build on this revision the service lets one through.
+	// Abandoned: the holder declared that it never sent the action and never
+	// will. Of all creates that expect this revision the service applies one.
 	c.expect = p.Revision
 	return Decision{}, false
 }
 
-// Waits between tries double from the first to the longest.
+// The backoff between attempts doubles from firstBackoff to longestBackoff.
 const (
 	firstBackoff   = 50 * time.Millisecond
 	longestBackoff = 5 * time.Second
 )
 
-// backoff returns the wait after the given try, from zero, with jitter.
+// backoff returns the wait after the given attempt, counted from zero, with
+// jitter.
 func backoff(try int) time.Duration {
 	d := min(firstBackoff<<min(try, 10), longestBackoff)
 	return d/2 + rand.N(d/2)
--- a/coordination/execution/ledger_test.go
+++ b/coordination/execution/ledger_test.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// newLedger returns a ledger over store with short times.
+// newLedger returns a ledger that uses store, with a short retention.
 func newLedger(t *testing.T, store execution.Store, change func(*execution.Config)) *execution.Ledger {
 	t.Helper()
 	cfg := execution.Config{
@@ -33,7 +33,7 @@
 	return l
 }
 
-// newRequest returns a request of now under key.
+// newRequest returns a request with the given key, issued now.
 func newRequest(key execution.Key) execution.Request {
 	return execution.Request{
 		Team: "solco", Key: key, IssuedAt: time.Now(), Timeout: 5 * time.Second,
@@ -41,11 +41,11 @@
 	}
 }
 
-// sender answers every action, and counts.
+// sender answers every action and counts the calls.
 type sender struct {
 	sent   int
 	answer string
-	result *execution.Result // instead of the answer
+	result *execution.Result // returned instead of the answer, if set
 }
 
 func (s *sender) Send(context.Context) execution.Result {
@@ -108,9 +108,9 @@
 	}
 }
 
-// The create takes effect, but its answer is lost. The router must find its
-// own record, run the action, and not tell its caller to try elsewhere while
-// the key is taken.
+// The create takes effect, but its answer is lost. The router must find its own
+// record and run the action, rather than tell the caller that it was not run
+// while the key is taken.
 func TestLostCreateAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -128,9 +128,9 @@
 	})
 }
 
-// No create is ever answered, so the caller is told not-run, yet a record
-// stands. The holder frees the key as soon as the platform answers again;
-// until then a repeat could neither run nor learn anything.
+// No create is answered, so the call returns not-run although a record exists.
+// The holder must free the key as soon as the platform answers again; until
+// then a repeat can neither run nor learn the outcome.
 func TestUnansweredCreateIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -149,9 +149,9 @@
 	})
 }
 
-// The platform is down for minutes. Callers are to be told at once that their
-// orders were not run and when to come back, and the routers must not meet the
-// returning service with a call for each order of the outage.
+// During a platform outage of minutes, calls must be refused immediately, as
+// not run and with a retry time. The router must not send the recovering
+// service one call for each action of the outage.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -178,7 +178,8 @@
 }
 
 // A router is stopped by SIGSTOP after its record was created, for longer than
-// any lease. Awake again it must not rely on a record that may be long gone.
+// any lease. After it resumes, it must not rely on a record that may have
+// expired.
 func TestFrozenHolderDoesNotDispatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
@@ -203,8 +204,8 @@
 	})
 }
 
-// The platform goes down between the dispatch of an order and its end. The
-// caller gets the answer all the same, and a repeat gets it, too, once the
+// The platform goes down between the dispatch of an action and its end. The
+// caller must still get the answer, and a repeat must get it too once the
 // platform is back.
 func TestFinishOutlastsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -224,9 +225,9 @@
 	})
 }
 
-// A key's record must stand for as long as any router accepts the key: were it
-// gone a moment earlier, a late repeat would run the order again. The holder's
-// lease is nearly as old as it may be when the record is created.
+// The record of a key must exist for as long as any router accepts the key: if
+// it expired earlier, a late repeat would run the action again. In the test,
+// the holder's lease is almost at its maximum age when the record is created.
 func TestRecordOutlivesKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -235,7 +236,7 @@
 		l.Run(t.Context(), newRequest("first"), s)
 		time.Sleep(retention/4 - time.Second)
 		req := newRequest("k")
-		req.IssuedAt = req.IssuedAt.Add(5 * time.Second) // a caller whose clock is ahead
+		req.IssuedAt = req.IssuedAt.Add(5 * time.Second) // the caller's clock is ahead
 		assert.Equal(t, l.Run(t.Context(), req, s).Outcome, outcome.Ran)
 		assert.Equal(t, store.Calls("grant"), 1)
 		for range retention / time.Second {
@@ -263,8 +264,8 @@
 	return s.Store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// The service no longer knows the lease that a router attaches its records to.
-// If the router kept it, all orders would be refused for hours.
+// The service no longer knows the lease to which a router attaches its records.
+// If the router kept using it, all actions would be refused for hours.
 func TestLostLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &lostLeaseStore{Store: kvtest.New()}
@@ -279,8 +280,8 @@
 	})
 }
 
-// The service's answer is larger than what is kept. A repeat must still learn
-// that the order ran.
+// The answer is larger than the limit for stored answers. A repeat must still
+// learn that the action ran.
 func TestLargeAnswerIsNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
@@ -296,8 +297,9 @@
 	})
 }
 
-// The connection to the service broke after the order was sent. Nobody will
-// ever know, and a repeat must be told so rather than be run.
+// The connection to the service broke after the action was sent, so its outcome
+// cannot be determined. A repeat must be told so rather than run the action
+// again.
 func TestUnknownEndIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
@@ -314,7 +316,8 @@
 
 func (panicking) Send(context.Context) execution.Result { panic("boom") }
 
-// A fault in the sending code strikes when the order may be out already.
+// The sender panics when the action may already have been sent, so the outcome
+// must be unknown.
 func TestPanicWhileSendingIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
@@ -360,8 +363,9 @@
 	})
 }
 
-// New actions use up the budget while the end of one that ran could not be
-// written at first. Its caller's repeats must not wait for the surge to end.
+// New actions use up the budget after the first attempt to finish an earlier
+// action failed. The retries must succeed before the surge ends, since repeats
+// of that action stay in progress until then.
 func TestBudgetDoesNotStarveFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
--- a/coordination/execution/limits.go
+++ b/coordination/execution/limits.go
@@ -7,17 +7,19 @@
 	"wisteriaspool/coordination/budget"
 )
 
-// callsPerAction is how many calls to the platform an action needs.
+// callsPerAction is the number of platform calls that an action needs: one to
+// create its record and one to finish it.
 const callsPerAction = 2
 
-// Open returns how many records this router holds open.
+// Open returns the number of open records of this router.
 func (l *Ledger) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Drain waits until no record is open, or ctx ends, and tells which it was.
+// Drain waits until no record is open or ctx ends. It returns true if no record
+// is open.
 func (l *Ledger) Drain(ctx context.Context) bool {
 	l.mu.Lock()
 	if l.open == 0 {
@@ -65,11 +67,12 @@
 	return l.cfg.Budget.Allow(budget.Actions)
 }
 
-// allowAction takes the calls of one action up front: one creates the record
-// and one finishes it. Taken late, the second one would not be left in a surge,
-// and actions that ran would stay in progress. If there is only one call left
-// it is kept for the next action: given up, each action of a surge would use up
-// the single call that came since the last one, and none would ever get two.
+// allowAction reserves all calls of one action: one creates the record and one
+// finishes it. If the second call were taken later, a surge could leave none,
+// and actions that ran would stay in progress. If only one call is available,
+// it is kept for the next action: if it were returned, each action in a surge
+// would use up the single call that became available since the last one, and
+// none would ever get two.
 func (l *Ledger) allowAction() (ok bool, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,17 +86,18 @@
 	return true, 0
 }
 
-// refund takes back the call that would have finished a record.
+// refund returns the call reserved for finishing a record.
 func (l *Ledger) refund() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reservedCalls++
 }
 
-// mayAttempt tells whether the given try of a settlement may be made. Begin has
-// paid for the first. Of the others the budget can hold back every second one
-// only: in a surge new actions take each call as it comes, and a key whose
-// action has long run would stay in progress for as long as the surge lasts.
+// mayAttempt reports whether the given attempt of a settlement may be made.
+// Begin has reserved a call for the first. The budget can block only every
+// second one of the others: in a surge, new actions take each call as it
+// becomes available, and the key of an action that has long run would stay in
+// progress for as long as the surge lasts.
 func (l *Ledger) mayAttempt(try int) bool {
 	if try == 0 {
 		return true
@@ -102,9 +106,10 @@
 	return ok || try%2 == 0
 }
 
-// reserveAnswer counts the bytes of an answer that waits to be put on record, and tells
-// whether there is room for it. Without a bound an outage that begins while
-// many actions run would reserveAnswer all their answers in memory.
+// reserveAnswer counts the bytes of an answer that waits to be written, and
+// reports whether they fit within MaxPendingBytes. Without this limit, an
+// outage that begins while many actions run would keep all their answers in
+// memory.
 func (l *Ledger) reserveAnswer(a *Answer) bool {
 	if a == nil {
 		return true
@@ -118,7 +123,7 @@
 	return true
 }
 
-// releaseAnswer takes back what hold counted.
+// releaseAnswer releases the bytes counted by reserveAnswer.
 func (l *Ledger) releaseAnswer(a *Answer) {
 	if a == nil {
 		return
--- a/coordination/execution/rate_test.go
+++ b/coordination/execution/rate_test.go
@@ -20,12 +20,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// rateLimitedStore is a service that takes a number of writes a second and answers in
-// milliseconds.
+// rateLimitedStore is a service that accepts a limited number of writes a
+// second and answers within milliseconds.
 type rateLimitedStore struct {
 	*kvtest.Store
 	limit   *rate.Limiter
-	offered atomic.Int64 // writes, those refused included
+	offered atomic.Int64 // write attempts, including refused ones
 }
 
 func newCapped(writes float64) *rateLimitedStore {
@@ -41,20 +41,21 @@
 	return s.Store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// surge is a stream of actions to some routers, each under a key of its own.
+// surge sends actions to several routers at a fixed rate, each with its own
+// key.
 type surge struct {
 	ledgers []*execution.Ledger
-	rate    float64 // actions a second, all routers together
+	rate    float64 // actions a second over all routers
 	span    time.Duration
 
 	mu      sync.Mutex
 	ran     int
 	refused int
-	slowest time.Duration // of the refusals
+	slowest time.Duration // longest time of a refused call
 	wrong   []execution.Result
 }
 
-// run offers the actions and waits until all have been answered.
+// run sends the actions and waits until all are answered.
 func (s *surge) run(ctx context.Context) {
 	var work sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 1))
@@ -67,7 +68,7 @@
 	work.Wait()
 }
 
-// offer is one action of a surge, which takes its service 20 ms.
+// offer is one action of a surge. The service takes 20 ms to run it.
 type offer struct {
 	surge  *surge
 	ledger *execution.Ledger
@@ -98,11 +99,11 @@
 	}
 }
 
-// writeCap is what the service takes, in writes a second.
+// writeCap is the rate that the service accepts, in writes a second.
 const writeCap = 300
 
-// offerActions makes a surge against a capped service. Each router has its
-// share of a budget, unless that is zero.
+// offerActions runs a surge against a rate-limited service. Each router gets
+// its share of fleetBudget; zero means no budget.
 func offerActions(ctx context.Context, store execution.Store, routers int, fleetBudget, actions float64) *surge {
 	s := &surge{rate: actions, span: 10 * time.Second}
 	var cleanups []func()
@@ -125,14 +126,14 @@
 	return s
 }
 
-// More orders come than the platform can put on record. What is beyond its
-// rate has to be refused before it waits for anything, truly not run, and with
-// a time to come back; what was begun has to be finished.
+// More actions arrive than the platform can record. Those above its rate must
+// be refused before they wait for anything, as not run and with a retry time,
+// and those that were begun must be finished.
 func TestSurgeBeyondWriteRate(t *testing.T) {
 	tests := []struct {
 		routers         int
 		budget, offered float64
-		least           float64 // part of what is possible that has to run
+		least           float64 // share of the possible actions that must run
 	}{
 		{7, 0, 150, 0.9},
 		{7, 0, 600, 0.9},
--- a/coordination/execution/refusal.go
+++ b/coordination/execution/refusal.go
@@ -8,13 +8,13 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// When to come back after the refusals of a Ledger.
+// Values of RetryAfter in the refusals of a Ledger.
 const (
 	retryAfterOutage       = 2 * time.Second
 	retryAfterThrottle     = time.Second
 	retryAfterInProgress   = time.Second
 	retryAfterSilentHolder = 30 * time.Second
-	retryAfterFinal        = time.Hour // another try with this key cannot succeed
+	retryAfterFinal        = time.Hour // another attempt with this key cannot succeed
 )
 
 func refused(code outcome.Code, message string, after time.Duration) Decision {
@@ -23,27 +23,27 @@
 	}}
 }
 
-// unreachable refuses an action whose record could not be created. It is not
-// run, even if its create landed: the creator alone could dispatch it, and
-// does not.
+// unreachable refuses an action whose record could not be created. The action
+// is not run even if the create took effect: only its creator could send it,
+// and does not.
 func unreachable(s kv.Status) Decision {
 	if s == kv.Throttled {
 		return throttled(retryAfterThrottle)
 	}
-	return refused(outcome.PlatformUnavailable, "the action could not be put on record; repeat with the same key", retryAfterOutage)
+	return refused(outcome.PlatformUnavailable, "the execution record could not be created; retry with the same key", retryAfterOutage)
 }
 
-// throttled refuses an action beyond the rate that the platform takes.
+// throttled refuses an action that exceeds the rate that the platform allows.
 func throttled(after time.Duration) Decision {
-	return refused(outcome.Overloaded, "the rate of actions is at its limit; repeat with the same key", after)
+	return refused(outcome.Overloaded, "the action rate limit is exceeded; retry with the same key", after)
 }
 
-// expired refuses a key whose record may be gone. What became of an earlier
-// try with it cannot be told any more, so the outcome is unknown.
+// expired refuses a key whose record may have expired. The result of an earlier
+// attempt with it can no longer be determined, so the outcome is unknown.
 func expired(retention time.Duration) Decision {
 	return Decision{Verdict: Expired, Refusal: &outcome.Refusal{
 		Code:       outcome.KeyExpired,
-		Message:    fmt.Sprintf("the idempotency key is older than %v; find out whether an earlier try ran before using a new key", retention),
+		Message:    fmt.Sprintf("the idempotency key is older than %v; check whether an earlier attempt ran before using a new key", retention),
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterFinal,
 	}}
@@ -52,7 +52,7 @@
 func fromFuture(ahead time.Duration) Decision {
 	return Decision{Verdict: FromFuture, Refusal: &outcome.Refusal{
 		Code:       outcome.Malformed,
-		Message:    "the idempotency key was issued in the future; check the clock",
+		Message:    "the idempotency key was issued in the future; check the clock of the caller",
 		Outcome:    outcome.NotRun,
 		RetryAfter: ahead,
 	}}
@@ -61,59 +61,63 @@
 func keyReused() Decision {
 	return Decision{Verdict: KeyReused, Refusal: &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the idempotency key belongs to another request",
+		Message:    "the idempotency key was used for a different request",
 		Outcome:    outcome.NotRun,
 		RetryAfter: retryAfterFinal,
 	}}
 }
 
-// unreadable refuses to build on a record that a newer version wrote.
+// unreadable refuses a request whose record cannot be decoded, such as one
+// written by a newer version.
 func unreadable() Decision {
 	return Decision{Verdict: Refused, Refusal: &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the record of this idempotency key cannot be read",
+		Message:    "the execution record of this idempotency key cannot be decoded",
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterSilentHolder,
 	}}
 }
 
-// inProgress refuses a repeat while the holder has not reported. The action
-// may be running, so its outcome is unknown.
+// inProgress refuses a repeat while the holder has not reported. The action may
+// be running, so its outcome is unknown.
 func inProgress(r Record) Decision {
 	refusal := &outcome.Refusal{
 		Code:       outcome.InProgress,
-		Message:    "an earlier try with this key is being run; repeat to get its answer",
+		Message:    "an earlier attempt with this key is in progress; retry to get its answer",
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterInProgress,
 	}
 	if toUnixMilli(time.Now()) > r.Deadline {
-		refusal.Message = fmt.Sprintf("an earlier try with this key has not been reported by router %s; it may have run", r.Holder)
+		refusal.Message = fmt.Sprintf("router %s has not reported the outcome of an earlier attempt with this key; it may have run", r.Holder)
 		refusal.RetryAfter = retryAfterSilentHolder
 	}
 	return Decision{Verdict: InProgress, Record: r, Refusal: refusal}
 }
 
-// tooLate refuses an action whose holder was frozen before it could dispatch.
+// tooLate refuses an action that was not sent because the dispatch limit had
+// passed.
 func tooLate() *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Deadline,
-		Message:    "the router was too slow to send the action; repeat with the same key",
+		Message:    "the router did not send the action in time; retry with the same key",
 		Outcome:    outcome.NotRun,
 		RetryAfter: retryAfterThrottle,
 	}
 }
 
-// answerNotKept tells a repeat that the action ran, without its answer.
+// answerNotKept tells a repeat that the action ran but that its answer was not
+// stored.
 func answerNotKept() *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the action ran; its answer was too large to keep",
+		Message:    "the action ran; its answer was too large to store",
 		Outcome:    outcome.Ran,
 		RetryAfter: retryAfterFinal,
 	}
 }
 
-// lostAnswer tells what is known of an action whose answer was lost.
+// lostAnswer refuses a repeat of an action that was sent but whose answer was
+// lost.
 func lostAnswer() *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.EndpointLost,
--- a/coordination/execution/run.go
+++ b/coordination/execution/run.go
@@ -6,24 +6,25 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Result is how an action ended.
+// Result is the result of an action.
 type Result struct {
 	Outcome  outcome.Outcome
-	Answer   *Answer          // what the endpoint answered; nil if it did not
+	Answer   *Answer          // response of the endpoint; nil if there is none
 	Refusal  *outcome.Refusal // set if Answer is nil
-	Repeated bool             // taken from the record of an earlier try
+	Repeated bool             // taken from the record of an earlier attempt
 }
 
 // Sender sends an action to an endpoint.
 type Sender interface {
-	// Send sends the action once at most. Its outcome is NotRun only if that
-	// is certain: the key is freed then, and a repeat will be sent.
+	// Send sends the action at most once. It may return the outcome NotRun only
+	// if it is certain that the action did not run: the key is then freed, and
+	// a repeat is sent.
 	Send(ctx context.Context) Result
 }
 
-// Run runs req by s if no other try of it has run, is running, or can still
-// run. Everything else is answered without s. Once ctx has ended nothing is
-// sent any more.
+// Run runs req through s if no other attempt has run it, is running it, or can
+// still run it. Otherwise it returns the result without calling s. Nothing is
+// sent after ctx has ended.
 func (l *Ledger) Run(ctx context.Context, req Request, s Sender) Result {
 	d := l.Begin(ctx, req)
 	switch d.Verdict {
@@ -58,7 +59,7 @@
 	return res
 }
 
-// result returns the end of a finished action as a repeat gets it.
+// result returns the result of a finished action for a repeat.
 func (r Record) result() Result {
 	res := Result{Outcome: r.Outcome, Answer: r.Answer, Repeated: true}
 	switch {
--- a/coordination/execution/safety_test.go
+++ b/coordination/execution/safety_test.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// faultProfiles are ways in which things go wrong, singly and all together.
+// faultProfiles are the kinds of faults, singly and combined.
 var faultProfiles = []struct {
 	name  string
 	rates faultRates
@@ -34,7 +34,7 @@
 	triesPerCall  = 8
 )
 
-// simulate runs callers against a fleet and returns what happened.
+// simulate runs callers against a fleet and returns the history.
 func simulate(t *testing.T, seed uint64, r faultRates, p injectedFault) *history {
 	var h *history
 	synctest.Test(t, func(*testing.T) {
@@ -53,18 +53,18 @@
 		}
 		callers.Wait()
 		close(w.ended)
-		time.Sleep(2 * retention) // records expire
+		time.Sleep(2 * retention) // until all records have expired
 		f.stop()
 		h = f.history
 	})
 	return h
 }
 
-// Callers send the same orders through several routers at once and again
+// Callers send the same actions through several routers at once and again
 // later, while the platform loses answers, applies writes long after their
-// sender gave up, and is down; routers freeze past every deadline and wake, or
-// die; and the service cuts connections. An order that ran twice, or that ran
-// although its caller was told not-run, is what no user may ever see.
+// sender gave up, and has outages; routers freeze past every deadline and
+// resume, or die; and the service cuts connections. No action may run twice, or
+// run although its caller was told not-run.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	const seeds = 60
 	for _, tt := range faultProfiles {
@@ -81,8 +81,8 @@
 	}
 }
 
-// The checker must see the faults that the design is there to prevent, or its
-// silence means nothing.
+// The history check must detect the faults that the design prevents; otherwise
+// its passing proves nothing.
 func TestCheckerFindsInjectedFaults(t *testing.T) {
 	const seeds = 20
 	tests := []struct {
--- a/coordination/execution/settlement.go
+++ b/coordination/execution/settlement.go
@@ -8,10 +8,10 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Finish records the end of a dispatched action, for repeats to find. It
-// returns once the record stands, or after FinishWait, and tells whether it
-// stands; if not, tries go on in the background for as long as the record
-// lives. The caller's own answer need not wait for more.
+// Finish records the outcome of a dispatched action, for repeats to find. It
+// returns when the record is written, or after FinishWait, and reports whether
+// it is written. If not, retries continue in the background until the record
+// expires; the caller's response need not wait for them.
 func (l *Ledger) Finish(t *Token, o outcome.Outcome, a *Answer) bool {
 	t.settle()
 	r := t.claim.record.finished(o, a, t.claim.answerLimit)
@@ -22,8 +22,8 @@
 	return l.await(s)
 }
 
-// Abandon records that the action was not and will not be dispatched by this
-// token, which frees its key for a repeat. It waits as Finish does.
+// Abandon records that this token has not been and will not be used to send the
+// action, which frees the key for a repeat. It waits as Finish does.
 func (l *Ledger) Abandon(t *Token) bool {
 	t.settle()
 	s := l.settle(t.claim.path, t.claim.record.abandoned(), t.revision, t.claim.lease)
@@ -42,9 +42,9 @@
 	}
 }
 
-// settlement writes the last state of a record that this router holds. It
-// keeps the record's lease: a write without one would make the record stay for
-// ever.
+// settlement writes the final state of a record that this router holds. It
+// keeps the lease of the record: a record written without a lease would never
+// expire.
 type settlement struct {
 	ledger  *Ledger
 	path    string
@@ -55,8 +55,8 @@
 	written bool // valid once ended is closed
 }
 
-// settle starts a settlement, which owns one slot until it ends. A ledger that
-// has ended settles nothing more.
+// settle starts a settlement, which occupies one slot until it ends. After the
+// ledger is stopped, nothing is written.
 func (l *Ledger) settle(path string, r Record, expect kv.Revision, lease kv.Lease) *settlement {
 	s := &settlement{ledger: l, path: path, record: r, expect: expect, lease: lease, ended: make(chan struct{})}
 	l.mu.Lock()
@@ -70,8 +70,8 @@
 	return s
 }
 
-// run tries until the record stands, is found to be gone, or has outlived its
-// lease.
+// run retries until the record is written, is found to be lost, or has outlived
+// its lease.
 func (s *settlement) run() {
 	l := s.ledger
 	defer l.work.Done()
@@ -95,7 +95,8 @@
 	l.cfg.Observe(SettlementGivenUp)
 }
 
-// handleResult tells whether res ends the settlement, and reports how.
+// handleResult reports whether res ends the settlement, and emits the event for
+// it.
 func (s *settlement) handleResult(res kv.Result) bool {
 	switch res.Status {
 	case kv.Applied:
@@ -108,16 +109,17 @@
 	}
 }
 
-// resolveConflict judges what stands instead of the expected revision.
+// resolveConflict decides by the record that exists instead of the expected
+// revision. It reports whether the settlement has ended.
 func (s *settlement) resolveConflict(standing []kv.Pair) bool {
 	if len(standing) > 0 {
 		r, err := DecodeRecord(standing[0].Value)
 		if err == nil && r.Nonce == s.record.Nonce {
 			if r.State == s.record.State {
-				s.report() // the answer to an earlier try was lost
+				s.report() // the answer to an earlier attempt was lost
 				return true
 			}
-			s.expect = standing[0].Revision // a create that landed late
+			s.expect = standing[0].Revision // the create took effect late
 			return false
 		}
 	}
--- a/coordination/execution/token.go
+++ b/coordination/execution/token.go
@@ -7,26 +7,26 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// claim is what one call of Begin does to own a record.
+// claim is the state of one attempt of Begin to create a record.
 type claim struct {
 	path        string
 	record      Record
-	answerLimit int // the longest answer to keep, in bytes
+	answerLimit int // maximum size of the answer to store, in bytes
 	lease       kv.Lease
 	start       time.Time   // of Begin
-	expect      kv.Revision // that the create expects
-	unconfirmed bool        // a create got no answer and may stand, or may yet land
+	expect      kv.Revision // revision that the create expects
+	unconfirmed bool        // a create got no answer and may have taken effect, or may do so later
 }
 
-// The life of a token.
+// States of a token.
 const (
 	tokenHeld int32 = iota
 	tokenDispatched
 	tokenSettled
 )
 
-// Token is the right to run one action, once. It ends in a call of Finish or
-// of Abandon.
+// Token is the right to run one action, once. It must be ended with Finish or
+// Abandon.
 type Token struct {
 	claim    claim
 	revision kv.Revision
@@ -34,12 +34,12 @@
 	state    atomic.Int32
 }
 
-// Dispatch claims the only dispatch, and tells whether it may be made. It is
-// to be called right before sending. A router that was frozen since Begin for
-// longer than the dispatch limit finds out here: its record could have been
-// created at the very end of its lease, so it must not be relied on. A freeze
-// that comes after this check makes the dispatch late, but nobody else has run
-// or will run the action, since the record is never taken over.
+// Dispatch claims the only dispatch and reports whether the action may be sent.
+// Call it right before sending. It returns false if the router was paused for
+// longer than the dispatch limit since Begin: the record could have been
+// created at the very end of its lease and must not be relied on. A pause after
+// this check makes the dispatch late, but no other router has run or will run
+// the action, since the record is never taken over.
 func (t *Token) Dispatch() bool {
 	if elapsed(t.claim.start) > t.limit {
 		return false
@@ -47,8 +47,8 @@
 	return t.state.CompareAndSwap(tokenHeld, tokenDispatched)
 }
 
-// settle ends the token, and panics if it had ended: two ends of one action
-// contradict each other.
+// settle ends the token. It panics if the token has already ended, since an
+// action must not be given two outcomes.
 func (t *Token) settle() {
 	if t.state.Swap(tokenSettled) == tokenSettled {
 		panic("execution: token settled twice")
--- a/coordination/order/giver.go
+++ b/coordination/order/giver.go
@@ -9,34 +9,36 @@
 	"wisteriaspool/coordination"
 )
 
-// EngineClient gives an order to an engine.
+// EngineClient sends an order to an engine.
 type EngineClient interface {
 	Order(ctx context.Context, t Target, o Order, f FencingToken) Result
 }
 
-// Pools tells what this router knows of the pools.
+// Pools provides this router's view of the pools.
 type Pools interface {
-	// AssignedPools returns the pools whose orders this router should give now, as far
-	// as it knows. Two routers may think so at once; the lease decides.
+	// AssignedPools returns the pools whose orders this router should currently
+	// issue, as far as it knows. Two routers may both be assigned a pool for a
+	// while; the lease decides between them.
 	AssignedPools() []coordination.Pool
 	// Targets returns the engines of a pool that are not leaving.
 	Targets(p coordination.Pool) []Target
-	// Plan returns what the settings in force ask of a pool's engines.
+	// Plan returns the desired state of a pool's engines according to the
+	// settings in force.
 	Plan(p coordination.Pool) Plan
 }
 
-// Config holds the times of a Giver. The zero value of each field stands for
-// its default.
+// Config configures a Reconciler. Fields that are zero take their default.
 type Config struct {
 	Self coordination.Instance
-	// TTL is the term of a lease; 15 s.
+	// TTL is the lifetime of a lease, default 15 s.
 	TTL time.Duration
-	// Interval is the time between two rounds; 1 s.
+	// Interval is the time between two rounds, default 1 s.
 	Interval time.Duration
-	// Pace returns the time between two heavy orders of a pool, so that its
-	// engines do not all read from the weight store at once; 5 s.
+	// Pace returns the minimum time between two orders of a pool that read from
+	// the weight store, so that its engines do not all read from it at once;
+	// default 5 s.
 	Pace func(p coordination.Pool) time.Duration
-	// OnResult, if set, is told of each order given.
+	// OnResult, if set, is called with the result of each order sent.
 	OnResult func(p coordination.Pool, t Target, o Order, r Result)
 }
 
@@ -60,17 +62,17 @@
 	}
 }
 
-// Reconciler gives the orders of the pools that this router holds.
+// Reconciler issues the orders of the pools whose leases this router holds.
 type Reconciler struct {
 	cfg     Config
 	store   Store
 	pools   Pools
 	engines EngineClient
-	active  map[coordination.Pool]*poolReconciler // used by the loop alone
+	active  map[coordination.Pool]*poolReconciler // used only by the loop goroutine
 }
 
-// New starts a giver, and returns the function that stops it. Its leases then
-// lapse by themselves.
+// New starts a reconciler and returns it with the function that stops it. After
+// that, its leases expire on their own.
 func New(cfg Config, store Store, pools Pools, engines EngineClient) (*Reconciler, func()) {
 	g := &Reconciler{
 		cfg:     cfg.withDefaults(),
@@ -99,8 +101,8 @@
 	}
 }
 
-// reconcileAll does what is due for each pool on duty. A pool that is no longer on
-// duty is let go: its lease lapses, and another router takes it.
+// reconcileAll runs one round for each assigned pool. A pool that is no longer
+// assigned is dropped: its lease expires, and another router can acquire it.
 func (g *Reconciler) reconcileAll(ctx context.Context) {
 	duty := make(map[coordination.Pool]bool)
 	for _, p := range g.pools.AssignedPools() {
@@ -119,16 +121,16 @@
 	}
 }
 
-// poolReconciler is a giver's work on one pool.
+// poolReconciler issues the orders of one pool.
 type poolReconciler struct {
 	parent     *Reconciler
 	pool       coordination.Pool
 	lease      lease
 	plan       Plan
-	progress   map[Target]int // orders of the plan that the engine has taken
+	progress   map[Target]int // number of orders of the plan that the engine has acknowledged
 	acquiredAt time.Time      // when the lease was acquired
-	restarted  bool           // the second round has begun
-	lastHeavy  time.Time      // when the last heavy order was given
+	restarted  bool           // the plan has been sent again after the lease was acquired
+	lastHeavy  time.Time      // when the last order that reads weights was sent
 }
 
 func (h *poolReconciler) reconcile(ctx context.Context) {
@@ -145,7 +147,8 @@
 	}
 }
 
-// ensureLease acquires or renews the lease and reports whether orders may be given.
+// ensureLease acquires or renews the lease and reports whether orders may be
+// sent.
 func (h *poolReconciler) ensureLease(ctx context.Context) bool {
 	cfg := h.parent.cfg
 	ctx, cancel := context.WithTimeout(ctx, cfg.TTL/5)
@@ -165,9 +168,10 @@
 	return true
 }
 
-// refreshPlan starts anew when the plan has changed, and once more a while after the
-// lease was acquired: an engine that ignores fencing numbers may since have
-// taken an order that the last holder sent before it was frozen.
+// refreshPlan starts again with the first order when the plan has changed, and
+// once more when twice the TTL has passed since the lease was acquired: an
+// engine that ignores fencing tokens may since have carried out an order that
+// the previous holder sent before it was paused.
 func (h *poolReconciler) refreshPlan() {
 	plan := h.parent.pools.Plan(h.pool)
 	if !plan.Equal(h.plan) {
@@ -180,7 +184,7 @@
 	}
 }
 
-// forgetRemoved drops what it knows of engines that have gone or restarted.
+// forgetRemoved drops the progress of engines that have left or restarted.
 func (h *poolReconciler) forgetRemoved(targets []Target) {
 	for t := range h.progress {
 		if !slices.Contains(targets, t) {
@@ -189,14 +193,16 @@
 	}
 }
 
-// sendPending gives one engine what it lacks and reports whether the round goes on.
+// sendPending sends one engine the orders that it lacks, and reports whether
+// the round continues with the next engine.
 func (h *poolReconciler) sendPending(ctx context.Context, t Target) bool {
 	for h.progress[t] < len(h.plan) {
 		o := h.plan[h.progress[t]]
 		if o.Kind.ReadsWeights() && time.Since(h.lastHeavy) < h.parent.cfg.Pace(h.pool) {
 			return false
 		}
-		// Right before sending: the process may have been frozen since keep.
+		// Checked right before sending: the process may have been paused since
+		// ensureLease.
 		if !h.lease.usable(time.Now()) {
 			return false
 		}
@@ -206,7 +212,7 @@
 			return false
 		}
 		if r == Unknown {
-			return true // tried again in the next round
+			return true // retried in the next round
 		}
 		h.progress[t]++
 	}
--- a/coordination/order/lease.go
+++ b/coordination/order/lease.go
@@ -8,10 +8,11 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Prefix is where the leases of pools stand in the platform's service.
+// Prefix is the key prefix of the pool leases in the platform's key-value
+// service.
 const Prefix = "/wisteriaspool/orders/"
 
-// Store is the part of the platform's service that a lease needs.
+// Store is the part of the platform's key-value service that a lease needs.
 type Store interface {
 	Get(ctx context.Context, key string) kv.Result
 	CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result
@@ -19,34 +20,35 @@
 	KeepAlive(ctx context.Context, lease kv.Lease) kv.Result
 }
 
-// usableShare is the part of its term behind which a holder gives no more orders. An
-// order that is sent then still arrives before the lease can lapse, if the
-// network takes less than the rest of the term; for one that takes longer the
-// engine has the fencing number, and the next holder's second round.
+// usableShare is the share of the TTL after which the holder sends no more
+// orders. An order sent before that arrives before the lease can expire, if the
+// network takes less than the rest of the TTL. For a slower order, the engine
+// checks the fencing token, and the next holder sends its plan twice.
 const usableShare = 0.5
 
-// lease is a router's hold on one pool. The zero value holds nothing.
+// lease is a router's lease on one pool. The zero value holds nothing.
 type lease struct {
 	id      kv.Lease
 	fencing FencingToken
-	renewed time.Time // before the call that last renewed it
+	renewed time.Time // start of the call that last renewed it
 	ttl     time.Duration
 }
 
-// usable reports whether the holder may give orders at now. It relies on the
-// process's own monotonic clock only: a process that was frozen finds its
-// lease old when it wakes.
+// usable reports whether the holder may send orders at now. It relies only on
+// the monotonic clock of the process: a process that was paused finds its lease
+// too old when it resumes.
 func (l *lease) usable(now time.Time) bool {
 	return l.fencing != 0 && now.Sub(l.renewed) < time.Duration(usableShare*float64(l.ttl))
 }
 
-// acquire tries to become the holder of a pool. The value tells who holds it,
-// for operators; that the key exists is what keeps others out.
+// acquire tries to become the holder of a pool. The stored value names the
+// holder, for operators; the existence of the key is what excludes other
+// routers.
 func (l *lease) acquire(ctx context.Context, s Store, p coordination.Pool, self coordination.Instance, ttl time.Duration) bool {
 	*l = lease{ttl: ttl}
 	key := Prefix + string(p)
-	// A read before the two writes: while another router holds the pool, the
-	// wait for its lease to lapse costs no writes.
+	// Read before the two writes, so that waiting for another router's lease
+	// to expire costs no writes.
 	if res := s.Get(ctx, key); res.Status != kv.Applied || len(res.Pairs) > 0 {
 		return false
 	}
@@ -64,7 +66,8 @@
 	return l.usable(time.Now())
 }
 
-// ownedToken returns the fencing number if the result shows the key under our lease.
+// ownedToken returns the fencing token if res shows the key attached to lease
+// id, and zero otherwise.
 func ownedToken(res kv.Result, id kv.Lease) FencingToken {
 	if res.Status != kv.Applied {
 		return 0
@@ -78,8 +81,8 @@
 	return FencingToken(res.Pairs[0].Revision)
 }
 
-// renew extends the lease. When the service says that it has lapsed, or nothing
-// comes for too long, the hold is over.
+// renew extends the lease. The lease is lost when the service reports that it
+// has expired, or when no answer arrives for too long.
 func (l *lease) renew(ctx context.Context, s Store) {
 	at := time.Now()
 	switch s.KeepAlive(ctx, l.id).Status {
--- a/coordination/order/order_test.go
+++ b/coordination/order/order_test.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// sentOrder is one order as an engine got it.
+// sentOrder is an order as an engine received it.
 type sentOrder struct {
 	at      time.Time
 	fencing order.FencingToken
@@ -24,16 +24,17 @@
 	target  order.Target
 }
 
-// stateKey is one piece of an engine's state, and loaded the version of each. An
-// order that comes twice changes nothing.
+// stateKey identifies one piece of an engine's state.
 type stateKey struct {
 	kind order.Kind
 	name string
 }
 
+// loaded holds the version of each piece of state of an engine. A repeated
+// order changes nothing.
 type loaded map[stateKey]string
 
-// site is a pool of engines with the routers that give them orders.
+// site is a pool of engines and the routers that send them orders.
 type site struct {
 	mu      sync.Mutex
 	plan    order.Plan
@@ -42,7 +43,7 @@
 	highest map[order.Target]order.FencingToken
 	state   map[order.Target]loaded
 	history []sentOrder
-	ignores bool // the engines take old fencing numbers
+	ignores bool // the engines accept outdated fencing tokens
 	loss    float64
 	random  *rand.Rand
 	frozen  map[coordination.Instance]chan struct{}
@@ -74,11 +75,11 @@
 	s.duty[id] = on
 }
 
-// view is the site as one router sees it.
+// view is the site as seen by one router.
 type view struct {
 	*site
 	self coordination.Instance
-	old  *order.Plan // what a router with old settings goes by
+	old  *order.Plan // plan of a router with outdated settings
 }
 
 func (v view) AssignedPools() []coordination.Pool {
@@ -101,8 +102,8 @@
 	return v.plan
 }
 
-// Order implements order.EngineClient. A router that is frozen has its order on the
-// way until it wakes.
+// Order implements order.EngineClient. The order of a frozen router stays in
+// transit until the router resumes.
 func (v view) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
 	v.mu.Lock()
 	frozen := v.frozen[v.self]
@@ -140,8 +141,8 @@
 	}
 }
 
-// problems checks the history: the numbers at an engine that checks them never
-// fall, heavy orders keep their pace, and every engine ends in the plan.
+// problems checks that orders are at least pace apart and that every engine
+// ends in the state of the plan.
 func (s *site) problems(pace time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +173,7 @@
 		s := newSite(1, 4)
 		s.setPlan("1")
 		s.setDuty("r1", true)
-		s.setDuty("r2", true) // two routers think that it is theirs
+		s.setDuty("r2", true) // two routers are assigned the same pool
 		store := kvtest.New()
 		for _, id := range []coordination.Instance{"r1", "r2"} {
 			defer s.start(store, id, nil)()
@@ -185,10 +186,11 @@
 	})
 }
 
-// A holder is frozen with an order of old settings on its way, for longer than
-// its lease. Another router takes over with newer settings. Then the first one
-// wakes, and its order arrives: an engine that ignores fencing numbers carries
-// it out, and users would be served by an old version for good.
+// A holder is frozen, with an order from outdated settings in transit, for
+// longer than its lease. Another router takes over with newer settings. Then
+// the first one resumes and its order arrives. An engine that ignores fencing
+// tokens carries it out, and would serve the outdated version permanently if
+// the new holder did not send its orders again.
 func TestOrderOfFrozenHolderIsOverwritten(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -215,8 +217,8 @@
 	}
 }
 
-// Answers of engines and of the platform are lost, and the platform is down for
-// a while. Orders are given again until they are known to be taken.
+// Answers of engines and of the platform are lost, and the platform has an
+// outage. Orders must be sent again until they are acknowledged.
 func TestLostAnswers(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -247,8 +249,8 @@
 	}
 }
 
-// The check has to see an engine that is left behind and loads that come too
-// close together, or its silence means nothing.
+// The check must detect an engine that was left out and loads that come too
+// close together; otherwise its passing proves nothing.
 func TestCheckCatchesInjectedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 2)
--- a/coordination/transfer/load.go
+++ b/coordination/transfer/load.go
@@ -7,7 +7,7 @@
 	"wisteriaspool/coordination"
 )
 
-// Load is what an engine that may receive chats has reported.
+// Load is the load that a possible destination engine has reported.
 type Load struct {
 	Requests int // running and waiting
 	Capacity int // zero if unknown
@@ -15,16 +15,16 @@
 	ReadAt   time.Time
 }
 
-// loadTTL is how long a report counts.
+// loadTTL is the time for which a report is considered fresh.
 const loadTTL = 500 * time.Millisecond
 
-// Loads holds the last reports of the engines of a pool. The zero value is
-// empty and ready for use.
+// Loads holds the last report of each engine of a pool. The zero value is empty
+// and ready for use.
 type Loads struct {
 	last map[coordination.Endpoint]Load
 }
 
-// Update takes a report.
+// Update stores the report of an engine.
 func (l *Loads) Update(id coordination.Endpoint, r Load) {
 	if l.last == nil {
 		l.last = make(map[coordination.Endpoint]Load)
@@ -32,15 +32,16 @@
 	l.last[id] = r
 }
 
-// Fresh reports whether the last report of an engine still counts.
+// Fresh reports whether the last report of an engine is younger than loadTTL.
 func (l *Loads) Fresh(now time.Time, id coordination.Endpoint) bool {
 	r, ok := l.last[id]
 	return ok && now.Sub(r.ReadAt) < loadTTL
 }
 
-// CanAccept reports whether an engine may receive a chat: whether it stays clear of
-// its capacity and of the bound over the mean of those that have reported. An
-// engine that has not reported may not.
+// CanAccept reports whether a chat may be moved to an engine: whether one more
+// request keeps its load within CapacityShare of its capacity and within Bound
+// times the mean load of the engines that have reported. An engine that is
+// leaving or has not reported cannot accept a chat.
 func (l *Loads) CanAccept(id coordination.Endpoint, cfg Config) bool {
 	r, ok := l.last[id]
 	if !ok || r.Leaving {
@@ -54,7 +55,7 @@
 }
 
 // mean returns the mean number of requests of the engines that have reported,
-// with one more among them.
+// including the request to be placed.
 func (l *Loads) mean() float64 {
 	sum := 1
 	for _, r := range l.last {
--- a/coordination/transfer/plan.go
+++ b/coordination/transfer/plan.go
@@ -10,10 +10,10 @@
 	"wisteriaspool/coordination"
 )
 
-// Action is what to do next.
+// Action is the kind of a step.
 type Action uint8
 
-// The actions. Wait is for the time given or for the end of a move, whichever
+// Kinds of steps. Wait lasts for Step.Wait or until a move ends, whichever
 // comes first.
 const (
 	Wait Action = iota
@@ -24,67 +24,69 @@
 // Step is the next step of a plan.
 type Step struct {
 	Action Action
-	Chat   coordination.Chat // to be moved
+	Chat   coordination.Chat // chat to move
 	Wait   time.Duration
 }
 
-// Result is what became of a move.
+// Result is the result of a move.
 type Result uint8
 
-// The results of moves.
+// Results of a move.
 const (
-	Moved   Result = iota // the other engine has the KV cache
-	Cold                  // the leaving engine had none any more
-	Skipped               // computing beats moving, or there is no other engine
-	Busy                  // the other engine is near its load bound
-	Refused               // the other engine did not take it
+	Moved   Result = iota // the destination engine has the KV cache
+	Cold                  // the leaving engine no longer had the KV cache
+	Skipped               // recomputing is faster than moving, or there is no other engine
+	Busy                  // the destination engine is near its load bound
+	Refused               // the destination engine did not accept the KV cache
 	Lost                  // the leaving engine did not answer
 )
 
 var resultNames = []string{"moved", "cold", "skipped", "busy", "refused", "lost"}
 
-// String returns the name of r as metrics show it.
+// String returns the name of r as used in metrics.
 func (r Result) String() string { return resultNames[r] }
 
 const (
-	// busyDelay is how long a chat waits whose other engine is busy.
+	// busyDelay is the time before a chat whose destination engine is busy is
+	// tried again.
 	busyDelay = 500 * time.Millisecond
 
-	// maxChats bounds the chats of a plan. Those stored longest ago, which are
-	// least likely to return, are dropped beyond it.
+	// maxChats limits the chats of a plan. Above it, the chats that were stored
+	// longest ago are dropped, since they are least likely to return.
 	maxChats = 16384
 )
 
-// candidate is a chat that the leaving engine has cached.
+// candidate is a chat whose KV cache the leaving engine holds.
 type candidate struct {
 	chat       coordination.Chat
-	lastSeq    Sequence // of its last event
+	lastSeq    Sequence // of the last event of the chat
 	evicted    bool
-	handledSeq Sequence // the event up to which it was dealt with
+	handledSeq Sequence // lastSeq when the last move began; zero if that move is to be retried
 	moving     bool
-	startedAt  time.Time // its move
-	notBefore  time.Time // not to be moved before
+	startedAt  time.Time // when the last move began
+	notBefore  time.Time // earliest time of the next move
 }
 
-// Plan decides about the chats of one leaving engine. It is not safe for
-// concurrent use.
+// Plan schedules the moves of the chats of one leaving engine. It is not safe
+// for concurrent use.
 type Plan struct {
 	cfg        Config
 	end        time.Time
 	chats      map[coordination.Chat]*candidate
 	moving     int
-	linkFreeAt time.Time // when the link budget is free again
-	failures   int       // in a row
+	linkFreeAt time.Time // when the bandwidth used so far is paid off
+	failures   int       // consecutive
 }
 
-// NewPlan returns the plan for an engine that was first seen to leave at now.
+// NewPlan returns the plan for an engine that was first observed to be leaving
+// at now.
 func NewPlan(now time.Time, cfg Config) *Plan {
 	cfg = cfg.WithDefaults()
 	return &Plan{cfg: cfg, end: now.Add(cfg.Window), chats: make(map[coordination.Chat]*candidate)}
 }
 
-// AddEvents takes cache events that the leaving engine has answered with, in any
-// order and with gaps.
+// AddEvents adds cache events read from the leaving engine. They may be in any
+// order and have gaps.
 func (p *Plan) AddEvents(events []Event) {
 	p.failures = 0
 	for _, e := range events {
@@ -109,7 +111,7 @@
 	}
 }
 
-// prune drops the chats stored longest ago.
+// prune drops the chats that were stored longest ago, except those being moved.
 func (p *Plan) prune() {
 	all := lo.Values(p.chats)
 	slices.SortFunc(all, func(a, b *candidate) int { return cmp.Compare(b.lastSeq, a.lastSeq) })
@@ -120,8 +122,8 @@
 	}
 }
 
-// Next returns the next step. A chat that it says to move is on its way until
-// [Plan.MoveEnded].
+// Next returns the next step. A chat to be moved counts as in transit until
+// [Plan.MoveEnded] is called for it.
 func (p *Plan) Next(now time.Time) Step {
 	if !now.Before(p.end) || p.failures >= p.cfg.MaxFailures {
 		return Step{Action: Stop}
@@ -141,8 +143,8 @@
 	return Step{Action: Move, Chat: c.chat}
 }
 
-// latest returns the chat that was stored last among those to be moved, or nil.
-// A chat that has just been served is the likeliest to return soon.
+// latest returns the most recently stored chat that is due to be moved, or nil.
+// A chat that has just been served is the most likely to return soon.
 func (p *Plan) latest(now time.Time) *candidate {
 	var best *candidate
 	for _, c := range p.chats {
@@ -156,9 +158,9 @@
 	return best
 }
 
-// MoveEnded takes what became of a move and how many bytes it took from the leaving
-// engine. They are charged to the link budget: the next move waits until it is
-// free again.
+// MoveEnded records the result of a move and the bytes that it read from the
+// leaving engine. The bytes are charged to the link: the next move waits until
+// they are paid off at the configured bandwidth.
 func (p *Plan) MoveEnded(now time.Time, chat coordination.Chat, r Result, bytes int64) {
 	c := p.chats[chat]
 	c.moving = false
@@ -175,10 +177,11 @@
 	}
 }
 
-// ReadFailed takes that the leaving engine did not answer a read of its events.
+// ReadFailed records that the leaving engine did not answer a read of its cache
+// events.
 func (p *Plan) ReadFailed() { p.failures++ }
 
-// chargeLink charges bytes that were taken from a time on.
+// chargeLink charges the link for bytes whose transfer began at from.
 func (p *Plan) chargeLink(from time.Time, bytes int64) {
 	if p.linkFreeAt.Before(from) {
 		p.linkFreeAt = from
--- a/coordination/transfer/plan_test.go
+++ b/coordination/transfer/plan_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// moveAll lets a plan move all that it will, one at a time and at once, and
+// moveAll performs all moves of a plan, one at a time and in no time, and
 // returns the chats.
 func moveAll(p *Plan) []coordination.Chat {
 	var chats []coordination.Chat
@@ -50,9 +50,9 @@
 	}
 }
 
-// A chat is moved and then served once more by the leaving engine, whose last
-// answer was on its way. Without the new blocks its next prompt would be
-// computed from where the move had left it.
+// A chat is moved and then served once more by the leaving engine, because a
+// response was in progress. Without the new blocks, the next prompt would be
+// recomputed from the state that was moved.
 func TestChatStoredAgainMovesAgain(t *testing.T) {
 	p := NewPlan(testStart, Config{})
 	p.AddEvents([]Event{{1, "a", Stored}})
@@ -62,8 +62,8 @@
 	assert.DeepEqual(t, moveAll(p), []coordination.Chat{"a"})
 }
 
-// The engine to which a chat goes next is near its bound for a moment. The chat
-// waits its turn rather than being given up.
+// The destination engine is briefly near its bound. The chat must be retried
+// rather than given up.
 func TestBusyChatIsTriedAgain(t *testing.T) {
 	p := NewPlan(testStart, Config{})
 	p.AddEvents([]Event{{1, "a", Stored}})
@@ -73,8 +73,8 @@
 	assert.Equal(t, p.Next(testStart.Add(busyDelay)), Step{Action: Move, Chat: "a"})
 }
 
-// The leaving engine has gone and answers no more. The plan ends, rather than
-// asking a dead address for the rest of its window.
+// The leaving engine has gone and no longer answers. The plan must stop, rather
+// than call a dead address for the rest of its window.
 func TestPlanStopsWhenEngineIsGone(t *testing.T) {
 	p := NewPlan(testStart, Config{})
 	p.AddEvents([]Event{{1, "a", Stored}})
@@ -85,8 +85,8 @@
 	assert.Equal(t, p.Next(testStart).Action, Stop)
 }
 
-// Very many chats come and go at an engine that stays up for weeks. The plan
-// holds the latest of them only.
+// Very many chats come and go at an engine that runs for weeks. The plan must
+// hold only the latest of them.
 func TestPlanIsBounded(t *testing.T) {
 	p := NewPlan(testStart, Config{})
 	for n := range 3 * maxChats {
@@ -96,8 +96,8 @@
 	assert.Equal(t, p.Next(testStart).Chat, coordination.Chat(fmt.Sprint(3*maxChats-1)))
 }
 
-// Whatever happens in whatever order, a plan keeps to its window, to its link
-// budget and to its number of moves at a time.
+// Under any sequence of operations, a plan keeps to its window, its bandwidth
+// and its limit of concurrent moves.
 func TestPlanKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Bandwidth: 1000, MaxConcurrent: 2, Window: 10 * time.Second}
@@ -198,8 +198,8 @@
 	}
 }
 
-// A team sets a bound close to the mean. Moves that kept to their own default
-// would bring chats to engines that placement passes over.
+// A team sets a placement bound close to the mean. With only the default bound,
+// moves would bring chats to engines that placement passes over.
 func TestCanAcceptUnderPlacementBound(t *testing.T) {
 	var l Loads
 	l.Update("e1", Load{Requests: 109, ReadAt: testStart})
--- a/coordination/transfer/transfer.go
+++ b/coordination/transfer/transfer.go
@@ -1,11 +1,11 @@
-// Package transfer decides which chats' KV caches are moved away from an
-// engine that is leaving as planned, so that the chats find them at the engine
-// which takes their next request.
+// Package transfer decides which chats' KV caches are moved away from an engine
+// that is shutting down as planned, so that the chats find them at the engine
+// that serves their next request.
 //
 // A [Plan] holds the decisions for one leaving engine. It does no I/O and
-// starts nothing: the router reads the engine's cache events into it, asks it
-// for the next step and tells it what became of each move. All of it is soft
-// state. A chat that is not moved has its prompt computed anew, nothing else.
+// starts no goroutines: the router feeds it the engine's cache events, asks it
+// for the next step, and reports the result of each move. All of its state is
+// soft: a chat that is not moved only has its prompt computed again.
 package transfer
 
 import (
@@ -14,73 +14,76 @@
 	"wisteriaspool/coordination"
 )
 
-// Sequence numbers the cache events of one life of an engine.
+// Sequence numbers the cache events of one incarnation of an engine.
 type Sequence uint64
 
-// Kind tells what a cache event is about.
+// Kind is the kind of a cache event.
 type Kind string
 
-// The kinds of cache events. Others are ignored.
+// Kinds of cache events. Events of other kinds are ignored.
 const (
 	Stored  Kind = "stored"
 	Evicted Kind = "evicted"
 )
 
-// Event is an engine's word that the KV cache of a chat was stored, or that
-// nothing of it is left.
+// Event is a report of an engine that the KV cache of a chat was stored or
+// completely evicted.
 type Event struct {
 	Seq  Sequence          `json:"seq"`
 	Chat coordination.Chat `json:"chat"`
 	Kind Kind              `json:"kind"`
 }
 
-// Config holds the settings of a plan. A zero field means its default.
+// Config configures a plan. Fields that are zero take their default.
 type Config struct {
-	// Bandwidth is the bytes a second that may be moved away from one leaving
-	// engine, default 1.25e9: a link of 10 Gbit/s. It is also the rate that a
-	// move is taken to have when it is compared with computing.
+	// Bandwidth is the rate at which data may be moved away from one leaving
+	// engine, in bytes a second; default 1.25e9, a link of 10 Gbit/s. Moves are
+	// also assumed to run at this rate when they are compared with recomputing.
 	Bandwidth float64
 
-	// MaxConcurrent is the number of chats on their way at a time, default 2.
+	// MaxConcurrent is the maximum number of chats being moved at a time,
+	// default 2.
 	MaxConcurrent int
 
-	// Window is the longest time for which chats are moved away from an
-	// engine, default 30 s. The engine may be gone long before.
+	// Window is the maximum time for which chats are moved away from an engine,
+	// default 30 s. The engine may be gone long before.
 	Window time.Duration
 
-	// PrefillPerToken is the time in which an engine computes one token of a prompt,
-	// default 200 µs.
+	// PrefillPerToken is the time that an engine takes to compute one token of
+	// a prompt, default 200 µs.
 	PrefillPerToken time.Duration
 
 	// BytesPerToken is the size of the KV cache of one token, default 128 KiB.
 	BytesPerToken int
 
-	// Overhead is the time that a move takes besides its bytes, default 5 ms.
+	// Overhead is the fixed time of a move, in addition to the transfer of its
+	// bytes; default 5 ms.
 	Overhead time.Duration
 
-	// MoveTimeout is the longest time of one move, default 2 s. An engine whose
-	// process waits for its open connections is held up by at most that, and
-	// only by a move that was under way when everything else had ended.
+	// MoveTimeout is the maximum duration of one move, default 2 s. It bounds
+	// the delay of the shutdown of an engine that waits for its open
+	// connections, which only a move still in progress when everything else has
+	// ended can cause.
 	MoveTimeout time.Duration
 
 	// Bound is the multiple of the mean load, rounded up, above which an engine
-	// gets no chats; default 1.1, which is below the bound of placement, since
-	// a moved chat brings its next request along.
+	// receives no chats; default 1.1. This is below the load bound of
+	// placement, since a moved chat brings its next request along.
 	Bound float64
 
-	// CapacityShare is the part of its capacity above which an engine gets no
-	// chats, default 0.8.
+	// CapacityShare is the share of its capacity above which an engine receives
+	// no chats, default 0.8.
 	CapacityShare float64
 
 	// Interval is the time between two reads of cache events, default 250 ms.
 	Interval time.Duration
 
-	// MaxFailures is the number of failures in a row behind which the engine is
-	// taken to have gone, default 3.
+	// MaxFailures is the number of consecutive failures after which the engine
+	// is considered gone, default 3.
 	MaxFailures int
 }
 
-// WithDefaults returns c with the zero fields filled in.
+// WithDefaults returns c with zero fields set to their defaults.
 func (c Config) WithDefaults() Config {
 	setFloat(&c.Bandwidth, 1.25e9)
 	setInt(&c.MaxConcurrent, 2)
@@ -96,11 +99,13 @@
 	return c
 }
 
-// reservedShare is the part of the room between the mean load and the bound of
-// placement that moves leave to requests.
+// reservedShare is the share of the margin between the mean load and the load
+// bound of placement that moves leave free for requests.
 const reservedShare = 0.6
 
-// WithPlacementBound returns c for a pool with that bound of placement; zero says nothing.
+// WithPlacementBound returns c with Bound lowered to fit a pool whose load
+// bound of placement is bound. A bound of 1 or less, such as zero for an
+// unknown one, leaves c unchanged.
 func (c Config) WithPlacementBound(bound float64) Config {
 	if bound > 1 {
 		c.Bound = min(c.Bound, 1+(1-reservedShare)*(bound-1))
@@ -126,9 +131,9 @@
 	}
 }
 
-// Worthwhile reports whether moving a KV cache of that many bytes takes less time
-// than computing its tokens, and can be done in time. If the size is not known,
-// it is below zero, and the cache of a long chat is assumed.
+// Worthwhile reports whether moving a KV cache of size bytes takes less time
+// than recomputing its tokens and fits within MoveTimeout. A negative size
+// means unknown; the cache of a long chat is then assumed.
 func (c Config) Worthwhile(size int64) bool {
 	perToken := c.linkTime(int64(c.BytesPerToken))
 	if size < 0 {
@@ -136,11 +141,11 @@
 	}
 	move := c.Overhead + c.linkTime(size)
 	computing := time.Duration(size/int64(c.BytesPerToken)) * c.PrefillPerToken
-	// The bytes pass the link twice: to the router and from it.
+	// The bytes are transferred twice: to the router and from it.
 	return move < computing && move+c.linkTime(size) < c.MoveTimeout
 }
 
-// linkTime returns the time that bytes take on the link.
+// linkTime returns the time that a transfer of bytes takes at Bandwidth.
 func (c Config) linkTime(bytes int64) time.Duration {
 	return time.Duration(float64(bytes) / c.Bandwidth * float64(time.Second))
 }
