--- a/coordination/execution/ledger.go
+++ b/coordination/execution/ledger.go
@@ -156,7 +156,7 @@
 			l.leases.drop(c.lease)
 		}
 		if !c.unconfirmed {
-			break // no record was created
+			break // no record can exist
 		}
 	}
 	return unreachable(status)
--- a/coordination/execution/limits.go
+++ b/coordination/execution/limits.go
@@ -86,7 +86,7 @@
 	return true, 0
 }
 
-// refund returns the call reserved for finishing a record.
+// refund puts back the call that was reserved for finishing a record.
 func (l *Ledger) refund() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/execution/run.go
+++ b/coordination/execution/run.go
@@ -17,8 +17,8 @@
 // Sender sends an action to an endpoint.
 type Sender interface {
 	// Send sends the action at most once. It may return the outcome NotRun only
-	// if it is certain that the action did not run: the key is then freed, and
-	// a repeat is sent.
+	// if it is certain that the action did not and will not run: the key is
+	// then freed, and a repeat is sent.
 	Send(ctx context.Context) Result
 }
 
