--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -40,7 +40,7 @@
 	rng *rand.Rand
 }
 
-func newChance(seed, stream uint64) *randomSource {
+func newRandomSource(seed, stream uint64) *randomSource {
 	return &randomSource{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
@@ -66,7 +66,7 @@
 type fleet struct {
 	seed    uint64
 	rates   faultRates
-	planted injectedFault
+	fault   injectedFault
 	store   *kvtest.Store
 	history *history
 	work    sync.WaitGroup // calls, including abandoned ones, and late writes
@@ -80,7 +80,7 @@
 // step, where the router may be frozen or killed.
 type router struct {
 	fleet   *fleet
-	chance  *randomSource
+	random  *randomSource
 	ledger  *execution.Ledger
 	cleanup func()
 
@@ -92,7 +92,7 @@
 const retention = 10 * time.Minute
 
 func newFleet(seed uint64, n int, r faultRates, p injectedFault) *fleet {
-	f := &fleet{seed: seed, rates: r, planted: p, store: kvtest.New(), history: newHistory()}
+	f := &fleet{seed: seed, rates: r, fault: p, store: kvtest.New(), history: newHistory()}
 	f.routers = make([]*router, n)
 	for i := range f.routers {
 		f.start(i)
@@ -105,7 +105,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	born := uint64(len(f.all))
-	r := &router{fleet: f, chance: newChance(f.seed, born)}
+	r := &router{fleet: f, random: newRandomSource(f.seed, born)}
 	r.ledger, r.cleanup = execution.New(execution.Config{
 		Store:       r,
 		Holder:      coordination.Instance(fmt.Sprint("r", i)),
@@ -136,13 +136,13 @@
 // step may freeze the router, as by SIGSTOP, or kill it. The goroutine of a
 // killed router ends here.
 func (r *router) step() {
-	if r.chance.percent(r.fleet.rates.freeze) {
+	if r.random.percent(r.fleet.rates.freeze) {
 		r.mu.Lock()
-		r.frozen = time.Now().Add(r.chance.duration(retention * 3 / 2))
+		r.frozen = time.Now().Add(r.random.duration(retention * 3 / 2))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
-	if r.chance.percent(r.fleet.rates.kill) {
+	if r.random.percent(r.fleet.rates.kill) {
 		r.dead = true
 	}
 	r.mu.Unlock()
@@ -170,7 +170,7 @@
 func (r *router) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	r.step()
 	defer r.step()
-	c, rates := r.chance, r.fleet.rates
+	c, rates := r.random, r.fleet.rates
 	lost := kv.Result{Status: kv.Unknown}
 	if c.percent(rates.slow) {
 		time.Sleep(c.duration(900 * time.Millisecond))
@@ -195,11 +195,11 @@
 func (r *router) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	r.step()
 	defer r.step()
-	if r.fleet.planted == shortLeases {
+	if r.fleet.fault == shortLeases {
 		ttl = retention / 4
 	}
 	id, res := r.fleet.store.Grant(ctx, ttl)
-	if r.chance.percent(r.fleet.rates.loseReply) {
+	if r.random.percent(r.fleet.rates.loseReply) {
 		return 0, kv.Result{Status: kv.Unknown}
 	}
 	return id, res
@@ -237,7 +237,7 @@
 	defer close(x.done)
 	x.router.step()
 	res := x.router.ledger.Run(context.Background(), x.request(), x)
-	if x.router.fleet.planted == takeOver && x.deleteOverdueRecord(res) {
+	if x.router.fleet.fault == takeOver && x.deleteOverdueRecord(res) {
 		res = x.router.ledger.Run(context.Background(), x.request(), x)
 	}
 	x.router.step()
@@ -257,12 +257,12 @@
 	r, rates := x.router, x.router.fleet.rates
 	r.step() // a freeze between the last check and sending
 	switch {
-	case r.chance.percent(rates.refuse), r.chance.percent(rates.decline):
+	case r.random.percent(rates.refuse), r.random.percent(rates.decline):
 		return execution.Result{Outcome: outcome.NotRun, Refusal: &outcome.Refusal{Outcome: outcome.NotRun}}
 	}
 	r.fleet.history.arrive(x.key, x.id)
-	time.Sleep(r.chance.duration(200 * time.Millisecond))
-	if r.chance.percent(rates.loseAnswer) {
+	time.Sleep(r.random.duration(200 * time.Millisecond))
+	if r.random.percent(rates.loseAnswer) {
 		return x.resultOfCut()
 	}
 	r.step()
@@ -272,7 +272,7 @@
 // resultOfCut returns the result of a call whose connection broke after the
 // action was sent.
 func (x *exchange) resultOfCut() execution.Result {
-	switch x.router.fleet.planted {
+	switch x.router.fleet.fault {
 	case retryAfterCut:
 		return x.Send(context.Background())
 	case denyAfterSending:
@@ -302,23 +302,23 @@
 
 // caller repeats one key through randomly chosen routers.
 type caller struct {
-	fleet  *fleet
-	id     int
-	key    string
-	issued time.Time
-	chance *randomSource
-	tries  int
+	fleet    *fleet
+	id       int
+	key      string
+	issued   time.Time
+	random   *randomSource
+	attempts int
 }
 
 func (c *caller) run(done *sync.WaitGroup) {
 	defer done.Done()
-	for range c.tries {
+	for range c.attempts {
 		c.call()
 		pause := 5 * time.Second
-		if c.chance.percent(20) {
+		if c.random.percent(20) {
 			pause = retention
 		}
-		time.Sleep(c.chance.duration(pause))
+		time.Sleep(c.random.duration(pause))
 	}
 }
 
@@ -327,7 +327,7 @@
 func (c *caller) call() {
 	place, id := c.fleet.history.begin(c.id, c.key)
 	x := &exchange{
-		router: c.fleet.router(c.chance.intN(len(c.fleet.routers))),
+		router: c.fleet.router(c.random.intN(len(c.fleet.routers))),
 		key:    c.key,
 		id:     id,
 		issued: c.issued,
@@ -346,7 +346,7 @@
 // faultInjector causes outages of the platform, and replaces dead routers.
 type faultInjector struct {
 	fleet  *fleet
-	chance *randomSource
+	random *randomSource
 	ended  chan struct{}
 }
 
@@ -359,7 +359,7 @@
 			return
 		case <-time.After(10 * time.Second):
 		}
-		w.fleet.store.SetFaults(kvtest.Faults{Down: w.chance.percent(w.fleet.rates.outage)})
+		w.fleet.store.SetFaults(kvtest.Faults{Down: w.random.percent(w.fleet.rates.outage)})
 		for i := range w.fleet.routers {
 			if w.fleet.router(i).isDead() {
 				w.fleet.start(i)
--- a/coordination/execution/history_test.go
+++ b/coordination/execution/history_test.go
@@ -160,7 +160,7 @@
 	t.unknown += n.unknown
 }
 
-func TestModelRefusesWhatIsForbidden(t *testing.T) {
+func TestModelRejectsIllegalHistories(t *testing.T) {
 	call := func(id callID, from, to int64, out output) porcupine.Operation {
 		return porcupine.Operation{ClientId: int(id), Input: input{key: "k", call: id}, Call: from, Output: out, Return: to}
 	}
--- a/coordination/execution/ledger_test.go
+++ b/coordination/execution/ledger_test.go
@@ -300,7 +300,7 @@
 // The connection to the service broke after the action was sent, so its outcome
 // cannot be determined. A repeat must be told so rather than run the action
 // again.
-func TestUnknownEndIsKept(t *testing.T) {
+func TestUnknownOutcomeIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		s := &sender{result: &execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}}
@@ -394,7 +394,7 @@
 	}
 }
 
-func TestDecodeRecordRefusesForeign(t *testing.T) {
+func TestDecodeRecordRejectsInvalid(t *testing.T) {
 	for _, b := range []string{"", "{}", "\xa0", "\xa1\x01\x02"} {
 		_, err := execution.DecodeRecord([]byte(b))
 		assert.ErrorContains(t, err, "execution: ")
--- a/coordination/execution/rate_test.go
+++ b/coordination/execution/rate_test.go
@@ -28,7 +28,7 @@
 	offered atomic.Int64 // write attempts, including refused ones
 }
 
-func newCapped(writes float64) *rateLimitedStore {
+func newRateLimitedStore(writes float64) *rateLimitedStore {
 	return &rateLimitedStore{Store: kvtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
 }
 
@@ -48,11 +48,11 @@
 	rate    float64 // actions a second over all routers
 	span    time.Duration
 
-	mu      sync.Mutex
-	ran     int
-	refused int
-	slowest time.Duration // longest time of a refused call
-	wrong   []execution.Result
+	mu         sync.Mutex
+	ran        int
+	refused    int
+	slowest    time.Duration // longest time of a refused call
+	unexpected []execution.Result
 }
 
 // run sends the actions and waits until all are answered.
@@ -62,25 +62,25 @@
 	n := int(s.rate * s.span.Seconds())
 	for i := range n {
 		work.Add(1)
-		go (&offer{surge: s, ledger: s.ledgers[random.IntN(len(s.ledgers))], key: fmt.Sprint(i)}).run(ctx, &work)
+		go (&surgeAction{surge: s, ledger: s.ledgers[random.IntN(len(s.ledgers))], key: fmt.Sprint(i)}).run(ctx, &work)
 		time.Sleep(time.Duration(float64(time.Second) / s.rate))
 	}
 	work.Wait()
 }
 
-// offer is one action of a surge. The service takes 20 ms to run it.
-type offer struct {
+// surgeAction is one action of a surge. The service takes 20 ms to run it.
+type surgeAction struct {
 	surge  *surge
 	ledger *execution.Ledger
 	key    string
 }
 
-func (o *offer) Send(context.Context) execution.Result {
+func (o *surgeAction) Send(context.Context) execution.Result {
 	time.Sleep(20 * time.Millisecond)
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: []byte("booked")}}
 }
 
-func (o *offer) run(ctx context.Context, work *sync.WaitGroup) {
+func (o *surgeAction) run(ctx context.Context, work *sync.WaitGroup) {
 	defer work.Done()
 	start := time.Now()
 	res := o.ledger.Run(ctx, newRequest(execution.Key(o.key)), o)
@@ -95,16 +95,16 @@
 		s.refused++
 		s.slowest = max(s.slowest, took)
 	default:
-		s.wrong = append(s.wrong, res)
+		s.unexpected = append(s.unexpected, res)
 	}
 }
 
 // writeCap is the rate that the service accepts, in writes a second.
 const writeCap = 300
 
-// offerActions runs a surge against a rate-limited service. Each router gets
+// runSurge runs a surge against a rate-limited service. Each router gets
 // its share of fleetBudget; zero means no budget.
-func offerActions(ctx context.Context, store execution.Store, routers int, fleetBudget, actions float64) *surge {
+func runSurge(ctx context.Context, store execution.Store, routers int, fleetBudget, actions float64) *surge {
 	s := &surge{rate: actions, span: 10 * time.Second}
 	var cleanups []func()
 	for range routers {
@@ -133,7 +133,7 @@
 	tests := []struct {
 		routers         int
 		budget, offered float64
-		least           float64 // share of the possible actions that must run
+		minShare        float64 // share of the possible actions that must run
 	}{
 		{7, 0, 150, 0.9},
 		{7, 0, 600, 0.9},
@@ -146,12 +146,12 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("%d routers budget %v offered %v", tt.routers, tt.budget, tt.offered), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := newCapped(writeCap)
-				s := offerActions(t.Context(), store, tt.routers, tt.budget, tt.offered)
+				store := newRateLimitedStore(writeCap)
+				s := runSurge(t.Context(), store, tt.routers, tt.budget, tt.offered)
 				s.log(t, store)
-				assert.Equal(t, len(s.wrong), 0, "%+v", s.wrong)
+				assert.Equal(t, len(s.unexpected), 0, "%+v", s.unexpected)
 				possible := min(tt.offered, writeCap/2) * s.span.Seconds()
-				assert.Assert(t, float64(s.ran) >= tt.least*possible, "%d", s.ran)
+				assert.Assert(t, float64(s.ran) >= tt.minShare*possible, "%d", s.ran)
 				assert.Assert(t, s.refused > 0 || tt.offered*2 <= writeCap)
 				assert.Assert(t, s.slowest <= 10*time.Millisecond, "%v", s.slowest)
 				for _, p := range store.List(t.Context(), execution.Prefix).Pairs {
--- a/coordination/execution/safety_test.go
+++ b/coordination/execution/safety_test.go
@@ -28,10 +28,10 @@
 }
 
 const (
-	fleetRouters  = 3
-	fleetKeys     = 4
-	callersPerKey = 4
-	triesPerCall  = 8
+	fleetRouters      = 3
+	fleetKeys         = 4
+	callersPerKey     = 4
+	attemptsPerCaller = 8
 )
 
 // simulate runs callers against a fleet and returns the history.
@@ -39,7 +39,7 @@
 	var h *history
 	synctest.Test(t, func(*testing.T) {
 		f := newFleet(seed, fleetRouters, r, p)
-		w := &faultInjector{fleet: f, chance: newChance(seed, 1<<32), ended: make(chan struct{})}
+		w := &faultInjector{fleet: f, random: newRandomSource(seed, 1<<32), ended: make(chan struct{})}
 		f.work.Add(1)
 		go w.run()
 		var callers sync.WaitGroup
@@ -47,7 +47,7 @@
 			callers.Add(1)
 			c := &caller{
 				fleet: f, id: i, key: fmt.Sprint("key-", i%fleetKeys), issued: time.Now(),
-				chance: newChance(seed, 1<<33+uint64(i)), tries: triesPerCall,
+				random: newRandomSource(seed, 1<<33+uint64(i)), attempts: attemptsPerCaller,
 			}
 			go c.run(&callers)
 		}
--- a/coordination/execution/token.go
+++ b/coordination/execution/token.go
@@ -20,7 +20,7 @@
 
 // States of a token.
 const (
-	tokenHeld int32 = iota
+	tokenIssued int32 = iota
 	tokenDispatched
 	tokenSettled
 )
@@ -44,7 +44,7 @@
 	if elapsed(t.claim.start) > t.limit {
 		return false
 	}
-	return t.state.CompareAndSwap(tokenHeld, tokenDispatched)
+	return t.state.CompareAndSwap(tokenIssued, tokenDispatched)
 }
 
 // settle ends the token. It panics if the token has already ended, since an
--- a/coordination/order/giver.go
+++ b/coordination/order/giver.go
@@ -104,9 +104,9 @@
 // reconcileAll runs one round for each assigned pool. A pool that is no longer
 // assigned is dropped: its lease expires, and another router can acquire it.
 func (g *Reconciler) reconcileAll(ctx context.Context) {
-	duty := make(map[coordination.Pool]bool)
+	assigned := make(map[coordination.Pool]bool)
 	for _, p := range g.pools.AssignedPools() {
-		duty[p] = true
+		assigned[p] = true
 		h := g.active[p]
 		if h == nil {
 			h = &poolReconciler{parent: g, pool: p}
@@ -115,7 +115,7 @@
 		h.reconcile(ctx)
 	}
 	for p := range g.active {
-		if !duty[p] {
+		if !assigned[p] {
 			delete(g.active, p)
 		}
 	}
--- a/coordination/order/order_test.go
+++ b/coordination/order/order_test.go
@@ -36,26 +36,26 @@
 
 // site is a pool of engines and the routers that send them orders.
 type site struct {
-	mu      sync.Mutex
-	plan    order.Plan
-	duty    map[coordination.Instance]bool
-	targets []order.Target
-	highest map[order.Target]order.FencingToken
-	state   map[order.Target]loaded
-	history []sentOrder
-	ignores bool // the engines accept outdated fencing tokens
-	loss    float64
-	random  *rand.Rand
-	frozen  map[coordination.Instance]chan struct{}
+	mu       sync.Mutex
+	plan     order.Plan
+	assigned map[coordination.Instance]bool
+	targets  []order.Target
+	highest  map[order.Target]order.FencingToken
+	state    map[order.Target]loaded
+	history  []sentOrder
+	ignores  bool // the engines accept outdated fencing tokens
+	loss     float64
+	random   *rand.Rand
+	frozen   map[coordination.Instance]chan struct{}
 }
 
 func newSite(seed uint64, engines int) *site {
 	s := &site{
-		duty:    make(map[coordination.Instance]bool),
-		highest: make(map[order.Target]order.FencingToken),
-		state:   make(map[order.Target]loaded),
-		frozen:  make(map[coordination.Instance]chan struct{}),
-		random:  rand.New(rand.NewPCG(seed, 0)),
+		assigned: make(map[coordination.Instance]bool),
+		highest:  make(map[order.Target]order.FencingToken),
+		state:    make(map[order.Target]loaded),
+		frozen:   make(map[coordination.Instance]chan struct{}),
+		random:   rand.New(rand.NewPCG(seed, 0)),
 	}
 	for n := range engines {
 		s.targets = append(s.targets, order.Target{Endpoint: coordination.Endpoint(fmt.Sprintf("e%d", n+1)), Incarnation: 1})
@@ -69,10 +69,10 @@
 	s.plan = order.Plan{{Kind: order.LoadModel, Name: "m", Version: version}, {Kind: order.LoadAdapter, Name: "a", Version: version}}
 }
 
-func (s *site) setDuty(id coordination.Instance, on bool) {
+func (s *site) setAssigned(id coordination.Instance, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.duty[id] = on
+	s.assigned[id] = on
 }
 
 // view is the site as seen by one router.
@@ -85,7 +85,7 @@
 func (v view) AssignedPools() []coordination.Pool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.duty[v.self] {
+	if v.assigned[v.self] {
 		return []coordination.Pool{"m"}
 	}
 	return nil
@@ -172,8 +172,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 4)
 		s.setPlan("1")
-		s.setDuty("r1", true)
-		s.setDuty("r2", true) // two routers are assigned the same pool
+		s.setAssigned("r1", true)
+		s.setAssigned("r2", true) // two routers are assigned the same pool
 		store := kvtest.New()
 		for _, id := range []coordination.Instance{"r1", "r2"} {
 			defer s.start(store, id, nil)()
@@ -200,14 +200,14 @@
 			old := s.plan
 			s.setPlan("2")
 			store := kvtest.New()
-			s.setDuty("r1", true)
+			s.setAssigned("r1", true)
 			wake := s.freeze("r1")
 			stop1 := s.start(store, "r1", &old)
 			time.Sleep(5 * time.Second)
-			s.setDuty("r2", true)
+			s.setAssigned("r2", true)
 			stop2 := s.start(store, "r2", nil)
 			time.Sleep(35 * time.Second)
-			s.setDuty("r1", false)
+			s.setAssigned("r1", false)
 			wake()
 			time.Sleep(2 * time.Minute)
 			stop1()
@@ -235,7 +235,7 @@
 			}
 			store.SetFaults(kvtest.Faults{LoseReply: lose})
 			for _, id := range []coordination.Instance{"r1", "r2", "r3"} {
-				s.setDuty(id, true)
+				s.setAssigned(id, true)
 				defer s.start(store, id, nil)()
 			}
 			time.Sleep(time.Minute)
