--- a/coordination/execution/lease.go
+++ b/coordination/execution/lease.go
@@ -8,25 +8,25 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// leaseHold keeps a lease from being replaced again at once after the service
-// refused it, since an outage looks the same.
-const leaseHold = time.Second
+// minLeaseAge is the age below which a lease is not replaced when the service
+// refuses it, since an outage looks the same.
+const minLeaseAge = time.Second
 
-// leases holds the lease that new records are attached to. Records of a whole
-// bucket of time share one lease, so that they cost no call for their expiry:
-// it lapses by itself and takes them with it.
-type leases struct {
+// leaseCache holds the lease that new records are attached to. All records
+// created within one leaseReusePeriod share a lease, so their expiry needs no
+// calls: when the lease expires, the service deletes them.
+type leaseCache struct {
 	mu       sync.Mutex
 	id       kv.Lease
-	granted  time.Time     // before the call that granted it
-	granting chan struct{} // closed when the grant under way has ended
+	granted  time.Time     // start of the call that granted it
+	granting chan struct{} // closed when the grant in progress ends
 }
 
-// lease returns the lease for a record that is created now, granting a new one
-// if the present one is older than the bucket.
+// lease returns the lease for a record to be created now. It grants a new lease
+// if the cached one is older than the reuse period.
 func (l *Ledger) lease(ctx context.Context) (kv.Lease, kv.Result) {
 	for {
-		id, wait := l.leases.current(l.cfg.bucket())
+		id, wait := l.leases.current(l.cfg.leaseReusePeriod())
 		if id != 0 {
 			return id, kv.Result{Status: kv.Applied}
 		}
@@ -41,9 +41,9 @@
 	}
 }
 
-// current returns a lease that may be used, or a channel that tells when the
-// grant under way has ended, or neither: the caller has to grant one then.
-func (s *leases) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
+// current returns a usable lease, or else a channel that is closed when the
+// grant in progress ends. If it returns neither, the caller must grant a lease.
+func (s *leaseCache) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id != 0 && elapsed(s.granted) < bucket {
@@ -57,14 +57,14 @@
 }
 
 func (l *Ledger) grant() (kv.Lease, kv.Result) {
-	start := time.Now() // the lease cannot have begun earlier
+	start := time.Now() // the lease cannot have started earlier
 	res := kv.Result{Status: kv.Throttled}
 	var id kv.Lease
 	if ok, _ := l.allow(); ok {
 		ctx, cancel := context.WithTimeout(l.ctx, l.cfg.CallTimeout)
 		id, res = l.cfg.Store.Grant(ctx, l.cfg.leaseTTL())
 		cancel()
-		l.note(res.Status)
+		l.recordStatus(res.Status)
 	}
 	s := &l.leases
 	s.mu.Lock()
@@ -77,19 +77,19 @@
 	return id, res
 }
 
-// drop forgets a lease after the service refused a record attached to it: the
-// service may have lost it.
-func (s *leases) drop(id kv.Lease) {
+// drop discards a lease after the service refused a record attached to it,
+// since the service may have lost the lease.
+func (s *leaseCache) drop(id kv.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.id == id && elapsed(s.granted) > leaseHold {
+	if s.id == id && elapsed(s.granted) > minLeaseAge {
 		s.id = 0
 	}
 }
 
-// elapsed returns the time since t, by the clock that went further. The
-// monotonic clock stands still while a virtual machine is suspended, and the
-// wall clock can be set back; the lease goes on lapsing in both cases.
+// elapsed returns the time since t, by whichever clock advanced further. The
+// monotonic clock stops while a virtual machine is suspended, and the wall
+// clock can be set back; the lease keeps expiring in both cases.
 func elapsed(t time.Time) time.Duration {
 	now := time.Now()
 	return max(now.Sub(t), now.Round(0).Sub(t.Round(0)))
--- a/coordination/execution/ledger_test.go
+++ b/coordination/execution/ledger_test.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// newLedger returns a ledger over store with short times.
+// newLedger returns a ledger that uses store, with a short retention.
 func newLedger(t *testing.T, store execution.Store, change func(*execution.Config)) *execution.Ledger {
 	t.Helper()
 	cfg := execution.Config{
@@ -33,19 +33,19 @@
 	return l
 }
 
-// order returns a request of now under key.
-func order(key execution.Key) execution.Request {
+// newRequest returns a request with the given key, issued now.
+func newRequest(key execution.Key) execution.Request {
 	return execution.Request{
 		Team: "solco", Key: key, IssuedAt: time.Now(), Timeout: 5 * time.Second,
 		Fingerprint: execution.FingerprintOf([]byte("book"), []byte("slot 7")),
 	}
 }
 
-// sender answers every action, and counts.
+// sender answers every action and counts the calls.
 type sender struct {
 	sent   int
 	answer string
-	result *execution.Result // instead of the answer
+	result *execution.Result // returned instead of the answer, if set
 }
 
 func (s *sender) Send(context.Context) execution.Result {
@@ -60,9 +60,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		s := &sender{answer: "booked"}
-		first := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		first := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, first.Outcome, outcome.Ran)
-		second := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		second := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, second.Outcome, outcome.Ran)
 		assert.Assert(t, second.Repeated)
 		assert.DeepEqual(t, second.Answer, first.Answer)
@@ -71,7 +71,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	other := order("k")
+	other := newRequest("k")
 	other.Fingerprint = execution.FingerprintOf([]byte("book"), []byte("slot 8"))
 	tests := []struct {
 		name    string
@@ -93,9 +93,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newLedger(t, kvtest.New(), nil)
-				held := l.Begin(t.Context(), order("k"))
+				held := l.Begin(t.Context(), newRequest("k"))
 				assert.Equal(t, held.Verdict, execution.Execute)
-				req := order("k")
+				req := newRequest("k")
 				tt.change(&req)
 				d := l.Begin(t.Context(), req)
 				assert.Equal(t, d.Verdict, tt.verdict)
@@ -108,9 +108,9 @@
 	}
 }
 
-// The create takes effect, but its answer is lost. The router must find its
-// own record, run the action, and not tell its caller to try elsewhere while
-// the key is taken.
+// The create takes effect, but its answer is lost. The router must find its own
+// record and run the action, rather than tell the caller that it was not run
+// while the key is taken.
 func TestLostCreateAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -121,50 +121,50 @@
 			return first
 		}})
 		s := &sender{}
-		res := newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		res := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
 		assert.Equal(t, s.sent, 1)
 		assert.Equal(t, store.Calls("cas"), 3)
 	})
 }
 
-// No create is ever answered, so the caller is told not-run, yet a record
-// stands. The holder frees the key as soon as the platform answers again;
-// until then a repeat could neither run nor learn anything.
+// No create is answered, so the call returns not-run although a record exists.
+// The holder must free the key as soon as the platform answers again; until
+// then a repeat can neither run nor learn the outcome.
 func TestUnansweredCreateIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		store.SetFaults(kvtest.Faults{LoseReply: func(op, _ string) bool { return op == "cas" }})
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		res := l.Run(t.Context(), order("k"), s)
+		res := l.Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.NotRun)
 		assert.Equal(t, res.Refusal.Code, outcome.PlatformUnavailable)
 		assert.Equal(t, s.sent, 0)
 		store.SetFaults(kvtest.Faults{})
 		assert.Assert(t, l.Drain(t.Context()))
-		res = newLedger(t, store, nil).Run(t.Context(), order("k"), s)
+		res = newLedger(t, store, nil).Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
 		assert.Equal(t, s.sent, 1)
 	})
 }
 
-// The platform is down for minutes. Callers are to be told at once that their
-// orders were not run and when to come back, and the routers must not meet the
-// returning service with a call for each order of the outage.
+// During a platform outage of minutes, calls must be refused immediately, as
+// not run and with a retry time. The router must not send the recovering
+// service one call for each action of the outage.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("warm"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("warm"), s).Outcome, outcome.Ran)
 		store.SetFaults(kvtest.Faults{LoseCall: func(string, string) bool { return true }})
 		for range 10 {
-			l.Run(t.Context(), order("k"), s)
+			l.Run(t.Context(), newRequest("k"), s)
 		}
 		start := time.Now()
 		for range 100 {
-			res := l.Run(t.Context(), order("k"), s)
+			res := l.Run(t.Context(), newRequest("k"), s)
 			assert.Equal(t, res.Outcome, outcome.NotRun)
 			assert.Equal(t, res.Refusal.Code, outcome.PlatformUnavailable)
 			assert.Assert(t, res.Refusal.RetryAfter > 0)
@@ -173,16 +173,17 @@
 		assert.Equal(t, s.sent, 1)
 		store.SetFaults(kvtest.Faults{})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, l.Run(t.Context(), order("k"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), s).Outcome, outcome.Ran)
 	})
 }
 
 // A router is stopped by SIGSTOP after its record was created, for longer than
-// any lease. Awake again it must not rely on a record that may be long gone.
+// any lease. After it resumes, it must not rely on a record that may have
+// expired.
 func TestFrozenHolderDoesNotDispatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
-		d := l.Begin(t.Context(), order("k"))
+		d := l.Begin(t.Context(), newRequest("k"))
 		time.Sleep(execution.DefaultDispatchLimit + time.Nanosecond)
 		assert.Assert(t, !d.Token.Dispatch())
 		assert.Assert(t, l.Abandon(d.Token))
@@ -193,7 +194,7 @@
 func TestTokenDispatchesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
-		token := l.Begin(t.Context(), order("k")).Token
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		assert.Assert(t, !token.Dispatch())
 		l.Finish(token, outcome.Ran, nil)
@@ -203,14 +204,14 @@
 	})
 }
 
-// The platform goes down between the dispatch of an order and its end. The
-// caller gets the answer all the same, and a repeat gets it, too, once the
+// The platform goes down between the dispatch of an action and its end. The
+// caller must still get the answer, and a repeat must get it too once the
 // platform is back.
 func TestFinishOutlastsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
-		token := l.Begin(t.Context(), order("k")).Token
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		store.SetFaults(kvtest.Faults{Down: true})
 		start := time.Now()
@@ -219,23 +220,23 @@
 		time.Sleep(5 * time.Minute)
 		store.SetFaults(kvtest.Faults{})
 		assert.Assert(t, l.Drain(t.Context()))
-		res := newLedger(t, store, nil).Run(t.Context(), order("k"), &sender{})
+		res := newLedger(t, store, nil).Run(t.Context(), newRequest("k"), &sender{})
 		assert.Equal(t, string(res.Answer.Body), "booked")
 	})
 }
 
-// A key's record must stand for as long as any router accepts the key: were it
-// gone a moment earlier, a late repeat would run the order again. The holder's
-// lease is nearly as old as it may be when the record is created.
+// The record of a key must exist for as long as any router accepts the key: if
+// it expired earlier, a late repeat would run the action again. In the test,
+// the holder's lease is almost at its maximum age when the record is created.
 func TestRecordOutlivesKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		l.Run(t.Context(), order("first"), s)
+		l.Run(t.Context(), newRequest("first"), s)
 		time.Sleep(retention/4 - time.Second)
-		req := order("k")
-		req.IssuedAt = req.IssuedAt.Add(5 * time.Second) // a caller whose clock is ahead
+		req := newRequest("k")
+		req.IssuedAt = req.IssuedAt.Add(5 * time.Second) // the caller's clock is ahead
 		assert.Equal(t, l.Run(t.Context(), req, s).Outcome, outcome.Ran)
 		assert.Equal(t, store.Calls("grant"), 1)
 		for range retention / time.Second {
@@ -250,43 +251,43 @@
 	})
 }
 
-// lapsing is a service that has lost its leases, as after a restore.
-type lapsing struct {
+// lostLeaseStore is a service that has lost its leases, as after a restore.
+type lostLeaseStore struct {
 	*kvtest.Store
 	lost bool
 }
 
-func (s *lapsing) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (s *lostLeaseStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	if s.lost && lease == 1 {
 		return kv.Result{Status: kv.Unavailable}
 	}
 	return s.Store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// The service no longer knows the lease that a router attaches its records to.
-// If the router kept it, all orders would be refused for hours.
+// The service no longer knows the lease to which a router attaches its records.
+// If the router kept using it, all actions would be refused for hours.
 func TestLostLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &lapsing{Store: kvtest.New()}
+		store := &lostLeaseStore{Store: kvtest.New()}
 		l := newLedger(t, store, nil)
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("a"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("a"), s).Outcome, outcome.Ran)
 		store.lost = true
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, l.Run(t.Context(), order("b"), s).Outcome, outcome.NotRun)
-		assert.Equal(t, l.Run(t.Context(), order("b"), s).Outcome, outcome.Ran)
+		assert.Equal(t, l.Run(t.Context(), newRequest("b"), s).Outcome, outcome.NotRun)
+		assert.Equal(t, l.Run(t.Context(), newRequest("b"), s).Outcome, outcome.Ran)
 		assert.Equal(t, store.Calls("grant"), 2)
 	})
 }
 
-// The service's answer is larger than what is kept. A repeat must still learn
-// that the order ran.
+// The answer is larger than the limit for stored answers. A repeat must still
+// learn that the action ran.
 func TestLargeAnswerIsNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		s := &sender{answer: "booked"}
-		req := order("k")
-		req.Rules = execution.Rules{Retention: retention, KeepLimit: 4}
+		req := newRequest("k")
+		req.Rules = execution.Rules{Retention: retention, AnswerLimit: 4}
 		assert.Equal(t, string(l.Run(t.Context(), req, s).Answer.Body), "booked")
 		res := l.Run(t.Context(), req, s)
 		assert.Equal(t, res.Outcome, outcome.Ran)
@@ -296,14 +297,15 @@
 	})
 }
 
-// The connection to the service broke after the order was sent. Nobody will
-// ever know, and a repeat must be told so rather than be run.
-func TestUnknownEndIsKept(t *testing.T) {
+// The connection to the service broke after the action was sent, so its outcome
+// cannot be determined. A repeat must be told so rather than run the action
+// again.
+func TestUnknownOutcomeIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		s := &sender{result: &execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}}
-		assert.Equal(t, l.Run(t.Context(), order("k"), s).Outcome, outcome.Unknown)
-		res := l.Run(t.Context(), order("k"), s)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), s).Outcome, outcome.Unknown)
+		res := l.Run(t.Context(), newRequest("k"), s)
 		assert.Equal(t, res.Outcome, outcome.Unknown)
 		assert.Equal(t, res.Refusal.Code, outcome.EndpointLost)
 		assert.Equal(t, s.sent, 1)
@@ -314,15 +316,16 @@
 
 func (panicking) Send(context.Context) execution.Result { panic("boom") }
 
-// A fault in the sending code strikes when the order may be out already.
+// The sender panics when the action may already have been sent, so the outcome
+// must be unknown.
 func TestPanicWhileSendingIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), nil)
 		func() {
 			defer func() { assert.Equal(t, recover(), "boom") }()
-			l.Run(t.Context(), order("k"), panicking{})
+			l.Run(t.Context(), newRequest("k"), panicking{})
 		}()
-		assert.Equal(t, l.Run(t.Context(), order("k"), &sender{}).Outcome, outcome.Unknown)
+		assert.Equal(t, l.Run(t.Context(), newRequest("k"), &sender{}).Outcome, outcome.Unknown)
 		assert.Equal(t, l.Open(), 0)
 	})
 }
@@ -330,18 +333,18 @@
 func TestOpenRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLedger(t, kvtest.New(), func(c *execution.Config) { c.MaxOpen = 1 })
-		held := l.Begin(t.Context(), order("a"))
+		held := l.Begin(t.Context(), newRequest("a"))
 		assert.Equal(t, held.Verdict, execution.Execute)
-		d := l.Begin(t.Context(), order("b"))
+		d := l.Begin(t.Context(), newRequest("b"))
 		assert.Equal(t, d.Refusal.Code, outcome.Overloaded)
 		l.Abandon(held.Token)
-		assert.Equal(t, l.Begin(t.Context(), order("b")).Verdict, execution.Execute)
+		assert.Equal(t, l.Begin(t.Context(), newRequest("b")).Verdict, execution.Execute)
 	})
 }
 
-type allowance struct{ left int }
+type fixedBudget struct{ left int }
 
-func (a *allowance) Allow(budget.Class) (bool, time.Duration) {
+func (a *fixedBudget) Allow(budget.Class) (bool, time.Duration) {
 	a.left--
 	return a.left >= 0, 3 * time.Second
 }
@@ -349,10 +352,10 @@
 func TestBudgetRefusesBeforeCalling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
-		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &allowance{left: 3} })
+		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &fixedBudget{left: 3} })
 		s := &sender{}
-		assert.Equal(t, l.Run(t.Context(), order("a"), s).Outcome, outcome.Ran)
-		res := l.Run(t.Context(), order("b"), s)
+		assert.Equal(t, l.Run(t.Context(), newRequest("a"), s).Outcome, outcome.Ran)
+		res := l.Run(t.Context(), newRequest("b"), s)
 		assert.Equal(t, res.Outcome, outcome.NotRun)
 		assert.Equal(t, res.Refusal.Code, outcome.Overloaded)
 		assert.Equal(t, res.Refusal.RetryAfter, 3*time.Second)
@@ -360,13 +363,14 @@
 	})
 }
 
-// New actions use up the budget while the end of one that ran could not be
-// written at first. Its caller's repeats must not wait for the surge to end.
+// New actions use up the budget after the first attempt to finish an earlier
+// action failed. The retries must succeed before the surge ends, since repeats
+// of that action stay in progress until then.
 func TestBudgetDoesNotStarveFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
-		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &allowance{left: 3} })
-		token := l.Begin(t.Context(), order("k")).Token
+		l := newLedger(t, store, func(c *execution.Config) { c.Budget = &fixedBudget{left: 3} })
+		token := l.Begin(t.Context(), newRequest("k")).Token
 		assert.Assert(t, token.Dispatch())
 		store.SetFaults(kvtest.Faults{Down: true})
 		l.Finish(token, outcome.Ran, nil)
@@ -390,7 +394,7 @@
 	}
 }
 
-func TestDecodeRecordRefusesForeign(t *testing.T) {
+func TestDecodeRecordRejectsInvalid(t *testing.T) {
 	for _, b := range []string{"", "{}", "\xa0", "\xa1\x01\x02"} {
 		_, err := execution.DecodeRecord([]byte(b))
 		assert.ErrorContains(t, err, "execution: ")
--- a/coordination/execution/rate_test.go
+++ b/coordination/execution/rate_test.go
@@ -20,19 +20,19 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// capped is a service that takes a number of writes a second and answers in
-// milliseconds.
-type capped struct {
+// rateLimitedStore is a service that accepts a limited number of writes a
+// second and answers within milliseconds.
+type rateLimitedStore struct {
 	*kvtest.Store
 	limit   *rate.Limiter
-	offered atomic.Int64 // writes, those refused included
+	offered atomic.Int64 // write attempts, including refused ones
 }
 
-func newCapped(writes float64) *capped {
-	return &capped{Store: kvtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
+func newRateLimitedStore(writes float64) *rateLimitedStore {
+	return &rateLimitedStore{Store: kvtest.New(), limit: rate.NewLimiter(rate.Limit(writes), int(writes/10))}
 }
 
-func (s *capped) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (s *rateLimitedStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	time.Sleep(3 * time.Millisecond)
 	s.offered.Add(1)
 	if !s.limit.Allow() {
@@ -41,48 +41,49 @@
 	return s.Store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// surge is a stream of actions to some routers, each under a key of its own.
+// surge sends actions to several routers at a fixed rate, each with its own
+// key.
 type surge struct {
 	ledgers []*execution.Ledger
-	rate    float64 // actions a second, all routers together
+	rate    float64 // actions a second over all routers
 	span    time.Duration
 
-	mu      sync.Mutex
-	ran     int
-	refused int
-	slowest time.Duration // of the refusals
-	wrong   []execution.Result
+	mu         sync.Mutex
+	ran        int
+	refused    int
+	slowest    time.Duration // longest time of a refused call
+	unexpected []execution.Result
 }
 
-// run offers the actions and waits until all have been answered.
+// run sends the actions and waits until all are answered.
 func (s *surge) run(ctx context.Context) {
 	var work sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 1))
 	n := int(s.rate * s.span.Seconds())
 	for i := range n {
 		work.Add(1)
-		go (&offer{surge: s, ledger: s.ledgers[random.IntN(len(s.ledgers))], key: fmt.Sprint(i)}).run(ctx, &work)
+		go (&surgeAction{surge: s, ledger: s.ledgers[random.IntN(len(s.ledgers))], key: fmt.Sprint(i)}).run(ctx, &work)
 		time.Sleep(time.Duration(float64(time.Second) / s.rate))
 	}
 	work.Wait()
 }
 
-// offer is one action of a surge, which takes its service 20 ms.
-type offer struct {
+// surgeAction is one action of a surge. The service takes 20 ms to run it.
+type surgeAction struct {
 	surge  *surge
 	ledger *execution.Ledger
 	key    string
 }
 
-func (o *offer) Send(context.Context) execution.Result {
+func (o *surgeAction) Send(context.Context) execution.Result {
 	time.Sleep(20 * time.Millisecond)
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: []byte("booked")}}
 }
 
-func (o *offer) run(ctx context.Context, work *sync.WaitGroup) {
+func (o *surgeAction) run(ctx context.Context, work *sync.WaitGroup) {
 	defer work.Done()
 	start := time.Now()
-	res := o.ledger.Run(ctx, order(execution.Key(o.key)), o)
+	res := o.ledger.Run(ctx, newRequest(execution.Key(o.key)), o)
 	took := time.Since(start)
 	s := o.surge
 	s.mu.Lock()
@@ -94,16 +95,16 @@
 		s.refused++
 		s.slowest = max(s.slowest, took)
 	default:
-		s.wrong = append(s.wrong, res)
+		s.unexpected = append(s.unexpected, res)
 	}
 }
 
-// writeCap is what the service takes, in writes a second.
+// writeCap is the rate that the service accepts, in writes a second.
 const writeCap = 300
 
-// offerActions makes a surge against a capped service. Each router has its
-// share of a budget, unless that is zero.
-func offerActions(ctx context.Context, store execution.Store, routers int, fleetBudget, actions float64) *surge {
+// runSurge runs a surge against a rate-limited service. Each router gets
+// its share of fleetBudget; zero means no budget.
+func runSurge(ctx context.Context, store execution.Store, routers int, fleetBudget, actions float64) *surge {
 	s := &surge{rate: actions, span: 10 * time.Second}
 	var cleanups []func()
 	for range routers {
@@ -125,14 +126,14 @@
 	return s
 }
 
-// More orders come than the platform can put on record. What is beyond its
-// rate has to be refused before it waits for anything, truly not run, and with
-// a time to come back; what was begun has to be finished.
+// More actions arrive than the platform can record. Those above its rate must
+// be refused before they wait for anything, as not run and with a retry time,
+// and those that were begun must be finished.
 func TestSurgeBeyondWriteRate(t *testing.T) {
 	tests := []struct {
 		routers         int
 		budget, offered float64
-		least           float64 // part of what is possible that has to run
+		minShare        float64 // share of the possible actions that must run
 	}{
 		{7, 0, 150, 0.9},
 		{7, 0, 600, 0.9},
@@ -145,12 +146,12 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("%d routers budget %v offered %v", tt.routers, tt.budget, tt.offered), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := newCapped(writeCap)
-				s := offerActions(t.Context(), store, tt.routers, tt.budget, tt.offered)
+				store := newRateLimitedStore(writeCap)
+				s := runSurge(t.Context(), store, tt.routers, tt.budget, tt.offered)
 				s.log(t, store)
-				assert.Equal(t, len(s.wrong), 0, "%+v", s.wrong)
+				assert.Equal(t, len(s.unexpected), 0, "%+v", s.unexpected)
 				possible := min(tt.offered, writeCap/2) * s.span.Seconds()
-				assert.Assert(t, float64(s.ran) >= tt.least*possible, "%d", s.ran)
+				assert.Assert(t, float64(s.ran) >= tt.minShare*possible, "%d", s.ran)
 				assert.Assert(t, s.refused > 0 || tt.offered*2 <= writeCap)
 				assert.Assert(t, s.slowest <= 10*time.Millisecond, "%v", s.slowest)
 				for _, p := range store.List(t.Context(), execution.Prefix).Pairs {
@@ -163,7 +164,7 @@
 	}
 }
 
-func (s *surge) log(t *testing.T, store *capped) {
+func (s *surge) log(t *testing.T, store *rateLimitedStore) {
 	span := s.span.Seconds()
 	t.Logf("ran %.0f/s, refused %.0f/s, slowest refusal %v, writes offered per action run %.2f",
 		float64(s.ran)/span, float64(s.refused)/span, s.slowest, float64(store.offered.Load())/float64(s.ran))
--- a/coordination/order/order_test.go
+++ b/coordination/order/order_test.go
@@ -16,45 +16,46 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// given is one order as an engine got it.
-type given struct {
+// sentOrder is an order as an engine received it.
+type sentOrder struct {
 	at      time.Time
-	fencing order.Fencing
+	fencing order.FencingToken
 	order   order.Order
 	target  order.Target
 }
 
-// part is one piece of an engine's state, and loaded the version of each. An
-// order that comes twice changes nothing.
-type part struct {
+// stateKey identifies one piece of an engine's state.
+type stateKey struct {
 	kind order.Kind
 	name string
 }
 
-type loaded map[part]string
+// loaded holds the version of each piece of state of an engine. A repeated
+// order changes nothing.
+type loaded map[stateKey]string
 
-// site is a pool of engines with the routers that give them orders.
+// site is a pool of engines and the routers that send them orders.
 type site struct {
-	mu      sync.Mutex
-	plan    order.Plan
-	duty    map[coordination.Instance]bool
-	targets []order.Target
-	highest map[order.Target]order.Fencing
-	state   map[order.Target]loaded
-	history []given
-	ignores bool // the engines take old fencing numbers
-	loss    float64
-	random  *rand.Rand
-	frozen  map[coordination.Instance]chan struct{}
+	mu       sync.Mutex
+	plan     order.Plan
+	assigned map[coordination.Instance]bool
+	targets  []order.Target
+	highest  map[order.Target]order.FencingToken
+	state    map[order.Target]loaded
+	history  []sentOrder
+	ignores  bool // the engines accept outdated fencing tokens
+	loss     float64
+	random   *rand.Rand
+	frozen   map[coordination.Instance]chan struct{}
 }
 
 func newSite(seed uint64, engines int) *site {
 	s := &site{
-		duty:    make(map[coordination.Instance]bool),
-		highest: make(map[order.Target]order.Fencing),
-		state:   make(map[order.Target]loaded),
-		frozen:  make(map[coordination.Instance]chan struct{}),
-		random:  rand.New(rand.NewPCG(seed, 0)),
+		assigned: make(map[coordination.Instance]bool),
+		highest:  make(map[order.Target]order.FencingToken),
+		state:    make(map[order.Target]loaded),
+		frozen:   make(map[coordination.Instance]chan struct{}),
+		random:   rand.New(rand.NewPCG(seed, 0)),
 	}
 	for n := range engines {
 		s.targets = append(s.targets, order.Target{Endpoint: coordination.Endpoint(fmt.Sprintf("e%d", n+1)), Incarnation: 1})
@@ -68,23 +69,23 @@
 	s.plan = order.Plan{{Kind: order.LoadModel, Name: "m", Version: version}, {Kind: order.LoadAdapter, Name: "a", Version: version}}
 }
 
-func (s *site) setDuty(id coordination.Instance, on bool) {
+func (s *site) setAssigned(id coordination.Instance, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.duty[id] = on
+	s.assigned[id] = on
 }
 
-// view is the site as one router sees it.
+// view is the site as seen by one router.
 type view struct {
 	*site
 	self coordination.Instance
-	old  *order.Plan // what a router with old settings goes by
+	old  *order.Plan // plan of a router with outdated settings
 }
 
-func (v view) Duties() []coordination.Pool {
+func (v view) AssignedPools() []coordination.Pool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.duty[v.self] {
+	if v.assigned[v.self] {
 		return []coordination.Pool{"m"}
 	}
 	return nil
@@ -101,9 +102,9 @@
 	return v.plan
 }
 
-// Order implements order.Engines. A router that is frozen has its order on the
-// way until it wakes.
-func (v view) Order(ctx context.Context, t order.Target, o order.Order, f order.Fencing) order.Result {
+// Order implements order.EngineClient. The order of a frozen router stays in
+// transit until the router resumes.
+func (v view) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
 	v.mu.Lock()
 	frozen := v.frozen[v.self]
 	v.mu.Unlock()
@@ -119,8 +120,8 @@
 	if v.state[t] == nil {
 		v.state[t] = make(loaded)
 	}
-	v.state[t][part{o.Kind, o.Name}] = o.Version
-	v.history = append(v.history, given{at: time.Now(), fencing: f, order: o, target: t})
+	v.state[t][stateKey{o.Kind, o.Name}] = o.Version
+	v.history = append(v.history, sentOrder{at: time.Now(), fencing: f, order: o, target: t})
 	if v.random.Float64() < v.loss {
 		return order.Unknown
 	}
@@ -140,15 +141,15 @@
 	}
 }
 
-// problems checks the history: the numbers at an engine that checks them never
-// fall, heavy orders keep their pace, and every engine ends in the plan.
+// problems checks that orders are at least pace apart and that every engine
+// ends in the state of the plan.
 func (s *site) problems(pace time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []string
 	for _, t := range s.targets {
 		for _, o := range s.plan {
-			if got := s.state[t][part{o.Kind, o.Name}]; got != o.Version {
+			if got := s.state[t][stateKey{o.Kind, o.Name}]; got != o.Version {
 				found = append(found, fmt.Sprintf("%s ends with %s %s at %q, want %q", t.Endpoint, o.Kind, o.Name, got, o.Version))
 			}
 		}
@@ -171,8 +172,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 4)
 		s.setPlan("1")
-		s.setDuty("r1", true)
-		s.setDuty("r2", true) // two routers think that it is theirs
+		s.setAssigned("r1", true)
+		s.setAssigned("r2", true) // two routers are assigned the same pool
 		store := kvtest.New()
 		for _, id := range []coordination.Instance{"r1", "r2"} {
 			defer s.start(store, id, nil)()
@@ -185,11 +186,12 @@
 	})
 }
 
-// A holder is frozen with an order of old settings on its way, for longer than
-// its lease. Another router takes over with newer settings. Then the first one
-// wakes, and its order arrives: an engine that ignores fencing numbers carries
-// it out, and users would be served by an old version for good.
-func TestFrozenHolderDoesNotHaveTheLastWord(t *testing.T) {
+// A holder is frozen, with an order from outdated settings in transit, for
+// longer than its lease. Another router takes over with newer settings. Then
+// the first one resumes and its order arrives. An engine that ignores fencing
+// tokens carries it out, and would serve the outdated version permanently if
+// the new holder did not send its orders again.
+func TestOrderOfFrozenHolderIsOverwritten(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSite(2, 3)
@@ -198,14 +200,14 @@
 			old := s.plan
 			s.setPlan("2")
 			store := kvtest.New()
-			s.setDuty("r1", true)
+			s.setAssigned("r1", true)
 			wake := s.freeze("r1")
 			stop1 := s.start(store, "r1", &old)
 			time.Sleep(5 * time.Second)
-			s.setDuty("r2", true)
+			s.setAssigned("r2", true)
 			stop2 := s.start(store, "r2", nil)
 			time.Sleep(35 * time.Second)
-			s.setDuty("r1", false)
+			s.setAssigned("r1", false)
 			wake()
 			time.Sleep(2 * time.Minute)
 			stop1()
@@ -215,8 +217,8 @@
 	}
 }
 
-// Answers of engines and of the platform are lost, and the platform is down for
-// a while. Orders are given again until they are known to be taken.
+// Answers of engines and of the platform are lost, and the platform has an
+// outage. Orders must be sent again until they are acknowledged.
 func TestLostAnswers(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -233,7 +235,7 @@
 			}
 			store.SetFaults(kvtest.Faults{LoseReply: lose})
 			for _, id := range []coordination.Instance{"r1", "r2", "r3"} {
-				s.setDuty(id, true)
+				s.setAssigned(id, true)
 				defer s.start(store, id, nil)()
 			}
 			time.Sleep(time.Minute)
@@ -247,9 +249,9 @@
 	}
 }
 
-// The check has to see an engine that is left behind and loads that come too
-// close together, or its silence means nothing.
-func TestCheckCatchesPlantedFaults(t *testing.T) {
+// The check must detect an engine that was left out and loads that come too
+// close together; otherwise its passing proves nothing.
+func TestCheckCatchesInjectedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 2)
 		s.setPlan("1")
