--- a/coordination/execution/refusal.go
+++ b/coordination/execution/refusal.go
@@ -30,12 +30,12 @@
 	if s == kv.Throttled {
 		return throttled(retryAfterThrottle)
 	}
-	return refused(outcome.PlatformUnavailable, "the execution record could not be created; retry with the same key", retryAfterOutage)
+	return refused(outcome.PlatformUnavailable, "the action could not be put on record; repeat with the same key", retryAfterOutage)
 }
 
 // throttled refuses an action that exceeds the rate that the platform allows.
 func throttled(after time.Duration) Decision {
-	return refused(outcome.Overloaded, "the action rate limit is exceeded; retry with the same key", after)
+	return refused(outcome.Overloaded, "the rate of actions is at its limit; repeat with the same key", after)
 }
 
 // expired refuses a key whose record may have expired. The result of an earlier
@@ -43,7 +43,7 @@
 func expired(retention time.Duration) Decision {
 	return Decision{Verdict: Expired, Refusal: &outcome.Refusal{
 		Code:       outcome.KeyExpired,
-		Message:    fmt.Sprintf("the idempotency key is older than %v; check whether an earlier attempt ran before using a new key", retention),
+		Message:    fmt.Sprintf("the idempotency key is older than %v; find out whether an earlier try ran before using a new key", retention),
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterFinal,
 	}}
@@ -52,7 +52,7 @@
 func fromFuture(ahead time.Duration) Decision {
 	return Decision{Verdict: FromFuture, Refusal: &outcome.Refusal{
 		Code:       outcome.Malformed,
-		Message:    "the idempotency key was issued in the future; check the clock of the caller",
+		Message:    "the idempotency key was issued in the future; check the clock",
 		Outcome:    outcome.NotRun,
 		RetryAfter: ahead,
 	}}
@@ -61,7 +61,7 @@
 func keyReused() Decision {
 	return Decision{Verdict: KeyReused, Refusal: &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the idempotency key was used for a different request",
+		Message:    "the idempotency key belongs to another request",
 		Outcome:    outcome.NotRun,
 		RetryAfter: retryAfterFinal,
 	}}
@@ -72,7 +72,7 @@
 func unreadable() Decision {
 	return Decision{Verdict: Refused, Refusal: &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the execution record of this idempotency key cannot be decoded",
+		Message:    "the record of this idempotency key cannot be read",
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterSilentHolder,
 	}}
@@ -83,12 +83,12 @@
 func inProgress(r Record) Decision {
 	refusal := &outcome.Refusal{
 		Code:       outcome.InProgress,
-		Message:    "an earlier attempt with this key is in progress; retry to get its answer",
+		Message:    "an earlier try with this key is being run; repeat to get its answer",
 		Outcome:    outcome.Unknown,
 		RetryAfter: retryAfterInProgress,
 	}
 	if toUnixMilli(time.Now()) > r.Deadline {
-		refusal.Message = fmt.Sprintf("router %s has not reported the outcome of an earlier attempt with this key; it may have run", r.Holder)
+		refusal.Message = fmt.Sprintf("an earlier try with this key has not been reported by router %s; it may have run", r.Holder)
 		refusal.RetryAfter = retryAfterSilentHolder
 	}
 	return Decision{Verdict: InProgress, Record: r, Refusal: refusal}
@@ -99,7 +99,7 @@
 func tooLate() *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Deadline,
-		Message:    "the router did not send the action in time; retry with the same key",
+		Message:    "the router was too slow to send the action; repeat with the same key",
 		Outcome:    outcome.NotRun,
 		RetryAfter: retryAfterThrottle,
 	}
@@ -110,7 +110,7 @@
 func answerNotKept() *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Conflict,
-		Message:    "the action ran; its answer was too large to store",
+		Message:    "the action ran; its answer was too large to keep",
 		Outcome:    outcome.Ran,
 		RetryAfter: retryAfterFinal,
 	}
