--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -35,9 +35,9 @@
 }
 
 func benchControl(b *testing.B, members, rate int) {
-	f := newFabric(1)
-	f.fill(members, 2, 3, Config{Topics: testTopics})
-	start := f.up(b)
+	f := newSimNetwork(1)
+	f.addNodes(members, 2, 3, Config{Topics: testTopics})
+	start := f.startAll(b)
 	f.run(20 * time.Second)
 	f.size = encodedSize
 	f.cpu = 0
@@ -71,11 +71,11 @@
 
 // worstSpread returns the longest time that one of ten rumours takes to reach
 // all members.
-func worstSpread(b *testing.B, f *fabric) time.Duration {
+func worstSpread(b *testing.B, f *simNetwork) time.Duration {
 	var worst time.Duration
 	for i := range 10 {
 		f.nodes[i%len(f.nodes)].machine.Broadcast(f.now, "load", "spread", uint64(i+1), nil)
-		worst = max(worst, f.runUntil(b, time.Minute, "rumour everywhere", f.has("load", "spread", uint64(i+1))))
+		worst = max(worst, f.runUntil(b, time.Minute, "rumour everywhere", f.allHave("load", "spread", uint64(i+1))))
 	}
 	return worst
 }
@@ -86,9 +86,9 @@
 	for _, members := range []int{30, 330} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			for range b.N {
-				f := newFabric(1)
-				f.fill(members, 2, 3, Config{Topics: testTopics})
-				f.up(b)
+				f := newSimNetwork(1)
+				f.addNodes(members, 2, 3, Config{Topics: testTopics})
+				f.startAll(b)
 				f.partition(func(n *node) bool { return n.self.Region == "region-0" })
 				f.run(2 * time.Minute)
 				f.heal()
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -14,40 +14,40 @@
 	// Topics tells how rumours spread; a topic that is missing is soft and
 	// has DefaultTTL.
 	Topics map[string]Topic
-	// Heartbeat is the time between heartbeats on a link; 1 s.
-	Heartbeat time.Duration
+	// HeartbeatInterval is the time between heartbeats on a link; 1 s.
+	HeartbeatInterval time.Duration
 	// ProbeAfter is the silence after which a neighbour is probed; 3 s.
 	ProbeAfter time.Duration
 	// ProbeTimeout is the time that probes have for an answer; 2 s.
 	ProbeTimeout time.Duration
-	// Suspicion is the time that a suspect has to refute; 6 s.
-	Suspicion time.Duration
+	// SuspicionTimeout is the time that a suspect has to refute; 6 s.
+	SuspicionTimeout time.Duration
 	// ForgetAfter is the time for which dead members are kept, and tried from
 	// time to time; 30 min.
 	ForgetAfter time.Duration
-	// SearchInterval is the time between two attempts to reach a dead member
+	// ReconnectInterval is the time between two attempts to reach a dead member
 	// or a missing seed; 10 s.
-	SearchInterval time.Duration
+	ReconnectInterval time.Duration
 	// RepairInterval is the least time between two comparisons of a table
 	// with others; 1 s, and five times that for soft rumours.
 	RepairInterval time.Duration
-	// Budget is the rate of gossip in bytes per second over which soft
+	// BytesPerSecond is the rate of gossip in bytes per second over which soft
 	// rumours are shed; 12,000.
-	Budget int
+	BytesPerSecond int
 	// MaxMembers bounds the table; 8192.
 	MaxMembers int
 	// MaxRumors bounds the rumours held, as far as soft ones go; 8192.
 	MaxRumors int
-	// MaxKept bounds the kept rumours held beyond MaxRumors; 8192.
-	MaxKept int
+	// MaxPersistentRumors bounds the kept rumours held beyond MaxRumors; 8192.
+	MaxPersistentRumors int
 	// Seed makes random choices repeatable.
 	Seed uint64
 }
 
 // Topic tells how the rumours of a topic spread.
 type Topic struct {
-	// Keep means that rumours of the topic are never shed or expire.
-	Keep bool
+	// Persistent means that rumours of the topic are never shed or expire.
+	Persistent bool
 	// TTL is the life of a soft rumour; DefaultTTL.
 	TTL time.Duration
 }
@@ -56,53 +56,53 @@
 const DefaultTTL = 30 * time.Second
 
 const (
-	helpers       = 3        // members asked to probe for us
-	maxName       = 256      // bytes of an instance, address, topic or key
-	maxCount      = 1 << 62  // incarnation and version, which must be able to rise
-	maxRecords    = 64       // records of members in one message
-	leastRecords  = 8        // the same, where many wait for more
-	usualRecord   = 90       // bytes of a record of a live member
-	maxRumors     = 64       // rumours in one message
-	maxRumorBytes = 16 << 10 // payloads of rumours in one message
-	// recordPace is the rate of records of members over the byte budget, when
+	maxHelpers         = 3        // members asked to probe for us
+	maxName            = 256      // bytes of an instance, address, topic or key
+	maxCounter         = 1 << 62  // incarnation and version, which must be able to rise
+	maxRecords         = 64       // records of members in one message
+	minRecords         = 8        // the same, where many wait for more
+	typicalRecordBytes = 90       // bytes of a record of a live member
+	maxRumors          = 64       // rumours in one message
+	maxRumorBytes      = 16 << 10 // payloads of rumours in one message
+	// recordRateFactor is the rate of records of members over the byte budget, when
 	// a large part of the fleet is new or back.
-	recordPace   = 10
-	linger       = 10 * time.Second // for which an unwanted neighbour stays one
-	backoffFirst = 500 * time.Millisecond
-	backoffMost  = 15 * time.Second
-	// secondDial is how long the member with the higher name waits for the
+	recordRateFactor    = 10
+	neighborGracePeriod = 10 * time.Second // for which an unwanted neighbour stays one
+	minBackoff          = 500 * time.Millisecond
+	maxBackoff          = 15 * time.Second
+	// dialDeferral is how long the member with the higher name waits for the
 	// other to dial, so that a pair rarely dials at once.
-	secondDial = time.Second
-	// pauseGap is the time between two ticks from which on the process is
+	dialDeferral = time.Second
+	// pauseThreshold is the time between two ticks from which on the process is
 	// taken to have been paused.
-	pauseGap = 1500 * time.Millisecond
-	// tombstone is how long an expired rumour's version is remembered, lest a
+	pauseThreshold = 1500 * time.Millisecond
+	// tombstoneTTL is how long an expired rumour's version is remembered, lest a
 	// slow neighbour bring back an older one.
-	tombstone = 15 * time.Second
+	tombstoneTTL = 15 * time.Second
 )
 
 func (c Config) withDefaults() Config {
-	setDuration(&c.Heartbeat, time.Second)
-	setDuration(&c.ProbeAfter, 3*time.Second)
-	setDuration(&c.ProbeTimeout, 2*time.Second)
-	setDuration(&c.Suspicion, 6*time.Second)
-	setDuration(&c.ForgetAfter, 30*time.Minute)
-	setDuration(&c.SearchInterval, 10*time.Second)
-	setDuration(&c.RepairInterval, time.Second)
-	setInt(&c.Budget, 12000)
-	setInt(&c.MaxMembers, 8192)
-	setInt(&c.MaxRumors, 8192)
-	setInt(&c.MaxKept, 8192)
+	setDefaultDuration(&c.HeartbeatInterval, time.Second)
+	setDefaultDuration(&c.ProbeAfter, 3*time.Second)
+	setDefaultDuration(&c.ProbeTimeout, 2*time.Second)
+	setDefaultDuration(&c.SuspicionTimeout, 6*time.Second)
+	setDefaultDuration(&c.ForgetAfter, 30*time.Minute)
+	setDefaultDuration(&c.ReconnectInterval, 10*time.Second)
+	setDefaultDuration(&c.RepairInterval, time.Second)
+	setDefaultInt(&c.BytesPerSecond, 12000)
+	setDefaultInt(&c.MaxMembers, 8192)
+	setDefaultInt(&c.MaxRumors, 8192)
+	setDefaultInt(&c.MaxPersistentRumors, 8192)
 	return c
 }
 
-func setDuration(d *time.Duration, value time.Duration) {
+func setDefaultDuration(d *time.Duration, value time.Duration) {
 	if *d == 0 {
 		*d = value
 	}
 }
 
-func setInt(n *int, value int) {
+func setDefaultInt(n *int, value int) {
 	if *n == 0 {
 		*n = value
 	}
--- a/coordination/membership/digest.go
+++ b/coordination/membership/digest.go
@@ -19,13 +19,13 @@
 
 const (
 	rowBytes = 12
-	// settle is the age from which on a soft rumour is compared. Younger
+	// minCompareAge is the age from which on a soft rumour is compared. Younger
 	// ones are still on their way, and would make all tables differ always.
-	settle = 3 * time.Second
-	// answerTime is the time in which a comparison should bring the first
+	minCompareAge = 3 * time.Second
+	// firstReplyTimeout is the time in which a comparison should bring the first
 	// repairs. It is much shorter than the interval between comparisons, or
 	// all members would always wait for each other.
-	answerTime = 300 * time.Millisecond
+	firstReplyTimeout = 300 * time.Millisecond
 	// maxRows bounds a listing.
 	maxRows = 2048
 )
@@ -44,7 +44,7 @@
 func (m *Machine) view(t Table) *view {
 	v := &m.views[t]
 	// Soft rumours change all the time, and enter the view by their age.
-	if v.valid && (t != SoftTable || m.now.Sub(v.at) < m.cfg.Heartbeat) {
+	if v.valid && (t != EphemeralTable || m.now.Sub(v.at) < m.cfg.HeartbeatInterval) {
 		return v
 	}
 	v.rows = m.rows(t, v.rows[:0])
@@ -66,7 +66,7 @@
 		return m.memberRows(rows)
 	}
 	for k, r := range m.rumors {
-		if r.keep != (t == KeptTable) || !r.keep && (m.now.Sub(r.arrived) < settle || !r.live(m.now)) {
+		if r.persistent != (t == PersistentTable) || !r.persistent && (m.now.Sub(r.arrived) < minCompareAge || !r.live(m.now)) {
 			continue
 		}
 		rows = append(rows, row{key: r.hash, stamp: r.Version, rumor: k})
@@ -88,7 +88,7 @@
 }
 
 func memberRow(e *entry) row {
-	return row{key: uint32(hash(string(e.Instance))), stamp: e.stamp(), member: e.Instance}
+	return row{key: uint32(hash(string(e.Instance))), stamp: e.versionStamp(), member: e.Instance}
 }
 
 // fingerprint sums up rows, in whatever order they are.
@@ -113,10 +113,10 @@
 // difference twice. The first time the change may well be on its way.
 func (m *Machine) repair(l *link) {
 	for t := range tables {
-		if l.differs[t] < 2 || m.now.Before(m.nextRepair[t]) || m.now.Before(m.repairing[t]) {
+		if l.mismatches[t] < 2 || m.now.Before(m.nextRepair[t]) || m.now.Before(m.repairingUntil[t]) {
 			continue
 		}
-		l.differs[t] = 0
+		l.mismatches[t] = 0
 		m.stats.Repairs++
 		m.send(l.peer, Message{Digests: []Digest{m.digest(t)}})
 	}
@@ -127,11 +127,11 @@
 func (m *Machine) noteRepairs(msg Message) {
 	until := m.now.Add(m.cfg.RepairInterval)
 	for _, r := range msg.Repairs {
-		t := SoftTable
-		if m.cfg.Topics[r.Topic].Keep {
-			t = KeptTable
+		t := EphemeralTable
+		if m.cfg.Topics[r.Topic].Persistent {
+			t = PersistentTable
 		}
-		m.repairing[t] = until
+		m.repairingUntil[t] = until
 	}
 }
 
@@ -142,9 +142,9 @@
 	if t == MemberTable {
 		return
 	}
-	until := m.now.Add(answerTime)
-	if until.After(m.repairing[t]) {
-		m.repairing[t] = until
+	until := m.now.Add(firstReplyTimeout)
+	if until.After(m.repairingUntil[t]) {
+		m.repairingUntil[t] = until
 	}
 }
 
@@ -155,20 +155,20 @@
 // list of links that wait for their turn would keep it from repairing that.
 func (m *Machine) addSync(l *link, msg *Message) {
 	for t := range tables {
-		if !l.sync[t] {
+		if !l.needsSync[t] {
 			continue
 		}
-		due := !m.now.Before(m.nextRepair[t]) && !m.now.Before(m.repairing[t])
+		due := !m.now.Before(m.nextRepair[t]) && !m.now.Before(m.repairingUntil[t])
 		if due {
 			msg.Digests = append(msg.Digests, m.digest(t))
 		}
-		l.sync[t] = !due && t == MemberTable
+		l.needsSync[t] = !due && t == MemberTable
 	}
 }
 
 func (m *Machine) digest(t Table) Digest {
 	interval := m.cfg.RepairInterval
-	if t == SoftTable {
+	if t == EphemeralTable {
 		interval *= 5
 	}
 	m.nextRepair[t] = m.now.Add(m.jitter(interval))
@@ -183,7 +183,7 @@
 // compareDigest answers a digest by listing the buckets that differ.
 func (m *Machine) compareDigest(from coordination.Instance, d Digest) {
 	link := m.links[from]
-	if d.Table >= tables || len(d.Buckets) != 4*buckets || link == nil || link.queued(d.Table) || m.now.Before(m.repairing[d.Table]) {
+	if d.Table >= tables || len(d.Buckets) != 4*buckets || link == nil || link.queued(d.Table) || m.now.Before(m.repairingUntil[d.Table]) {
 		return
 	}
 	v := m.view(d.Table)
@@ -195,13 +195,13 @@
 	}
 	if differ != 0 {
 		m.expectRepairs(d.Table)
-		m.send(from, Message{Listings: []Listing{list(d.Table, v.rows, differ, false)}})
+		m.send(from, Message{Listings: []Listing{makeListing(d.Table, v.rows, differ, false)}})
 	}
 }
 
-// list makes the listing of the buckets in mask.
-func list(t Table, rows []row, mask uint32, answer bool) Listing {
-	l := Listing{Table: t, Buckets: mask, Answer: answer}
+// makeListing makes the listing of the buckets in mask.
+func makeListing(t Table, rows []row, mask uint32, answer bool) Listing {
+	l := Listing{Table: t, Buckets: mask, IsReply: answer}
 	for _, r := range rows {
 		if mask&(1<<(r.key%buckets)) == 0 || len(l.Rows) >= maxRows*rowBytes {
 			continue
@@ -233,8 +233,8 @@
 			link.queue(l.Table, r)
 		}
 	}
-	if !l.Answer {
-		m.send(from, Message{Listings: []Listing{list(l.Table, rows, l.Buckets, true)}})
+	if !l.IsReply {
+		m.send(from, Message{Listings: []Listing{makeListing(l.Table, rows, l.Buckets, true)}})
 	}
 }
 
@@ -255,7 +255,7 @@
 	l.repairs = rumorQueue{}
 	l.announcements = nil
 	l.unannounced = nil
-	l.wants = nil
+	l.pendingRequests = nil
 }
 
 func (l *link) queue(t Table, r row) {
--- a/coordination/membership/fabric_test.go
+++ b/coordination/membership/fabric_test.go
@@ -14,9 +14,9 @@
 	"wisteriaspool/coordination"
 )
 
-// fabric passes messages between machines in simulated time. All that is
+// simNetwork passes messages between machines in simulated time. All that is
 // random comes from its seed, so that a run repeats.
-type fabric struct {
+type simNetwork struct {
 	rand    *rand.Rand
 	now     time.Time
 	begin   time.Time
@@ -37,7 +37,7 @@
 
 // node is a router in a fabric.
 type node struct {
-	f       *fabric
+	f       *simNetwork
 	machine *Machine
 	cfg     Config
 	self    Member
@@ -78,9 +78,9 @@
 	return e
 }
 
-func newFabric(seed uint64) *fabric {
+func newSimNetwork(seed uint64) *simNetwork {
 	begin := time.Unix(1_800_000_000, 0)
-	return &fabric{
+	return &simNetwork{
 		rand:   rand.New(rand.NewPCG(seed, 1)),
 		now:    begin,
 		begin:  begin,
@@ -92,13 +92,13 @@
 	}
 }
 
-func (f *fabric) after(d time.Duration, do func()) {
+func (f *simNetwork) after(d time.Duration, do func()) {
 	f.serial++
 	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, do: do})
 }
 
 // run lets d pass.
-func (f *fabric) run(d time.Duration) {
+func (f *simNetwork) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
 		e := heap.Pop(&f.queue).(event)
@@ -109,7 +109,7 @@
 }
 
 // runUntil lets time pass until ok, and returns how long that took.
-func (f *fabric) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
+func (f *simNetwork) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := f.now
 	for !ok() {
@@ -122,7 +122,7 @@
 }
 
 // add makes a node that does not run yet.
-func (f *fabric) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
+func (f *simNetwork) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
 	cfg.Seed = f.rand.Uint64()
 	n := &node{f: f, cfg: cfg, self: Member{
 		Instance: coordination.Instance(id),
@@ -139,8 +139,8 @@
 	return n
 }
 
-// fill adds count nodes over regions of zones with three seeds.
-func (f *fabric) fill(count, regions, zones int, cfg Config) {
+// addNodes adds count nodes over regions of zones with three seeds.
+func (f *simNetwork) addNodes(count, regions, zones int, cfg Config) {
 	for i := range min(3, count) {
 		cfg.Seeds = append(cfg.Seeds, "10.0.0.1:"+name(i))
 	}
@@ -288,14 +288,14 @@
 	})
 }
 
-func (f *fabric) link(a, b *node) {
+func (f *simNetwork) link(a, b *node) {
 	a.links[b.self.Instance] = true
 	b.links[a.self.Instance] = true
 	a.deliver(a.machine, func() { a.machine.LinkUp(f.now, b.machine.Self(), true, true) })
 	b.deliver(b.machine, func() { b.machine.LinkUp(f.now, a.machine.Self(), true, false) })
 }
 
-func (f *fabric) unlink(a, b *node) {
+func (f *simNetwork) unlink(a, b *node) {
 	for _, pair := range [][2]*node{{a, b}, {b, a}} {
 		n, id := pair[0], pair[1].self.Instance
 		if !n.links[id] {
@@ -308,7 +308,7 @@
 
 // partition cuts all links between a and b sides; their connections break
 // after ten seconds without a message.
-func (f *fabric) partition(side func(*node) bool) {
+func (f *simNetwork) partition(side func(*node) bool) {
 	f.cut = func(a, b *node) bool { return side(a) != side(b) }
 	f.after(10*time.Second, func() {
 		for _, a := range f.nodes {
@@ -321,16 +321,16 @@
 	})
 }
 
-func (f *fabric) heal() {
+func (f *simNetwork) heal() {
 	f.cut = func(_, _ *node) bool { return false }
 }
 
 // agreed reports whether each running node lists exactly the running ones.
-func (f *fabric) agreed() bool {
+func (f *simNetwork) agreed() bool {
 	return f.agreedAmong(func(*node) bool { return true })
 }
 
-func (f *fabric) agreedAmong(in func(*node) bool) bool {
+func (f *simNetwork) agreedAmong(in func(*node) bool) bool {
 	running := 0
 	for _, n := range f.nodes {
 		if n.running && in(n) {
@@ -355,8 +355,8 @@
 	return true
 }
 
-// up starts all nodes within two seconds and waits until they agree.
-func (f *fabric) up(t testing.TB) time.Duration {
+// startAll starts all nodes within two seconds and waits until they agree.
+func (f *simNetwork) startAll(t testing.TB) time.Duration {
 	t.Helper()
 	for _, n := range f.nodes {
 		f.after(time.Duration(f.rand.Int64N(int64(2*time.Second))), n.start)
@@ -365,8 +365,8 @@
 	return f.runUntil(t, time.Minute, "agreement after the start", f.agreed)
 }
 
-// acquaint starts all nodes with full lists of each other, and no seeds.
-func (f *fabric) acquaint() {
+// startWithFullTables starts all nodes with full lists of each other, and no seeds.
+func (f *simNetwork) startWithFullTables() {
 	for _, n := range f.nodes {
 		n.cfg.Seeds = nil
 		n.start()
@@ -378,7 +378,7 @@
 	}
 }
 
-func (f *fabric) deaths() uint64 {
+func (f *simNetwork) deaths() uint64 {
 	var sum uint64
 	for _, n := range f.nodes {
 		if n.machine != nil {
@@ -393,9 +393,9 @@
 	ended      map[[2]coordination.Instance]coordination.Incarnation // by observer and member
 	versions   map[coordination.Instance]map[rumorKey]uint64
 	violations []string
-	// lost, if set, tells whether a member may be missing from a node's list.
-	lost func(observer, member *node) bool
-	seen map[[2]coordination.Instance]bool
+	// mayLose, if set, tells whether a member may be missing from a node's list.
+	mayLose func(observer, member *node) bool
+	seen    map[[2]coordination.Instance]bool
 }
 
 func newChecker() *checker {
@@ -425,14 +425,14 @@
 	if len(n.f.nodes) > 60 {
 		return // the small fleets meet all changes
 	}
-	if !n.machine.listsItsTable() {
+	if !n.machine.memberListMatchesTable() {
 		c.violate("%s keeps an old list of members", n.self.Instance)
 	}
 }
 
-// listsItsTable reports whether Members are those of liveMembers. It neither
+// memberListMatchesTable reports whether Members are those of liveMembers. It neither
 // copies nor sorts the table, for it is asked each time that a node has acted.
-func (m *Machine) listsItsTable() bool {
+func (m *Machine) memberListMatchesTable() bool {
 	live := 1 // m itself
 	for _, e := range m.table {
 		if e.Live() {
@@ -461,7 +461,7 @@
 		pair := [2]coordination.Instance{n.self.Instance, id}
 		if e.State.Final() {
 			c.ended[pair] = max(c.ended[pair], e.Incarnation)
-			c.lose(n, id, pair)
+			c.checkLoss(n, id, pair)
 			continue
 		}
 		c.seen[pair] = true
@@ -471,12 +471,12 @@
 	}
 }
 
-func (c *checker) lose(n *node, id coordination.Instance, pair [2]coordination.Instance) {
-	if !c.seen[pair] || c.lost == nil {
+func (c *checker) checkLoss(n *node, id coordination.Instance, pair [2]coordination.Instance) {
+	if !c.seen[pair] || c.mayLose == nil {
 		return
 	}
 	delete(c.seen, pair)
-	if !c.lost(n, n.f.byID[id]) {
+	if !c.mayLose(n, n.f.byID[id]) {
 		c.violate("%s lost %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
 	}
 }
@@ -487,7 +487,7 @@
 		seen = make(map[rumorKey]uint64)
 		c.versions[n.self.Instance] = seen
 	}
-	for _, r := range n.machine.Fresh() {
+	for _, r := range n.machine.DrainNewRumors() {
 		k := rumorKey{r.Topic, r.Key}
 		if r.Version < seen[k] {
 			c.violate("%s went back to version %d of %v", n.self.Instance, r.Version, k)
@@ -507,9 +507,9 @@
 	assert.Equal(t, len(c.violations), 0, "%v", c.violations)
 }
 
-// restarted forgets what the checker knows of an observer that has begun a
+// forgetObserver forgets what the checker knows of an observer that has begun a
 // new life with an empty table.
-func (c *checker) restarted(n *node) {
+func (c *checker) forgetObserver(n *node) {
 	delete(c.versions, n.self.Instance)
 	for pair := range c.ended {
 		if pair[0] == n.self.Instance {
--- a/coordination/membership/fault_test.go
+++ b/coordination/membership/fault_test.go
@@ -14,11 +14,11 @@
 
 // A router that never hears what is said of it cannot refute a suspicion.
 func TestCheckerFindsIgnoredRefutation(t *testing.T) {
-	f := newFabric(1)
+	f := newSimNetwork(1)
 	f.checker = newChecker()
-	f.checker.lost = none
-	f.fill(30, 1, 3, Config{})
-	f.up(t)
+	f.checker.mayLose = isStopped
+	f.addNodes(30, 1, 3, Config{})
+	f.startAll(t)
 	f.tamper = func(n *node, _ coordination.Instance, msg *Message) {
 		kept := msg.Members[:0:0]
 		for _, r := range msg.Members {
@@ -42,10 +42,10 @@
 // A router that takes an old record for a new one brings back a life that
 // has ended.
 func TestCheckerFindsResurrection(t *testing.T) {
-	f := newFabric(1)
+	f := newSimNetwork(1)
 	f.checker = newChecker()
-	f.fill(10, 1, 2, Config{})
-	f.up(t)
+	f.addNodes(10, 1, 2, Config{})
+	f.startAll(t)
 	stale := f.nodes[4].machine.Self()
 	f.nodes[4].kill()
 	f.runUntil(t, 20*time.Second, "agreement after the kill", f.agreed)
@@ -62,10 +62,10 @@
 // A router that takes each rumour it hears as the newest goes back to an
 // older version.
 func TestCheckerFindsOlderVersion(t *testing.T) {
-	f := newFabric(1)
+	f := newSimNetwork(1)
 	f.checker = newChecker()
-	f.fill(10, 1, 2, Config{Topics: testTopics})
-	f.up(t)
+	f.addNodes(10, 1, 2, Config{Topics: testTopics})
+	f.startAll(t)
 	f.delay = func(_, _ *node) time.Duration { return time.Duration(f.rand.Int64N(int64(2 * time.Second))) }
 	f.tamper = func(n *node, _ coordination.Instance, msg *Message) {
 		for _, r := range msg.Rumors {
@@ -81,13 +81,13 @@
 
 // A router that believes each word of a death empties its list when a region
 // returns, because the far side holds all of the near side for dead.
-func TestCheckerFindsBelievedDeaths(t *testing.T) {
-	f := newFabric(1)
+func TestCheckerFindsUnverifiedDeaths(t *testing.T) {
+	f := newSimNetwork(1)
 	f.checker = newChecker()
-	f.fill(20, 2, 2, Config{})
+	f.addNodes(20, 2, 2, Config{})
 	near := func(n *node) bool { return n.self.Region == "region-0" }
-	f.checker.lost = func(observer, member *node) bool { return near(observer) != near(member) }
-	f.up(t)
+	f.checker.mayLose = func(observer, member *node) bool { return near(observer) != near(member) }
+	f.startAll(t)
 	f.partition(near)
 	f.run(time.Minute)
 	assert.Equal(t, len(f.checker.violations), 0)
@@ -97,7 +97,7 @@
 			e := n.machine.table[r.Instance]
 			if e != nil && r.State == Dead && r.Incarnation == e.Incarnation {
 				e.State = Dead
-				n.machine.touch()
+				n.machine.markChanged()
 			}
 		}
 	}
--- a/coordination/membership/flush.go
+++ b/coordination/membership/flush.go
@@ -21,7 +21,7 @@
 	}
 	for i := range links {
 		l := links[(start+i)%len(links)]
-		if !m.Neighbor(l.peer) && m.now.Sub(l.up) > linger {
+		if !m.IsNeighbor(l.peer) && m.now.Sub(l.upSince) > neighborGracePeriod {
 			l.clear()
 		}
 		var msg Message
@@ -30,7 +30,7 @@
 		m.addRecords(l, &msg, share)
 		m.addRumors(l, &msg)
 		m.addAnnouncements(l, &msg)
-		msg.Wants, l.wants = l.wants, nil
+		msg.Requests, l.pendingRequests = l.pendingRequests, nil
 		if msg.empty() {
 			continue
 		}
@@ -40,17 +40,17 @@
 
 func (m *Message) empty() bool {
 	return m.Heartbeat == nil && len(m.Members) == 0 && len(m.Rumors) == 0 && len(m.Repairs) == 0 && len(m.Digests) == 0 &&
-		len(m.Haves) == 0 && len(m.Wants) == 0
+		len(m.Announcements) == 0 && len(m.Requests) == 0
 }
 
 // addHeartbeat adds a heartbeat to msg if one is due.
 func (m *Machine) addHeartbeat(l *link, msg *Message) {
-	if !m.Neighbor(l.peer) || m.now.Before(l.beat) {
+	if !m.IsNeighbor(l.peer) || m.now.Before(l.nextHeartbeat) {
 		return
 	}
 	// A multiple of the interval, with a little scatter against lockstep.
-	l.beat = m.now.Add(m.cfg.Heartbeat - time.Duration(m.rand.Int64N(int64(m.cfg.Heartbeat/8))))
-	_, wanted := m.wanted[l.peer]
+	l.nextHeartbeat = m.now.Add(m.cfg.HeartbeatInterval - time.Duration(m.rand.Int64N(int64(m.cfg.HeartbeatInterval/8))))
+	_, wanted := m.meshNeighbors[l.peer]
 	msg.Heartbeat = &Heartbeat{Neighbor: wanted, Fingerprints: m.fingerprints()}
 }
 
@@ -88,14 +88,14 @@
 			waiting++
 		}
 	}
-	share := int(m.recordTokens) / (usualRecord * max(waiting, 1))
-	return min(max(share, leastRecords), maxRecords)
+	share := int(m.recordTokens) / (typicalRecordBytes * max(waiting, 1))
+	return min(max(share, minRecords), maxRecords)
 }
 
 // addRumors adds queued rumours to msg.
 func (m *Machine) addRumors(l *link, msg *Message) {
-	msg.Rumors = m.takeRumors(&l.rumors, m.worth)
-	msg.Repairs = m.takeRumors(&l.repairs, m.paced)
+	msg.Rumors = m.takeRumors(&l.rumors, m.admitWithinBudget)
+	msg.Repairs = m.takeRumors(&l.repairs, m.admitPaced)
 }
 
 // takeRumors takes from q what goes into one message. The function admit tells
@@ -115,17 +115,17 @@
 			continue
 		}
 		a := admit(r, size)
-		if a == later {
+		if a == sendLater {
 			left = append(left, k)
 			continue
 		}
 		q.drop(k)
-		if a == never {
+		if a == discard {
 			continue
 		}
 		told := r.Rumor
-		if !r.keep {
-			told.Life = remaining(r.expires.Sub(m.now))
+		if !r.persistent {
+			told.TTLMillis = remaining(r.expires.Sub(m.now))
 		}
 		size += told.Size()
 		taken = append(taken, told)
@@ -139,29 +139,29 @@
 type admission int
 
 const (
-	now admission = iota
-	later
-	never
+	sendNow admission = iota
+	sendLater
+	discard
 )
 
-// worth sheds soft rumours that go beyond the byte budget: the next version of
+// admitWithinBudget sheds soft rumours that go beyond the byte budget: the next version of
 // them will come soon.
-func (m *Machine) worth(r *rumor, size int) admission {
-	if !r.keep && m.tokens < float64(size) {
+func (m *Machine) admitWithinBudget(r *rumor, size int) admission {
+	if !r.persistent && m.gossipTokens < float64(size) {
 		m.stats.RumorsShed++
-		return never
+		return discard
 	}
-	return now
+	return sendNow
 }
 
-// paced holds back what repairs a table, so that a new member does not get it
+// admitPaced holds back what repairs a table, so that a new member does not get it
 // at once. It is not shed, or the comparison would begin anew.
-func (m *Machine) paced(r *rumor, _ int) admission {
+func (m *Machine) admitPaced(r *rumor, _ int) admission {
 	if m.recordTokens <= 0 {
-		return later
+		return sendLater
 	}
 	m.recordTokens -= float64(r.Size())
-	return now
+	return sendNow
 }
 
 func remaining(d time.Duration) uint32 {
@@ -170,27 +170,27 @@
 
 // refill adds to the byte budget what the time since the last call gives.
 func (m *Machine) refill() {
-	rate := float64(m.cfg.Budget)
-	m.tokens = min(rate, m.tokens+rate*m.now.Sub(m.refilled).Seconds())
-	pace := recordPace * rate
-	m.recordTokens = min(pace, m.recordTokens+pace*m.now.Sub(m.refilled).Seconds())
-	m.refilled = m.now
+	rate := float64(m.cfg.BytesPerSecond)
+	m.gossipTokens = min(rate, m.gossipTokens+rate*m.now.Sub(m.lastRefill).Seconds())
+	pace := recordRateFactor * rate
+	m.recordTokens = min(pace, m.recordTokens+pace*m.now.Sub(m.lastRefill).Seconds())
+	m.lastRefill = m.now
 }
 
 // charge takes bytes from the budget. The debt is bounded, so that soft
 // rumours are not shut out for long after a burst of what is never shed.
 func (m *Machine) charge(bytes int) {
-	m.tokens = max(m.tokens-float64(bytes), -2*float64(m.cfg.Budget))
+	m.gossipTokens = max(m.gossipTokens-float64(bytes), -2*float64(m.cfg.BytesPerSecond))
 }
 
-// heartbeat handles the heartbeat of a peer.
-func (m *Machine) heartbeat(from coordination.Instance, h Heartbeat) {
+// handleHeartbeat handles the handleHeartbeat of a peer.
+func (m *Machine) handleHeartbeat(from coordination.Instance, h Heartbeat) {
 	l := m.links[from]
 	if l == nil {
 		return
 	}
 	if h.Neighbor {
-		l.neighbor = m.now.Add(linger)
+		l.neighborUntil = m.now.Add(neighborGracePeriod)
 	}
 	own := m.fingerprints()
 	for t := range tables {
@@ -198,12 +198,12 @@
 			clear(l.records)
 		}
 		if own[t] == h.Fingerprints[t] || l.queued(t) {
-			l.differs[t] = 0
+			l.mismatches[t] = 0
 			continue
 		}
-		l.differs[t]++
+		l.mismatches[t]++
 	}
-	if m.Neighbor(from) {
+	if m.IsNeighbor(from) {
 		m.repair(l)
 	}
 }
--- a/coordination/membership/machine.go
+++ b/coordination/membership/machine.go
@@ -17,75 +17,75 @@
 	now   time.Time
 	stats Stats
 
-	table  map[coordination.Instance]*entry // without self
-	links  map[coordination.Instance]*link
-	wanted map[coordination.Instance]time.Time // mesh neighbours, since when
-	tree   map[coordination.Instance]bool      // those along which rumours go
-	stale  bool                                // wanted has to be computed again
+	table         map[coordination.Instance]*entry // without self
+	links         map[coordination.Instance]*link
+	meshNeighbors map[coordination.Instance]time.Time // mesh neighbours, since when
+	broadcastTree map[coordination.Instance]bool      // those along which rumours go
+	meshStale     bool                                // wanted has to be computed again
 
-	watched map[coordination.Instance]*watch
-	relays  map[uint64]relay
-	nonce   uint64
+	monitors     map[coordination.Instance]*peerMonitor
+	relayedPings map[uint64]relayedPing
+	nonce        uint64
 
-	dials      map[string]*backoff // by address
-	nextSearch time.Time
+	dials         map[string]*backoff // by address
+	nextReconnect time.Time
 
-	rumors     map[rumorKey]*rumor
-	byHash     map[uint32]rumorKey
-	requests   map[uint32]*request // by hash of topic and key
-	views      [tables]view
-	nextRepair [tables]time.Time
-	repairing  [tables]time.Time // until when a peer is taken to be repairing it
-	nextSweep  time.Time
-	tokens     float64 // bytes left for soft rumours
+	rumors         map[rumorKey]*rumor
+	byHash         map[uint32]rumorKey
+	requests       map[uint32]*request // by hash of topic and key
+	views          [tables]view
+	nextRepair     [tables]time.Time
+	repairingUntil [tables]time.Time // until when a peer is taken to be repairing it
+	nextSweep      time.Time
+	gossipTokens   float64 // bytes left for soft rumours
 	// recordTokens are the bytes left for records of members.
 	recordTokens float64
-	refilled     time.Time
+	lastRefill   time.Time
 
-	out     Output
-	changed bool
-	live    []Member // nil if it has to be made again
-	fresh   []rumorKey
+	out           Output
+	changed       bool
+	cachedMembers []Member // nil if it has to be made again
+	newRumors     []rumorKey
 }
 
 // link is a connection to another member.
 type link struct {
-	peer     coordination.Instance
-	up       time.Time
-	beat     time.Time    // of the next heartbeat
-	neighbor time.Time    // until when the peer counts us as its neighbour
-	sync     [tables]bool // compare the table with the peer soon
-	differs  [tables]int
-	records  map[coordination.Instance]struct{} // to send
-	rumors   rumorQueue                         // to send
-	repairs  rumorQueue                         // to send because the peer lacks them
+	peer          coordination.Instance
+	upSince       time.Time
+	nextHeartbeat time.Time    // of the next heartbeat
+	neighborUntil time.Time    // until when the peer counts us as its neighbour
+	needsSync     [tables]bool // compare the table with the peer soon
+	mismatches    [tables]int
+	records       map[coordination.Instance]struct{} // to send
+	rumors        rumorQueue                         // to send
+	repairs       rumorQueue                         // to send because the peer lacks them
 	// announcements are those to come; those that the peer has been found to
 	// know are missing from unannounced.
-	announcements []announcement
-	unannounced   map[rumorKey]struct{}
-	wants         []byte // hashes of rumours to ask for
+	announcements   []announcement
+	unannounced     map[rumorKey]struct{}
+	pendingRequests []byte // hashes of rumours to ask for
 }
 
 // New returns the machine of the member self at time now.
 func New(cfg Config, self Member, now time.Time) *Machine {
 	cfg = cfg.withDefaults()
 	return &Machine{
-		cfg:      cfg,
-		self:     self,
-		rand:     rand.New(rand.NewPCG(cfg.Seed, hash(string(self.Instance)))),
-		now:      now,
-		table:    make(map[coordination.Instance]*entry),
-		links:    make(map[coordination.Instance]*link),
-		wanted:   make(map[coordination.Instance]time.Time),
-		watched:  make(map[coordination.Instance]*watch),
-		relays:   make(map[uint64]relay),
-		dials:    make(map[string]*backoff),
-		rumors:   make(map[rumorKey]*rumor),
-		byHash:   make(map[uint32]rumorKey),
-		requests: make(map[uint32]*request),
-		tokens:   float64(cfg.Budget),
-		refilled: now,
-		changed:  true,
+		cfg:           cfg,
+		self:          self,
+		rand:          rand.New(rand.NewPCG(cfg.Seed, hash(string(self.Instance)))),
+		now:           now,
+		table:         make(map[coordination.Instance]*entry),
+		links:         make(map[coordination.Instance]*link),
+		meshNeighbors: make(map[coordination.Instance]time.Time),
+		monitors:      make(map[coordination.Instance]*peerMonitor),
+		relayedPings:  make(map[uint64]relayedPing),
+		dials:         make(map[string]*backoff),
+		rumors:        make(map[rumorKey]*rumor),
+		byHash:        make(map[uint32]rumorKey),
+		requests:      make(map[uint32]*request),
+		gossipTokens:  float64(cfg.BytesPerSecond),
+		lastRefill:    now,
+		changed:       true,
 	}
 }
 
@@ -103,10 +103,10 @@
 // slice is the same until the members change, and must not be written to: a
 // router of a large fleet asks for it many times a second.
 func (m *Machine) Members() []Member {
-	if m.live == nil {
-		m.live = m.liveMembers()
+	if m.cachedMembers == nil {
+		m.cachedMembers = m.liveMembers()
 	}
-	return m.live
+	return m.cachedMembers
 }
 
 // SameList reports whether a and b are one list of [Machine.Members], without a look
@@ -155,16 +155,16 @@
 	m.advance(now)
 	id := peer.Instance
 	m.links[id] = &link{
-		peer:    id,
-		up:      now,
-		beat:    now,
-		records: make(map[coordination.Instance]struct{}),
+		peer:          id,
+		upSince:       now,
+		nextHeartbeat: now,
+		records:       make(map[coordination.Instance]struct{}),
 	}
 	delete(m.dials, peer.Address)
-	m.heard(id)
+	m.recordContact(id)
 	m.apply(id, peer)
 	if gossip && initiated {
-		m.links[id].sync = [tables]bool{true, true, true}
+		m.links[id].needsSync = [tables]bool{true, true, true}
 		m.links[id].records[m.self.Instance] = struct{}{}
 	}
 }
@@ -173,14 +173,14 @@
 func (m *Machine) LinkDown(now time.Time, peer coordination.Instance) {
 	m.advance(now)
 	delete(m.links, peer)
-	w := m.watched[peer]
+	w := m.monitors[peer]
 	if w == nil {
 		return
 	}
 	// A process that died has its connections reset, so probe it soon.
-	soon := now.Add(m.cfg.Heartbeat - m.cfg.ProbeAfter)
-	if w.heard.After(soon) {
-		w.heard = soon
+	soon := now.Add(m.cfg.HeartbeatInterval - m.cfg.ProbeAfter)
+	if w.lastHeard.After(soon) {
+		w.lastHeard = soon
 	}
 }
 
@@ -190,13 +190,13 @@
 	m.backOff(address)
 }
 
-// Neighbor reports whether the connection to peer belongs to the mesh.
-func (m *Machine) Neighbor(peer coordination.Instance) bool {
-	if _, ok := m.wanted[peer]; ok {
+// IsNeighbor reports whether the connection to peer belongs to the mesh.
+func (m *Machine) IsNeighbor(peer coordination.Instance) bool {
+	if _, ok := m.meshNeighbors[peer]; ok {
 		return true
 	}
 	l := m.links[peer]
-	return l != nil && m.now.Before(l.neighbor)
+	return l != nil && m.now.Before(l.neighborUntil)
 }
 
 // Linked reports whether there is a connection to peer.
@@ -209,35 +209,35 @@
 func (m *Machine) Tick(now time.Time) Output {
 	m.advance(now)
 	if !now.Before(m.nextSweep) {
-		m.nextSweep = now.Add(m.cfg.Heartbeat / 4)
+		m.nextSweep = now.Add(m.cfg.HeartbeatInterval / 4)
 		m.expire()
 		m.sweepRumors()
-		m.askOthers()
-		m.forget()
+		m.retryRequests()
+		m.pruneBackoffs()
 		m.probe()
 	}
-	m.mesh()
-	m.dial()
+	m.updateMesh()
+	m.dialMissing()
 	m.flush()
-	return m.take()
+	return m.takeOutput()
 }
 
 // Receive handles a message from a peer.
 func (m *Machine) Receive(now time.Time, from coordination.Instance, msg Message) Output {
 	m.advance(now)
-	m.heard(from)
+	m.recordContact(from)
 	for _, r := range msg.Members {
 		m.apply(from, r)
 	}
 	for _, r := range msg.Rumors {
-		m.hear(from, r, m.spreadRumor)
+		m.receiveRumor(from, r, m.pushRumor)
 	}
 	for _, r := range msg.Repairs {
-		m.hear(from, r, m.announce)
+		m.receiveRumor(from, r, m.announceRumor)
 	}
 	m.noteRepairs(msg)
-	m.hearHaves(from, msg.Haves)
-	m.hearWants(from, msg.Wants)
+	m.handleAnnouncements(from, msg.Announcements)
+	m.handleRequests(from, msg.Requests)
 	for _, d := range msg.Digests {
 		m.compareDigest(from, d)
 	}
@@ -245,15 +245,15 @@
 		m.compareListing(from, l)
 	}
 	if msg.Heartbeat != nil {
-		m.heartbeat(from, *msg.Heartbeat)
+		m.handleHeartbeat(from, *msg.Heartbeat)
 	}
 	if msg.Probe != nil {
-		m.answer(from, *msg.Probe)
+		m.handleProbe(from, *msg.Probe)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
-func (m *Machine) take() Output {
+func (m *Machine) takeOutput() Output {
 	out := m.out
 	m.out = Output{}
 	return out
@@ -277,31 +277,31 @@
 		return
 	}
 	m.now = now
-	if gap < pauseGap {
+	if gap < pauseThreshold {
 		return
 	}
-	for _, w := range m.watched {
-		*w = watch{heard: now}
+	for _, w := range m.monitors {
+		*w = peerMonitor{lastHeard: now}
 	}
 	for _, e := range m.table {
 		if e.State == Suspect {
-			e.since = now
+			e.stateSince = now
 		}
 	}
 	if gap > m.cfg.ForgetAfter/2 {
-		m.forgetAll()
+		m.forgetUnlinked()
 	}
 }
 
-// forgetAll empties the table after a pause so long that others may have
+// forgetUnlinked empties the table after a pause so long that others may have
 // forgotten members that this one still holds for alive.
-func (m *Machine) forgetAll() {
+func (m *Machine) forgetUnlinked() {
 	for id := range m.table {
 		if m.links[id] == nil {
 			m.remove(id)
 		}
 	}
-	m.nextSearch = m.now
+	m.nextReconnect = m.now
 }
 
 // sortedLinks returns the links in a fixed order, so that runs repeat.
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -93,16 +93,16 @@
 // entry is a row of the table.
 type entry struct {
 	Member
-	// claimed means that somebody holds this incarnation for dead, which only
+	// deathClaimed means that somebody holds this incarnation for dead, which only
 	// a higher incarnation of the member can refute.
-	claimed bool
-	since   time.Time // of the state
+	deathClaimed bool
+	stateSince   time.Time // of the state
 }
 
 // record returns what e says to others.
 func (e *entry) record() Member {
 	m := e.Member
-	if e.claimed {
+	if e.deathClaimed {
 		m.State = Dead
 	}
 	if m.State == Suspect || m.State == Dead {
@@ -111,13 +111,13 @@
 	return m
 }
 
-// stamp returns a number that differs when two tables differ about e.
-func (e *entry) stamp() uint64 {
+// versionStamp returns a number that differs when two tables differ about e.
+func (e *entry) versionStamp() uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(e.Incarnation))
 	binary.LittleEndian.PutUint64(b[8:], uint64(e.Version))
 	b[16] = byte(e.State)
-	if e.claimed {
+	if e.deathClaimed {
 		b[16] = byte(Dead)
 	}
 	return xxhash.Sum64(b[:])
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,12 +15,12 @@
 // seeds are those of all seeded tests.
 var seeds = []uint64{1, 2, 3}
 
-func eachSeed(t *testing.T, run func(t *testing.T, f *fabric)) {
+func eachSeed(t *testing.T, run func(t *testing.T, f *simNetwork)) {
 	t.Helper()
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			f := newFabric(seed)
+			f := newSimNetwork(seed)
 			f.checker = newChecker()
 			run(t, f)
 			f.checker.check(t)
@@ -28,8 +28,8 @@
 	}
 }
 
-// none says that no running member may be lost by anybody.
-func none(_, member *node) bool {
+// isStopped says that no running member may be lost by anybody.
+func isStopped(_, member *node) bool {
 	return !member.running
 }
 
@@ -39,11 +39,11 @@
 	for _, n := range []int{7, 30, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
 			t.Parallel()
-			f := newFabric(uint64(n))
+			f := newSimNetwork(uint64(n))
 			f.checker = newChecker()
-			f.checker.lost = none
-			f.fill(n, 1+n/50, 3, Config{})
-			start := f.up(t)
+			f.checker.mayLose = isStopped
+			f.addNodes(n, 1+n/50, 3, Config{})
+			start := f.startAll(t)
 			last := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
 			last.cfg.Seeds = f.nodes[0].cfg.Seeds
 			last.start()
@@ -59,10 +59,10 @@
 // A router is stopped for a few seconds, by the hypervisor or a debugger. Were
 // it declared dead for that, its grants and its callers would move for nothing.
 func TestShortPause(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.checker.lost = none
-		f.fill(30, 1, 3, Config{})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.checker.mayLose = isStopped
+		f.addNodes(30, 1, 3, Config{})
+		f.startAll(t)
 		for i := range 5 {
 			n := f.nodes[(7*i+3)%30]
 			n.pause()
@@ -78,18 +78,18 @@
 // A link between zones drops one message in five, or its delay varies by more
 // than a second. If members flapped over it, placements would move all the time.
 func TestPoorLinks(t *testing.T) {
-	poor := map[string]func(*fabric){
-		"loss": func(f *fabric) { f.loss = 0.2 },
-		"delay": func(f *fabric) {
+	poor := map[string]func(*simNetwork){
+		"loss": func(f *simNetwork) { f.loss = 0.2 },
+		"delay": func(f *simNetwork) {
 			f.delay = func(_, _ *node) time.Duration { return time.Duration(f.rand.Int64N(int64(1500 * time.Millisecond))) }
 		},
 	}
 	for name, spoil := range poor {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, f *fabric) {
-				f.checker.lost = none
-				f.fill(30, 1, 3, Config{})
-				f.up(t)
+			eachSeed(t, func(t *testing.T, f *simNetwork) {
+				f.checker.mayLose = isStopped
+				f.addNodes(30, 1, 3, Config{})
+				f.startAll(t)
 				spoil(f)
 				f.run(3 * time.Minute)
 				assert.Equal(t, f.deaths(), uint64(0))
@@ -112,12 +112,12 @@
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, f *fabric) {
-				f.checker.lost = none
-				f.fill(30, 1, 3, Config{})
-				f.up(t)
+			eachSeed(t, func(t *testing.T, f *simNetwork) {
+				f.checker.mayLose = isStopped
+				f.addNodes(30, 1, 3, Config{})
+				f.startAll(t)
 				a := f.nodes[4]
-				b := f.byID[slices.Sorted(maps.Keys(a.machine.wanted))[0]]
+				b := f.byID[slices.Sorted(maps.Keys(a.machine.meshNeighbors))[0]]
 				f.cut = func(from, to *node) bool { return cut(a, b, from, to) }
 				f.after(10*time.Second, func() { f.unlink(a, b) })
 				f.run(2 * time.Minute)
@@ -131,14 +131,14 @@
 // incarnation is lower than the one that the others know. It must be taken in
 // all the same, or it would get no work until the clock has caught up.
 func TestClockSetBack(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(10, 1, 2, Config{})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(10, 1, 2, Config{})
+		f.startAll(t)
 		n := f.nodes[6]
 		old := n.self.Incarnation
 		n.kill()
 		f.run(time.Duration(f.rand.Int64N(int64(20 * time.Second))))
-		f.checker.restarted(n)
+		f.checker.forgetObserver(n)
 		n.startAs(old - 1_000_000)
 		f.runUntil(t, 20*time.Second, "agreement after the restart", f.agreed)
 		assert.Assert(t, n.machine.Self().Incarnation > old)
@@ -149,9 +149,9 @@
 // only its own. Until one router of each meets, they place work without regard
 // to each other.
 func TestSplitListsHeal(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.checker.lost = none
-		f.fill(30, 1, 3, Config{})
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.checker.mayLose = isStopped
+		f.addNodes(30, 1, 3, Config{})
 		for i, n := range f.nodes {
 			n.cfg.Seeds = []string{f.nodes[i%2].self.Address}
 		}
@@ -172,11 +172,11 @@
 // routers; when the link is back, the lists must grow together without anybody
 // losing a router of its own side.
 func TestRegionPartition(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(60, 2, 3, Config{})
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(60, 2, 3, Config{})
 		near := func(n *node) bool { return n.self.Region == "region-0" }
-		f.checker.lost = func(observer, member *node) bool { return near(observer) != near(member) }
-		f.up(t)
+		f.checker.mayLose = func(observer, member *node) bool { return near(observer) != near(member) }
+		f.startAll(t)
 		f.partition(near)
 		f.run(5 * time.Minute)
 		assert.Assert(t, f.agreedAmong(near))
@@ -192,11 +192,11 @@
 // declared it dead and must take it back, in a new incarnation; it must not
 // declare them dead for their silence.
 func TestLongPause(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(30, 1, 3, Config{})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(30, 1, 3, Config{})
+		f.startAll(t)
 		frozen := f.nodes[11]
-		f.checker.lost = func(_, member *node) bool { return member == frozen }
+		f.checker.mayLose = func(_, member *node) bool { return member == frozen }
 		before := frozen.machine.Self().Incarnation
 		frozen.pause()
 		f.runUntil(t, 20*time.Second, "death", func() bool {
@@ -215,16 +215,16 @@
 // new records of the same router cross. An old record must never bring back a
 // life that has ended.
 func TestChurnWithLoss(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(40, 2, 2, Config{})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(40, 2, 2, Config{})
+		f.startAll(t)
 		f.loss = 0.1
 		for range 30 {
 			n := f.nodes[3+f.rand.IntN(37)]
 			if n.running {
 				n.kill()
 			} else {
-				f.checker.restarted(n)
+				f.checker.forgetObserver(n)
 				n.start()
 			}
 			f.run(time.Duration(f.rand.Int64N(int64(8 * time.Second))))
@@ -237,9 +237,9 @@
 // A router says that it is stopping, and later that it is gone. Others must
 // know at once, and not take it for dead or for live again.
 func TestLeave(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(30, 1, 3, Config{})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(30, 1, 3, Config{})
+		f.startAll(t)
 		leaver := f.nodes[5]
 		state := func(want State) func() bool {
 			return func() bool {
@@ -258,7 +258,7 @@
 		f.runUntil(t, 2*time.Second, "word of the leaving", state(Leaving))
 		f.run(30 * time.Second)
 		assert.Assert(t, state(Leaving)())
-		leaver.machine.Left(f.now)
+		leaver.machine.CompleteLeave(f.now)
 		f.runUntil(t, 2*time.Second, "word of the end", state(Left))
 		leaver.kill()
 		f.run(30 * time.Second)
@@ -308,9 +308,9 @@
 		for _, other := range members {
 			m.apply("", other)
 		}
-		m.mesh()
-		links[self.Instance] = slices.Sorted(maps.Keys(m.wanted))
-		most = max(most, len(m.wanted))
+		m.updateMesh()
+		links[self.Instance] = slices.Sorted(maps.Keys(m.meshNeighbors))
+		most = max(most, len(m.meshNeighbors))
 	}
 	reached := map[coordination.Instance]bool{members[0].Instance: true}
 	for todo := []coordination.Instance{members[0].Instance}; len(todo) > 0; todo = todo[1:] {
@@ -357,18 +357,18 @@
 // All machines lose power, as many as a large fleet has. As long as a router knows
 // a part of the others only, it asks the wrong ones who may run a request, and
 // callers wait.
-func TestLargeFleetMeetsSoon(t *testing.T) {
+func TestLargeFleetConvergesQuickly(t *testing.T) {
 	const aim = 3 * time.Second
-	f := newFabric(1)
-	f.fill(295, 1, 5, Config{Topics: testTopics})
-	took := f.up(t)
+	f := newSimNetwork(1)
+	f.addNodes(295, 1, 5, Config{Topics: testTopics})
+	took := f.startAll(t)
 	t.Logf("agreed %v after the last start", took)
 	assert.Assert(t, took <= aim, "%v", took)
 }
 
 // What a router sends at rest must not grow with the fleet, or a fleet of hundreds
 // spends its machines on itself.
-func TestRestCostsEachMemberTheSame(t *testing.T) {
+func TestIdleTrafficIndependentOfFleetSize(t *testing.T) {
 	const (
 		seconds      = 5
 		mostMessages = 10  // a second, sent by the member that sends most
@@ -377,9 +377,9 @@
 	for _, members := range []int{7, 64, 330, 1000} {
 		t.Run(fmt.Sprint(members), func(t *testing.T) {
 			t.Parallel()
-			f := newFabric(1)
-			f.fill(members, 1, 5, Config{Topics: testTopics})
-			f.acquaint()
+			f := newSimNetwork(1)
+			f.addNodes(members, 1, 5, Config{Topics: testTopics})
+			f.startWithFullTables()
 			f.run(10 * time.Second)
 			f.size = encodedSize
 			for _, n := range f.nodes {
--- a/coordination/membership/mesh.go
+++ b/coordination/membership/mesh.go
@@ -17,50 +17,50 @@
 
 // rings are the rings of the mesh, by the part of the fleet that each holds.
 var rings = []func(*Member) string{
-	zonePart,
-	zonePart,
+	zoneRingKey,
+	zoneRingKey,
 	func(m *Member) string { return string(m.Region) },
 	func(*Member) string { return "" },
 }
 
-func zonePart(m *Member) string {
+func zoneRingKey(m *Member) string {
 	return string(m.Region) + "\x00" + string(m.Zone)
 }
 
-// mesh computes the wanted neighbours and the tree if members have changed.
-func (m *Machine) mesh() {
-	if !m.stale {
+// updateMesh computes the wanted neighbours and the tree if members have changed.
+func (m *Machine) updateMesh() {
+	if !m.meshStale {
 		return
 	}
-	m.stale = false
+	m.meshStale = false
 	members := m.Members()
-	links := meshOf(members)
+	links := buildMesh(members)
 	self := slices.IndexFunc(members, func(o Member) bool { return o.Instance == m.self.Instance })
 	wanted := make(map[coordination.Instance]time.Time)
 	for _, i := range links[self] {
 		id := members[i].Instance
-		since, ok := m.wanted[id]
+		since, ok := m.meshNeighbors[id]
 		if !ok {
 			since = m.now
 		}
 		wanted[id] = since
 	}
-	m.wanted = wanted
-	m.tree = make(map[coordination.Instance]bool)
-	for i, parent := range treeOf(links) {
+	m.meshNeighbors = wanted
+	m.broadcastTree = make(map[coordination.Instance]bool)
+	for i, parent := range buildTree(links) {
 		switch {
 		case i == 0:
 		case i == self:
-			m.tree[members[parent].Instance] = true
+			m.broadcastTree[members[parent].Instance] = true
 		case parent == self:
-			m.tree[members[i].Instance] = true
+			m.broadcastTree[members[i].Instance] = true
 		}
 	}
 }
 
-// meshOf returns for each of the members, which are in order, the indexes of
+// buildMesh returns for each of the members, which are in order, the indexes of
 // its neighbours.
-func meshOf(members []Member) [][]int {
+func buildMesh(members []Member) [][]int {
 	links := make([][]int, len(members))
 	for seed, part := range rings {
 		parts := make(map[string][]int)
@@ -82,7 +82,7 @@
 func connectRing(links [][]int, members []Member, seed uint64, ring []int) {
 	places := make(map[int]uint64, len(ring))
 	for _, i := range ring {
-		places[i] = place(seed, members[i].Instance)
+		places[i] = ringPosition(seed, members[i].Instance)
 	}
 	slices.SortFunc(ring, func(a, b int) int { return cmp.Compare(places[a], places[b]) })
 	for i, a := range ring {
@@ -95,13 +95,13 @@
 	}
 }
 
-// mostChildren bounds the copies of each rumour that a member sends along the
+// maxChildren bounds the copies of each rumour that a member sends along the
 // tree. Without a bound those near the root send three times the mean.
-const mostChildren = 3
+const maxChildren = 3
 
-// treeOf returns the parent of each member in a breadth-first tree of the mesh
+// buildTree returns the parent of each member in a breadth-first tree of the mesh
 // with the first member as its root.
-func treeOf(links [][]int) []int {
+func buildTree(links [][]int) []int {
 	t := tree{parents: make([]int, len(links)), children: make([]int, len(links))}
 	for i := range t.parents {
 		t.parents[i] = -1
@@ -109,13 +109,13 @@
 	t.parents[0] = 0
 	for todo := []int{0}; len(todo) > 0; todo = todo[1:] {
 		for _, i := range links[todo[0]] {
-			if t.parents[i] < 0 && t.children[todo[0]] < mostChildren {
-				t.adopt(todo[0], i)
+			if t.parents[i] < 0 && t.children[todo[0]] < maxChildren {
+				t.addChild(todo[0], i)
 				todo = append(todo, i)
 			}
 		}
 	}
-	for t.adoptRest(links) {
+	for t.addRemaining(links) {
 	}
 	return t.parents
 }
@@ -126,14 +126,14 @@
 	children []int // their number
 }
 
-func (t *tree) adopt(parent, child int) {
+func (t *tree) addChild(parent, child int) {
 	t.parents[child] = parent
 	t.children[parent]++
 }
 
-// adoptRest gives those who found no parent the neighbour with the fewest
+// addRemaining gives those who found no parent the neighbour with the fewest
 // children. It reports whether there were any to whom it could.
-func (t *tree) adoptRest(links [][]int) bool {
+func (t *tree) addRemaining(links [][]int) bool {
 	adopted := false
 	for i, parent := range t.parents {
 		if parent >= 0 {
@@ -146,15 +146,15 @@
 			}
 		}
 		if best >= 0 {
-			t.adopt(best, i)
+			t.addChild(best, i)
 			adopted = true
 		}
 	}
 	return adopted
 }
 
-// place returns the place of id on a ring.
-func place(seed uint64, id coordination.Instance) uint64 {
+// ringPosition returns the ringPosition of id on a ring.
+func ringPosition(seed uint64, id coordination.Instance) uint64 {
 	return mix(hash(string(id)) ^ (seed+1)*0x9e3779b97f4a7c15)
 }
 
@@ -173,30 +173,30 @@
 	next     time.Time
 }
 
-// dial asks for the connections that are missing.
-func (m *Machine) dial() {
+// dialMissing asks for the connections that are missing.
+func (m *Machine) dialMissing() {
 	if m.self.State == Left {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.wanted)) {
+	for _, id := range slices.Sorted(maps.Keys(m.meshNeighbors)) {
 		if m.links[id] != nil {
 			continue
 		}
-		if id < m.self.Instance && m.now.Sub(m.wanted[id]) < secondDial {
+		if id < m.self.Instance && m.now.Sub(m.meshNeighbors[id]) < dialDeferral {
 			continue
 		}
-		m.try(Dial{Instance: id, Address: m.table[id].Address})
+		m.requestDial(Dial{Instance: id, Address: m.table[id].Address})
 	}
 	if len(m.links) == 0 {
 		for _, seed := range m.cfg.Seeds {
-			m.try(Dial{Address: seed})
+			m.requestDial(Dial{Address: seed})
 		}
 	}
-	m.search()
+	m.reconnect()
 }
 
-// try asks for a connection unless an attempt is due only later.
-func (m *Machine) try(d Dial) {
+// requestDial asks for a connection unless an attempt is due only later.
+func (m *Machine) requestDial(d Dial) {
 	if d.Address == "" || d.Address == m.self.Address {
 		return
 	}
@@ -220,9 +220,9 @@
 	if m.now.Before(b.next) {
 		return
 	}
-	wait := backoffMost
+	wait := maxBackoff
 	if b.failures < 5 {
-		wait = backoffFirst << b.failures
+		wait = minBackoff << b.failures
 	}
 	b.failures++
 	b.next = m.now.Add(m.jitter(wait))
@@ -233,14 +233,14 @@
 	return d/2 + time.Duration(m.rand.Int64N(int64(d)+1))
 }
 
-// search tries from time to time to reach one member that is held for dead or
+// reconnect tries from time to time to reach one member that is held for dead or
 // one seed that no live member has. This is how the sides of a partition find
 // each other again, at a rate that does not depend on their number.
-func (m *Machine) search() {
-	if m.now.Before(m.nextSearch) {
+func (m *Machine) reconnect() {
+	if m.now.Before(m.nextReconnect) {
 		return
 	}
-	m.nextSearch = m.now.Add(m.jitter(m.cfg.SearchInterval))
+	m.nextReconnect = m.now.Add(m.jitter(m.cfg.ReconnectInterval))
 	live := make(map[string]bool)
 	var lost []Dial
 	for _, e := range m.sortedTable() {
@@ -257,12 +257,12 @@
 		}
 	}
 	if len(lost) > 0 {
-		m.try(lost[m.rand.IntN(len(lost))])
+		m.requestDial(lost[m.rand.IntN(len(lost))])
 	}
 }
 
-// forget drops the backoff of addresses that are no longer tried.
-func (m *Machine) forget() {
+// pruneBackoffs drops the backoff of addresses that are no longer tried.
+func (m *Machine) pruneBackoffs() {
 	for address, b := range m.dials {
 		if m.now.Sub(b.next) > time.Minute {
 			delete(m.dials, address)
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -11,11 +11,11 @@
 	Digests   []Digest   `cbor:"4,keyasint,omitempty"`
 	Listings  []Listing  `cbor:"5,keyasint,omitempty"`
 	Probe     *Probe     `cbor:"6,keyasint,omitempty"`
-	// Haves announces rumours: for each the 32-bit hash of its topic and key
+	// Announcements announces rumours: for each the 32-bit hash of its topic and key
 	// and the low 32 bits of its version, little-endian.
-	Haves []byte `cbor:"7,keyasint,omitempty"`
-	// Wants asks for rumours by their hashes.
-	Wants []byte `cbor:"8,keyasint,omitempty"`
+	Announcements []byte `cbor:"7,keyasint,omitempty"`
+	// Requests asks for rumours by their hashes.
+	Requests []byte `cbor:"8,keyasint,omitempty"`
 	// Repairs are rumours that the receiver was found to lack. Others are
 	// likely to have them, so it announces them and does not pass them on.
 	Repairs []Rumor `cbor:"9,keyasint,omitempty"`
@@ -37,9 +37,9 @@
 	Version uint64                `cbor:"3,keyasint"`
 	Origin  coordination.Instance `cbor:"4,keyasint,omitempty"`
 	Payload []byte                `cbor:"5,keyasint,omitempty"`
-	// Life is the time in milliseconds that the rumour has left, and zero for
+	// TTLMillis is the time in milliseconds that the rumour has left, and zero for
 	// one that is kept. It is not a moment, because clocks differ.
-	Life uint32 `cbor:"6,keyasint,omitempty"`
+	TTLMillis uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 // MaxPayload is the largest payload of a rumour in bytes.
@@ -51,8 +51,8 @@
 // The tables.
 const (
 	MemberTable Table = iota
-	KeptTable
-	SoftTable
+	PersistentTable
+	EphemeralTable
 	tables
 )
 
@@ -71,8 +71,8 @@
 	Table   Table  `cbor:"1,keyasint"`
 	Buckets uint32 `cbor:"2,keyasint"` // one bit each
 	Rows    []byte `cbor:"3,keyasint"`
-	// Answer means that the receiver need not list its rows in turn.
-	Answer bool `cbor:"4,keyasint,omitempty"`
+	// IsReply means that the receiver need not list its rows in turn.
+	IsReply bool `cbor:"4,keyasint,omitempty"`
 }
 
 // ProbeKind tells the three kinds of a probe apart.
@@ -82,8 +82,8 @@
 const (
 	// Ping asks the receiver whether it lives.
 	Ping ProbeKind = iota + 1
-	// PingFor asks the receiver to ping Target and to pass its answer on.
-	PingFor
+	// PingRequest asks the receiver to ping Target and to pass its answer on.
+	PingRequest
 	// Ack answers a Ping or a PingFor.
 	Ack
 )
@@ -105,7 +105,7 @@
 
 // Size estimates the encoded size of m in bytes.
 func (m *Message) Size() int {
-	n := messageBytes + len(m.Haves) + len(m.Wants)
+	n := messageBytes + len(m.Announcements) + len(m.Requests)
 	if m.Heartbeat != nil {
 		n += heartbeatBytes
 	}
--- a/coordination/membership/push.go
+++ b/coordination/membership/push.go
@@ -16,16 +16,16 @@
 // did not come, because lists differ or a member of the tree has died, asks the
 // announcer for it.
 
-// announceAfter is the age at which a rumour is announced. By then it has
+// announceDelay is the age at which a rumour is announced. By then it has
 // arrived by the tree, unless that is broken.
-const announceAfter = time.Second
+const announceDelay = time.Second
 
-// announceBatch is the time for which announcements are gathered.
-const announceBatch = 500 * time.Millisecond
+// announceBatchInterval is the time for which announcements are gathered.
+const announceBatchInterval = 500 * time.Millisecond
 
-// askAgain is the time after which a rumour that was asked for and did not
+// requestRetryInterval is the time after which a rumour that was asked for and did not
 // come is asked for again.
-const askAgain = time.Second
+const requestRetryInterval = time.Second
 
 // announcementBytes is the size of one announcement: the hash of the topic and
 // key, and the low half of the version.
@@ -63,31 +63,31 @@
 	delete(q.set, k)
 }
 
-// spreadRumor queues the rumour or its announcement for all neighbours but
+// pushRumor queues the rumour or its announcement for all neighbours but
 // from.
-func (m *Machine) spreadRumor(from coordination.Instance, k rumorKey) {
-	all := !m.treeStands()
+func (m *Machine) pushRumor(from coordination.Instance, k rumorKey) {
+	all := !m.treeConnected()
 	for _, l := range m.links {
-		if l.peer == from || !m.Neighbor(l.peer) {
+		if l.peer == from || !m.IsNeighbor(l.peer) {
 			continue
 		}
-		if all || m.tree[l.peer] {
+		if all || m.broadcastTree[l.peer] {
 			l.rumors.push(k)
 			continue
 		}
-		l.announce(k, m.now.Add(announceAfter))
+		l.announce(k, m.now.Add(announceDelay))
 	}
-	m.knownRumor(from, k)
+	m.markRumorKnown(from, k)
 }
 
-// announce queues the announcement of the rumour for all neighbours but from.
-func (m *Machine) announce(from coordination.Instance, k rumorKey) {
+// announceRumor queues the announcement of the rumour for all neighbours but from.
+func (m *Machine) announceRumor(from coordination.Instance, k rumorKey) {
 	for _, l := range m.links {
-		if l.peer != from && m.Neighbor(l.peer) {
-			l.announce(k, m.now.Add(announceAfter))
+		if l.peer != from && m.IsNeighbor(l.peer) {
+			l.announce(k, m.now.Add(announceDelay))
 		}
 	}
-	m.knownRumor(from, k)
+	m.markRumorKnown(from, k)
 }
 
 func (l *link) announce(k rumorKey, due time.Time) {
@@ -98,8 +98,8 @@
 	l.announcements = append(l.announcements, announcement{k, due})
 }
 
-// knownRumor notes that peer has the rumour already.
-func (m *Machine) knownRumor(peer coordination.Instance, k rumorKey) {
+// markRumorKnown notes that peer has the rumour already.
+func (m *Machine) markRumorKnown(peer coordination.Instance, k rumorKey) {
 	if l := m.links[peer]; l != nil {
 		l.rumors.drop(k)
 		l.repairs.drop(k)
@@ -107,21 +107,21 @@
 	}
 }
 
-// treeStands reports whether this member is linked to all its neighbours in
+// treeConnected reports whether this member is linked to all its neighbours in
 // the tree. If it is not, it sends rumours on all links.
-func (m *Machine) treeStands() bool {
-	for id := range m.tree {
+func (m *Machine) treeConnected() bool {
+	for id := range m.broadcastTree {
 		if m.links[id] == nil {
 			return false
 		}
 	}
-	return len(m.tree) > 0
+	return len(m.broadcastTree) > 0
 }
 
 // addAnnouncements adds what is due to msg. Beyond the byte budget soft
 // rumours are not announced, since those who ask would get nothing.
 func (m *Machine) addAnnouncements(l *link, msg *Message) {
-	if len(l.announcements) == 0 || m.now.Before(l.announcements[0].due.Add(announceBatch)) {
+	if len(l.announcements) == 0 || m.now.Before(l.announcements[0].due.Add(announceBatchInterval)) {
 		return
 	}
 	sent := 0
@@ -133,24 +133,24 @@
 		r := m.rumors[a.key]
 		_, ok := l.unannounced[a.key]
 		delete(l.unannounced, a.key)
-		if !ok || r == nil || !r.live(m.now) || !r.keep && m.tokens <= 0 {
+		if !ok || r == nil || !r.live(m.now) || !r.persistent && m.gossipTokens <= 0 {
 			continue
 		}
-		msg.Haves = binary.LittleEndian.AppendUint32(msg.Haves, r.hash)
-		msg.Haves = binary.LittleEndian.AppendUint32(msg.Haves, uint32(r.Version))
+		msg.Announcements = binary.LittleEndian.AppendUint32(msg.Announcements, r.hash)
+		msg.Announcements = binary.LittleEndian.AppendUint32(msg.Announcements, uint32(r.Version))
 	}
 	l.announcements = slices.Delete(l.announcements, 0, sent)
 }
 
 // request is a rumour that was announced and asked for.
 type request struct {
-	version uint32 // the low half
-	asked   time.Time
-	others  []coordination.Instance // that have announced it too
+	version      uint32 // the low half
+	requestedAt  time.Time
+	alternatives []coordination.Instance // that have announced it too
 }
 
-// hearHaves asks for what a peer has announced and this member lacks.
-func (m *Machine) hearHaves(from coordination.Instance, haves []byte) {
+// handleAnnouncements asks for what a peer has announced and this member lacks.
+func (m *Machine) handleAnnouncements(from coordination.Instance, haves []byte) {
 	l := m.links[from]
 	if l == nil || len(haves)%announcementBytes != 0 {
 		return
@@ -158,11 +158,11 @@
 	for ; len(haves) > 0; haves = haves[announcementBytes:] {
 		h, version := binary.LittleEndian.Uint32(haves), binary.LittleEndian.Uint32(haves[4:])
 		if m.lacks(h, version) {
-			m.ask(l, h, version)
+			m.requestRumor(l, h, version)
 			continue
 		}
 		if k := m.byHash[h]; uint32(m.rumors[k].Version) == version {
-			m.knownRumor(from, k)
+			m.markRumorKnown(from, k)
 		}
 	}
 }
@@ -174,48 +174,48 @@
 	return !ok || int32(version-uint32(m.rumors[k].Version)) > 0
 }
 
-// ask asks for a rumour, unless that has been done; then it remembers whom
-// else to ask.
-func (m *Machine) ask(l *link, h, version uint32) {
+// requestRumor asks for a rumour, unless that has been done; then it remembers whom
+// else to requestRumor.
+func (m *Machine) requestRumor(l *link, h, version uint32) {
 	r := m.requests[h]
 	if r != nil && int32(version-r.version) <= 0 {
-		if len(r.others) < helpers {
-			r.others = append(r.others, l.peer)
+		if len(r.alternatives) < maxHelpers {
+			r.alternatives = append(r.alternatives, l.peer)
 		}
 		return
 	}
 	if len(m.requests) >= m.cfg.MaxRumors {
 		return
 	}
-	m.requests[h] = &request{version: version, asked: m.now}
-	l.wants = binary.LittleEndian.AppendUint32(l.wants, h)
+	m.requests[h] = &request{version: version, requestedAt: m.now}
+	l.pendingRequests = binary.LittleEndian.AppendUint32(l.pendingRequests, h)
 }
 
-// askOthers asks again for what did not come, and ends requests that have been
+// retryRequests asks again for what did not come, and ends requests that have been
 // met or that nobody else can meet.
-func (m *Machine) askOthers() {
+func (m *Machine) retryRequests() {
 	hashes := lo.Keys(m.requests)
 	slices.Sort(hashes)
 	for _, h := range hashes {
 		r := m.requests[h]
-		if m.now.Sub(r.asked) < askAgain {
+		if m.now.Sub(r.requestedAt) < requestRetryInterval {
 			continue
 		}
-		if len(r.others) == 0 || !m.lacks(h, r.version) {
+		if len(r.alternatives) == 0 || !m.lacks(h, r.version) {
 			delete(m.requests, h)
 			continue
 		}
-		next := r.others[0]
-		r.others = r.others[1:]
+		next := r.alternatives[0]
+		r.alternatives = r.alternatives[1:]
 		if l := m.links[next]; l != nil {
-			r.asked = m.now
-			l.wants = binary.LittleEndian.AppendUint32(l.wants, h)
+			r.requestedAt = m.now
+			l.pendingRequests = binary.LittleEndian.AppendUint32(l.pendingRequests, h)
 		}
 	}
 }
 
-// hearWants queues what a peer has asked for.
-func (m *Machine) hearWants(from coordination.Instance, wants []byte) {
+// handleRequests queues what a peer has asked for.
+func (m *Machine) handleRequests(from coordination.Instance, wants []byte) {
 	l := m.links[from]
 	if l == nil || len(wants)%4 != 0 {
 		return
--- a/coordination/membership/rumor.go
+++ b/coordination/membership/rumor.go
@@ -15,20 +15,20 @@
 	key   string
 }
 
-// spreadFunc tells others of a rumour that from has told.
-type spreadFunc func(from coordination.Instance, k rumorKey)
+// disseminateFunc tells others of a rumour that from has told.
+type disseminateFunc func(from coordination.Instance, k rumorKey)
 
 // rumor is a rumour as it is held.
 type rumor struct {
 	Rumor
-	hash    uint32 // of topic and key
-	keep    bool
-	arrived time.Time
-	expires time.Time // unset if it is kept
+	hash       uint32 // of topic and key
+	persistent bool
+	arrived    time.Time
+	expires    time.Time // unset if it is kept
 }
 
 func (r *rumor) live(now time.Time) bool {
-	return r.keep || now.Before(r.expires)
+	return r.persistent || now.Before(r.expires)
 }
 
 // Broadcast spreads a rumour of this member. It reports whether the rumour
@@ -39,38 +39,38 @@
 	if !utf8.ValidString(topic) || !utf8.ValidString(key) {
 		return false // nobody could decode it, and each receiver would hang up
 	}
-	return m.accept("", m.spreadRumor, Rumor{
-		Topic:   topic,
-		Key:     key,
-		Version: version,
-		Origin:  m.self.Instance,
-		Payload: slices.Clone(payload),
-		Life:    m.lifeOf(topic),
+	return m.storeRumor("", m.pushRumor, Rumor{
+		Topic:     topic,
+		Key:       key,
+		Version:   version,
+		Origin:    m.self.Instance,
+		Payload:   slices.Clone(payload),
+		TTLMillis: m.ttlMillis(topic),
 	})
 }
 
-// lifeOf returns the life of a new rumour of topic in milliseconds.
-func (m *Machine) lifeOf(topic string) uint32 {
+// ttlMillis returns the life of a new rumour of topic in milliseconds.
+func (m *Machine) ttlMillis(topic string) uint32 {
 	t := m.cfg.Topics[topic]
-	if t.Keep {
+	if t.Persistent {
 		return 0
 	}
-	setDuration(&t.TTL, DefaultTTL)
+	setDefaultDuration(&t.TTL, DefaultTTL)
 	return uint32(min(t.TTL.Milliseconds(), math.MaxUint32))
 }
 
-// Fresh returns the rumours that have arrived since the last call. Of several
+// DrainNewRumors returns the rumours that have arrived since the last call. Of several
 // versions that came in between, it returns the newest only.
-func (m *Machine) Fresh() []Rumor {
+func (m *Machine) DrainNewRumors() []Rumor {
 	var fresh []Rumor
-	for _, k := range m.fresh {
+	for _, k := range m.newRumors {
 		r := m.rumors[k]
 		if r == nil {
 			continue
 		}
 		fresh = append(fresh, r.Rumor)
 	}
-	m.fresh = nil
+	m.newRumors = nil
 	return fresh
 }
 
@@ -86,42 +86,42 @@
 	return live
 }
 
-// hear takes in a rumour that a peer told, and tells others by spread.
-func (m *Machine) hear(from coordination.Instance, r Rumor, spread spreadFunc) {
+// receiveRumor takes in a rumour that a peer told, and tells others by spread.
+func (m *Machine) receiveRumor(from coordination.Instance, r Rumor, spread disseminateFunc) {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && old.Version == r.Version && old.Origin == r.Origin {
-		m.knownRumor(from, k)
+		m.markRumorKnown(from, k)
 		return
 	}
-	m.accept(from, spread, r)
+	m.storeRumor(from, spread, r)
 }
 
-// accept holds and spreads r if it is newer than what is known.
-func (m *Machine) accept(from coordination.Instance, spread spreadFunc, r Rumor) bool {
+// storeRumor holds and spreads r if it is newer than what is known.
+func (m *Machine) storeRumor(from coordination.Instance, spread disseminateFunc, r Rumor) bool {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && !newer(r, old.Rumor) {
 		return false
 	}
-	keep := m.cfg.Topics[r.Topic].Keep
-	if !r.valid() || !keep && r.Life == 0 || old == nil && m.full(keep) {
+	keep := m.cfg.Topics[r.Topic].Persistent
+	if !r.valid() || !keep && r.TTLMillis == 0 || old == nil && m.full(keep) {
 		m.stats.RumorsRefused++
 		return false
 	}
-	held := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), keep: keep, arrived: m.now}
+	held := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
 	if !keep {
 		// No topic's life is longer here than its own members give it.
-		life := min(r.Life, m.lifeOf(r.Topic))
+		life := min(r.TTLMillis, m.ttlMillis(r.Topic))
 		held.expires = m.now.Add(time.Duration(life) * time.Millisecond)
 	}
 	m.rumors[k] = held
 	m.byHash[held.hash] = k
 	if keep {
-		m.views[KeptTable].valid = false
+		m.views[PersistentTable].valid = false
 	}
 	if from != "" {
-		m.fresh = append(m.fresh, k)
+		m.newRumors = append(m.newRumors, k)
 	}
 	spread(from, k)
 	return true
@@ -135,7 +135,7 @@
 // kept ones.
 func (m *Machine) full(keep bool) bool {
 	if keep {
-		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxKept
+		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxPersistentRumors
 	}
 	return len(m.rumors) >= m.cfg.MaxRumors
 }
@@ -156,7 +156,7 @@
 			continue
 		}
 		r.Payload = nil
-		if m.now.Sub(r.expires) > tombstone {
+		if m.now.Sub(r.expires) > tombstoneTTL {
 			delete(m.rumors, k)
 			delete(m.byHash, r.hash)
 		}
--- a/coordination/membership/rumor_test.go
+++ b/coordination/membership/rumor_test.go
@@ -9,12 +9,12 @@
 )
 
 var testTopics = map[string]Topic{
-	"settings": {Keep: true},
+	"settings": {Persistent: true},
 	"load":     {TTL: 20 * time.Second},
 }
 
-// has reports whether all running nodes hold exactly this version.
-func (f *fabric) has(topic, key string, version uint64) func() bool {
+// allHave reports whether all running nodes hold exactly this version.
+func (f *simNetwork) allHave(topic, key string, version uint64) func() bool {
 	return func() bool {
 		for _, n := range f.nodes {
 			if !n.running {
@@ -32,9 +32,9 @@
 // Links drop one message in five while settings and loads are gossiped. A
 // router that misses a settings revision would go on with an old one for ever.
 func TestRumorsUnderLoss(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(60, 2, 3, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(60, 2, 3, Config{Topics: testTopics})
+		f.startAll(t)
 		f.loss = 0.2
 		for version := range uint64(20) {
 			for key := range 5 {
@@ -45,9 +45,9 @@
 			f.run(500 * time.Millisecond)
 		}
 		for key := range 5 {
-			took := f.runUntil(t, 20*time.Second, "kept rumour everywhere", f.has("settings", fmt.Sprint("team-", key), 20))
+			took := f.runUntil(t, 20*time.Second, "kept rumour everywhere", f.allHave("settings", fmt.Sprint("team-", key), 20))
 			t.Logf("kept rumour everywhere %v after the last broadcasts", took)
-			f.runUntil(t, 15*time.Second, "soft rumour everywhere", f.has("load", fmt.Sprint("pool-", key), 20))
+			f.runUntil(t, 15*time.Second, "soft rumour everywhere", f.allHave("load", fmt.Sprint("pool-", key), 20))
 		}
 	})
 }
@@ -58,12 +58,12 @@
 	for _, n := range []int{7, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
 			t.Parallel()
-			f := newFabric(uint64(n))
-			f.fill(n, 2, 3, Config{Topics: testTopics})
-			f.up(t)
+			f := newSimNetwork(uint64(n))
+			f.addNodes(n, 2, 3, Config{Topics: testTopics})
+			f.startAll(t)
 			for i := range uint64(10) {
 				f.nodes[i%7].machine.Broadcast(f.now, "settings", "team", i+1, []byte("revision"))
-				took := f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.has("settings", "team", i+1))
+				took := f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.allHave("settings", "team", i+1))
 				t.Logf("everywhere after %v", took)
 			}
 		})
@@ -73,9 +73,9 @@
 // A router starts, or a region returns, after settings were gossiped. What was
 // said in the meantime must reach it although nobody says it again.
 func TestRumorsCatchUp(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(30, 2, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(30, 2, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		far := func(n *node) bool { return n.self.Region == "region-1" }
 		f.partition(far)
 		f.run(time.Minute)
@@ -88,7 +88,7 @@
 		f.runUntil(t, 40*time.Second, "agreement", f.agreed)
 		f.runUntil(t, 20*time.Second, "kept rumours in both regions", func() bool {
 			for i := range 100 {
-				if !f.has("settings", fmt.Sprint("team-", i), 3)() {
+				if !f.allHave("settings", fmt.Sprint("team-", i), 3)() {
 					return false
 				}
 			}
@@ -107,10 +107,10 @@
 // dropped, but settings and membership must go through, or a router would
 // miss a revision because of a noisy topic.
 func TestSheddingKeepsSettings(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.checker.lost = none
-		f.fill(20, 1, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.checker.mayLose = isStopped
+		f.addNodes(20, 1, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		payload := make([]byte, MaxPayload)
 		for _, n := range f.nodes {
 			n.bytes = 0
@@ -122,7 +122,7 @@
 			f.nodes[1].machine.Broadcast(f.now, "settings", "team", round+1, []byte("revision"))
 			f.run(time.Second)
 		}
-		f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.has("settings", "team", 60))
+		f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.allHave("settings", "team", 60))
 		var shed uint64
 		for _, n := range f.nodes {
 			shed += n.machine.Stats().RumorsShed
@@ -138,18 +138,18 @@
 func TestRumorRules(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	m := New(Config{Topics: testTopics}, Member{Instance: "a", Address: "a"}, now)
-	m.Receive(now, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "b", Payload: []byte("five"), Life: 10000}}})
+	m.Receive(now, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "b", Payload: []byte("five"), TTLMillis: 10000}}})
 	tests := []struct {
 		name  string
 		rumor Rumor
 		want  string
 	}{
-		{"older version", Rumor{Topic: "load", Key: "k", Version: 4, Origin: "c", Payload: []byte("four"), Life: 10000}, "five"},
-		{"equal version of lower origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "a", Payload: []byte("low"), Life: 10000}, "five"},
-		{"equal version of higher origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "c", Payload: []byte("high"), Life: 10000}, "high"},
+		{"older version", Rumor{Topic: "load", Key: "k", Version: 4, Origin: "c", Payload: []byte("four"), TTLMillis: 10000}, "five"},
+		{"equal version of lower origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "a", Payload: []byte("low"), TTLMillis: 10000}, "five"},
+		{"equal version of higher origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "c", Payload: []byte("high"), TTLMillis: 10000}, "high"},
 		{"no life left", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("late")}, "high"},
-		{"too large", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: make([]byte, MaxPayload+1), Life: 10000}, "high"},
-		{"newer version", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("six"), Life: 10000}, "six"},
+		{"too large", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: make([]byte, MaxPayload+1), TTLMillis: 10000}, "high"},
+		{"newer version", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("six"), TTLMillis: 10000}, "six"},
 	}
 	for _, test := range tests {
 		m.Receive(now, "b", Message{Rumors: []Rumor{test.rumor}})
@@ -157,14 +157,14 @@
 		assert.Equal(t, len(rumors), 1, test.name)
 		assert.Equal(t, string(rumors[0].Payload), test.want, test.name)
 	}
-	fresh := m.Fresh()
+	fresh := m.DrainNewRumors()
 	assert.Equal(t, string(fresh[len(fresh)-1].Payload), "six")
 
 	// An expired rumour is gone, and an older one does not take its place.
 	later := now.Add(11 * time.Second)
 	m.Tick(later)
 	assert.Equal(t, len(m.Rumors("load")), 0)
-	m.Receive(later, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "c", Life: 10000}}})
+	m.Receive(later, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "c", TTLMillis: 10000}}})
 	assert.Equal(t, len(m.Rumors("load")), 0)
 }
 
@@ -172,9 +172,9 @@
 // of them, and the new router passed them on in turn, a rolling update would
 // spend the byte budget of the whole fleet on what is known already.
 func TestCatchUpIsPaced(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(20, 1, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(20, 1, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		const count, size = 300, 500
 		for i := range count {
 			f.nodes[i%20].machine.Broadcast(f.now, "settings", fmt.Sprint("team-", i), 1, make([]byte, size))
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -33,27 +33,27 @@
 	}
 	switch {
 	case r.Incarnation < e.Incarnation:
-		m.tell(from, r.Instance)
+		m.queueForPeer(from, r.Instance)
 	case r.Incarnation > e.Incarnation:
 		m.replace(from, e, r)
 	case e.State.Final():
 		// The end of an incarnation is never taken back. Its teller learns
 		// of it, and so the member itself in the end.
 		if !r.State.Final() {
-			m.tell(from, r.Instance)
+			m.queueForPeer(from, r.Instance)
 		}
 	case r.State == Left:
 		m.replace(from, e, r)
 	case r.State == Dead:
-		m.claim(from, e)
+		m.applyDeathClaim(from, e)
 	case r.Version > e.Version:
 		m.replace(from, e, r)
 	case r.Version < e.Version:
-		m.tell(from, r.Instance)
+		m.queueForPeer(from, r.Instance)
 	case r.State == Suspect && e.State != Suspect:
 		m.suspect(from, e)
 	default:
-		m.known(from, r.Instance)
+		m.markKnown(from, r.Instance)
 	}
 }
 
@@ -61,7 +61,7 @@
 // filling the memory.
 func (r *Member) valid() bool {
 	return r.Instance != "" && len(r.Instance) <= maxName && len(r.Address) <= maxName &&
-		r.Incarnation < maxCount && r.Version < maxCount && len(r.Zone) <= maxName && len(r.Region) <= maxName && len(r.Build) <= maxName && r.State <= Dead
+		r.Incarnation < maxCounter && r.Version < maxCounter && len(r.Zone) <= maxName && len(r.Region) <= maxName && len(r.Build) <= maxName && r.State <= Dead
 }
 
 // insert adds a member that was unknown. The end of an unknown member is no
@@ -70,9 +70,9 @@
 	if r.Address == "" || r.State.Final() || len(m.table) >= m.cfg.MaxMembers {
 		return
 	}
-	m.table[r.Instance] = &entry{Member: r, since: m.now}
-	m.touch()
-	m.spread(from, r.Instance)
+	m.table[r.Instance] = &entry{Member: r, stateSince: m.now}
+	m.markChanged()
+	m.queueForNeighbors(from, r.Instance)
 }
 
 // replace sets e to the newer record r. A record of a suspect or dead member
@@ -94,35 +94,35 @@
 	if e.State == Leaving || e.State == Left {
 		e.Ready = false
 	}
-	e.claimed = claimed
-	e.since = m.now
-	m.touch()
-	m.spread(from, e.Instance)
+	e.deathClaimed = claimed
+	e.stateSince = m.now
+	m.markChanged()
+	m.queueForNeighbors(from, e.Instance)
 }
 
-// claim handles word that the incarnation of e is dead. It is only suspected:
+// applyDeathClaim handles word that the incarnation of e is dead. It is only suspected:
 // after a partition, the far side holds each member for dead, and believing
 // that would empty the near side's list too. The member refutes by a higher
 // incarnation.
-func (m *Machine) claim(from coordination.Instance, e *entry) {
-	if e.claimed {
-		m.known(from, e.Instance)
+func (m *Machine) applyDeathClaim(from coordination.Instance, e *entry) {
+	if e.deathClaimed {
+		m.markKnown(from, e.Instance)
 		return
 	}
-	e.claimed = true
+	e.deathClaimed = true
 	if e.State != Suspect {
 		e.State = Suspect
-		e.since = m.now
+		e.stateSince = m.now
 	}
-	m.touch()
-	m.spread(from, e.Instance)
+	m.markChanged()
+	m.queueForNeighbors(from, e.Instance)
 }
 
 func (m *Machine) suspect(from coordination.Instance, e *entry) {
 	e.State = Suspect
-	e.since = m.now
-	m.touch()
-	m.spread(from, e.Instance)
+	e.stateSince = m.now
+	m.markChanged()
+	m.queueForNeighbors(from, e.Instance)
 	// The suspect itself must hear of it first, so that it can refute.
 	if l := m.links[e.Instance]; l != nil {
 		l.records[e.Instance] = struct{}{}
@@ -142,7 +142,7 @@
 	case r.State == Suspect && r.Version >= m.self.Version, r.Version > m.self.Version:
 		m.self.Version = r.Version
 		m.stats.Refutations++
-		m.raise()
+		m.bumpVersion()
 	}
 }
 
@@ -151,15 +151,15 @@
 	m.self.Incarnation = max(after+1, coordination.Incarnation(m.now.UnixMilli()))
 	m.self.Version = 0
 	m.stats.Reincarnations++
-	m.touch()
-	m.spread("", m.self.Instance)
+	m.markChanged()
+	m.queueForNeighbors("", m.self.Instance)
 }
 
-// raise spreads a change of the machine's own record.
-func (m *Machine) raise() {
+// bumpVersion spreads a change of the machine's own record.
+func (m *Machine) bumpVersion() {
 	m.self.Version++
-	m.touch()
-	m.spread("", m.self.Instance)
+	m.markChanged()
+	m.queueForNeighbors("", m.self.Instance)
 }
 
 // SetReady tells all members whether this one takes work.
@@ -169,7 +169,7 @@
 		return
 	}
 	m.self.Ready = ready
-	m.raise()
+	m.bumpVersion()
 }
 
 // Leave tells all members that this one is stopping.
@@ -180,47 +180,47 @@
 	}
 	m.self.State = Leaving
 	m.self.Ready = false
-	m.raise()
+	m.bumpVersion()
 }
 
-// Left tells all members that this one is gone. Nothing follows it.
-func (m *Machine) Left(now time.Time) {
+// CompleteLeave tells all members that this one is gone. Nothing follows it.
+func (m *Machine) CompleteLeave(now time.Time) {
 	m.advance(now)
 	if m.self.State == Left {
 		return
 	}
 	m.self.State = Left
 	m.self.Ready = false
-	m.raise()
+	m.bumpVersion()
 }
 
-// touch notes that the table has changed.
-func (m *Machine) touch() {
+// markChanged notes that the table has changed.
+func (m *Machine) markChanged() {
 	m.changed = true
-	m.live = nil
-	m.stale = true
+	m.cachedMembers = nil
+	m.meshStale = true
 	m.views[MemberTable].valid = false
 }
 
-// spread queues the record of id for all neighbours but from.
-func (m *Machine) spread(from, id coordination.Instance) {
+// queueForNeighbors queues the record of id for all neighbours but from.
+func (m *Machine) queueForNeighbors(from, id coordination.Instance) {
 	for peer, l := range m.links {
-		if peer != from && m.Neighbor(peer) {
+		if peer != from && m.IsNeighbor(peer) {
 			l.records[id] = struct{}{}
 		}
 	}
-	m.known(from, id)
+	m.markKnown(from, id)
 }
 
-// tell queues the record of id for one peer.
-func (m *Machine) tell(peer, id coordination.Instance) {
+// queueForPeer queues the record of id for one peer.
+func (m *Machine) queueForPeer(peer, id coordination.Instance) {
 	if l := m.links[peer]; l != nil {
 		l.records[id] = struct{}{}
 	}
 }
 
-// known notes that peer has the record of id already.
-func (m *Machine) known(peer, id coordination.Instance) {
+// markKnown notes that peer has the record of id already.
+func (m *Machine) markKnown(peer, id coordination.Instance) {
 	if l := m.links[peer]; l != nil {
 		delete(l.records, id)
 	}
@@ -229,14 +229,14 @@
 // expire ends suspicions and forgets members that are long gone.
 func (m *Machine) expire() {
 	for _, e := range m.table {
-		age := m.now.Sub(e.since)
+		age := m.now.Sub(e.stateSince)
 		switch {
-		case e.State == Suspect && age >= m.cfg.Suspicion:
+		case e.State == Suspect && age >= m.cfg.SuspicionTimeout:
 			e.State = Dead
-			e.claimed = false
-			e.since = m.now
+			e.deathClaimed = false
+			e.stateSince = m.now
 			m.stats.Deaths++
-			m.touch()
+			m.markChanged()
 		case e.State.Final() && age >= m.cfg.ForgetAfter:
 			m.remove(e.Instance)
 		}
@@ -245,8 +245,8 @@
 
 func (m *Machine) remove(id coordination.Instance) {
 	delete(m.table, id)
-	delete(m.watched, id)
-	m.touch()
+	delete(m.monitors, id)
+	m.markChanged()
 }
 
 func (m *Machine) recordOf(id coordination.Instance) (Member, bool) {
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -124,7 +124,7 @@
 			Owner:       true,
 		},
 		Seeds:      cfg.Peers.Seeds,
-		Membership: membership.Config{Budget: cfg.Peers.Bytes},
+		Membership: membership.Config{BytesPerSecond: cfg.Peers.Bytes},
 		Topics:     topics,
 		OnEvent:    peerEvents{log: logOf(i)}.emit,
 	})
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -30,7 +30,7 @@
 // topics tells how the rumours of each topic spread.
 var topics = map[string]membership.Topic{
 	topicLeaving:          {TTL: leavingLife},
-	settings.TopicChange:  {Keep: true},
+	settings.TopicChange:  {Persistent: true},
 	settings.TopicFresh:   {TTL: freshLife},
 	suspicion.TopicRecord: {TTL: suspicionLife},
 }
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -65,7 +65,7 @@
 			Incarnation: coordination.Incarnation(time.Now().UnixMilli()),
 		},
 		Seeds:  seeds,
-		Topics: map[string]membership.Topic{settings.TopicChange: {Keep: true}, settings.TopicFresh: {}},
+		Topics: map[string]membership.Topic{settings.TopicChange: {Persistent: true}, settings.TopicFresh: {}},
 	})
 	assert.NilError(t, err)
 	links := http.NewServeMux()
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -150,7 +150,7 @@
 		s.Members[m.State]++
 	}
 	for _, c := range conns {
-		if n.machine.Neighbor(c.peer.Instance) {
+		if n.machine.IsNeighbor(c.peer.Instance) {
 			s.Neighbors++
 		}
 	}
--- a/wisteriarouter/peer/dispatch.go
+++ b/wisteriarouter/peer/dispatch.go
@@ -45,7 +45,7 @@
 	n := d.node
 	n.mu.Lock()
 	changed := !time.Now().Before(d.nextChange) && n.machine.Changed()
-	fresh := n.machine.Fresh()
+	fresh := n.machine.DrainNewRumors()
 	members := []membership.Member(nil)
 	if changed {
 		members = n.machine.Members()
--- a/wisteriarouter/peer/freeze_test.go
+++ b/wisteriarouter/peer/freeze_test.go
@@ -24,11 +24,11 @@
 func quick(cfg *Config) {
 	cfg.DeadAfter = 3 * time.Second
 	cfg.Membership = membership.Config{
-		Heartbeat:      500 * time.Millisecond,
-		ProbeAfter:     1500 * time.Millisecond,
-		ProbeTimeout:   time.Second,
-		Suspicion:      3 * time.Second,
-		SearchInterval: 500 * time.Millisecond,
+		HeartbeatInterval: 500 * time.Millisecond,
+		ProbeAfter:        1500 * time.Millisecond,
+		ProbeTimeout:      time.Second,
+		SuspicionTimeout:  3 * time.Second,
+		ReconnectInterval: 500 * time.Millisecond,
 	}
 }
 
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -249,7 +249,7 @@
 func (n *Node) isNeighbor(c *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.machine.Neighbor(c.peer.Instance)
+	return n.machine.IsNeighbor(c.peer.Instance)
 }
 
 func (n *Node) event(e Event) {
@@ -261,7 +261,7 @@
 // stop is the function that New returns.
 func (n *Node) stop() {
 	n.step(func(now time.Time) membership.Output {
-		n.machine.Left(now)
+		n.machine.CompleteLeave(now)
 		return n.machine.Tick(now)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), farewell)
--- a/wisteriarouter/peer/peer_test.go
+++ b/wisteriarouter/peer/peer_test.go
@@ -80,7 +80,7 @@
 			Incarnation: coordination.Incarnation(time.Now().UnixMilli()),
 		},
 		Seeds:  seeds,
-		Topics: map[string]membership.Topic{"load": {}, "settings": {Keep: true}},
+		Topics: map[string]membership.Topic{"load": {}, "settings": {Persistent: true}},
 	}
 }
 
