--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// envelopeBytes is what package peer and WebSocket add to a message.
+// envelopeBytes is the overhead that package peer and WebSocket add per message.
 const envelopeBytes = 10
 
 func encodedSize(m *Message) int {
@@ -19,9 +19,9 @@
 	return envelopeBytes + len(b)
 }
 
-// BenchmarkControl measures what a member sends and computes in a steady fleet
-// with six zones in two regions, without rumours and with twenty a second in
-// the whole fleet (40 bytes each, over 100 keys).
+// BenchmarkControl measures the traffic and CPU time per member of a fleet without
+// membership changes, with six zones in two regions. It runs without rumors and
+// with 20 rumors per second in the whole fleet (40 bytes each, over 100 keys).
 func BenchmarkControl(b *testing.B) {
 	for _, members := range []int{7, 30, 100, 330} {
 		for _, rate := range []int{0, 20} {
@@ -69,19 +69,19 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// worstSpread returns the longest time that one of ten rumours takes to reach
-// all members.
+// worstSpread returns the longest time that any of ten rumors takes to reach all
+// members.
 func worstSpread(b *testing.B, f *simNetwork) time.Duration {
 	var worst time.Duration
 	for i := range 10 {
 		f.nodes[i%len(f.nodes)].machine.Broadcast(f.now, "load", "spread", uint64(i+1), nil)
-		worst = max(worst, f.runUntil(b, time.Minute, "rumour everywhere", f.allHave("load", "spread", uint64(i+1))))
+		worst = max(worst, f.runUntil(b, time.Minute, "rumor at all members", f.allHave("load", "spread", uint64(i+1))))
 	}
 	return worst
 }
 
-// BenchmarkHeal measures the return of a region after two minutes: the time
-// until all lists agree, and what each member sends until then.
+// BenchmarkHeal measures the end of a two-minute partition between two regions: the
+// time until all member lists agree, and the traffic per member until then.
 func BenchmarkHeal(b *testing.B) {
 	for _, members := range []int{30, 330} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -6,78 +6,86 @@
 	"wisteriaspool/coordination"
 )
 
-// Config tunes a Machine. The zero value of each field stands for its default.
+// Config holds the parameters of a Machine. Zero fields take their defaults.
 type Config struct {
-	// Seeds are addresses of routers to try when no other is known, and from
-	// time to time when they belong to no live member.
+	// Seeds are the addresses of routers to contact when no other member is
+	// connected. A seed that belongs to no live member is retried periodically.
 	Seeds []string
-	// Topics tells how rumours spread; a topic that is missing is soft and
-	// has DefaultTTL.
+	// Topics configures the dissemination of rumors by topic. Rumors of a
+	// topic that is not listed are ephemeral and live for DefaultTTL.
 	Topics map[string]Topic
-	// HeartbeatInterval is the time between heartbeats on a link; 1 s.
+	// HeartbeatInterval is the interval between heartbeats on a link; default
+	// 1 s.
 	HeartbeatInterval time.Duration
-	// ProbeAfter is the silence after which a neighbour is probed; 3 s.
+	// ProbeAfter is how long a neighbor may be silent before it is probed;
+	// default 3 s.
 	ProbeAfter time.Duration
-	// ProbeTimeout is the time that probes have for an answer; 2 s.
+	// ProbeTimeout is how long a probe waits for an answer; default 2 s.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is the time that a suspect has to refute; 6 s.
+	// SuspicionTimeout is how long a suspect has to refute before it is
+	// declared dead; default 6 s.
 	SuspicionTimeout time.Duration
-	// ForgetAfter is the time for which dead members are kept, and tried from
-	// time to time; 30 min.
+	// ForgetAfter is how long dead and departed members stay in the table.
+	// Connections to dead ones are retried until then; default 30 min.
 	ForgetAfter time.Duration
-	// ReconnectInterval is the time between two attempts to reach a dead member
-	// or a missing seed; 10 s.
+	// ReconnectInterval is the mean interval between two attempts to reach a
+	// dead member or a missing seed; default 10 s.
 	ReconnectInterval time.Duration
-	// RepairInterval is the least time between two comparisons of a table
-	// with others; 1 s, and five times that for soft rumours.
+	// RepairInterval is the minimum time between two comparisons of a table
+	// with peers, before jitter; default 1 s. It is five times as long for
+	// ephemeral rumors.
 	RepairInterval time.Duration
-	// BytesPerSecond is the rate of gossip in bytes per second over which soft
-	// rumours are shed; 12,000.
+	// BytesPerSecond is the rate of gossip above which ephemeral rumors are
+	// dropped; default 12,000.
 	BytesPerSecond int
-	// MaxMembers bounds the table; 8192.
+	// MaxMembers limits the number of other members in the table; default 8192.
 	MaxMembers int
-	// MaxRumors bounds the rumours held, as far as soft ones go; 8192.
+	// MaxRumors is the number of stored rumors, of either kind, from which on
+	// no new ephemeral rumor is accepted; default 8192.
 	MaxRumors int
-	// MaxPersistentRumors bounds the kept rumours held beyond MaxRumors; 8192.
+	// MaxPersistentRumors is the number of rumors that persistent ones may
+	// take in addition to MaxRumors; default 8192.
 	MaxPersistentRumors int
-	// Seed makes random choices repeatable.
+	// Seed seeds the random number generator, which makes runs reproducible.
 	Seed uint64
 }
 
-// Topic tells how the rumours of a topic spread.
+// Topic configures the rumors of one topic.
 type Topic struct {
-	// Persistent means that rumours of the topic are never shed or expire.
+	// Persistent means that rumors of the topic never expire and are never
+	// dropped.
 	Persistent bool
-	// TTL is the life of a soft rumour; DefaultTTL.
+	// TTL is the lifetime of an ephemeral rumor; default DefaultTTL.
 	TTL time.Duration
 }
 
-// DefaultTTL is the life of a soft rumour whose topic has none set.
+// DefaultTTL is the lifetime of ephemeral rumors whose topic sets none.
 const DefaultTTL = 30 * time.Second
 
 const (
-	maxHelpers         = 3        // members asked to probe for us
+	maxHelpers         = 3        // members that probe another on request, and alternative sources of a rumor
 	maxName            = 256      // bytes of an instance, address, topic or key
-	maxCounter         = 1 << 62  // incarnation and version, which must be able to rise
-	maxRecords         = 64       // records of members in one message
-	minRecords         = 8        // the same, where many wait for more
-	typicalRecordBytes = 90       // bytes of a record of a live member
-	maxRumors          = 64       // rumours in one message
-	maxRumorBytes      = 16 << 10 // payloads of rumours in one message
-	// recordRateFactor is the rate of records of members over the byte budget, when
-	// a large part of the fleet is new or back.
+	maxCounter         = 1 << 62  // incarnation and version, so that both can still be incremented
+	maxRecords         = 64       // member records per message
+	minRecords         = 8        // the same, when many links have records queued
+	typicalRecordBytes = 90       // size of the record of a live member
+	maxRumors          = 64       // rumors per message
+	maxRumorBytes      = 16 << 10 // bytes of rumors per message
+	// recordRateFactor is the rate limit of member records and rumor repairs as
+	// a multiple of BytesPerSecond. It takes effect when a large part of the
+	// fleet starts or comes back.
 	recordRateFactor    = 10
-	neighborGracePeriod = 10 * time.Second // for which an unwanted neighbour stays one
+	neighborGracePeriod = 10 * time.Second // for which a peer outside the mesh stays a neighbor
 	minBackoff          = 500 * time.Millisecond
 	maxBackoff          = 15 * time.Second
 	// dialDeferral is how long the member with the higher name waits for the
-	// other to dial, so that a pair rarely dials at once.
+	// other one to dial, so that two members rarely dial each other at once.
 	dialDeferral = time.Second
-	// pauseThreshold is the time between two ticks from which on the process is
-	// taken to have been paused.
+	// pauseThreshold is the gap between two calls from which on the process is
+	// assumed to have been paused.
 	pauseThreshold = 1500 * time.Millisecond
-	// tombstoneTTL is how long an expired rumour's version is remembered, lest a
-	// slow neighbour bring back an older one.
+	// tombstoneTTL is how long the version of an expired rumor is kept, so that
+	// a slow neighbor cannot reintroduce an older version.
 	tombstoneTTL = 15 * time.Second
 )
 
@@ -108,35 +116,36 @@
 	}
 }
 
-// Dial asks for a connection to an address. Instance is empty for a seed.
+// Dial is a request to open a connection to Address. Instance is empty for a
+// seed.
 type Dial struct {
 	Instance coordination.Instance
 	Address  string
 }
 
-// Send asks for a message to be sent. If there is no connection to the
-// member, one is made for it at Address.
+// Send is a request to send a message. If there is no connection to the member,
+// the caller opens one at Address.
 type Send struct {
 	To      coordination.Instance
 	Address string
 	Message Message
 }
 
-// Output is what a Machine wants done.
+// Output holds the actions that a Machine requests from its caller.
 type Output struct {
 	Sends []Send
 	Dials []Dial
 }
 
-// Stats counts what a Machine did.
+// Stats holds the counters of a Machine.
 type Stats struct {
-	Suspicions     uint64 // members that this one came to suspect by itself
-	Deaths         uint64 // members that this one declared dead
-	Refutations    uint64 // suspicions of itself that it refuted
-	Reincarnations uint64 // deaths of itself that it answered by a new incarnation
-	Repairs        uint64 // comparisons of tables begun
-	RecordsSent    uint64 // records of members
+	Suspicions     uint64 // members suspected because a probe timed out
+	Deaths         uint64 // members declared dead by this one
+	Refutations    uint64 // suspicions of this member that it refuted
+	Reincarnations uint64 // new incarnations begun because peers knew this one as ended, or a higher one
+	Repairs        uint64 // table comparisons started because fingerprints differed
+	RecordsSent    uint64 // member records sent
 	RumorsSent     uint64
-	RumorsShed     uint64 // soft rumours dropped for the byte budget, per link
-	RumorsRefused  uint64 // rumours not taken for their size or the table's
+	RumorsShed     uint64 // ephemeral rumors dropped to stay within the byte budget, per link
+	RumorsRefused  uint64 // invalid or expired rumors, or those beyond the table's limits
 }
--- a/coordination/membership/digest.go
+++ b/coordination/membership/digest.go
@@ -9,46 +9,48 @@
 	"wisteriaspool/coordination"
 )
 
-// row is one line of a table as members compare it.
+// row is one entry of a table in the form in which tables are compared.
 type row struct {
 	key    uint32
 	stamp  uint64
-	member coordination.Instance // in MemberTable
-	rumor  rumorKey              // in the others
+	member coordination.Instance // for MemberTable
+	rumor  rumorKey              // for the tables of rumors
 }
 
 const (
 	rowBytes = 12
-	// minCompareAge is the age from which on a soft rumour is compared. Younger
-	// ones are still on their way, and would make all tables differ always.
+	// minCompareAge is the age from which on an ephemeral rumor is included in
+	// comparisons. Younger ones are still being disseminated, and would make
+	// the tables differ all the time.
 	minCompareAge = 3 * time.Second
-	// firstReplyTimeout is the time in which a comparison should bring the first
-	// repairs. It is much shorter than the interval between comparisons, or
-	// all members would always wait for each other.
+	// firstReplyTimeout is how long a comparison waits for the first repairs.
+	// It is much shorter than the interval between comparisons; otherwise all
+	// members would keep waiting for each other.
 	firstReplyTimeout = 300 * time.Millisecond
-	// maxRows bounds a listing.
+	// maxRows is the maximum number of rows in a listing.
 	maxRows = 2048
 )
 
-// view is the content of a table with its fingerprints. Both are kept until
-// the table changes, since each heartbeat in either direction needs them.
+// view caches the rows of a table and their fingerprints. They are needed for every
+// heartbeat sent or received, and are recomputed only when the table changes.
 type view struct {
 	rows  []row
-	sums  [buckets]uint32 // of each bucket
-	sum   uint32          // of all
+	sums  [buckets]uint32 // per bucket
+	sum   uint32          // of the whole table
 	at    time.Time
 	valid bool
 }
 
-// view returns the content of a table.
+// view returns the current view of a table.
 func (m *Machine) view(t Table) *view {
 	v := &m.views[t]
-	// Soft rumours change all the time, and enter the view by their age.
+	// Ephemeral rumors change constantly and enter the view only at
+	// minCompareAge, so that view expires after a heartbeat interval.
 	if v.valid && (t != EphemeralTable || m.now.Sub(v.at) < m.cfg.HeartbeatInterval) {
 		return v
 	}
 	v.rows = m.rows(t, v.rows[:0])
-	// The order of a map must not decide what a bounded message holds.
+	// Listings are truncated, so map iteration order must not select their rows.
 	slices.SortFunc(v.rows, func(a, b row) int { return cmp.Compare(a.key, b.key) })
 	v.sums = fingerprint(v.rows)
 	v.sum = 0
@@ -59,8 +61,8 @@
 	return v
 }
 
-// rows appends the content of a table to rows. Members that are gone are not
-// in it, since each member forgets them at its own time.
+// rows appends the rows of a table to rows. Members that are dead or have left are
+// excluded, since each member forgets them at a different time.
 func (m *Machine) rows(t Table, rows []row) []row {
 	if t == MemberTable {
 		return m.memberRows(rows)
@@ -91,7 +93,7 @@
 	return row{key: uint32(hash(string(e.Instance))), stamp: e.versionStamp(), member: e.Instance}
 }
 
-// fingerprint sums up rows, in whatever order they are.
+// fingerprint returns an order-independent hash of the rows of each bucket.
 func fingerprint(rows []row) [buckets]uint32 {
 	var sums [buckets]uint32
 	for _, r := range rows {
@@ -100,7 +102,7 @@
 	return sums
 }
 
-// fingerprints sums up each table in one number.
+// fingerprints returns one fingerprint per table.
 func (m *Machine) fingerprints() [tables]uint32 {
 	var sums [tables]uint32
 	for t := range tables {
@@ -109,8 +111,9 @@
 	return sums
 }
 
-// repair starts to compare tables with a peer whose heartbeats have shown a
-// difference twice. The first time the change may well be on its way.
+// repair starts a comparison with a peer whose fingerprints differed in two
+// consecutive heartbeats. A single difference often means only that a change is
+// still being propagated.
 func (m *Machine) repair(l *link) {
 	for t := range tables {
 		if l.mismatches[t] < 2 || m.now.Before(m.nextRepair[t]) || m.now.Before(m.repairingUntil[t]) {
@@ -122,8 +125,8 @@
 	}
 }
 
-// noteRepairs notes that a peer is sending what this member lacks. Until it has
-// done so, to compare with others would bring the same once more from each.
+// noteRepairs records that a peer is sending missing rumors. Until that is done,
+// comparisons with other peers would make each of them send the same rumors.
 func (m *Machine) noteRepairs(msg Message) {
 	until := m.now.Add(m.cfg.RepairInterval)
 	for _, r := range msg.Repairs {
@@ -135,9 +138,9 @@
 	}
 }
 
-// expectRepairs notes that a peer has been told what this member lacks. It does
-// not hold for members: after a start of many at once, each has another part
-// of the table, and it is worth hearing several.
+// expectRepairs records that a peer has been told what this member lacks, and delays
+// other comparisons. It does not apply to members: when many routers start at once,
+// each has a different part of the table, and answers of several peers are useful.
 func (m *Machine) expectRepairs(t Table) {
 	if t == MemberTable {
 		return
@@ -148,11 +151,11 @@
 	}
 }
 
-// addSync adds digests of the tables to msg for a new link. A member that has
-// just made several links compares members with one peer after the other, lest
-// it get the whole table from each. Rumours it compares with the first only:
-// if they still differ from those of others, heartbeats will show it, and a
-// list of links that wait for their turn would keep it from repairing that.
+// addSync adds digests of the tables to msg for a new link. A member that has just
+// opened several links compares members with one peer after another, so that it
+// does not receive the whole table from each. It compares rumors with the first
+// peer only: heartbeats reveal remaining differences, and links that wait for their
+// turn would keep postponing that repair.
 func (m *Machine) addSync(l *link, msg *Message) {
 	for t := range tables {
 		if !l.needsSync[t] {
@@ -166,6 +169,7 @@
 	}
 }
 
+// digest returns the digest of a table and schedules the next comparison.
 func (m *Machine) digest(t Table) Digest {
 	interval := m.cfg.RepairInterval
 	if t == EphemeralTable {
@@ -180,7 +184,7 @@
 	return d
 }
 
-// compareDigest answers a digest by listing the buckets that differ.
+// compareDigest answers a digest with a listing of the buckets that differ.
 func (m *Machine) compareDigest(from coordination.Instance, d Digest) {
 	link := m.links[from]
 	if d.Table >= tables || len(d.Buckets) != 4*buckets || link == nil || link.queued(d.Table) || m.now.Before(m.repairingUntil[d.Table]) {
@@ -199,7 +203,7 @@
 	}
 }
 
-// makeListing makes the listing of the buckets in mask.
+// makeListing returns a listing of the buckets in mask, up to maxRows rows.
 func makeListing(t Table, rows []row, mask uint32, answer bool) Listing {
 	l := Listing{Table: t, Buckets: mask, IsReply: answer}
 	for _, r := range rows {
@@ -212,8 +216,8 @@
 	return l
 }
 
-// compareListing queues what the peer lacks, and lists the same buckets in
-// turn so that the peer does so too.
+// compareListing queues the rows that the peer lacks. It answers with a listing of
+// the same buckets, so that the peer can do the same.
 func (m *Machine) compareListing(from coordination.Instance, l Listing) {
 	link := m.links[from]
 	if l.Table >= tables || len(l.Rows)%rowBytes != 0 || link == nil {
@@ -238,9 +242,9 @@
 	}
 }
 
-// queued reports whether something of the table waits to be sent to the peer.
-// A comparison before it is sent would find what is known to be missing, and
-// at a member that many join by, its cost would leave no room for the records.
+// queued reports whether rows of the table are queued for the peer. A comparison in
+// the meantime would only report rows that are already queued; at a member through
+// which many others join, its cost would leave no budget for the records.
 func (l *link) queued(t Table) bool {
 	if t == MemberTable {
 		return len(l.records) > 0
@@ -248,7 +252,7 @@
 	return len(l.repairs.set) > 0
 }
 
-// clear empties the queues to a peer that is no longer a neighbour.
+// clear empties the queues for a peer that is no longer a neighbor.
 func (l *link) clear() {
 	clear(l.records)
 	l.rumors = rumorQueue{}
@@ -258,6 +262,7 @@
 	l.pendingRequests = nil
 }
 
+// queue queues a row that the peer lacks.
 func (l *link) queue(t Table, r row) {
 	if t == MemberTable {
 		l.records[r.member] = struct{}{}
--- a/coordination/membership/fabric_test.go
+++ b/coordination/membership/fabric_test.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/coordination"
 )
 
-// simNetwork passes messages between machines in simulated time. All that is
-// random comes from its seed, so that a run repeats.
+// simNetwork passes messages between machines in simulated time. All randomness
+// comes from its seed, so that runs are reproducible.
 type simNetwork struct {
 	rand    *rand.Rand
 	now     time.Time
@@ -27,15 +27,15 @@
 	byAddr  map[string]*node
 	loss    float64
 	delay   func(a, b *node) time.Duration
-	cut     func(a, b *node) bool // no message passes from a to b
+	cut     func(a, b *node) bool // whether messages from a to b are lost
 	tamper  func(n *node, from coordination.Instance, msg *Message)
 	checker *checker
 	bytes   int
-	cpu     time.Duration // spent in machines
+	cpu     time.Duration // time spent in machines
 	size    func(*Message) int
 }
 
-// node is a router in a fabric.
+// node is a router in a simNetwork.
 type node struct {
 	f       *simNetwork
 	machine *Machine
@@ -44,7 +44,7 @@
 	running bool
 	paused  bool
 	pauses  int
-	held    []func() // what came during a pause
+	held    []func() // deliveries deferred by a pause
 	links   map[coordination.Instance]bool
 	bytes   int
 	sent    int
@@ -97,7 +97,7 @@
 	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, do: do})
 }
 
-// run lets d pass.
+// run advances the simulated time by d.
 func (f *simNetwork) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -108,7 +108,8 @@
 	f.now = end
 }
 
-// runUntil lets time pass until ok, and returns how long that took.
+// runUntil advances the simulated time until ok returns true, and returns the time
+// that passed. It fails the test if that exceeds most.
 func (f *simNetwork) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := f.now
@@ -121,7 +122,7 @@
 	return f.now.Sub(start)
 }
 
-// add makes a node that does not run yet.
+// add adds a node without starting it.
 func (f *simNetwork) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
 	cfg.Seed = f.rand.Uint64()
 	n := &node{f: f, cfg: cfg, self: Member{
@@ -139,7 +140,8 @@
 	return n
 }
 
-// addNodes adds count nodes over regions of zones with three seeds.
+// addNodes adds count nodes, spread evenly over the zones of all regions. The first
+// three are the seeds.
 func (f *simNetwork) addNodes(count, regions, zones int, cfg Config) {
 	for i := range min(3, count) {
 		cfg.Seeds = append(cfg.Seeds, "10.0.0.1:"+name(i))
@@ -154,7 +156,7 @@
 	return fmt.Sprintf("router-%03d", i)
 }
 
-// start begins a new life of n.
+// start starts n with a new incarnation.
 func (n *node) start() {
 	n.startAs(coordination.Incarnation(n.f.now.UnixMilli()))
 }
@@ -182,14 +184,13 @@
 	})
 }
 
-// kill ends n; its connections are reset.
+// kill stops n and closes its connections at once.
 func (n *node) kill() {
 	n.running = false
 	n.unlinkAll()
 }
 
-// pause stops n. After ten seconds its peers take their connections to it
-// for broken.
+// pause freezes n. After ten seconds its peers close their connections to it.
 func (n *node) pause() {
 	n.paused = true
 	n.pauses++
@@ -217,7 +218,7 @@
 	}
 }
 
-// deliver runs do now, or when n wakes.
+// deliver runs do now, or when n resumes if it is paused.
 func (n *node) deliver(life *Machine, do func()) {
 	switch {
 	case !n.running || n.machine != life:
@@ -228,7 +229,7 @@
 	}
 }
 
-// do carries out what n's machine wants.
+// do carries out the actions that n's machine requested.
 func (n *node) do(out Output) {
 	n.f.checker.observe(n)
 	for _, s := range out.Sends {
@@ -251,7 +252,7 @@
 	}
 	wait := f.delay(n, to)
 	if !n.links[s.To] {
-		// A connection is made for it.
+		// Only probes open a connection.
 		if s.Message.Probe == nil || f.cut(to, n) {
 			return
 		}
@@ -306,8 +307,8 @@
 	}
 }
 
-// partition cuts all links between a and b sides; their connections break
-// after ten seconds without a message.
+// partition cuts all paths between the two sides. Their connections break after ten
+// seconds.
 func (f *simNetwork) partition(side func(*node) bool) {
 	f.cut = func(a, b *node) bool { return side(a) != side(b) }
 	f.after(10*time.Second, func() {
@@ -325,7 +326,7 @@
 	f.cut = func(_, _ *node) bool { return false }
 }
 
-// agreed reports whether each running node lists exactly the running ones.
+// agreed reports whether each running node lists exactly the running nodes.
 func (f *simNetwork) agreed() bool {
 	return f.agreedAmong(func(*node) bool { return true })
 }
@@ -355,7 +356,8 @@
 	return true
 }
 
-// startAll starts all nodes within two seconds and waits until they agree.
+// startAll starts all nodes within two seconds, waits until they agree, and returns
+// the time from the end of the two seconds to agreement.
 func (f *simNetwork) startAll(t testing.TB) time.Duration {
 	t.Helper()
 	for _, n := range f.nodes {
@@ -365,7 +367,7 @@
 	return f.runUntil(t, time.Minute, "agreement after the start", f.agreed)
 }
 
-// startWithFullTables starts all nodes with full lists of each other, and no seeds.
+// startWithFullTables starts all nodes without seeds, with each listing all others.
 func (f *simNetwork) startWithFullTables() {
 	for _, n := range f.nodes {
 		n.cfg.Seeds = nil
@@ -388,12 +390,12 @@
 	return sum
 }
 
-// checker looks at what each node believes, each time it has acted.
+// checker verifies the state of each node after each of its actions.
 type checker struct {
 	ended      map[[2]coordination.Instance]coordination.Incarnation // by observer and member
 	versions   map[coordination.Instance]map[rumorKey]uint64
 	violations []string
-	// mayLose, if set, tells whether a member may be missing from a node's list.
+	// mayLose, if set, reports whether observer may consider member dead.
 	mayLose func(observer, member *node) bool
 	seen    map[[2]coordination.Instance]bool
 }
@@ -406,9 +408,9 @@
 	}
 }
 
-// observe checks that no incarnation comes back after its end, that no
-// rumour's version falls, that members are not lost that must not be, and that
-// the list of members is that of the table.
+// observe checks that no incarnation becomes live again after its end, that no
+// rumor's version decreases, that no member is lost that must not be, and that the
+// cached member list matches the table.
 func (c *checker) observe(n *node) {
 	if c == nil {
 		return
@@ -420,18 +422,18 @@
 	c.observeRumors(n)
 }
 
-// observeList checks that the list which a node keeps is that of its table.
+// observeList checks that the cached member list of a node matches its table.
 func (c *checker) observeList(n *node) {
 	if len(n.f.nodes) > 60 {
-		return // the small fleets meet all changes
+		return // small fleets cover all kinds of changes
 	}
 	if !n.machine.memberListMatchesTable() {
-		c.violate("%s keeps an old list of members", n.self.Instance)
+		c.violate("%s returns an outdated member list", n.self.Instance)
 	}
 }
 
-// memberListMatchesTable reports whether Members are those of liveMembers. It neither
-// copies nor sorts the table, for it is asked each time that a node has acted.
+// memberListMatchesTable reports whether Members returns what liveMembers would. It
+// neither copies nor sorts the table, since it runs after every action of a node.
 func (m *Machine) memberListMatchesTable() bool {
 	live := 1 // m itself
 	for _, e := range m.table {
@@ -466,7 +468,7 @@
 		}
 		c.seen[pair] = true
 		if end, ok := c.ended[pair]; ok && e.Incarnation <= end {
-			c.violate("%s holds %s for %v again in incarnation %d", n.self.Instance, id, e.State, e.Incarnation)
+			c.violate("%s lists %s as %v after the end of incarnation %d", n.self.Instance, id, e.State, e.Incarnation)
 		}
 	}
 }
@@ -477,7 +479,7 @@
 	}
 	delete(c.seen, pair)
 	if !c.mayLose(n, n.f.byID[id]) {
-		c.violate("%s lost %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
+		c.violate("%s lost member %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
 	}
 }
 
@@ -490,7 +492,7 @@
 	for _, r := range n.machine.DrainNewRumors() {
 		k := rumorKey{r.Topic, r.Key}
 		if r.Version < seen[k] {
-			c.violate("%s went back to version %d of %v", n.self.Instance, r.Version, k)
+			c.violate("%s reverted to version %d of rumor %v", n.self.Instance, r.Version, k)
 		}
 		seen[k] = r.Version
 	}
@@ -507,8 +509,8 @@
 	assert.Equal(t, len(c.violations), 0, "%v", c.violations)
 }
 
-// forgetObserver forgets what the checker knows of an observer that has begun a
-// new life with an empty table.
+// forgetObserver discards what the checker recorded for a node that has restarted
+// with an empty table.
 func (c *checker) forgetObserver(n *node) {
 	delete(c.versions, n.self.Instance)
 	for pair := range c.ended {
--- a/coordination/membership/fault_test.go
+++ b/coordination/membership/fault_test.go
@@ -9,10 +9,10 @@
 	"wisteriaspool/coordination"
 )
 
-// These tests plant faults in the protocol and expect the checks of the other
-// tests to find them.
+// These tests inject faults into the protocol and verify that the checks of the
+// other tests detect them.
 
-// A router that never hears what is said of it cannot refute a suspicion.
+// A router that does not receive records about itself cannot refute a suspicion.
 func TestCheckerFindsIgnoredRefutation(t *testing.T) {
 	f := newSimNetwork(1)
 	f.checker = newChecker()
@@ -39,8 +39,8 @@
 	assert.Assert(t, f.deaths() > 0)
 }
 
-// A router that takes an old record for a new one brings back a life that
-// has ended.
+// A router that accepts an old record as a new one revives an incarnation that has
+// ended.
 func TestCheckerFindsResurrection(t *testing.T) {
 	f := newSimNetwork(1)
 	f.checker = newChecker()
@@ -59,8 +59,8 @@
 	assert.Assert(t, len(f.checker.violations) > 0)
 }
 
-// A router that takes each rumour it hears as the newest goes back to an
-// older version.
+// A router that accepts every received rumor as the newest one reverts to an older
+// version.
 func TestCheckerFindsOlderVersion(t *testing.T) {
 	f := newSimNetwork(1)
 	f.checker = newChecker()
@@ -79,8 +79,8 @@
 	assert.Assert(t, len(f.checker.violations) > 0)
 }
 
-// A router that believes each word of a death empties its list when a region
-// returns, because the far side holds all of the near side for dead.
+// A router that accepts every report of a death loses its own side's members when a
+// partition ends, because the other side considers all of them dead.
 func TestCheckerFindsUnverifiedDeaths(t *testing.T) {
 	f := newSimNetwork(1)
 	f.checker = newChecker()
--- a/coordination/membership/flush.go
+++ b/coordination/membership/flush.go
@@ -9,12 +9,13 @@
 	"wisteriaspool/coordination"
 )
 
-// flush sends heartbeats that are due and what is queued for each link.
+// flush sends the heartbeats that are due and the queues of all links.
 func (m *Machine) flush() {
 	m.refill()
 	links := m.sortedLinks()
 	share := m.recordShare(links)
-	// Start anywhere, so that no link always gets what the pace allows.
+	// Start at a random link, so that the record budget does not always go to
+	// the same ones.
 	start := 0
 	if len(links) > 0 {
 		start = m.rand.IntN(len(links))
@@ -38,6 +39,7 @@
 	}
 }
 
+// empty reports whether m has no part that flush can set.
 func (m *Message) empty() bool {
 	return m.Heartbeat == nil && len(m.Members) == 0 && len(m.Rumors) == 0 && len(m.Repairs) == 0 && len(m.Digests) == 0 &&
 		len(m.Announcements) == 0 && len(m.Requests) == 0
@@ -48,16 +50,16 @@
 	if !m.IsNeighbor(l.peer) || m.now.Before(l.nextHeartbeat) {
 		return
 	}
-	// A multiple of the interval, with a little scatter against lockstep.
+	// Up to an eighth less than the interval, so that members do not send in lockstep.
 	l.nextHeartbeat = m.now.Add(m.cfg.HeartbeatInterval - time.Duration(m.rand.Int64N(int64(m.cfg.HeartbeatInterval/8))))
 	_, wanted := m.meshNeighbors[l.peer]
 	msg.Heartbeat = &Heartbeat{Neighbor: wanted, Fingerprints: m.fingerprints()}
 }
 
-// addRecords adds queued records of members to msg. Membership is not shed,
-// but a large change, such as the return of a region, is spread over some
-// seconds. Records go in random order, so that members who start together get
-// different parts and can complete each other; most is for one message.
+// addRecords adds up to most queued member records to msg. Records are never
+// dropped, but a large change, such as the return of a region, is spread over
+// several seconds. Their order is random, so that members that start together
+// receive different parts of the table and can exchange them.
 func (m *Machine) addRecords(l *link, msg *Message, most int) {
 	if len(l.records) == 0 || m.recordTokens <= 0 {
 		return
@@ -77,10 +79,10 @@
 	}
 }
 
-// recordShare returns how many records go to each link at most. When a fleet
-// starts, a seed has a hundred links that all lack everything: a few records for
-// each let these members meet each other, where the whole pace spent on one or two
-// of them leaves the rest with nobody to turn to.
+// recordShare returns the maximum number of records per link and message. When a
+// fleet starts, a seed has a hundred links whose peers lack every record. A few
+// records for each let these peers contact each other; spending the whole budget
+// on one or two links would leave the others without anyone to contact.
 func (m *Machine) recordShare(links []*link) int {
 	waiting := 0
 	for _, l := range links {
@@ -92,14 +94,14 @@
 	return min(max(share, minRecords), maxRecords)
 }
 
-// addRumors adds queued rumours to msg.
+// addRumors adds queued rumors and repairs to msg.
 func (m *Machine) addRumors(l *link, msg *Message) {
 	msg.Rumors = m.takeRumors(&l.rumors, m.admitWithinBudget)
 	msg.Repairs = m.takeRumors(&l.repairs, m.admitPaced)
 }
 
-// takeRumors takes from q what goes into one message. The function admit tells
-// whether a rumour may go now, later or not at all.
+// takeRumors removes from q the rumors for one message and returns them. The
+// function admit decides whether a rumor is sent now, later or never.
 func (m *Machine) takeRumors(q *rumorQueue, admit func(r *rumor, size int) admission) []Rumor {
 	var taken []Rumor
 	var left []rumorKey
@@ -135,7 +137,7 @@
 	return taken
 }
 
-// admission tells when a rumour may be sent.
+// admission is the decision whether a queued rumor may be sent.
 type admission int
 
 const (
@@ -144,8 +146,8 @@
 	discard
 )
 
-// admitWithinBudget sheds soft rumours that go beyond the byte budget: the next version of
-// them will come soon.
+// admitWithinBudget discards ephemeral rumors above the byte budget. Their next
+// version is expected soon.
 func (m *Machine) admitWithinBudget(r *rumor, size int) admission {
 	if !r.persistent && m.gossipTokens < float64(size) {
 		m.stats.RumorsShed++
@@ -154,8 +156,9 @@
 	return sendNow
 }
 
-// admitPaced holds back what repairs a table, so that a new member does not get it
-// at once. It is not shed, or the comparison would begin anew.
+// admitPaced defers repairs above the record budget, so that a new member does not
+// receive the whole table at once. It never discards them, since that would only
+// start another comparison.
 func (m *Machine) admitPaced(r *rumor, _ int) admission {
 	if m.recordTokens <= 0 {
 		return sendLater
@@ -164,11 +167,14 @@
 	return sendNow
 }
 
+// remaining converts the time to expiry to a TTL of at least one millisecond, since
+// zero means persistent.
 func remaining(d time.Duration) uint32 {
 	return uint32(max(1, min(d.Milliseconds(), math.MaxUint32)))
 }
 
-// refill adds to the byte budget what the time since the last call gives.
+// refill adds to both token buckets for the time since the previous call. Each holds
+// at most one second of its rate.
 func (m *Machine) refill() {
 	rate := float64(m.cfg.BytesPerSecond)
 	m.gossipTokens = min(rate, m.gossipTokens+rate*m.now.Sub(m.lastRefill).Seconds())
@@ -177,13 +183,14 @@
 	m.lastRefill = m.now
 }
 
-// charge takes bytes from the budget. The debt is bounded, so that soft
-// rumours are not shut out for long after a burst of what is never shed.
+// charge takes bytes from the budget. The debt is limited to two seconds of the
+// rate, so that a burst of messages that are never dropped does not block ephemeral
+// rumors for long.
 func (m *Machine) charge(bytes int) {
 	m.gossipTokens = max(m.gossipTokens-float64(bytes), -2*float64(m.cfg.BytesPerSecond))
 }
 
-// handleHeartbeat handles the handleHeartbeat of a peer.
+// handleHeartbeat handles a heartbeat from a peer.
 func (m *Machine) handleHeartbeat(from coordination.Instance, h Heartbeat) {
 	l := m.links[from]
 	if l == nil {
--- a/coordination/membership/machine.go
+++ b/coordination/membership/machine.go
@@ -8,7 +8,7 @@
 	"wisteriaspool/coordination"
 )
 
-// Machine is the membership protocol of one router. It is not safe for
+// Machine is the membership state machine of one router. It is not safe for
 // concurrent use.
 type Machine struct {
 	cfg   Config
@@ -17,11 +17,11 @@
 	now   time.Time
 	stats Stats
 
-	table         map[coordination.Instance]*entry // without self
+	table         map[coordination.Instance]*entry // by instance, without self
 	links         map[coordination.Instance]*link
-	meshNeighbors map[coordination.Instance]time.Time // mesh neighbours, since when
-	broadcastTree map[coordination.Instance]bool      // those along which rumours go
-	meshStale     bool                                // wanted has to be computed again
+	meshNeighbors map[coordination.Instance]time.Time // since when each is a neighbor in the mesh
+	broadcastTree map[coordination.Instance]bool      // neighbors in the tree along which rumors are pushed
+	meshStale     bool                                // mesh and tree must be recomputed
 
 	monitors     map[coordination.Instance]*peerMonitor
 	relayedPings map[uint64]relayedPing
@@ -35,16 +35,16 @@
 	requests       map[uint32]*request // by hash of topic and key
 	views          [tables]view
 	nextRepair     [tables]time.Time
-	repairingUntil [tables]time.Time // until when a peer is taken to be repairing it
+	repairingUntil [tables]time.Time // until when a peer is assumed to be repairing the table
 	nextSweep      time.Time
-	gossipTokens   float64 // bytes left for soft rumours
-	// recordTokens are the bytes left for records of members.
+	gossipTokens   float64 // byte budget left for ephemeral rumors
+	// recordTokens is the byte budget left for member records and repairs.
 	recordTokens float64
 	lastRefill   time.Time
 
 	out           Output
 	changed       bool
-	cachedMembers []Member // nil if it has to be made again
+	cachedMembers []Member // result of Members; nil after a change
 	newRumors     []rumorKey
 }
 
@@ -52,21 +52,22 @@
 type link struct {
 	peer          coordination.Instance
 	upSince       time.Time
-	nextHeartbeat time.Time    // of the next heartbeat
-	neighborUntil time.Time    // until when the peer counts us as its neighbour
-	needsSync     [tables]bool // compare the table with the peer soon
-	mismatches    [tables]int
-	records       map[coordination.Instance]struct{} // to send
-	rumors        rumorQueue                         // to send
-	repairs       rumorQueue                         // to send because the peer lacks them
-	// announcements are those to come; those that the peer has been found to
-	// know are missing from unannounced.
+	nextHeartbeat time.Time    // when the next heartbeat is due
+	neighborUntil time.Time    // until when the peer counts this member as a neighbor
+	needsSync     [tables]bool // tables whose digest is to be sent because the link is new
+	// consecutive heartbeats with another fingerprint
+	mismatches [tables]int
+	records    map[coordination.Instance]struct{} // to send
+	rumors     rumorQueue                         // to send
+	repairs    rumorQueue                         // to send because the peer lacks them
+	// announcements are those still to send. Entries that are missing from
+	// unannounced are skipped, because the peer is known to have the rumor.
 	announcements   []announcement
 	unannounced     map[rumorKey]struct{}
-	pendingRequests []byte // hashes of rumours to ask for
+	pendingRequests []byte // hashes of rumors to request
 }
 
-// New returns the machine of the member self at time now.
+// New returns a Machine for the member self, starting at time now.
 func New(cfg Config, self Member, now time.Time) *Machine {
 	cfg = cfg.withDefaults()
 	return &Machine{
@@ -94,14 +95,14 @@
 	return m.self
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (m *Machine) Stats() Stats {
 	return m.stats
 }
 
-// Members returns the live members, self among them, in order of instance. The
-// slice is the same until the members change, and must not be written to: a
-// router of a large fleet asks for it many times a second.
+// Members returns the live members including self, sorted by instance. The slice
+// is shared until the members change and must not be modified: routers of a large
+// fleet call Members many times a second.
 func (m *Machine) Members() []Member {
 	if m.cachedMembers == nil {
 		m.cachedMembers = m.liveMembers()
@@ -109,8 +110,8 @@
 	return m.cachedMembers
 }
 
-// SameList reports whether a and b are one list of [Machine.Members], without a look
-// at what they hold.
+// SameList reports whether a and b are the same slice as returned by
+// [Machine.Members]. It does not compare their elements.
 func SameList(a, b []Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -129,7 +130,7 @@
 	return live
 }
 
-// Lookup returns what is known of a member, also of a dead one.
+// Lookup returns the record of a member, including one that has died or left.
 func (m *Machine) Lookup(id coordination.Instance) (Member, bool) {
 	if id == m.self.Instance {
 		return m.self, true
@@ -141,16 +142,16 @@
 	return e.Member, true
 }
 
-// Changed reports whether the members have changed since the last call.
+// Changed reports whether the members have changed since the previous call.
 func (m *Machine) Changed() bool {
 	changed := m.changed
 	m.changed = false
 	return changed
 }
 
-// LinkUp tells that a connection to peer stands. Gossip means that it was
-// made for this package, by a Dial of either side, and not for other calls;
-// initiated that this side dialled.
+// LinkUp reports that a connection to peer has been established. Gossip means that
+// it was made for this package, by a Dial of either side, and not for other calls.
+// Initiated means that this side dialed.
 func (m *Machine) LinkUp(now time.Time, peer Member, gossip, initiated bool) {
 	m.advance(now)
 	id := peer.Instance
@@ -169,7 +170,7 @@
 	}
 }
 
-// LinkDown tells that the connection to peer has ended.
+// LinkDown reports that the connection to peer was closed.
 func (m *Machine) LinkDown(now time.Time, peer coordination.Instance) {
 	m.advance(now)
 	delete(m.links, peer)
@@ -177,20 +178,21 @@
 	if w == nil {
 		return
 	}
-	// A process that died has its connections reset, so probe it soon.
+	// The connections of a process that dies are reset, so probe the peer soon.
 	soon := now.Add(m.cfg.HeartbeatInterval - m.cfg.ProbeAfter)
 	if w.lastHeard.After(soon) {
 		w.lastHeard = soon
 	}
 }
 
-// DialFailed tells that a Dial did not succeed.
+// DialFailed reports that a Dial failed.
 func (m *Machine) DialFailed(now time.Time, address string) {
 	m.advance(now)
 	m.backOff(address)
 }
 
-// IsNeighbor reports whether the connection to peer belongs to the mesh.
+// IsNeighbor reports whether peer is a neighbor in the mesh, by this member's
+// computation or by the peer's.
 func (m *Machine) IsNeighbor(peer coordination.Instance) bool {
 	if _, ok := m.meshNeighbors[peer]; ok {
 		return true
@@ -204,8 +206,8 @@
 	return m.links[peer] != nil
 }
 
-// Tick advances the protocol to now. It is to be called about ten times a
-// second.
+// Tick advances the protocol to now and returns the actions that are due. Callers
+// call it about ten times a second.
 func (m *Machine) Tick(now time.Time) Output {
 	m.advance(now)
 	if !now.Before(m.nextSweep) {
@@ -222,7 +224,7 @@
 	return m.takeOutput()
 }
 
-// Receive handles a message from a peer.
+// Receive handles a message from a peer and returns the actions that follow.
 func (m *Machine) Receive(now time.Time, from coordination.Instance, msg Message) Output {
 	m.advance(now)
 	m.recordContact(from)
@@ -253,12 +255,14 @@
 	return m.takeOutput()
 }
 
+// takeOutput returns the accumulated actions and clears them.
 func (m *Machine) takeOutput() Output {
 	out := m.out
 	m.out = Output{}
 	return out
 }
 
+// send adds a message to the output and charges it to the byte budget.
 func (m *Machine) send(to coordination.Instance, msg Message) {
 	address := ""
 	if e := m.table[to]; e != nil {
@@ -268,9 +272,9 @@
 	m.out.Sends = append(m.out.Sends, Send{To: to, Address: address, Message: msg})
 }
 
-// advance moves the machine's time on. If the process was paused in between,
-// the silence of the others proves nothing: without this, a process that
-// wakes would declare all others dead.
+// advance sets the current time. After a pause of the process, silence of the
+// peers proves nothing, so their monitors and suspicions start anew. Without this
+// the process would declare all other members dead when it resumes.
 func (m *Machine) advance(now time.Time) {
 	gap := now.Sub(m.now)
 	if gap <= 0 {
@@ -293,8 +297,9 @@
 	}
 }
 
-// forgetUnlinked empties the table after a pause so long that others may have
-// forgotten members that this one still holds for alive.
+// forgetUnlinked removes all members without a connection. It is called after a
+// pause so long that peers may have forgotten dead members that this table still
+// lists as alive.
 func (m *Machine) forgetUnlinked() {
 	for id := range m.table {
 		if m.links[id] == nil {
@@ -304,7 +309,7 @@
 	m.nextReconnect = m.now
 }
 
-// sortedLinks returns the links in a fixed order, so that runs repeat.
+// sortedLinks returns the links in a fixed order, so that runs are reproducible.
 func (m *Machine) sortedLinks() []*link {
 	links := make([]*link, 0, len(m.links))
 	for _, l := range m.links {
@@ -314,6 +319,7 @@
 	return links
 }
 
+// sortedTable returns the table in a fixed order, so that runs are reproducible.
 func (m *Machine) sortedTable() []*entry {
 	rows := make([]*entry, 0, len(m.table))
 	for _, e := range m.table {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,12 +1,17 @@
-// Package membership decides, on each router, which routers are alive, with
-// which of them to keep connections, and what to pass on to whom. It holds the
-// protocol only: time and messages are passed in, messages and wishes for
-// connections come out, and nothing is read from a clock or a socket.
+// Package membership implements gossip-based group membership for routers. It
+// maintains the list of live routers, the mesh of connections between them and
+// the dissemination of small pieces of shared state (rumors).
 //
-// Members are watched by heartbeats along a sparse mesh of rings, by indirect
-// probes and by suspicion before death. Changes spread along the mesh as
-// deltas, and fingerprints in the heartbeats tell when two tables differ, so
-// that a steady fleet pays for little more than the heartbeats.
+// The package contains only the protocol: the caller passes in the time and the
+// received messages, and gets back the messages to send and the connections to
+// open. It reads no clock and no socket.
+//
+// Failure detection works like SWIM: neighbors in a sparse mesh of rings
+// exchange heartbeats, a silent neighbor is probed directly and indirectly, and a
+// member that does not answer is suspected before it is declared dead. Changes
+// are propagated along the mesh as deltas. Fingerprints in the heartbeats detect
+// tables that differ, so that a fleet without changes sends little more than
+// heartbeats.
 package membership
 
 import (
@@ -18,35 +23,36 @@
 	"wisteriaspool/coordination"
 )
 
-// Region names a region, which holds several availability zones.
+// Region is the name of a region, which contains several availability zones.
 type Region string
 
 // Version orders the records of one incarnation of a member. Only the member
-// itself raises it: to refute a suspicion or to change its flags.
+// itself increments it, to refute a suspicion or to change its flags.
 type Version uint64
 
-// Protocol is the number of the protocol between routers.
+// Protocol is the version number of the protocol between routers.
 type Protocol uint32
 
-// State tells what is known of a member.
+// State is the state of a member as its observer knows it.
 type State uint8
 
 // The states of a member. Dead and Left are final for an incarnation.
 const (
-	// Alive means that the member answers.
+	// Alive means that the member responds.
 	Alive State = iota
-	// Suspect means that the member has not answered for a while or is said
-	// to be dead; it still counts as live and may refute.
+	// Suspect means that the member has not responded for a while, or that a
+	// peer reported it dead. It still counts as live and can refute this.
 	Suspect
-	// Leaving means that the member is stopping and finishes what it holds.
+	// Leaving means that the member is shutting down and is finishing its
+	// remaining work.
 	Leaving
-	// Left means that the member has said that it is gone.
+	// Left means that the member announced the end of its shutdown.
 	Left
 	// Dead means that the member did not refute a suspicion in time.
 	Dead
 )
 
-// String returns the name of s as logs and metrics show it.
+// String returns the name of s that logs and metrics use.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -64,13 +70,13 @@
 	}
 }
 
-// Final reports whether nothing but a higher incarnation can follow s.
+// Final reports whether s is the last state of an incarnation.
 func (s State) Final() bool {
 	return s == Left || s == Dead
 }
 
-// Member is what is known of one router. Records about a suspect or gone
-// member carry only its instance, incarnation, version and state.
+// Member is the record of one router. Records of suspect and dead members that
+// are sent to peers carry only the instance, incarnation, version and state.
 type Member struct {
 	Instance    coordination.Instance    `cbor:"1,keyasint"`
 	Incarnation coordination.Incarnation `cbor:"2,keyasint"`
@@ -80,26 +86,26 @@
 	Zone        coordination.Zone        `cbor:"6,keyasint,omitempty"`
 	Region      Region                   `cbor:"7,keyasint,omitempty"`
 	Ready       bool                     `cbor:"8,keyasint,omitempty"`
-	Owner       bool                     `cbor:"9,keyasint,omitempty"` // may own endpoints
+	Owner       bool                     `cbor:"9,keyasint,omitempty"` // whether it may own endpoints
 	Build       string                   `cbor:"10,keyasint,omitempty"`
 	Protocol    Protocol                 `cbor:"11,keyasint,omitempty"`
 }
 
-// Live reports whether m counts as a running member.
+// Live reports whether m counts as running: its state is not Left or Dead.
 func (m Member) Live() bool {
 	return !m.State.Final()
 }
 
-// entry is a row of the table.
+// entry is a row of the member table.
 type entry struct {
 	Member
-	// deathClaimed means that somebody holds this incarnation for dead, which only
-	// a higher incarnation of the member can refute.
+	// deathClaimed means that a peer reported this incarnation dead. The
+	// member can refute that only with a higher incarnation.
 	deathClaimed bool
-	stateSince   time.Time // of the state
+	stateSince   time.Time // time of the last state change
 }
 
-// record returns what e says to others.
+// record returns the record of e as it is sent to peers.
 func (e *entry) record() Member {
 	m := e.Member
 	if e.deathClaimed {
@@ -111,7 +117,8 @@
 	return m
 }
 
-// versionStamp returns a number that differs when two tables differ about e.
+// versionStamp returns a hash of the incarnation, version and state of e, by
+// which peers detect that their records of the member differ.
 func (e *entry) versionStamp() uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(e.Incarnation))
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/coordination"
 )
 
-// seeds are those of all seeded tests.
+// seeds are the seeds of all randomized tests.
 var seeds = []uint64{1, 2, 3}
 
 func eachSeed(t *testing.T, run func(t *testing.T, f *simNetwork)) {
@@ -28,13 +28,13 @@
 	}
 }
 
-// isStopped says that no running member may be lost by anybody.
+// isStopped is a checker.mayLose that allows only stopped members to be lost.
 func isStopped(_, member *node) bool {
 	return !member.running
 }
 
-// A router is started or its process is killed. Until the others have noticed,
-// callers wait for a dead router, or a new one gets no work.
+// A router starts, or its process is killed. Until the other routers notice, a new
+// router gets no work, and callers wait for a dead one.
 func TestJoinAndKill(t *testing.T) {
 	for _, n := range []int{7, 30, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A router is stopped for a few seconds, by the hypervisor or a debugger. Were
-// it declared dead for that, its grants and its callers would move for nothing.
+// A process is paused for a few seconds, by the hypervisor or a debugger. Declaring
+// it dead would move its grants and callers unnecessarily.
 func TestShortPause(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.checker.mayLose = isStopped
@@ -75,8 +75,8 @@
 	})
 }
 
-// A link between zones drops one message in five, or its delay varies by more
-// than a second. If members flapped over it, placements would move all the time.
+// Links drop one message in five, or their delay varies by more than a second.
+// Members that flapped for that reason would keep moving placements.
 func TestPoorLinks(t *testing.T) {
 	poor := map[string]func(*simNetwork){
 		"loss": func(f *simNetwork) { f.loss = 0.2 },
@@ -103,8 +103,8 @@
 	}
 }
 
-// Two routers cannot reach each other, or only in one direction, while all
-// others reach both. Neither may be declared dead for one bad path.
+// Two routers cannot reach each other, in one or both directions, while all others
+// reach both. A single bad path must not get either declared dead.
 func TestOneCutPath(t *testing.T) {
 	cuts := map[string]func(a, b, from, to *node) bool{
 		"both ways": func(a, b, from, to *node) bool { return from == a && to == b || from == b && to == a },
@@ -127,9 +127,9 @@
 	}
 }
 
-// A router restarts on a machine whose clock has been set back, so that its
-// incarnation is lower than the one that the others know. It must be taken in
-// all the same, or it would get no work until the clock has caught up.
+// A router restarts on a machine whose clock was set back, with an incarnation
+// lower than the one its peers know. If they ignored it, it would get no work until
+// the clock has caught up.
 func TestClockSetBack(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(10, 1, 2, Config{})
@@ -145,9 +145,9 @@
 	})
 }
 
-// Two groups of routers were started with different seeds, so that each lists
-// only its own. Until one router of each meets, they place work without regard
-// to each other.
+// Two groups of routers start with different seeds, so that each lists only its own
+// members. Until a router contacts both groups, they place work without regard to
+// each other.
 func TestSplitListsHeal(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.checker.mayLose = isStopped
@@ -163,14 +163,14 @@
 		bridge := f.add("router-bridge", "region-0", "zone-0", Config{})
 		bridge.cfg.Seeds = []string{f.nodes[0].self.Address, f.nodes[1].self.Address}
 		bridge.start()
-		took := f.runUntil(t, 10*time.Second, "agreement after the meeting", f.agreed)
+		took := f.runUntil(t, 10*time.Second, "agreement after the bridge started", f.agreed)
 		t.Logf("agreed after %v", took)
 	})
 }
 
-// Two regions lose each other for five minutes. Each must go on with its own
-// routers; when the link is back, the lists must grow together without anybody
-// losing a router of its own side.
+// Two regions are partitioned for five minutes. Each must keep working with its own
+// routers. When the partition ends, the lists must merge without any router losing
+// a member of its own region.
 func TestRegionPartition(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(60, 2, 3, Config{})
@@ -188,9 +188,9 @@
 	})
 }
 
-// A router is frozen for minutes and wakes without knowing it. The others have
-// declared it dead and must take it back, in a new incarnation; it must not
-// declare them dead for their silence.
+// A process is paused for minutes without noticing it. The other routers have
+// declared it dead and must accept it again in a new incarnation. It must not
+// declare them dead because it heard nothing from them.
 func TestLongPause(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(30, 1, 3, Config{})
@@ -211,9 +211,9 @@
 	})
 }
 
-// Routers are killed and restarted while links lose messages, so that old and
-// new records of the same router cross. An old record must never bring back a
-// life that has ended.
+// Routers are killed and restarted while links lose messages, so that old and new
+// records of a router arrive out of order. An old record must never revive an
+// incarnation that has ended.
 func TestChurnWithLoss(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(40, 2, 2, Config{})
@@ -234,8 +234,9 @@
 	})
 }
 
-// A router says that it is stopping, and later that it is gone. Others must
-// know at once, and not take it for dead or for live again.
+// A router announces that it is shutting down, and later that it has shut down. The
+// others must learn of it at once, and must consider it neither dead nor alive
+// again.
 func TestLeave(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(30, 1, 3, Config{})
@@ -255,11 +256,11 @@
 		leaver.machine.SetReady(f.now, true)
 		f.run(3 * time.Second)
 		leaver.machine.Leave(f.now)
-		f.runUntil(t, 2*time.Second, "word of the leaving", state(Leaving))
+		f.runUntil(t, 2*time.Second, "leaving state at all members", state(Leaving))
 		f.run(30 * time.Second)
 		assert.Assert(t, state(Leaving)())
 		leaver.machine.CompleteLeave(f.now)
-		f.runUntil(t, 2*time.Second, "word of the end", state(Left))
+		f.runUntil(t, 2*time.Second, "left state at all members", state(Left))
 		leaver.kill()
 		f.run(30 * time.Second)
 		assert.Assert(t, state(Left)())
@@ -267,8 +268,8 @@
 	})
 }
 
-// The links of a router must not grow with the fleet, and the mesh must hold
-// together however the routers are spread over zones.
+// The number of links per router must not grow with the fleet, and the mesh must be
+// connected for any distribution of the routers over zones.
 func TestMesh(t *testing.T) {
 	shapes := map[string]func(i int) (Region, coordination.Zone){
 		"one zone": func(int) (Region, coordination.Zone) { return "x", "a" },
@@ -292,8 +293,8 @@
 	}
 }
 
-// largestDegree returns the largest degree in the mesh of n members, or a number
-// beyond all bounds if it is not connected.
+// largestDegree returns the largest degree in the mesh of n members, or 1<<20 if the
+// mesh is not connected.
 func largestDegree(n int, shape func(int) (Region, coordination.Zone)) int {
 	var members []Member
 	for i := range n {
@@ -327,8 +328,8 @@
 	return most
 }
 
-// A faulty router tells records that no member can have. Taken in, they would
-// fill the memory, or stand for ever because nothing can follow them.
+// A faulty router sends records that no member can have. If they were accepted, they
+// would exhaust memory, or could never be superseded.
 func TestImpossibleRecords(t *testing.T) {
 	long := string(make([]byte, maxName+1))
 	good := Member{Instance: "b", Address: "b", Incarnation: 1}
@@ -354,8 +355,8 @@
 	}
 }
 
-// All machines lose power, as many as a large fleet has. As long as a router knows
-// a part of the others only, it asks the wrong ones who may run a request, and
+// All machines of a large fleet restart together after a power failure. Routers that
+// know only part of the fleet ask the wrong ones which of them may run a request, and
 // callers wait.
 func TestLargeFleetConvergesQuickly(t *testing.T) {
 	const aim = 3 * time.Second
@@ -366,12 +367,12 @@
 	assert.Assert(t, took <= aim, "%v", took)
 }
 
-// What a router sends at rest must not grow with the fleet, or a fleet of hundreds
-// spends its machines on itself.
+// The traffic of an idle router must not grow with the fleet, or a fleet of hundreds
+// would spend its machines on gossip.
 func TestIdleTrafficIndependentOfFleetSize(t *testing.T) {
 	const (
 		seconds      = 5
-		mostMessages = 10  // a second, sent by the member that sends most
+		mostMessages = 10  // per second, for the member that sends the most
 		mostBytes    = 256 // the same
 	)
 	for _, members := range []int{7, 64, 330, 1000} {
--- a/coordination/membership/mesh.go
+++ b/coordination/membership/mesh.go
@@ -9,13 +9,14 @@
 	"wisteriaspool/coordination"
 )
 
-// The mesh is the union of rings. A ring holds the members of a zone, of a
-// region or of the whole fleet in the order of a hash, and each member keeps
-// connections to the one before and the one after it. Each ring connects its
-// members by itself, a change of the list touches two links per ring, and the
-// number of links stays the same however large the fleet or uneven the zones.
+// The mesh is the union of several rings. A ring contains the members of a zone, of
+// a region or of the whole fleet in hash order, and each member connects to its
+// predecessor and its successor. Each ring alone connects its members, a change of
+// the member list changes two links per ring, and the number of links per member is
+// constant for any size of the fleet and any distribution over zones.
 
-// rings are the rings of the mesh, by the part of the fleet that each holds.
+// rings defines the rings of the mesh. Each function returns the key that the
+// members of one ring share.
 var rings = []func(*Member) string{
 	zoneRingKey,
 	zoneRingKey,
@@ -27,7 +28,8 @@
 	return string(m.Region) + "\x00" + string(m.Zone)
 }
 
-// updateMesh computes the wanted neighbours and the tree if members have changed.
+// updateMesh recomputes the mesh neighbors and the broadcast tree if members have
+// changed.
 func (m *Machine) updateMesh() {
 	if !m.meshStale {
 		return
@@ -58,8 +60,8 @@
 	}
 }
 
-// buildMesh returns for each of the members, which are in order, the indexes of
-// its neighbours.
+// buildMesh returns the neighbors of each member as indexes into members, which
+// must be sorted by instance.
 func buildMesh(members []Member) [][]int {
 	links := make([][]int, len(members))
 	for seed, part := range rings {
@@ -78,7 +80,7 @@
 	return links
 }
 
-// connectRing connects each member of a ring with the next one.
+// connectRing connects each member of a ring to the next one.
 func connectRing(links [][]int, members []Member, seed uint64, ring []int) {
 	places := make(map[int]uint64, len(ring))
 	for _, i := range ring {
@@ -95,12 +97,12 @@
 	}
 }
 
-// maxChildren bounds the copies of each rumour that a member sends along the
-// tree. Without a bound those near the root send three times the mean.
+// maxChildren limits the copies of each rumor that a member pushes along the tree.
+// Without a limit, members near the root sent three times the mean.
 const maxChildren = 3
 
-// buildTree returns the parent of each member in a breadth-first tree of the mesh
-// with the first member as its root.
+// buildTree returns the parent of each member in a breadth-first spanning tree of
+// the mesh, rooted at the first member.
 func buildTree(links [][]int) []int {
 	t := tree{parents: make([]int, len(links)), children: make([]int, len(links))}
 	for i := range t.parents {
@@ -120,10 +122,10 @@
 	return t.parents
 }
 
-// tree is a tree in the making.
+// tree is a spanning tree under construction.
 type tree struct {
-	parents  []int // -1 for those not yet in it
-	children []int // their number
+	parents  []int // -1 for members not yet in the tree
+	children []int // number of children
 }
 
 func (t *tree) addChild(parent, child int) {
@@ -131,8 +133,8 @@
 	t.children[parent]++
 }
 
-// addRemaining gives those who found no parent the neighbour with the fewest
-// children. It reports whether there were any to whom it could.
+// addRemaining attaches each member that has no parent yet to the neighbor with the
+// fewest children. It reports whether it attached any.
 func (t *tree) addRemaining(links [][]int) bool {
 	adopted := false
 	for i, parent := range t.parents {
@@ -153,12 +155,12 @@
 	return adopted
 }
 
-// ringPosition returns the ringPosition of id on a ring.
+// ringPosition returns the position of id in the ring with the given seed.
 func ringPosition(seed uint64, id coordination.Instance) uint64 {
 	return mix(hash(string(id)) ^ (seed+1)*0x9e3779b97f4a7c15)
 }
 
-// mix spreads the bits of x.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -167,13 +169,14 @@
 	return x ^ x>>33
 }
 
-// backoff delays attempts to reach an address.
+// backoff delays the next attempt to dial an address.
 type backoff struct {
 	failures int
 	next     time.Time
 }
 
-// dialMissing asks for the connections that are missing.
+// dialMissing requests connections to mesh neighbors without one, and to the seeds
+// if there is no connection at all.
 func (m *Machine) dialMissing() {
 	if m.self.State == Left {
 		return
@@ -195,7 +198,7 @@
 	m.reconnect()
 }
 
-// requestDial asks for a connection unless an attempt is due only later.
+// requestDial requests a connection unless the address is in backoff.
 func (m *Machine) requestDial(d Dial) {
 	if d.Address == "" || d.Address == m.self.Address {
 		return
@@ -208,9 +211,9 @@
 	m.out.Dials = append(m.out.Dials, d)
 }
 
-// backOff delays the next attempt to reach address, longer with each failure
-// and by a random share, so that those who lost a peer together do not return
-// together.
+// backOff delays the next attempt to dial address, with exponential backoff and
+// jitter. The jitter keeps members that lost the same peer from dialing it at the
+// same time.
 func (m *Machine) backOff(address string) {
 	b := m.dials[address]
 	if b == nil {
@@ -228,14 +231,14 @@
 	b.next = m.now.Add(m.jitter(wait))
 }
 
-// jitter returns a time between half of d and one and a half of it.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.rand.Int64N(int64(d)+1))
 }
 
-// reconnect tries from time to time to reach one member that is held for dead or
-// one seed that no live member has. This is how the sides of a partition find
-// each other again, at a rate that does not depend on their number.
+// reconnect periodically dials one random member that is considered dead or one
+// seed that no live member has. This merges the sides of a partition again, at a
+// rate that does not depend on the number of members lost.
 func (m *Machine) reconnect() {
 	if m.now.Before(m.nextReconnect) {
 		return
@@ -261,7 +264,7 @@
 	}
 }
 
-// pruneBackoffs drops the backoff of addresses that are no longer tried.
+// pruneBackoffs removes the backoff of addresses that are no longer dialed.
 func (m *Machine) pruneBackoffs() {
 	for address, b := range m.dials {
 		if m.now.Sub(b.next) > time.Minute {
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -8,36 +8,36 @@
 	"wisteriaspool/coordination"
 )
 
-// peerMonitor follows the signs of life of one mesh neighbour.
+// peerMonitor tracks the liveness of one mesh neighbor.
 type peerMonitor struct {
-	lastHeard time.Time // of the last sign of life
+	lastHeard time.Time // time of the last message or connection
 	nonce     uint64    // of the running probe; zero if there is none
 	deadline  time.Time // of the running probe
 }
 
-// relayedPing remembers for whom this member pings another.
+// relayedPing is a ping that this member sent on behalf of another.
 type relayedPing struct {
 	to       coordination.Instance
 	nonce    uint64
 	deadline time.Time
 }
 
-// maxRelayedPings bounds the pings under way for others.
+// maxRelayedPings limits the outstanding pings on behalf of other members.
 const maxRelayedPings = 256
 
-// recordContact notes a sign of life of id.
+// recordContact records that id has just shown that it is alive.
 func (m *Machine) recordContact(id coordination.Instance) {
 	if w := m.monitors[id]; w != nil {
 		*w = peerMonitor{lastHeard: m.now}
 	}
-	// A suspect that speaks learns what is said of it, so that it can refute.
+	// Tell a suspect that is reachable of the suspicion, so that it can refute.
 	if e := m.table[id]; e != nil && e.State == Suspect {
 		m.queueForPeer(id, id)
 	}
 }
 
-// probe asks silent neighbours, directly and by way of others, and suspects
-// those who stay silent.
+// probe probes silent neighbors, directly and through other members, and suspects
+// those whose probe timed out.
 func (m *Machine) probe() {
 	m.updateMonitors()
 	for _, id := range slices.Sorted(maps.Keys(m.monitors)) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateMonitors makes the watched members those of the mesh.
+// updateMonitors monitors exactly the live mesh neighbors.
 func (m *Machine) updateMonitors() {
 	for id := range m.monitors {
 		_, ok := m.meshNeighbors[id]
@@ -77,8 +77,8 @@
 	}
 }
 
-// startProbe pings id and asks helpers to do so. While a probe runs, or a
-// suspect has just been asked, it does nothing.
+// startProbe pings id and asks other members to ping it too, unless a probe of id
+// is still running.
 func (m *Machine) startProbe(id coordination.Instance, w *peerMonitor) {
 	if w.nonce != 0 && m.now.Before(w.deadline) {
 		return
@@ -92,8 +92,9 @@
 	}
 }
 
-// pickIndirectProbers picks connected members to ask about id. Their ways to id are
-// likely to differ from ours and from each other's.
+// pickIndirectProbers picks random connected members to probe id indirectly.
+// Their network paths to id probably differ from this member's path and from each
+// other's.
 func (m *Machine) pickIndirectProbers(id coordination.Instance) []coordination.Instance {
 	var peers []coordination.Instance
 	for _, peer := range slices.Sorted(maps.Keys(m.links)) {
@@ -106,7 +107,7 @@
 	return peers[:min(maxHelpers, len(peers))]
 }
 
-// handleProbe handles a probe.
+// handleProbe handles a probe message from a peer.
 func (m *Machine) handleProbe(from coordination.Instance, p Probe) {
 	switch p.Kind {
 	case Ping:
@@ -118,6 +119,7 @@
 	}
 }
 
+// relayPing pings the target of p on behalf of from.
 func (m *Machine) relayPing(from coordination.Instance, p Probe) {
 	if m.table[p.Target] == nil || len(m.relayedPings) >= maxRelayedPings {
 		return
@@ -127,6 +129,8 @@
 	m.send(p.Target, Message{Probe: &Probe{Kind: Ping, Nonce: m.nonce}})
 }
 
+// handleAck relays an Ack to the member that asked for the ping, or ends the probe
+// that it answers.
 func (m *Machine) handleAck(p Probe) {
 	if r, ok := m.relayedPings[p.Nonce]; ok {
 		delete(m.relayedPings, p.Nonce)
--- a/coordination/membership/push.go
+++ b/coordination/membership/push.go
@@ -10,37 +10,37 @@
 	"wisteriaspool/coordination"
 )
 
-// A rumour is pushed along a tree and announced on the other links of the
-// mesh. Each member computes the tree from its list of members, so that members
-// with the same list agree on it without a word. Whoever hears of a rumour that
-// did not come, because lists differ or a member of the tree has died, asks the
-// announcer for it.
-
-// announceDelay is the age at which a rumour is announced. By then it has
-// arrived by the tree, unless that is broken.
+// A rumor is pushed along a spanning tree and announced on the other links of the
+// mesh. Each member computes the tree from its member list, so that members with
+// the same list agree on it without communication. A member that sees an
+// announcement of a rumor that it did not receive, because the lists differ or a
+// member of the tree has died, requests it from the announcer.
+
+// announceDelay is the age at which a rumor is announced. By then it has arrived
+// along the tree, unless the tree is broken.
 const announceDelay = time.Second
 
-// announceBatchInterval is the time for which announcements are gathered.
+// announceBatchInterval is how long announcements that are due are collected.
 const announceBatchInterval = 500 * time.Millisecond
 
-// requestRetryInterval is the time after which a rumour that was asked for and did not
-// come is asked for again.
+// requestRetryInterval is how long to wait for a requested rumor before requesting
+// it from another member.
 const requestRetryInterval = time.Second
 
-// announcementBytes is the size of one announcement: the hash of the topic and
-// key, and the low half of the version.
+// announcementBytes is the encoded size of an announcement: the hash of the topic
+// and key, and the low 32 bits of the version.
 const announcementBytes = 8
 
-// announcement is a rumour to be announced on a link.
+// announcement is a rumor to be announced on a link.
 type announcement struct {
 	key rumorKey
 	due time.Time
 }
 
-// rumorQueue holds rumours in order of their arrival.
+// rumorQueue is a FIFO queue of distinct rumors.
 type rumorQueue struct {
 	set   map[rumorKey]struct{}
-	order []rumorKey // may hold some that were dropped
+	order []rumorKey // may contain keys that were dropped from set
 }
 
 func (q *rumorQueue) push(k rumorKey) {
@@ -63,8 +63,9 @@
 	delete(q.set, k)
 }
 
-// pushRumor queues the rumour or its announcement for all neighbours but
-// from.
+// pushRumor queues the rumor for tree neighbors and its announcement for the other
+// neighbors, except from. While the tree is not connected, it queues the rumor for
+// all neighbors.
 func (m *Machine) pushRumor(from coordination.Instance, k rumorKey) {
 	all := !m.treeConnected()
 	for _, l := range m.links {
@@ -80,7 +81,7 @@
 	m.markRumorKnown(from, k)
 }
 
-// announceRumor queues the announcement of the rumour for all neighbours but from.
+// announceRumor queues an announcement of the rumor for all neighbors except from.
 func (m *Machine) announceRumor(from coordination.Instance, k rumorKey) {
 	for _, l := range m.links {
 		if l.peer != from && m.IsNeighbor(l.peer) {
@@ -98,7 +99,7 @@
 	l.announcements = append(l.announcements, announcement{k, due})
 }
 
-// markRumorKnown notes that peer has the rumour already.
+// markRumorKnown removes the rumor from the queues for peer, which has it.
 func (m *Machine) markRumorKnown(peer coordination.Instance, k rumorKey) {
 	if l := m.links[peer]; l != nil {
 		l.rumors.drop(k)
@@ -107,8 +108,8 @@
 	}
 }
 
-// treeConnected reports whether this member is linked to all its neighbours in
-// the tree. If it is not, it sends rumours on all links.
+// treeConnected reports whether this member has links to all its neighbors in the
+// tree.
 func (m *Machine) treeConnected() bool {
 	for id := range m.broadcastTree {
 		if m.links[id] == nil {
@@ -118,8 +119,9 @@
 	return len(m.broadcastTree) > 0
 }
 
-// addAnnouncements adds what is due to msg. Beyond the byte budget soft
-// rumours are not announced, since those who ask would get nothing.
+// addAnnouncements adds the announcements that are due to msg. Once the byte budget
+// is used up, ephemeral rumors are not announced, since requests for them would not
+// be served.
 func (m *Machine) addAnnouncements(l *link, msg *Message) {
 	if len(l.announcements) == 0 || m.now.Before(l.announcements[0].due.Add(announceBatchInterval)) {
 		return
@@ -142,14 +144,15 @@
 	l.announcements = slices.Delete(l.announcements, 0, sent)
 }
 
-// request is a rumour that was announced and asked for.
+// request is an outstanding request for an announced rumor.
 type request struct {
-	version      uint32 // the low half
+	version      uint32 // low 32 bits
 	requestedAt  time.Time
-	alternatives []coordination.Instance // that have announced it too
+	alternatives []coordination.Instance // other members that announced it
 }
 
-// handleAnnouncements asks for what a peer has announced and this member lacks.
+// handleAnnouncements requests the rumors that a peer announced and this member
+// lacks.
 func (m *Machine) handleAnnouncements(from coordination.Instance, haves []byte) {
 	l := m.links[from]
 	if l == nil || len(haves)%announcementBytes != 0 {
@@ -167,15 +170,15 @@
 	}
 }
 
-// lacks reports whether the version is newer than what this member has.
+// lacks reports whether version is newer than the stored one, or nothing is stored.
 func (m *Machine) lacks(h, version uint32) bool {
 	k, ok := m.byHash[h]
-	// The difference tells the newer one also where the low half wraps.
+	// The signed difference is correct even if the low 32 bits wrap around.
 	return !ok || int32(version-uint32(m.rumors[k].Version)) > 0
 }
 
-// requestRumor asks for a rumour, unless that has been done; then it remembers whom
-// else to requestRumor.
+// requestRumor requests a rumor from a peer. If the same or a newer version is
+// requested already, it records the peer as an alternative.
 func (m *Machine) requestRumor(l *link, h, version uint32) {
 	r := m.requests[h]
 	if r != nil && int32(version-r.version) <= 0 {
@@ -191,8 +194,8 @@
 	l.pendingRequests = binary.LittleEndian.AppendUint32(l.pendingRequests, h)
 }
 
-// retryRequests asks again for what did not come, and ends requests that have been
-// met or that nobody else can meet.
+// retryRequests repeats overdue requests at alternative members, and removes those
+// that were answered or have no alternatives left.
 func (m *Machine) retryRequests() {
 	hashes := lo.Keys(m.requests)
 	slices.Sort(hashes)
@@ -214,7 +217,7 @@
 	}
 }
 
-// handleRequests queues what a peer has asked for.
+// handleRequests queues the rumors that a peer requested.
 func (m *Machine) handleRequests(from coordination.Instance, wants []byte) {
 	l := m.links[from]
 	if l == nil || len(wants)%4 != 0 {
--- a/coordination/membership/rumor.go
+++ b/coordination/membership/rumor.go
@@ -10,34 +10,36 @@
 	"wisteriaspool/coordination"
 )
 
+// rumorKey identifies a rumor regardless of its version.
 type rumorKey struct {
 	topic string
 	key   string
 }
 
-// disseminateFunc tells others of a rumour that from has told.
+// disseminateFunc queues a rumor received from the peer from for other peers.
 type disseminateFunc func(from coordination.Instance, k rumorKey)
 
-// rumor is a rumour as it is held.
+// rumor is a stored Rumor.
 type rumor struct {
 	Rumor
 	hash       uint32 // of topic and key
 	persistent bool
 	arrived    time.Time
-	expires    time.Time // unset if it is kept
+	expires    time.Time // zero if persistent
 }
 
 func (r *rumor) live(now time.Time) bool {
 	return r.persistent || now.Before(r.expires)
 }
 
-// Broadcast spreads a rumour of this member. It reports whether the rumour
-// was taken: it is not if it is larger than MaxPayload or no newer than what
-// is known.
+// Broadcast disseminates a rumor of this member. It reports whether the rumor was
+// accepted. It is rejected if the topic or key is not valid UTF-8, if it exceeds a
+// size limit such as MaxPayload, if the store is full, or if its version is not
+// newer than the stored one.
 func (m *Machine) Broadcast(now time.Time, topic, key string, version uint64, payload []byte) bool {
 	m.advance(now)
 	if !utf8.ValidString(topic) || !utf8.ValidString(key) {
-		return false // nobody could decode it, and each receiver would hang up
+		return false // receivers could not decode it and would close the connection
 	}
 	return m.storeRumor("", m.pushRumor, Rumor{
 		Topic:     topic,
@@ -49,7 +51,8 @@
 	})
 }
 
-// ttlMillis returns the life of a new rumour of topic in milliseconds.
+// ttlMillis returns the lifetime of a new rumor of topic in milliseconds, and zero
+// for a persistent topic.
 func (m *Machine) ttlMillis(topic string) uint32 {
 	t := m.cfg.Topics[topic]
 	if t.Persistent {
@@ -59,8 +62,8 @@
 	return uint32(min(t.TTL.Milliseconds(), math.MaxUint32))
 }
 
-// DrainNewRumors returns the rumours that have arrived since the last call. Of several
-// versions that came in between, it returns the newest only.
+// DrainNewRumors returns the rumors received from peers since the previous call. If
+// several versions of a rumor arrived, each entry for it is the newest one.
 func (m *Machine) DrainNewRumors() []Rumor {
 	var fresh []Rumor
 	for _, k := range m.newRumors {
@@ -74,7 +77,7 @@
 	return fresh
 }
 
-// Rumors returns the live rumours of a topic in order of their keys.
+// Rumors returns the unexpired rumors of a topic, sorted by key.
 func (m *Machine) Rumors(topic string) []Rumor {
 	var live []Rumor
 	for _, r := range m.rumors {
@@ -86,7 +89,7 @@
 	return live
 }
 
-// receiveRumor takes in a rumour that a peer told, and tells others by spread.
+// receiveRumor handles a rumor from a peer and passes it on with spread.
 func (m *Machine) receiveRumor(from coordination.Instance, r Rumor, spread disseminateFunc) {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
@@ -97,7 +100,8 @@
 	m.storeRumor(from, spread, r)
 }
 
-// storeRumor holds and spreads r if it is newer than what is known.
+// storeRumor stores r and passes it on with spread if it is valid and newer than
+// the stored version. It reports whether it did.
 func (m *Machine) storeRumor(from coordination.Instance, spread disseminateFunc, r Rumor) bool {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
@@ -111,7 +115,7 @@
 	}
 	held := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
 	if !keep {
-		// No topic's life is longer here than its own members give it.
+		// The local configuration limits the lifetime that a peer claims.
 		life := min(r.TTLMillis, m.ttlMillis(r.Topic))
 		held.expires = m.now.Add(time.Duration(life) * time.Millisecond)
 	}
@@ -127,12 +131,13 @@
 	return true
 }
 
+// valid reports whether r is within the size limits.
 func (r *Rumor) valid() bool {
 	return len(r.Payload) <= MaxPayload && len(r.Topic) <= maxName && len(r.Key) <= maxName && len(r.Origin) <= maxName
 }
 
-// full reports whether no new key can be taken. Soft rumours leave room for
-// kept ones.
+// full reports whether no new key can be stored. Persistent rumors may use
+// capacity that ephemeral ones cannot.
 func (m *Machine) full(keep bool) bool {
 	if keep {
 		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxPersistentRumors
@@ -140,8 +145,8 @@
 	return len(m.rumors) >= m.cfg.MaxRumors
 }
 
-// newer reports whether a goes before b. Equal versions are told apart by
-// their origin, so that all members end with the same one.
+// newer reports whether a supersedes b. The origin breaks ties between equal
+// versions, so that all members converge on the same rumor.
 func newer(a, b Rumor) bool {
 	if a.Version != b.Version {
 		return a.Version > b.Version
@@ -149,7 +154,8 @@
 	return a.Origin > b.Origin
 }
 
-// sweepRumors drops what has expired.
+// sweepRumors drops the payload of expired rumors and removes them once their
+// version need not be remembered any longer.
 func (m *Machine) sweepRumors() {
 	for k, r := range m.rumors {
 		if r.live(m.now) {
--- a/coordination/membership/rumor_test.go
+++ b/coordination/membership/rumor_test.go
@@ -13,7 +13,8 @@
 	"load":     {TTL: 20 * time.Second},
 }
 
-// allHave reports whether all running nodes hold exactly this version.
+// allHave returns a function that reports whether all running nodes have exactly
+// this version.
 func (f *simNetwork) allHave(topic, key string, version uint64) func() bool {
 	return func() bool {
 		for _, n := range f.nodes {
@@ -29,8 +30,8 @@
 	}
 }
 
-// Links drop one message in five while settings and loads are gossiped. A
-// router that misses a settings revision would go on with an old one for ever.
+// Links drop one message in five while settings and loads are gossiped. A router
+// that missed a settings revision would keep using an old one indefinitely.
 func TestRumorsUnderLoss(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(60, 2, 3, Config{Topics: testTopics})
@@ -45,15 +46,15 @@
 			f.run(500 * time.Millisecond)
 		}
 		for key := range 5 {
-			took := f.runUntil(t, 20*time.Second, "kept rumour everywhere", f.allHave("settings", fmt.Sprint("team-", key), 20))
-			t.Logf("kept rumour everywhere %v after the last broadcasts", took)
-			f.runUntil(t, 15*time.Second, "soft rumour everywhere", f.allHave("load", fmt.Sprint("pool-", key), 20))
+			took := f.runUntil(t, 20*time.Second, "persistent rumor at all members", f.allHave("settings", fmt.Sprint("team-", key), 20))
+			t.Logf("persistent rumor at all members %v after the last broadcasts", took)
+			f.runUntil(t, 15*time.Second, "ephemeral rumor at all members", f.allHave("load", fmt.Sprint("pool-", key), 20))
 		}
 	})
 }
 
-// Without faults a rumour must be everywhere within a second or two, since a
-// crash suspicion that comes late costs an engine.
+// Without faults a rumor must reach all members within a second or two: a crash
+// suspicion that arrives late costs an engine.
 func TestRumorLatency(t *testing.T) {
 	for _, n := range []int{7, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
@@ -63,15 +64,15 @@
 			f.startAll(t)
 			for i := range uint64(10) {
 				f.nodes[i%7].machine.Broadcast(f.now, "settings", "team", i+1, []byte("revision"))
-				took := f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.allHave("settings", "team", i+1))
-				t.Logf("everywhere after %v", took)
+				took := f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", i+1))
+				t.Logf("at all members after %v", took)
 			}
 		})
 	}
 }
 
-// A router starts, or a region returns, after settings were gossiped. What was
-// said in the meantime must reach it although nobody says it again.
+// A router starts, or a partition ends, after settings were gossiped. Rumors from
+// the meantime must reach it although nobody broadcasts them again.
 func TestRumorsCatchUp(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(30, 2, 2, Config{Topics: testTopics})
@@ -86,7 +87,7 @@
 		f.run(5 * time.Second)
 		f.heal()
 		f.runUntil(t, 40*time.Second, "agreement", f.agreed)
-		f.runUntil(t, 20*time.Second, "kept rumours in both regions", func() bool {
+		f.runUntil(t, 20*time.Second, "persistent rumors in both regions", func() bool {
 			for i := range 100 {
 				if !f.allHave("settings", fmt.Sprint("team-", i), 3)() {
 					return false
@@ -96,16 +97,16 @@
 		})
 		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, 10*time.Second, "kept rumours at the new member", func() bool {
+		took := f.runUntil(t, 10*time.Second, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == 100
 		})
-		t.Logf("new member has all after %v", took)
+		t.Logf("new member has all rumors after %v", took)
 	})
 }
 
-// One router gossips far more than the byte budget. Soft rumours may then be
-// dropped, but settings and membership must go through, or a router would
-// miss a revision because of a noisy topic.
+// One router broadcasts far more than the byte budget. Ephemeral rumors may be
+// dropped then, but settings and membership must get through; otherwise a busy topic
+// would make a router miss a settings revision.
 func TestSheddingKeepsSettings(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.checker.mayLose = isStopped
@@ -122,12 +123,12 @@
 			f.nodes[1].machine.Broadcast(f.now, "settings", "team", round+1, []byte("revision"))
 			f.run(time.Second)
 		}
-		f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.allHave("settings", "team", 60))
+		f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", 60))
 		var shed uint64
 		for _, n := range f.nodes {
 			shed += n.machine.Stats().RumorsShed
 			rate := n.bytes / 60
-			// One message may go over the budget before the next is shed.
+			// One message may exceed the budget before the next rumor is dropped.
 			assert.Assert(t, rate < 12000+4000, "%s sent %d bytes/s", n.self.Instance, rate)
 		}
 		assert.Assert(t, shed > 0)
@@ -160,7 +161,7 @@
 	fresh := m.DrainNewRumors()
 	assert.Equal(t, string(fresh[len(fresh)-1].Payload), "six")
 
-	// An expired rumour is gone, and an older one does not take its place.
+	// An expired rumor is not returned, and an older version does not replace it.
 	later := now.Add(11 * time.Second)
 	m.Tick(later)
 	assert.Equal(t, len(m.Rumors("load")), 0)
@@ -168,9 +169,9 @@
 	assert.Equal(t, len(m.Rumors("load")), 0)
 }
 
-// A router joins a fleet that holds many settings. If each neighbour sent all
-// of them, and the new router passed them on in turn, a rolling update would
-// spend the byte budget of the whole fleet on what is known already.
+// A router joins a fleet with many settings. If each neighbor sent all of them, and
+// the new router forwarded them in turn, a rolling update would spend the byte budget
+// of the whole fleet on known rumors.
 func TestCatchUpIsPaced(t *testing.T) {
 	eachSeed(t, func(t *testing.T, f *simNetwork) {
 		f.addNodes(20, 1, 2, Config{Topics: testTopics})
@@ -187,7 +188,7 @@
 		f.bytes = 0
 		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, time.Minute, "kept rumours at the new member", func() bool {
+		took := f.runUntil(t, time.Minute, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == count
 		})
 		f.run(5 * time.Second)
@@ -196,7 +197,7 @@
 			content += r.Size()
 		}
 		added := f.bytes - int(steady*(took+5*time.Second).Seconds())
-		t.Logf("%v, %d bytes of gossip more for %d of content", took, added, content)
+		t.Logf("caught up after %v, with %d bytes of additional gossip for %d bytes of rumors", took, added, content)
 		assert.Assert(t, added < 3*content/2)
 	})
 }
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -17,7 +17,8 @@
 	return xxhash.Sum64String(s)
 }
 
-// apply takes in a record about a member, told by from.
+// apply merges a record received from a peer into the table. The peer is empty
+// for a record that was not received.
 func (m *Machine) apply(from coordination.Instance, r Member) {
 	if !r.valid() {
 		return
@@ -37,8 +38,8 @@
 	case r.Incarnation > e.Incarnation:
 		m.replace(from, e, r)
 	case e.State.Final():
-		// The end of an incarnation is never taken back. Its teller learns
-		// of it, and so the member itself in the end.
+		// An incarnation that has ended never becomes live again. The sender is
+		// told of the end, and through it the member itself.
 		if !r.State.Final() {
 			m.queueForPeer(from, r.Instance)
 		}
@@ -57,15 +58,16 @@
 	}
 }
 
-// valid reports whether r may be held. The bounds keep a faulty peer from
-// filling the memory.
+// valid reports whether r may be stored. The limits keep a faulty peer from
+// exhausting memory.
 func (r *Member) valid() bool {
 	return r.Instance != "" && len(r.Instance) <= maxName && len(r.Address) <= maxName &&
 		r.Incarnation < maxCounter && r.Version < maxCounter && len(r.Zone) <= maxName && len(r.Region) <= maxName && len(r.Build) <= maxName && r.State <= Dead
 }
 
-// insert adds a member that was unknown. The end of an unknown member is no
-// news, and to take it in would keep the memory of it alive for ever.
+// insert adds an unknown member. Records of unknown members that are dead or
+// have left are ignored: storing them would let peers pass them on to each other
+// again and again, so that they would never be forgotten.
 func (m *Machine) insert(from coordination.Instance, r Member) {
 	if r.Address == "" || r.State.Final() || len(m.table) >= m.cfg.MaxMembers {
 		return
@@ -75,8 +77,8 @@
 	m.queueForNeighbors(from, r.Instance)
 }
 
-// replace sets e to the newer record r. A record of a suspect or dead member
-// has no address; what was known stays.
+// replace updates e to the newer record r. Records of suspect and dead members
+// carry no address; the known fields are kept then.
 func (m *Machine) replace(from coordination.Instance, e *entry, r Member) {
 	claimed := r.State == Dead
 	if claimed {
@@ -100,10 +102,10 @@
 	m.queueForNeighbors(from, e.Instance)
 }
 
-// applyDeathClaim handles word that the incarnation of e is dead. It is only suspected:
-// after a partition, the far side holds each member for dead, and believing
-// that would empty the near side's list too. The member refutes by a higher
-// incarnation.
+// applyDeathClaim handles a report that the current incarnation of e is dead. The
+// member only becomes suspect: after a partition, the other side considers every
+// member of this side dead, and believing that would empty the list on this side
+// too. The member refutes with a higher incarnation.
 func (m *Machine) applyDeathClaim(from coordination.Instance, e *entry) {
 	if e.deathClaimed {
 		m.markKnown(from, e.Instance)
@@ -118,24 +120,25 @@
 	m.queueForNeighbors(from, e.Instance)
 }
 
+// suspect marks e as suspect and propagates that.
 func (m *Machine) suspect(from coordination.Instance, e *entry) {
 	e.State = Suspect
 	e.stateSince = m.now
 	m.markChanged()
 	m.queueForNeighbors(from, e.Instance)
-	// The suspect itself must hear of it first, so that it can refute.
+	// Also send it to the suspect itself, so that it can refute at once.
 	if l := m.links[e.Instance]; l != nil {
 		l.records[e.Instance] = struct{}{}
 	}
 }
 
-// applySelf handles what others say about this member.
+// applySelf handles a record about this member that a peer sent.
 func (m *Machine) applySelf(r Member) {
 	switch {
 	case r.Incarnation < m.self.Incarnation:
 		return
 	case r.Incarnation > m.self.Incarnation:
-		// An earlier life had a clock that was ahead.
+		// An earlier incarnation ran with a clock that was ahead of this one.
 		m.reincarnate(r.Incarnation)
 	case r.State == Dead && m.self.State != Left, r.State == Left && m.self.State != Left:
 		m.reincarnate(r.Incarnation)
@@ -146,7 +149,7 @@
 	}
 }
 
-// reincarnate starts a new incarnation after the given one.
+// reincarnate starts an incarnation higher than after.
 func (m *Machine) reincarnate(after coordination.Incarnation) {
 	m.self.Incarnation = max(after+1, coordination.Incarnation(m.now.UnixMilli()))
 	m.self.Version = 0
@@ -155,14 +158,15 @@
 	m.queueForNeighbors("", m.self.Instance)
 }
 
-// bumpVersion spreads a change of the machine's own record.
+// bumpVersion increments the version of the machine's own record and propagates
+// the record.
 func (m *Machine) bumpVersion() {
 	m.self.Version++
 	m.markChanged()
 	m.queueForNeighbors("", m.self.Instance)
 }
 
-// SetReady tells all members whether this one takes work.
+// SetReady sets whether this member accepts work, and propagates it.
 func (m *Machine) SetReady(now time.Time, ready bool) {
 	m.advance(now)
 	if m.self.Ready == ready || m.self.State != Alive {
@@ -172,7 +176,7 @@
 	m.bumpVersion()
 }
 
-// Leave tells all members that this one is stopping.
+// Leave announces that this member is shutting down.
 func (m *Machine) Leave(now time.Time) {
 	m.advance(now)
 	if m.self.State != Alive {
@@ -183,7 +187,7 @@
 	m.bumpVersion()
 }
 
-// CompleteLeave tells all members that this one is gone. Nothing follows it.
+// CompleteLeave announces that this member has shut down. The state is final.
 func (m *Machine) CompleteLeave(now time.Time) {
 	m.advance(now)
 	if m.self.State == Left {
@@ -194,7 +198,7 @@
 	m.bumpVersion()
 }
 
-// markChanged notes that the table has changed.
+// markChanged invalidates everything that is derived from the member table.
 func (m *Machine) markChanged() {
 	m.changed = true
 	m.cachedMembers = nil
@@ -202,7 +206,7 @@
 	m.views[MemberTable].valid = false
 }
 
-// queueForNeighbors queues the record of id for all neighbours but from.
+// queueForNeighbors queues the record of id for all neighbors except from.
 func (m *Machine) queueForNeighbors(from, id coordination.Instance) {
 	for peer, l := range m.links {
 		if peer != from && m.IsNeighbor(peer) {
@@ -219,14 +223,15 @@
 	}
 }
 
-// markKnown notes that peer has the record of id already.
+// markKnown removes the record of id from the queue for peer, which has it.
 func (m *Machine) markKnown(peer, id coordination.Instance) {
 	if l := m.links[peer]; l != nil {
 		delete(l.records, id)
 	}
 }
 
-// expire ends suspicions and forgets members that are long gone.
+// expire declares suspects dead whose timeout has passed, and removes members
+// whose end is older than ForgetAfter.
 func (m *Machine) expire() {
 	for _, e := range m.table {
 		age := m.now.Sub(e.stateSince)
