--- a/coordination/membership/fabric_test.go
+++ b/coordination/membership/fabric_test.go
@@ -169,18 +169,18 @@
 	n.loop(n.machine, time.Duration(n.f.rand.Int64N(int64(100*time.Millisecond))))
 }
 
-func (n *node) loop(life *Machine, wait time.Duration) {
+func (n *node) loop(machine *Machine, wait time.Duration) {
 	n.f.after(wait, func() {
-		if !n.running || n.machine != life {
+		if !n.running || n.machine != machine {
 			return
 		}
 		if !n.paused {
 			began := time.Now()
-			out := life.Tick(n.f.now)
+			out := machine.Tick(n.f.now)
 			n.f.cpu += time.Since(began)
 			n.do(out)
 		}
-		n.loop(life, 100*time.Millisecond)
+		n.loop(machine, 100*time.Millisecond)
 	})
 }
 
@@ -219,9 +219,9 @@
 }
 
 // deliver runs do now, or when n resumes if it is paused.
-func (n *node) deliver(life *Machine, do func()) {
+func (n *node) deliver(machine *Machine, do func()) {
 	switch {
-	case !n.running || n.machine != life:
+	case !n.running || n.machine != machine:
 	case n.paused:
 		n.held = append(n.held, do)
 	default:
@@ -258,14 +258,14 @@
 		}
 		wait += 2 * f.delay(to, n)
 	}
-	life, msg := to.machine, s.Message
+	machine, msg := to.machine, s.Message
 	f.after(wait, func() {
-		to.deliver(life, func() {
+		to.deliver(machine, func() {
 			if f.tamper != nil {
 				f.tamper(to, n.self.Instance, &msg)
 			}
 			began := time.Now()
-			out := life.Receive(f.now, n.self.Instance, msg)
+			out := machine.Receive(f.now, n.self.Instance, msg)
 			f.cpu += time.Since(began)
 			to.do(out)
 		})
@@ -275,15 +275,15 @@
 func (n *node) dial(d Dial) {
 	f := n.f
 	to := f.byAddr[d.Address]
-	life := n.machine
+	machine := n.machine
 	if to == nil || !to.running || to.paused || f.cut(n, to) || f.cut(to, n) {
 		f.after(time.Second, func() {
-			n.deliver(life, func() { n.machine.DialFailed(f.now, d.Address) })
+			n.deliver(machine, func() { n.machine.DialFailed(f.now, d.Address) })
 		})
 		return
 	}
 	f.after(2*f.delay(n, to), func() {
-		if n.running && n.machine == life && to.running && !n.links[to.self.Instance] {
+		if n.running && n.machine == machine && to.running && !n.links[to.self.Instance] {
 			f.link(n, to)
 		}
 	})
--- a/coordination/membership/flush.go
+++ b/coordination/membership/flush.go
@@ -104,7 +104,7 @@
 // function admit decides whether a rumor is sent now, later or never.
 func (m *Machine) takeRumors(q *rumorQueue, admit func(r *rumor, size int) admission) []Rumor {
 	var taken []Rumor
-	var left []rumorKey
+	var deferred []rumorKey
 	size := 0
 	for _, k := range q.order {
 		r := m.rumors[k]
@@ -113,27 +113,27 @@
 			continue
 		}
 		if len(taken) == maxRumors || size > maxRumorBytes {
-			left = append(left, k)
+			deferred = append(deferred, k)
 			continue
 		}
 		a := admit(r, size)
 		if a == sendLater {
-			left = append(left, k)
+			deferred = append(deferred, k)
 			continue
 		}
 		q.drop(k)
 		if a == discard {
 			continue
 		}
-		told := r.Rumor
+		outgoing := r.Rumor
 		if !r.persistent {
-			told.TTLMillis = remaining(r.expires.Sub(m.now))
+			outgoing.TTLMillis = remaining(r.expires.Sub(m.now))
 		}
-		size += told.Size()
-		taken = append(taken, told)
+		size += outgoing.Size()
+		taken = append(taken, outgoing)
 		m.stats.RumorsSent++
 	}
-	q.order = left
+	q.order = deferred
 	return taken
 }
 
@@ -178,8 +178,8 @@
 func (m *Machine) refill() {
 	rate := float64(m.cfg.BytesPerSecond)
 	m.gossipTokens = min(rate, m.gossipTokens+rate*m.now.Sub(m.lastRefill).Seconds())
-	pace := recordRateFactor * rate
-	m.recordTokens = min(pace, m.recordTokens+pace*m.now.Sub(m.lastRefill).Seconds())
+	recordRate := recordRateFactor * rate
+	m.recordTokens = min(recordRate, m.recordTokens+recordRate*m.now.Sub(m.lastRefill).Seconds())
 	m.lastRefill = m.now
 }
 
--- a/coordination/membership/machine.go
+++ b/coordination/membership/machine.go
@@ -55,7 +55,7 @@
 	nextHeartbeat time.Time    // when the next heartbeat is due
 	neighborUntil time.Time    // until when the peer counts this member as a neighbor
 	needsSync     [tables]bool // tables whose digest is to be sent because the link is new
-	// consecutive heartbeats with another fingerprint
+	// mismatches counts consecutive heartbeats with a different fingerprint.
 	mismatches [tables]int
 	records    map[coordination.Instance]struct{} // to send
 	rumors     rumorQueue                         // to send
@@ -149,9 +149,9 @@
 	return changed
 }
 
-// LinkUp reports that a connection to peer has been established. Gossip means that
-// it was made for this package, by a Dial of either side, and not for other calls.
-// Initiated means that this side dialed.
+// LinkUp reports that a connection to peer has been established. The parameter gossip
+// tells that it was made for this package, by a Dial of either side, and not for other
+// calls; initiated tells that this side dialed.
 func (m *Machine) LinkUp(now time.Time, peer Member, gossip, initiated bool) {
 	m.advance(now)
 	id := peer.Instance
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -99,16 +99,16 @@
 // entry is a row of the member table.
 type entry struct {
 	Member
-	// deathClaimed means that a peer reported this incarnation dead. The
+	// deathReported means that a peer reported this incarnation dead. The
 	// member can refute that only with a higher incarnation.
-	deathClaimed bool
-	stateSince   time.Time // time of the last state change
+	deathReported bool
+	stateSince    time.Time // time of the last state change
 }
 
 // record returns the record of e as it is sent to peers.
 func (e *entry) record() Member {
 	m := e.Member
-	if e.deathClaimed {
+	if e.deathReported {
 		m.State = Dead
 	}
 	if m.State == Suspect || m.State == Dead {
@@ -124,7 +124,7 @@
 	binary.LittleEndian.PutUint64(b[0:], uint64(e.Incarnation))
 	binary.LittleEndian.PutUint64(b[8:], uint64(e.Version))
 	b[16] = byte(e.State)
-	if e.deathClaimed {
+	if e.deathReported {
 		b[16] = byte(Dead)
 	}
 	return xxhash.Sum64(b[:])
--- a/coordination/membership/mesh.go
+++ b/coordination/membership/mesh.go
@@ -98,7 +98,7 @@
 }
 
 // maxChildren limits the copies of each rumor that a member pushes along the tree.
-// Without a limit, members near the root sent three times the mean.
+// Without a limit, members near the root send three times the mean.
 const maxChildren = 3
 
 // buildTree returns the parent of each member in a breadth-first spanning tree of
@@ -245,22 +245,22 @@
 	}
 	m.nextReconnect = m.now.Add(m.jitter(m.cfg.ReconnectInterval))
 	live := make(map[string]bool)
-	var lost []Dial
+	var unreachable []Dial
 	for _, e := range m.sortedTable() {
 		if e.Live() {
 			live[e.Address] = true
 		}
 		if e.State == Dead {
-			lost = append(lost, Dial{Instance: e.Instance, Address: e.Address})
+			unreachable = append(unreachable, Dial{Instance: e.Instance, Address: e.Address})
 		}
 	}
 	for _, seed := range m.cfg.Seeds {
 		if !live[seed] && seed != m.self.Address {
-			lost = append(lost, Dial{Address: seed})
+			unreachable = append(unreachable, Dial{Address: seed})
 		}
 	}
-	if len(lost) > 0 {
-		m.requestDial(lost[m.rand.IntN(len(lost))])
+	if len(unreachable) > 0 {
+		m.requestDial(unreachable[m.rand.IntN(len(unreachable))])
 	}
 }
 
--- a/coordination/membership/push.go
+++ b/coordination/membership/push.go
@@ -153,13 +153,13 @@
 
 // handleAnnouncements requests the rumors that a peer announced and this member
 // lacks.
-func (m *Machine) handleAnnouncements(from coordination.Instance, haves []byte) {
+func (m *Machine) handleAnnouncements(from coordination.Instance, announced []byte) {
 	l := m.links[from]
-	if l == nil || len(haves)%announcementBytes != 0 {
+	if l == nil || len(announced)%announcementBytes != 0 {
 		return
 	}
-	for ; len(haves) > 0; haves = haves[announcementBytes:] {
-		h, version := binary.LittleEndian.Uint32(haves), binary.LittleEndian.Uint32(haves[4:])
+	for ; len(announced) > 0; announced = announced[announcementBytes:] {
+		h, version := binary.LittleEndian.Uint32(announced), binary.LittleEndian.Uint32(announced[4:])
 		if m.lacks(h, version) {
 			m.requestRumor(l, h, version)
 			continue
@@ -218,13 +218,13 @@
 }
 
 // handleRequests queues the rumors that a peer requested.
-func (m *Machine) handleRequests(from coordination.Instance, wants []byte) {
+func (m *Machine) handleRequests(from coordination.Instance, hashes []byte) {
 	l := m.links[from]
-	if l == nil || len(wants)%4 != 0 {
+	if l == nil || len(hashes)%4 != 0 {
 		return
 	}
-	for ; len(wants) > 0; wants = wants[4:] {
-		if k, ok := m.byHash[binary.LittleEndian.Uint32(wants)]; ok {
+	for ; len(hashes) > 0; hashes = hashes[4:] {
+		if k, ok := m.byHash[binary.LittleEndian.Uint32(hashes)]; ok {
 			l.rumors.push(k)
 		}
 	}
--- a/coordination/membership/rumor.go
+++ b/coordination/membership/rumor.go
@@ -16,7 +16,7 @@
 	key   string
 }
 
-// disseminateFunc queues a rumor received from the peer from for other peers.
+// disseminateFunc queues a rumor for peers other than from, which sent it.
 type disseminateFunc func(from coordination.Instance, k rumorKey)
 
 // rumor is a stored Rumor.
@@ -89,20 +89,20 @@
 	return live
 }
 
-// receiveRumor handles a rumor from a peer and passes it on with spread.
-func (m *Machine) receiveRumor(from coordination.Instance, r Rumor, spread disseminateFunc) {
+// receiveRumor handles a rumor from a peer and passes it on with disseminate.
+func (m *Machine) receiveRumor(from coordination.Instance, r Rumor, disseminate disseminateFunc) {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && old.Version == r.Version && old.Origin == r.Origin {
 		m.markRumorKnown(from, k)
 		return
 	}
-	m.storeRumor(from, spread, r)
+	m.storeRumor(from, disseminate, r)
 }
 
-// storeRumor stores r and passes it on with spread if it is valid and newer than
-// the stored version. It reports whether it did.
-func (m *Machine) storeRumor(from coordination.Instance, spread disseminateFunc, r Rumor) bool {
+// storeRumor stores r and passes it on with disseminate if it is valid and newer
+// than the stored version. It reports whether it did.
+func (m *Machine) storeRumor(from coordination.Instance, disseminate disseminateFunc, r Rumor) bool {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && !newer(r, old.Rumor) {
@@ -113,21 +113,21 @@
 		m.stats.RumorsRefused++
 		return false
 	}
-	held := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
+	stored := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
 	if !keep {
 		// The local configuration limits the lifetime that a peer claims.
 		life := min(r.TTLMillis, m.ttlMillis(r.Topic))
-		held.expires = m.now.Add(time.Duration(life) * time.Millisecond)
+		stored.expires = m.now.Add(time.Duration(life) * time.Millisecond)
 	}
-	m.rumors[k] = held
-	m.byHash[held.hash] = k
+	m.rumors[k] = stored
+	m.byHash[stored.hash] = k
 	if keep {
 		m.views[PersistentTable].valid = false
 	}
 	if from != "" {
 		m.newRumors = append(m.newRumors, k)
 	}
-	spread(from, k)
+	disseminate(from, k)
 	return true
 }
 
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -46,7 +46,7 @@
 	case r.State == Left:
 		m.replace(from, e, r)
 	case r.State == Dead:
-		m.applyDeathClaim(from, e)
+		m.applyDeathReport(from, e)
 	case r.Version > e.Version:
 		m.replace(from, e, r)
 	case r.Version < e.Version:
@@ -80,8 +80,8 @@
 // replace updates e to the newer record r. Records of suspect and dead members
 // carry no address; the known fields are kept then.
 func (m *Machine) replace(from coordination.Instance, e *entry, r Member) {
-	claimed := r.State == Dead
-	if claimed {
+	reportedDead := r.State == Dead
+	if reportedDead {
 		r.State = Suspect
 	}
 	if r.Address == "" {
@@ -96,22 +96,22 @@
 	if e.State == Leaving || e.State == Left {
 		e.Ready = false
 	}
-	e.deathClaimed = claimed
+	e.deathReported = reportedDead
 	e.stateSince = m.now
 	m.markChanged()
 	m.queueForNeighbors(from, e.Instance)
 }
 
-// applyDeathClaim handles a report that the current incarnation of e is dead. The
+// applyDeathReport handles a report that the current incarnation of e is dead. The
 // member only becomes suspect: after a partition, the other side considers every
 // member of this side dead, and believing that would empty the list on this side
 // too. The member refutes with a higher incarnation.
-func (m *Machine) applyDeathClaim(from coordination.Instance, e *entry) {
-	if e.deathClaimed {
+func (m *Machine) applyDeathReport(from coordination.Instance, e *entry) {
+	if e.deathReported {
 		m.markKnown(from, e.Instance)
 		return
 	}
-	e.deathClaimed = true
+	e.deathReported = true
 	if e.State != Suspect {
 		e.State = Suspect
 		e.stateSince = m.now
@@ -238,7 +238,7 @@
 		switch {
 		case e.State == Suspect && age >= m.cfg.SuspicionTimeout:
 			e.State = Dead
-			e.deathClaimed = false
+			e.deathReported = false
 			e.stateSince = m.now
 			m.stats.Deaths++
 			m.markChanged()
