--- a/coordination/membership/fabric_test.go
+++ b/coordination/membership/fabric_test.go
@@ -14,9 +14,9 @@
 	"wisteriaspool/coordination"
 )
 
-// fabric passes messages between machines in simulated time. All that is
-// random comes from its seed, so that a run repeats.
-type fabric struct {
+// simNetwork passes messages between machines in simulated time. All randomness
+// comes from its seed, so that runs are reproducible.
+type simNetwork struct {
 	rand    *rand.Rand
 	now     time.Time
 	begin   time.Time
@@ -27,24 +27,24 @@
 	byAddr  map[string]*node
 	loss    float64
 	delay   func(a, b *node) time.Duration
-	cut     func(a, b *node) bool // no message passes from a to b
+	cut     func(a, b *node) bool // whether messages from a to b are lost
 	tamper  func(n *node, from coordination.Instance, msg *Message)
 	checker *checker
 	bytes   int
-	cpu     time.Duration // spent in machines
+	cpu     time.Duration // time spent in machines
 	size    func(*Message) int
 }
 
-// node is a router in a fabric.
+// node is a router in a simNetwork.
 type node struct {
-	f       *fabric
+	f       *simNetwork
 	machine *Machine
 	cfg     Config
 	self    Member
 	running bool
 	paused  bool
 	pauses  int
-	held    []func() // what came during a pause
+	held    []func() // deliveries deferred by a pause
 	links   map[coordination.Instance]bool
 	bytes   int
 	sent    int
@@ -78,9 +78,9 @@
 	return e
 }
 
-func newFabric(seed uint64) *fabric {
+func newSimNetwork(seed uint64) *simNetwork {
 	begin := time.Unix(1_800_000_000, 0)
-	return &fabric{
+	return &simNetwork{
 		rand:   rand.New(rand.NewPCG(seed, 1)),
 		now:    begin,
 		begin:  begin,
@@ -92,13 +92,13 @@
 	}
 }
 
-func (f *fabric) after(d time.Duration, do func()) {
+func (f *simNetwork) after(d time.Duration, do func()) {
 	f.serial++
 	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, do: do})
 }
 
-// run lets d pass.
-func (f *fabric) run(d time.Duration) {
+// run advances the simulated time by d.
+func (f *simNetwork) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
 		e := heap.Pop(&f.queue).(event)
@@ -108,8 +108,9 @@
 	f.now = end
 }
 
-// runUntil lets time pass until ok, and returns how long that took.
-func (f *fabric) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
+// runUntil advances the simulated time until ok returns true, and returns the time
+// that passed. It fails the test if that exceeds most.
+func (f *simNetwork) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := f.now
 	for !ok() {
@@ -121,8 +122,8 @@
 	return f.now.Sub(start)
 }
 
-// add makes a node that does not run yet.
-func (f *fabric) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
+// add adds a node without starting it.
+func (f *simNetwork) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
 	cfg.Seed = f.rand.Uint64()
 	n := &node{f: f, cfg: cfg, self: Member{
 		Instance: coordination.Instance(id),
@@ -139,8 +140,9 @@
 	return n
 }
 
-// fill adds count nodes over regions of zones with three seeds.
-func (f *fabric) fill(count, regions, zones int, cfg Config) {
+// addNodes adds count nodes, spread evenly over the zones of all regions. The first
+// three are the seeds.
+func (f *simNetwork) addNodes(count, regions, zones int, cfg Config) {
 	for i := range min(3, count) {
 		cfg.Seeds = append(cfg.Seeds, "10.0.0.1:"+name(i))
 	}
@@ -154,7 +156,7 @@
 	return fmt.Sprintf("router-%03d", i)
 }
 
-// start begins a new life of n.
+// start starts n with a new incarnation.
 func (n *node) start() {
 	n.startAs(coordination.Incarnation(n.f.now.UnixMilli()))
 }
@@ -167,29 +169,28 @@
 	n.loop(n.machine, time.Duration(n.f.rand.Int64N(int64(100*time.Millisecond))))
 }
 
-func (n *node) loop(life *Machine, wait time.Duration) {
+func (n *node) loop(machine *Machine, wait time.Duration) {
 	n.f.after(wait, func() {
-		if !n.running || n.machine != life {
+		if !n.running || n.machine != machine {
 			return
 		}
 		if !n.paused {
 			began := time.Now()
-			out := life.Tick(n.f.now)
+			out := machine.Tick(n.f.now)
 			n.f.cpu += time.Since(began)
 			n.do(out)
 		}
-		n.loop(life, 100*time.Millisecond)
+		n.loop(machine, 100*time.Millisecond)
 	})
 }
 
-// kill ends n; its connections are reset.
+// kill stops n and closes its connections at once.
 func (n *node) kill() {
 	n.running = false
 	n.unlinkAll()
 }
 
-// pause stops n. After ten seconds its peers take their connections to it
-// for broken.
+// pause freezes n. After ten seconds its peers close their connections to it.
 func (n *node) pause() {
 	n.paused = true
 	n.pauses++
@@ -217,10 +218,10 @@
 	}
 }
 
-// deliver runs do now, or when n wakes.
-func (n *node) deliver(life *Machine, do func()) {
+// deliver runs do now, or when n resumes if it is paused.
+func (n *node) deliver(machine *Machine, do func()) {
 	switch {
-	case !n.running || n.machine != life:
+	case !n.running || n.machine != machine:
 	case n.paused:
 		n.held = append(n.held, do)
 	default:
@@ -228,7 +229,7 @@
 	}
 }
 
-// do carries out what n's machine wants.
+// do carries out the actions that n's machine requested.
 func (n *node) do(out Output) {
 	n.f.checker.observe(n)
 	for _, s := range out.Sends {
@@ -251,20 +252,20 @@
 	}
 	wait := f.delay(n, to)
 	if !n.links[s.To] {
-		// A connection is made for it.
+		// Only probes open a connection.
 		if s.Message.Probe == nil || f.cut(to, n) {
 			return
 		}
 		wait += 2 * f.delay(to, n)
 	}
-	life, msg := to.machine, s.Message
+	machine, msg := to.machine, s.Message
 	f.after(wait, func() {
-		to.deliver(life, func() {
+		to.deliver(machine, func() {
 			if f.tamper != nil {
 				f.tamper(to, n.self.Instance, &msg)
 			}
 			began := time.Now()
-			out := life.Receive(f.now, n.self.Instance, msg)
+			out := machine.Receive(f.now, n.self.Instance, msg)
 			f.cpu += time.Since(began)
 			to.do(out)
 		})
@@ -274,28 +275,28 @@
 func (n *node) dial(d Dial) {
 	f := n.f
 	to := f.byAddr[d.Address]
-	life := n.machine
+	machine := n.machine
 	if to == nil || !to.running || to.paused || f.cut(n, to) || f.cut(to, n) {
 		f.after(time.Second, func() {
-			n.deliver(life, func() { n.machine.DialFailed(f.now, d.Address) })
+			n.deliver(machine, func() { n.machine.DialFailed(f.now, d.Address) })
 		})
 		return
 	}
 	f.after(2*f.delay(n, to), func() {
-		if n.running && n.machine == life && to.running && !n.links[to.self.Instance] {
+		if n.running && n.machine == machine && to.running && !n.links[to.self.Instance] {
 			f.link(n, to)
 		}
 	})
 }
 
-func (f *fabric) link(a, b *node) {
+func (f *simNetwork) link(a, b *node) {
 	a.links[b.self.Instance] = true
 	b.links[a.self.Instance] = true
 	a.deliver(a.machine, func() { a.machine.LinkUp(f.now, b.machine.Self(), true, true) })
 	b.deliver(b.machine, func() { b.machine.LinkUp(f.now, a.machine.Self(), true, false) })
 }
 
-func (f *fabric) unlink(a, b *node) {
+func (f *simNetwork) unlink(a, b *node) {
 	for _, pair := range [][2]*node{{a, b}, {b, a}} {
 		n, id := pair[0], pair[1].self.Instance
 		if !n.links[id] {
@@ -306,9 +307,9 @@
 	}
 }
 
-// partition cuts all links between a and b sides; their connections break
-// after ten seconds without a message.
-func (f *fabric) partition(side func(*node) bool) {
+// partition cuts all paths between the two sides. Their connections break after ten
+// seconds.
+func (f *simNetwork) partition(side func(*node) bool) {
 	f.cut = func(a, b *node) bool { return side(a) != side(b) }
 	f.after(10*time.Second, func() {
 		for _, a := range f.nodes {
@@ -321,16 +322,16 @@
 	})
 }
 
-func (f *fabric) heal() {
+func (f *simNetwork) heal() {
 	f.cut = func(_, _ *node) bool { return false }
 }
 
-// agreed reports whether each running node lists exactly the running ones.
-func (f *fabric) agreed() bool {
+// agreed reports whether each running node lists exactly the running nodes.
+func (f *simNetwork) agreed() bool {
 	return f.agreedAmong(func(*node) bool { return true })
 }
 
-func (f *fabric) agreedAmong(in func(*node) bool) bool {
+func (f *simNetwork) agreedAmong(in func(*node) bool) bool {
 	running := 0
 	for _, n := range f.nodes {
 		if n.running && in(n) {
@@ -355,8 +356,9 @@
 	return true
 }
 
-// up starts all nodes within two seconds and waits until they agree.
-func (f *fabric) up(t testing.TB) time.Duration {
+// startAll starts all nodes within two seconds, waits until they agree, and returns
+// the time from the end of the two seconds to agreement.
+func (f *simNetwork) startAll(t testing.TB) time.Duration {
 	t.Helper()
 	for _, n := range f.nodes {
 		f.after(time.Duration(f.rand.Int64N(int64(2*time.Second))), n.start)
@@ -365,8 +367,8 @@
 	return f.runUntil(t, time.Minute, "agreement after the start", f.agreed)
 }
 
-// acquaint starts all nodes with full lists of each other, and no seeds.
-func (f *fabric) acquaint() {
+// startWithFullTables starts all nodes without seeds, with each listing all others.
+func (f *simNetwork) startWithFullTables() {
 	for _, n := range f.nodes {
 		n.cfg.Seeds = nil
 		n.start()
@@ -378,7 +380,7 @@
 	}
 }
 
-func (f *fabric) deaths() uint64 {
+func (f *simNetwork) deaths() uint64 {
 	var sum uint64
 	for _, n := range f.nodes {
 		if n.machine != nil {
@@ -388,14 +390,14 @@
 	return sum
 }
 
-// checker looks at what each node believes, each time it has acted.
+// checker verifies the state of each node after each of its actions.
 type checker struct {
 	ended      map[[2]coordination.Instance]coordination.Incarnation // by observer and member
 	versions   map[coordination.Instance]map[rumorKey]uint64
 	violations []string
-	// lost, if set, tells whether a member may be missing from a node's list.
-	lost func(observer, member *node) bool
-	seen map[[2]coordination.Instance]bool
+	// mayLose, if set, reports whether observer may consider member dead.
+	mayLose func(observer, member *node) bool
+	seen    map[[2]coordination.Instance]bool
 }
 
 func newChecker() *checker {
@@ -406,9 +408,9 @@
 	}
 }
 
-// observe checks that no incarnation comes back after its end, that no
-// rumour's version falls, that members are not lost that must not be, and that
-// the list of members is that of the table.
+// observe checks that no incarnation becomes live again after its end, that no
+// rumor's version decreases, that no member is lost that must not be, and that the
+// cached member list matches the table.
 func (c *checker) observe(n *node) {
 	if c == nil {
 		return
@@ -420,19 +422,19 @@
 	c.observeRumors(n)
 }
 
-// observeList checks that the list which a node keeps is that of its table.
+// observeList checks that the cached member list of a node matches its table.
 func (c *checker) observeList(n *node) {
 	if len(n.f.nodes) > 60 {
-		return // the small fleets meet all changes
+		return // small fleets cover all kinds of changes
 	}
-	if !n.machine.listsItsTable() {
-		c.violate("%s keeps an old list of members", n.self.Instance)
+	if !n.machine.memberListMatchesTable() {
+		c.violate("%s returns an outdated member list", n.self.Instance)
 	}
 }
 
-// listsItsTable reports whether Members are those of liveMembers. It neither
-// copies nor sorts the table, for it is asked each time that a node has acted.
-func (m *Machine) listsItsTable() bool {
+// memberListMatchesTable reports whether Members returns what liveMembers would. It
+// neither copies nor sorts the table, since it runs after every action of a node.
+func (m *Machine) memberListMatchesTable() bool {
 	live := 1 // m itself
 	for _, e := range m.table {
 		if e.Live() {
@@ -461,23 +463,23 @@
 		pair := [2]coordination.Instance{n.self.Instance, id}
 		if e.State.Final() {
 			c.ended[pair] = max(c.ended[pair], e.Incarnation)
-			c.lose(n, id, pair)
+			c.checkLoss(n, id, pair)
 			continue
 		}
 		c.seen[pair] = true
 		if end, ok := c.ended[pair]; ok && e.Incarnation <= end {
-			c.violate("%s holds %s for %v again in incarnation %d", n.self.Instance, id, e.State, e.Incarnation)
+			c.violate("%s lists %s as %v after the end of incarnation %d", n.self.Instance, id, e.State, e.Incarnation)
 		}
 	}
 }
 
-func (c *checker) lose(n *node, id coordination.Instance, pair [2]coordination.Instance) {
-	if !c.seen[pair] || c.lost == nil {
+func (c *checker) checkLoss(n *node, id coordination.Instance, pair [2]coordination.Instance) {
+	if !c.seen[pair] || c.mayLose == nil {
 		return
 	}
 	delete(c.seen, pair)
-	if !c.lost(n, n.f.byID[id]) {
-		c.violate("%s lost %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
+	if !c.mayLose(n, n.f.byID[id]) {
+		c.violate("%s lost member %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
 	}
 }
 
@@ -487,10 +489,10 @@
 		seen = make(map[rumorKey]uint64)
 		c.versions[n.self.Instance] = seen
 	}
-	for _, r := range n.machine.Fresh() {
+	for _, r := range n.machine.DrainNewRumors() {
 		k := rumorKey{r.Topic, r.Key}
 		if r.Version < seen[k] {
-			c.violate("%s went back to version %d of %v", n.self.Instance, r.Version, k)
+			c.violate("%s reverted to version %d of rumor %v", n.self.Instance, r.Version, k)
 		}
 		seen[k] = r.Version
 	}
@@ -507,9 +509,9 @@
 	assert.Equal(t, len(c.violations), 0, "%v", c.violations)
 }
 
-// restarted forgets what the checker knows of an observer that has begun a
-// new life with an empty table.
-func (c *checker) restarted(n *node) {
+// forgetObserver discards what the checker recorded for a node that has restarted
+// with an empty table.
+func (c *checker) forgetObserver(n *node) {
 	delete(c.versions, n.self.Instance)
 	for pair := range c.ended {
 		if pair[0] == n.self.Instance {
