--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -20,8 +20,10 @@
 	told  atomic.Bool // that the answer is overdue; an attempt speaks once
 }
 
-// Answered implements relay.Observer.
-func (o *observer) Answered(took time.Duration) { o.watch.RecordFirstByte(time.Now(), o.sight, took) }
+// RecordFirstByte implements relay.Observer.
+func (o *observer) RecordFirstByte(took time.Duration) {
+	o.watch.RecordFirstByte(time.Now(), o.sight, took)
+}
 
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
@@ -31,15 +33,15 @@
 	return o.grant.Tell(ctx, o.watch.RecordFailure(time.Now(), o.sight))
 }
 
-// Served implements relay.Observer.
-func (o *observer) Served() {
+// RecordSuccess implements relay.Observer.
+func (o *observer) RecordSuccess() {
 	if !o.told.Swap(true) {
 		o.grant.Saw(o.watch.RecordSuccess(time.Now(), o.sight))
 	}
 }
 
-// Failed implements relay.Observer.
-func (o *observer) Failed() {
+// RecordFailure implements relay.Observer.
+func (o *observer) RecordFailure() {
 	if !o.told.Swap(true) {
 		o.grant.Saw(o.watch.RecordFailure(time.Now(), o.sight))
 	}
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -51,24 +51,24 @@
 
 func newRelay(i do.Injector) (*relay.Server, error) {
 	return &relay.Server{
-		Desired:  do.MustInvoke[*desired](i),
-		Placer:   do.MustInvoke[*relayPlacer](i),
-		Sender:   do.MustInvoke[*upstream.Client](i),
-		Retries:  do.MustInvoke[*poolRetries](i),
-		Suspects: relaySuspects{do.MustInvoke[*suspects](i)},
-		Log:      logOf(i),
-		Metrics:  relay.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
-		Stopping: stateOf(i).leaving.Load,
-		Left:     stateOf(i).left,
-		End:      stateOf(i).end,
+		Desired:         do.MustInvoke[*desired](i),
+		Placer:          do.MustInvoke[*relayPlacer](i),
+		Sender:          do.MustInvoke[*upstream.Client](i),
+		Retries:         do.MustInvoke[*poolRetries](i),
+		Suspects:        relaySuspects{do.MustInvoke[*suspects](i)},
+		Log:             logOf(i),
+		Metrics:         relay.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
+		Stopping:        stateOf(i).leaving.Load,
+		ShutdownIn:      stateOf(i).left,
+		ShutdownContext: stateOf(i).end,
 	}, nil
 }
 
-// relaySuspects implements relay.Suspects.
+// relaySuspects implements relay.CrashGuard.
 type relaySuspects struct{ *suspects }
 
-// Follow implements relay.Suspects.
-func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.Trail, *outcome.Refusal) {
+// Follow implements relay.CrashGuard.
+func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.TrackedRequest, *outcome.Refusal) {
 	t, refusal := s.suspects.Follow(ctx, fingerprint, p)
 	if refusal != nil {
 		return nil, refusal
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -46,13 +46,13 @@
 	return d, nil
 }
 
-// Table implements relay.Desired.
+// Table implements relay.DesiredState.
 func (d *desired) Table() *route.Table { return d.table.Load() }
 
-// Known implements relay.Desired.
+// Known implements relay.DesiredState.
 func (d *desired) Known() <-chan struct{} { return d.ready }
 
-// Age implements relay.Desired.
+// Age implements relay.DesiredState.
 func (d *desired) Age() time.Duration { return d.mirror.Age() }
 
 // take puts a new desired state in force. One that cannot be read, or that is
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -107,39 +107,39 @@
 }
 
 // Place implements relay.Placer.
-func (p *relayPlacer) Place(ctx context.Context, w relay.Want) (relay.Place, *outcome.Refusal) {
+func (p *relayPlacer) Place(ctx context.Context, w relay.PlaceRequest) (relay.Place, *outcome.Refusal) {
 	req := placement.Request{
 		Pool:     w.Pool,
 		Key:      placement.KeyOf(coordination.Chat(w.Key)),
 		Account:  w.Account,
 		Priority: w.Priority,
-		Alone:    w.Alone,
+		Alone:    w.RunAlone,
 		Avoid:    w.Exclude,
-		Once:     w.Once,
-		Now:      w.Now,
-		Target:   w.Target,
+		Once:     w.LastAttempt,
+		Now:      w.NoWait,
+		Target:   w.FirstByteTarget,
 		Waited:   time.Since(w.Arrived),
 	}
-	if !w.Cached {
+	if !w.PrefixCached {
 		req.Near = p.near
 		req.Width = p.affinity.Width(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
 	}
-	g, k, refusal := p.acquire(ctx, req, w.Start)
+	g, k, refusal := p.acquire(ctx, req, w.StartBy)
 	if refusal != nil {
 		return relay.Place{}, refusal
 	}
 	seen := &observer{watch: &p.watched, grant: g, sight: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
 	place := relay.Place{
-		Patience:    p.watched.FirstByteLimit(time.Now(), seen.sight),
-		Observer:    seen,
-		Endpoint:    k.ID,
-		Incarnation: g.Endpoint.Incarnation,
-		Address:     k.Address,
-		Rank:        g.Rank,
-		Release:     g.Release,
+		FirstByteLimit: p.watched.FirstByteLimit(time.Now(), seen.sight),
+		Observer:       seen,
+		Endpoint:       k.ID,
+		Incarnation:    g.Endpoint.Incarnation,
+		Address:        k.Address,
+		Rank:           g.Rank,
+		Release:        g.Release,
 	}
-	if w.Cached {
-		place.Cache = p.cache(w.Pool, req.Key, k.ID)
+	if w.PrefixCached {
+		place.CacheSource = p.cache(w.Pool, req.Key, k.ID)
 	}
 	return place, nil
 }
@@ -158,7 +158,7 @@
 	return k.Address
 }
 
-// poolRetries holds a retry budget for each pool. It implements relay.Retries.
+// poolRetries holds a retry budget for each pool. It implements relay.RetryBudget.
 // The share is that of all requests, so that it holds for the fleet if each
 // router keeps it; of the burst each router has its part.
 type poolRetries struct {
@@ -216,8 +216,8 @@
 	return lo.MapValues(r.budgets, func(b *retry.Budget, _ coordination.Pool) int { return b.Left() })
 }
 
-// Request implements relay.Retries.
-func (r *poolRetries) Request(p coordination.Pool) { r.budget(p).RecordRequest() }
+// RecordRequest implements relay.RetryBudget.
+func (r *poolRetries) RecordRequest(p coordination.Pool) { r.budget(p).RecordRequest() }
 
-// Take implements relay.Retries.
+// Take implements relay.RetryBudget.
 func (r *poolRetries) Take(p coordination.Pool) bool { return r.budget(p).Take() }
--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -21,29 +21,29 @@
 
 // exchange is one request of a caller from its arrival to its end.
 type exchange struct {
-	server  *Server
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	asked   platform.Request
-
-	table   *route.Table
-	route   *route.Route
-	account coordination.Account
-	rank    coordination.Priority
-	pool    coordination.Pool
-	body    []byte
-	until   time.Time // by when the answer has to be complete; zero for no limit
-
-	evidence outcome.Evidence
-	exclude  []coordination.Endpoint
-	sends    int // requests that may have reached an endpoint
-	status   int // of the last endpoint's answer; 0 if none came
-	stream   stream
-	failure  *failure // of an endpoint, that the caller has not got
-	silence  *silence // of the endpoint that is asked
-	spare    *Place   // for the next attempt, where the last one met silence
-	trail    Trail    // nil for a request that is not followed
+	server   *Server
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Time
+	metadata platform.Request
+
+	table    *route.Table
+	route    *route.Route
+	account  coordination.Account
+	priority coordination.Priority
+	pool     coordination.Pool
+	body     []byte
+	deadline time.Time // by when the answer has to be complete; zero for no limit
+
+	evidence  outcome.Evidence
+	exclude   []coordination.Endpoint
+	sends     int // requests that may have reached an endpoint
+	status    int // of the last endpoint's answer; 0 if none came
+	stream    stream
+	failure   *failure       // of an endpoint, that the caller has not got
+	watch     *responseWatch // of the endpoint that is asked
+	nextPlace *Place         // for the next attempt, where the last one met silence
+	tracked   TrackedRequest // nil for a request that is not followed
 }
 
 // giveUpSlack is how long the router waits beyond the time that an endpoint
@@ -52,28 +52,28 @@
 const giveUpSlack = 100 * time.Millisecond
 
 func (x *exchange) serve() {
-	if !x.find() || !x.allow() || !x.inTime() || !x.read() {
+	if !x.matchRoute() || !x.authenticate() || !x.fitsBeforeShutdown() || !x.readBody() {
 		return
 	}
-	ctx, stop := x.server.untilEnd(x.r.Context())
+	ctx, stop := x.server.withShutdown(x.r.Context())
 	defer stop()
-	if !x.until.IsZero() {
+	if !x.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, x.until.Add(giveUpSlack))
+		ctx, cancel = context.WithDeadline(ctx, x.deadline.Add(giveUpSlack))
 		defer cancel()
 	}
-	x.server.Retries.Request(x.pool)
-	if !x.follow(ctx) {
+	x.server.Retries.RecordRequest(x.pool)
+	if !x.track(ctx) {
 		return
 	}
 	finished := false
-	defer func() { x.ended(finished) }()
+	defer func() { x.endTracking(finished) }()
 	finished = x.run(ctx)
 }
 
-// find finds the request's route and pool.
-func (x *exchange) find() bool {
-	x.table = x.server.table(x.r.Context(), x.asked.Deadline)
+// matchRoute finds the request's route and pool.
+func (x *exchange) matchRoute() bool {
+	x.table = x.server.table(x.r.Context(), x.metadata.Deadline)
 	if x.table == nil {
 		x.refuse(http.StatusServiceUnavailable, "no desired state is known yet", retryAfterState)
 		return false
@@ -83,15 +83,15 @@
 		x.refuse(http.StatusNotFound, "no route serves this host and path", 0)
 		return false
 	}
-	x.pool = x.route.Pool(xxhash.Sum64String(string(x.asked.Attempt)))
-	x.rank = x.table.Priority(x.route, nil)
-	x.until = x.limit()
+	x.pool = x.route.Pool(xxhash.Sum64String(string(x.metadata.Attempt)))
+	x.priority = x.table.Priority(x.route, nil)
+	x.deadline = x.requestDeadline()
 	return true
 }
 
-// limit returns when the caller, or the operator, no longer wants an answer.
-func (x *exchange) limit() time.Time {
-	wait := x.asked.Deadline
+// requestDeadline returns when the caller, or the operator, no longer wants an answer.
+func (x *exchange) requestDeadline() time.Time {
+	wait := x.metadata.Deadline
 	if t := x.route.Timeout; t > 0 && (wait == 0 || t < wait) {
 		wait = t
 	}
@@ -101,18 +101,18 @@
 	return x.arrived.Add(wait)
 }
 
-// allow checks the caller's key.
-func (x *exchange) allow() bool {
+// authenticate checks the caller's key.
+func (x *exchange) authenticate() bool {
 	if x.table.Accounts == nil || x.route.Public {
 		return true
 	}
-	tenant, ok := x.table.Tenant(x.asked.Key)
+	tenant, ok := x.table.Tenant(x.metadata.Key)
 	if !ok {
 		x.refuse(http.StatusUnauthorized, "the key is not known", 0)
 		return false
 	}
 	x.account = tenant.Account
-	x.rank = x.table.Priority(x.route, tenant.Priority)
+	x.priority = x.table.Priority(x.route, tenant.Priority)
 	return true
 }
 
@@ -120,19 +120,19 @@
 // balancer has sent callers to others for long, and they are served there.
 const retryAfterStop = 50 * time.Millisecond
 
-// inTime refuses a request that is not likely to be complete when the router ends.
+// fitsBeforeShutdown refuses a request that is not likely to be complete when the router ends.
 // Its caller loses less by asking another router now than by an answer that breaks
 // off.
-func (x *exchange) inTime() bool {
-	if x.server.Left == nil {
+func (x *exchange) fitsBeforeShutdown() bool {
+	if x.server.ShutdownIn == nil {
 		return true
 	}
-	left, ends := x.server.Left()
+	left, ends := x.server.ShutdownIn()
 	if !ends {
 		return true
 	}
-	needs, known := x.server.longest.of(x.route.Name)
-	if limit := x.left(); !known || limit < needs {
+	needs, known := x.server.durations.longest(x.route.Name)
+	if limit := x.remaining(); !known || limit < needs {
 		needs = limit
 	}
 	if needs <= left {
@@ -145,9 +145,9 @@
 // defaultBodyBytes bounds a body if the desired state does not.
 const defaultBodyBytes = 4 << 20
 
-// read reads the whole body, so that the request can be sent again where that
+// readBody reads the whole body, so that the request can be sent again where that
 // is allowed, and so that a slow caller occupies no endpoint.
-func (x *exchange) read() bool {
+func (x *exchange) readBody() bool {
 	limit := int64(x.table.BodyBytes)
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -170,14 +170,14 @@
 	return true
 }
 
-// key returns what leads the request to the endpoint that has its prompt
+// routingKey returns what leads the request to the endpoint that has its prompt
 // cached: the longest part of the prompt that other requests share, which is
 // the one before the request's own. A request without parts goes anywhere.
-func (x *exchange) key() string {
-	parts := x.asked.Parts
+func (x *exchange) routingKey() string {
+	parts := x.metadata.Parts
 	switch {
 	case !x.route.Sticky || len(parts) == 0:
-		return string(x.asked.Attempt)
+		return string(x.metadata.Attempt)
 	case len(parts) == 1:
 		return parts[0].ID
 	default:
@@ -188,7 +188,7 @@
 // run makes attempts until the request has its answer or there is no more to
 // be done. It reports whether an endpoint has answered.
 func (x *exchange) run(ctx context.Context) bool {
-	defer x.dropSpare()
+	defer x.releaseNextPlace()
 	for {
 		place, ok := x.acquire(ctx)
 		if !ok {
@@ -197,18 +197,18 @@
 		end := x.attempt(ctx, place)
 		x.observe(ctx, place, end)
 		place.Release()
-		x.note(place, end)
+		x.logAttempt(place, end)
 		if end == delivered {
 			x.server.Metrics.delivered(x)
-			x.server.longest.note(x.route.Name, time.Since(x.arrived))
+			x.server.durations.record(x.route.Name, time.Since(x.arrived))
 			return true
 		}
-		goOn := end != broken && end != cut || x.crashed(ctx, place)
+		goOn := end != broken && end != cut || x.checkCrash(ctx, place)
 		if ctx.Err() != nil {
 			x.expire(ctx)
 			return false
 		}
-		if !goOn || !x.again(end) {
+		if !goOn || !x.takeRetry(end) {
 			x.fail(end)
 			return false
 		}
@@ -216,11 +216,11 @@
 	}
 }
 
-// dropSpare gives back a place that was got for an attempt that is not made.
-func (x *exchange) dropSpare() {
-	if x.spare != nil {
-		x.spare.Release()
-		x.spare = nil
+// releaseNextPlace gives back a place that was got for an attempt that is not made.
+func (x *exchange) releaseNextPlace() {
+	if x.nextPlace != nil {
+		x.nextPlace.Release()
+		x.nextPlace = nil
 	}
 }
 
@@ -228,57 +228,57 @@
 // request.
 func (x *exchange) acquire(ctx context.Context) (Place, bool) {
 	asked := time.Now()
-	if x.spare != nil {
-		place := *x.spare
-		x.spare = nil
-		x.place(place, 0)
+	if x.nextPlace != nil {
+		place := *x.nextPlace
+		x.nextPlace = nil
+		x.logPlacement(place, 0)
 		return place, true
 	}
-	place, refusal := x.server.Placer.Place(ctx, x.want())
+	place, refusal := x.server.Placer.Place(ctx, x.placeRequest())
 	x.server.Metrics.placed(x.pool, time.Since(asked))
 	if refusal != nil && ctx.Err() == nil && x.failure != nil && len(x.exclude) > 0 {
 		// There is no other endpoint. One that has failed by itself often
 		// does not fail again: 14 in 100 answers of a plain service are
 		// failures of the moment.
 		x.exclude = nil
-		place, refusal = x.server.Placer.Place(ctx, x.want())
+		place, refusal = x.server.Placer.Place(ctx, x.placeRequest())
 	}
 	switch {
 	case refusal != nil && ctx.Err() != nil:
 		x.expire(ctx)
 		return Place{}, false
 	case refusal != nil:
-		x.end(refusal.Message, refusal.RetryAfter)
+		x.respondWithoutResult(refusal.Message, refusal.RetryAfter)
 		return Place{}, false
 	}
-	x.place(place, time.Since(asked))
+	x.logPlacement(place, time.Since(asked))
 	return place, true
 }
 
-func (x *exchange) want() Want {
-	return Want{
-		Pool:     x.pool,
-		Key:      x.key(),
-		Account:  x.account,
-		Priority: x.rank,
-		Start:    x.until,
-		Target:   x.route.FirstByteTarget,
-		Arrived:  x.arrived,
-		Exclude:  slices.Clip(x.exclude),
-		Cached:   x.route.Sticky,
-		Alone:    x.trail != nil && x.trail.Alone(),
-		Kind:     x.route.Name,
-		Once:     !x.policy().again(broken, x.sends+1, len(x.exclude)+1),
+func (x *exchange) placeRequest() PlaceRequest {
+	return PlaceRequest{
+		Pool:            x.pool,
+		Key:             x.routingKey(),
+		Account:         x.account,
+		Priority:        x.priority,
+		StartBy:         x.deadline,
+		FirstByteTarget: x.route.FirstByteTarget,
+		Arrived:         x.arrived,
+		Exclude:         slices.Clip(x.exclude),
+		PrefixCached:    x.route.Sticky,
+		RunAlone:        x.tracked != nil && x.tracked.Alone(),
+		Kind:            x.route.Name,
+		LastAttempt:     !x.policy().mayRetry(broken, x.sends+1, len(x.exclude)+1),
 	}
 }
 
-// again decides whether another attempt may be made, and takes it from the
+// takeRetry decides whether another attempt may be made, and takes it from the
 // budget.
-func (x *exchange) again(end ending) bool {
+func (x *exchange) takeRetry(end attemptResult) bool {
 	if !x.mayRetry(end) {
 		return false
 	}
-	if end == unsent || x.spare != nil || x.server.Retries.Take(x.pool) {
+	if end == unsent || x.nextPlace != nil || x.server.Retries.Take(x.pool) {
 		x.server.Metrics.retried(x.pool, end)
 		return true
 	}
@@ -286,24 +286,24 @@
 	return false
 }
 
-// errEnd is why requests are cancelled that the end of a stop meets.
-var errEnd = errors.New("relay: the router stops")
+// errShutdown is why requests are cancelled that the end of a stop meets.
+var errShutdown = errors.New("relay: the router stops")
 
-// untilEnd returns a context that is also cancelled when the router has to answer
+// withShutdown returns a context that is also cancelled when the router has to answer
 // what is in flight since it ends, and what releases it.
-func (s *Server) untilEnd(ctx context.Context) (context.Context, func()) {
-	if s.End == nil {
+func (s *Server) withShutdown(ctx context.Context) (context.Context, func()) {
+	if s.ShutdownContext == nil {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(s.End, func() { cancel(errEnd) })
+	stop := context.AfterFunc(s.ShutdownContext, func() { cancel(errShutdown) })
 	return ctx, func() { stop(); cancel(nil) }
 }
 
 // expire ends a request whose time is up, whose caller has gone or whose router
 // ends.
 func (x *exchange) expire(ctx context.Context) {
-	ends := errors.Is(context.Cause(ctx), errEnd)
+	ends := errors.Is(context.Cause(ctx), errShutdown)
 	if errors.Is(ctx.Err(), context.Canceled) && !ends {
 		x.emit(event.RelayCallerGone, event.F("after-ms", time.Since(x.arrived).Milliseconds()))
 		x.server.Metrics.ended(x, "caller-gone")
@@ -315,9 +315,9 @@
 	case notRun:
 		x.refuse(http.StatusServiceUnavailable, "no endpoint was free in time", retryAfterFull)
 	case ends:
-		x.answer(http.StatusGatewayTimeout, "the router stops", 0)
+		x.respond(http.StatusGatewayTimeout, "the router stops", 0)
 	default:
-		x.answer(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
+		x.respond(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
 	}
 }
 
@@ -326,18 +326,18 @@
 const retryAfterFull = 250 * time.Millisecond
 
 // fail ends a request after its last attempt.
-func (x *exchange) fail(end ending) {
+func (x *exchange) fail(end attemptResult) {
 	if end == cut {
-		x.cut("the answer broke off")
+		x.abortResponse("the answer broke off")
 	}
-	x.end("no endpoint has answered", retryAfterFull)
+	x.respondWithoutResult("no endpoint has answered", retryAfterFull)
 }
 
-// end tells the caller that there is no answer. Only a request that certainly
+// respondWithoutResult tells the caller that there is no answer. Only a request that certainly
 // has not run gets the status that promises so.
-func (x *exchange) end(why string, after time.Duration) {
-	if x.stream.begun {
-		x.cut(why)
+func (x *exchange) respondWithoutResult(why string, after time.Duration) {
+	if x.stream.headSent {
+		x.abortResponse(why)
 	}
 	if x.failure != nil {
 		x.write(x.failure.resp, x.failure.body)
@@ -345,29 +345,29 @@
 		return
 	}
 	if x.evidence.Outcome() != outcome.NotRun {
-		x.answer(http.StatusBadGateway, why, 0)
+		x.respond(http.StatusBadGateway, why, 0)
 		return
 	}
 	x.refuse(http.StatusServiceUnavailable, why, after)
 }
 
-// cut breaks off an answer of which the caller has got a part, so that it does
+// abortResponse breaks off an answer of which the caller has got a part, so that it does
 // not look complete.
-func (x *exchange) cut(why string) {
-	x.emit(event.RelayCut, event.F("why", why), event.F("last-event", x.stream.last))
+func (x *exchange) abortResponse(why string) {
+	x.emit(event.RelayCut, event.F("why", why), event.F("last-event", x.stream.lastEventID))
 	x.server.Metrics.ended(x, "cut")
 	panic(http.ErrAbortHandler)
 }
 
 // refuse answers a request that has reached no endpoint.
 func (x *exchange) refuse(status int, why string, after time.Duration) {
-	x.answer(status, why, after)
+	x.respond(status, why, after)
 }
 
-// answer answers in the router's own name.
-func (x *exchange) answer(status int, why string, after time.Duration) {
-	if x.stream.begun {
-		x.cut(why)
+// respond answers in the router's own name.
+func (x *exchange) respond(status int, why string, after time.Duration) {
+	if x.stream.headSent {
+		x.abortResponse(why)
 	}
 	x.server.Metrics.refused(x, status)
 	x.emit(event.RelayRefused, event.F("status", status), event.F("why", why), event.F("retry-after-ms", after.Milliseconds()))
@@ -382,7 +382,7 @@
 
 // emit logs an event of the request.
 func (x *exchange) emit(k event.Kind, fields ...event.Field) {
-	fields = append(fields, event.F("request", x.asked.Attempt))
+	fields = append(fields, event.F("request", x.metadata.Attempt))
 	if x.table != nil {
 		fields = append(fields, event.F("version", x.table.Version), event.F("age-ms", x.server.Desired.Age().Milliseconds()))
 	}
@@ -397,9 +397,9 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// withoutHops returns a copy of h without the headers that concern one
+// withoutHopByHop returns a copy of h without the headers that concern one
 // connection only.
-func withoutHops(h http.Header) http.Header {
+func withoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
 		for name := range strings.SplitSeq(field, ",") {
--- a/wisteriarouter/relay/longest_test.go
+++ b/wisteriarouter/relay/longest_test.go
@@ -9,9 +9,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-func TestLongestForgetsWhatIsNotRecent(t *testing.T) {
+func TestDurationsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var l longest
+		var l durationTracker
 		for _, tc := range []struct {
 			pause time.Duration
 			note  time.Duration // 0 for none
@@ -20,20 +20,20 @@
 			{0, 0, 0},
 			{0, 3 * time.Second, 3 * time.Second},
 			{time.Second, 2 * time.Second, 3 * time.Second},
-			{longestWindow, time.Second, 3 * time.Second},
-			{longestWindow, 0, time.Second},
-			{longestWindow, 0, 0},
+			{durationWindow, time.Second, 3 * time.Second},
+			{durationWindow, 0, time.Second},
+			{durationWindow, 0, 0},
 			{0, time.Second, time.Second},
-			{5 * longestWindow, 0, 0},
+			{5 * durationWindow, 0, 0},
 		} {
 			time.Sleep(tc.pause)
 			if tc.note > 0 {
-				l.note("stream", tc.note)
+				l.record("stream", tc.note)
 			}
-			got, known := l.of("stream")
+			got, known := l.longest("stream")
 			assert.Equal(t, got, tc.want)
 			assert.Equal(t, known, tc.want > 0)
-			_, known = l.of("other")
+			_, known = l.longest("other")
 			assert.Assert(t, !known)
 		}
 	})
--- a/wisteriarouter/relay/metrics.go
+++ b/wisteriarouter/relay/metrics.go
@@ -11,14 +11,14 @@
 
 // Metrics counts what becomes of requests. A nil *Metrics counts nothing.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	places   *prometheus.HistogramVec
-	firsts   *prometheus.HistogramVec
-	pauses   *prometheus.HistogramVec
-	retries  *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	sends    *prometheus.CounterVec
-	tokens   *prometheus.CounterVec
+	requests         *prometheus.CounterVec
+	placeSeconds     *prometheus.HistogramVec
+	firstByteSeconds *prometheus.HistogramVec
+	pauseSeconds     *prometheus.HistogramVec
+	retries          *prometheus.CounterVec
+	refusals         *prometheus.CounterVec
+	sends            *prometheus.CounterVec
+	tokens           *prometheus.CounterVec
 }
 
 // Buckets in seconds. The longest first byte that is still on time is some
@@ -38,22 +38,22 @@
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "wisteria_relay_" + name, Help: help, Buckets: buckets}, labels)
 	}
 	m := &Metrics{
-		requests: counter("requests_total", "Requests by route and what became of them: delivered, late (behind the route's targets), a status of the router's own, cut or caller-gone.", "route", "outcome"),
-		places:   histogram("place_seconds", "Time until a request had its place at an endpoint, waits in queues included.", placeBuckets, "pool"),
-		firsts:   histogram("first_byte_seconds", "Time from a request's arrival to the first event of its stream, or to the whole answer.", firstBuckets, "pool"),
-		pauses:   histogram("pause_seconds", "Longest pause between two events of a stream.", pauseBuckets, "pool"),
-		retries:  counter("retries_total", "Attempts after the first, by how the one before ended.", "pool", "after"),
-		refusals: counter("refusals_total", "Answers in the router's own name by status.", "status"),
-		sends:    counter("sends_total", "Attempts by what the endpoint is expected to have cached of the prompt: warm, fetched from another endpoint, or cold.", "pool", "cache"),
-		tokens:   counter("shared_tokens_total", "Tokens of the shared parts of prompts, by the same; those that are cold are read again.", "pool", "cache"),
+		requests:         counter("requests_total", "Requests by route and what became of them: delivered, late (behind the route's targets), a status of the router's own, cut or caller-gone.", "route", "outcome"),
+		placeSeconds:     histogram("place_seconds", "Time until a request had its place at an endpoint, waits in queues included.", placeBuckets, "pool"),
+		firstByteSeconds: histogram("first_byte_seconds", "Time from a request's arrival to the first event of its stream, or to the whole answer.", firstBuckets, "pool"),
+		pauseSeconds:     histogram("pause_seconds", "Longest pause between two events of a stream.", pauseBuckets, "pool"),
+		retries:          counter("retries_total", "Attempts after the first, by how the one before ended.", "pool", "after"),
+		refusals:         counter("refusals_total", "Answers in the router's own name by status.", "status"),
+		sends:            counter("sends_total", "Attempts by what the endpoint is expected to have cached of the prompt: warm, fetched from another endpoint, or cold.", "pool", "cache"),
+		tokens:           counter("shared_tokens_total", "Tokens of the shared parts of prompts, by the same; those that are cold are read again.", "pool", "cache"),
 	}
-	r.MustRegister(m.requests, m.places, m.firsts, m.pauses, m.retries, m.refusals, m.sends, m.tokens)
+	r.MustRegister(m.requests, m.placeSeconds, m.firstByteSeconds, m.pauseSeconds, m.retries, m.refusals, m.sends, m.tokens)
 	return m
 }
 
 func (m *Metrics) placed(p coordination.Pool, d time.Duration) {
 	if m != nil {
-		m.places.WithLabelValues(string(p)).Observe(d.Seconds())
+		m.placeSeconds.WithLabelValues(string(p)).Observe(d.Seconds())
 	}
 }
 
@@ -63,16 +63,16 @@
 	}
 	cache := "warm"
 	switch {
-	case p.Cache != "":
+	case p.CacheSource != "":
 		cache = "fetched"
 	case p.Rank > 0:
 		cache = "cold"
 	}
 	m.sends.WithLabelValues(string(x.pool), cache).Inc()
-	m.tokens.WithLabelValues(string(x.pool), cache).Add(float64(x.shared()))
+	m.tokens.WithLabelValues(string(x.pool), cache).Add(float64(x.sharedTokens()))
 }
 
-func (m *Metrics) retried(p coordination.Pool, after ending) {
+func (m *Metrics) retried(p coordination.Pool, after attemptResult) {
 	if m != nil {
 		m.retries.WithLabelValues(string(p), after.String()).Inc()
 	}
@@ -105,14 +105,14 @@
 		return
 	}
 	outcome := "delivered"
-	if x.late() != "" {
+	if x.missedTarget() != "" {
 		outcome = "late"
 	}
 	m.ended(x, outcome)
 	first := time.Since(x.arrived)
-	if !x.stream.first.IsZero() {
-		first = x.stream.first.Sub(x.arrived)
-		m.pauses.WithLabelValues(string(x.pool)).Observe(x.stream.pause.Seconds())
+	if !x.stream.firstEventAt.IsZero() {
+		first = x.stream.firstEventAt.Sub(x.arrived)
+		m.pauseSeconds.WithLabelValues(string(x.pool)).Observe(x.stream.longestPause.Seconds())
 	}
-	m.firsts.WithLabelValues(string(x.pool)).Observe(first.Seconds())
+	m.firstByteSeconds.WithLabelValues(string(x.pool)).Observe(first.Seconds())
 }
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -18,23 +18,23 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// Want describes the place that an attempt needs.
-type Want struct {
-	Pool     coordination.Pool
-	Key      string // of what the request shares with others; equal keys prefer the same endpoint
-	Account  coordination.Account
-	Priority coordination.Priority
-	Start    time.Time     // by when the request has to start
-	Target   time.Duration // from Arrived, within which the answer has to begin to be on time; zero for no objective
-	Arrived  time.Time
-	Exclude  []coordination.Endpoint
-	Cached   bool   // endpoints keep what the request shares with others
-	Alone    bool   // the request is suspected of crashing endpoints
-	Kind     string // requests of one kind take alike and fail alike
-	// Once says that no further attempt could mend a failure of this one.
-	Once bool
-	// Now says that the attempt is not to wait for a place.
-	Now bool
+// PlaceRequest describes the place that an attempt needs.
+type PlaceRequest struct {
+	Pool            coordination.Pool
+	Key             string // of what the request shares with others; equal keys prefer the same endpoint
+	Account         coordination.Account
+	Priority        coordination.Priority
+	StartBy         time.Time     // by when the request has to start
+	FirstByteTarget time.Duration // from Arrived, within which the answer has to begin to be on time; zero for no objective
+	Arrived         time.Time
+	Exclude         []coordination.Endpoint
+	PrefixCached    bool   // endpoints keep what the request shares with others
+	RunAlone        bool   // the request is suspected of crashing endpoints
+	Kind            string // requests of one kind take alike and fail alike
+	// LastAttempt says that no further attempt could mend a failure of this one.
+	LastAttempt bool
+	// NoWait says that the attempt is not to wait for a place.
+	NoWait bool
 }
 
 // Place is a granted place at an endpoint. Release gives it back and may be
@@ -46,14 +46,14 @@
 	// Rank is the endpoint's place in the order in which requests with this
 	// key try endpoints; 0 is the one that has their shared parts cached.
 	Rank int
-	// Cache is the address of another endpoint that is likely to have the
+	// CacheSource is the address of another endpoint that is likely to have the
 	// request's shared parts cached while this one has not; empty if there is
 	// none.
-	Cache   string
-	Release func()
-	// Patience is how long a good endpoint takes for the first byte of an answer
+	CacheSource string
+	Release     func()
+	// FirstByteLimit is how long a good endpoint takes for the first byte of an answer
 	// to such a request, at most; zero if that is not known.
-	Patience time.Duration
+	FirstByteLimit time.Duration
 	// Observer is told what the attempt shows of the endpoint; nil if nobody
 	// wants to know.
 	Observer Observer
@@ -62,27 +62,27 @@
 // Observer takes in what an attempt shows of its endpoint, before the place is
 // released.
 type Observer interface {
-	// Answered tells when the first byte of the answer came.
-	Answered(took time.Duration)
+	// RecordFirstByte tells when the first byte of the answer came.
+	RecordFirstByte(took time.Duration)
 	// Overdue tells at once that none has come within the place's patience, and
 	// reports whether the endpoint is known to fail. It may be called again.
 	Overdue(ctx context.Context) (out bool)
-	// Served and Failed tell how the attempt has ended. An attempt that ended
+	// RecordSuccess and Failed tell how the attempt has ended. An attempt that ended
 	// for other reasons than the endpoint's tells neither.
-	Served()
-	Failed()
+	RecordSuccess()
+	RecordFailure()
 }
 
 // Placer grants places.
 type Placer interface {
 	// Place returns a place for an attempt, or the final refusal.
-	Place(ctx context.Context, w Want) (Place, *outcome.Refusal)
+	Place(ctx context.Context, w PlaceRequest) (Place, *outcome.Refusal)
 	// Dead takes in that an endpoint cannot be reached.
 	Dead(e coordination.Endpoint, n coordination.Incarnation)
 }
 
-// Desired is the operators' desired state in force.
-type Desired interface {
+// DesiredState is the operators' desired state in force.
+type DesiredState interface {
 	// Table returns the present table, or nil before the first.
 	Table() *route.Table
 	// Known returns a channel that is closed with the first table.
@@ -91,10 +91,10 @@
 	Age() time.Duration
 }
 
-// Retries limits second attempts to a share of each pool's requests.
-type Retries interface {
-	// Request counts a request.
-	Request(p coordination.Pool)
+// RetryBudget limits second attempts to a share of each pool's requests.
+type RetryBudget interface {
+	// RecordRequest counts a request.
+	RecordRequest(p coordination.Pool)
 	// Take reports whether one more attempt may be made, and counts it.
 	Take(p coordination.Pool) bool
 }
@@ -108,30 +108,30 @@
 
 // Server answers callers.
 type Server struct {
-	Desired  Desired
+	Desired  DesiredState
 	Placer   Placer
 	Sender   Sender
-	Retries  Retries
-	Suspects Suspects // nil if requests are not followed
+	Retries  RetryBudget
+	Suspects CrashGuard // nil if requests are not followed
 	Log      event.Log
 	Metrics  *Metrics
 	// Stopping reports whether answers are to end their connections.
 	Stopping func() bool
-	// Left reports how long a router that takes no new connections still serves
+	// ShutdownIn reports how long a router that takes no new connections still serves
 	// those that it has; false if it goes on.
-	Left func() (time.Duration, bool)
+	ShutdownIn func() (time.Duration, bool)
 
-	// End is done when requests in flight have to be answered since the router ends;
+	// ShutdownContext is done when requests in flight have to be answered since the router ends;
 	// nil if it never is.
-	End context.Context
+	ShutdownContext context.Context
 
-	longest longest
+	durations durationTracker
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	x := &exchange{server: s, w: w, r: r, arrived: arrived, asked: platform.DecodeRequest(r.Header)}
+	x := &exchange{server: s, w: w, r: r, arrived: arrived, metadata: platform.DecodeRequest(r.Header)}
 	x.serve()
 }
 
@@ -143,8 +143,8 @@
 // of its time: so long a wait still leaves its caller the time to ask elsewhere.
 // Who has not been read within a second is taken to be ignored.
 const (
-	stateWaitShare   = 8                      // of the time that the caller gives
-	longestStateWait = 500 * time.Millisecond // also of who names no time
+	stateWaitShare = 8                      // of the time that the caller gives
+	maxStateWait   = 500 * time.Millisecond // also of who names no time
 )
 
 // retryAfterState is when a caller may come back that has waited in vain: by
@@ -154,9 +154,9 @@
 // stateWait returns how long a request may wait for the first desired state.
 func stateWait(deadline time.Duration) time.Duration {
 	if deadline <= 0 {
-		return longestStateWait
+		return maxStateWait
 	}
-	return min(deadline/stateWaitShare, longestStateWait)
+	return min(deadline/stateWaitShare, maxStateWait)
 }
 
 // table returns the table in force. It waits a moment for the first; nil if
--- a/wisteriarouter/relay/relay_test.go
+++ b/wisteriarouter/relay/relay_test.go
@@ -11,12 +11,12 @@
 
 // What may be repeated decides whether an order is booked twice, and whether a
 // lookup that failed for a moment reaches its caller.
-func TestPolicy(t *testing.T) {
-	once, twice := policy{attempts: 2}, policy{idempotent: true, attempts: 2}
+func TestRetryPolicy(t *testing.T) {
+	once, twice := retryPolicy{attempts: 2}, retryPolicy{idempotent: true, attempts: 2}
 	tests := []struct {
 		name       string
-		policy     policy
-		end        ending
+		policy     retryPolicy
+		end        attemptResult
 		sends, met int
 		want       bool
 	}{
@@ -34,7 +34,7 @@
 		{"an answer", twice, delivered, 1, 0, false},
 	}
 	for _, test := range tests {
-		assert.Equal(t, test.policy.again(test.end, test.sends, test.met), test.want, test.name)
+		assert.Equal(t, test.policy.mayRetry(test.end, test.sends, test.met), test.want, test.name)
 	}
 }
 
@@ -45,7 +45,7 @@
 	tests := []struct {
 		status int
 		says   platform.Answer
-		want   ending
+		want   attemptResult
 	}{
 		{200, signed, delivered},
 		{200, platform.Answer{}, broken},
@@ -89,19 +89,19 @@
 }
 
 // An endpoint that is to go on with a stream sends an event that the caller has.
-func TestAfter(t *testing.T) {
-	assert.Assert(t, after("3", "2"))
-	assert.Assert(t, !after("2", "2"))
-	assert.Assert(t, !after("2", "10"))
-	assert.Assert(t, after("x", "2"), "ids that are no numbers cannot be compared")
-	assert.Assert(t, after("1", ""))
+func TestIDAfter(t *testing.T) {
+	assert.Assert(t, idAfter("3", "2"))
+	assert.Assert(t, !idAfter("2", "2"))
+	assert.Assert(t, !idAfter("2", "10"))
+	assert.Assert(t, idAfter("x", "2"), "ids that are no numbers cannot be compared")
+	assert.Assert(t, idAfter("1", ""))
 }
 
-func TestWithoutHops(t *testing.T) {
+func TestWithoutHopByHop(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"timeout=5"},
 		"Te": {"trailers"}, "Upgrade": {"h2c"}, "X-Other": {"2"},
 	}
-	assert.DeepEqual(t, withoutHops(h), http.Header{"X-Other": {"2"}})
+	assert.DeepEqual(t, withoutHopByHop(h), http.Header{"X-Other": {"2"}})
 	assert.Equal(t, h.Get("X-Mine"), "1", "the caller's own headers stay as they are")
 }
--- a/wisteriarouter/relay/silence_test.go
+++ b/wisteriarouter/relay/silence_test.go
@@ -8,7 +8,7 @@
 )
 
 // An answer is overdue while there is still time for another attempt.
-func TestDue(t *testing.T) {
+func TestOverdueDelay(t *testing.T) {
 	tests := []struct {
 		name             string
 		patience, target time.Duration
@@ -21,6 +21,6 @@
 		{"others are not known", 0, time.Second, 500 * time.Millisecond},
 	}
 	for _, test := range tests {
-		assert.Equal(t, dueOf(test.patience, test.target), test.want, test.name)
+		assert.Equal(t, overdueDelay(test.patience, test.target), test.want, test.name)
 	}
 }
--- a/wisteriarouter/relay/state_test.go
+++ b/wisteriarouter/relay/state_test.go
@@ -37,7 +37,7 @@
 // fullPlacer refuses everything and counts who asked.
 type fullPlacer struct{ asked int }
 
-func (p *fullPlacer) Place(context.Context, Want) (Place, *outcome.Refusal) {
+func (p *fullPlacer) Place(context.Context, PlaceRequest) (Place, *outcome.Refusal) {
 	p.asked++
 	return Place{}, &outcome.Refusal{Message: "full", RetryAfter: time.Second}
 }
@@ -47,8 +47,8 @@
 // noRetries allows no second attempt.
 type noRetries struct{}
 
-func (noRetries) Request(coordination.Pool)   {}
-func (noRetries) Take(coordination.Pool) bool { return false }
+func (noRetries) RecordRequest(coordination.Pool) {}
+func (noRetries) Take(coordination.Pool) bool     { return false }
 
 // All routers restart at once, and callers are back before any of them has
 // read the desired state. Were each turned away at once, they would use up
--- a/wisteriarouter/relay/stream.go
+++ b/wisteriarouter/relay/stream.go
@@ -13,62 +13,62 @@
 
 // stream is how far the caller has got of a series of events.
 type stream struct {
-	begun bool // the caller has got the head of an answer
+	headSent bool // the caller has got the head of an answer
 	// unrepeatable says that the caller has got a part of an answer that is no
 	// series of events, which cannot go on elsewhere.
 	unrepeatable bool
-	last         string // id of the last event that the caller has whole
-	first        time.Time
-	moved        time.Time     // when the last event came
-	pause        time.Duration // longest between two events
+	lastEventID  string // id of the last event that the caller has whole
+	firstEventAt time.Time
+	lastEventAt  time.Time     // when the last event came
+	longestPause time.Duration // longest between two events
 }
 
 func (s *stream) firstMs(arrived time.Time) int64 {
-	if s.first.IsZero() {
+	if s.firstEventAt.IsZero() {
 		return 0
 	}
-	return s.first.Sub(arrived).Milliseconds()
+	return s.firstEventAt.Sub(arrived).Milliseconds()
 }
 
-// note notes that events have come.
-func (s *stream) note(now time.Time, events []byte) {
-	if s.first.IsZero() {
-		s.first = now
+// recordEvents notes that events have come.
+func (s *stream) recordEvents(now time.Time, events []byte) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.moved))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.moved = now
+	s.lastEventAt = now
 	if id := lastID(events); id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
 }
 
 // streamBuffer holds some events; most come one by one.
 const streamBuffer = 4 << 10
 
-// handStream hands on the events of an answer as they come, each in one piece:
+// forwardStream hands on the events of an answer as they come, each in one piece:
 // an endpoint may stop in the middle of an event, and the caller must not get
 // a part of one that another endpoint then sends in full. Nor does it get an
 // event twice, if an endpoint that is to go on begins too early.
-func (x *exchange) handStream(resp *upstream.Response) ending {
-	goesOn := x.stream.begun
+func (x *exchange) forwardStream(resp *upstream.Response) attemptResult {
+	goesOn := x.stream.headSent
 	if !goesOn {
-		x.head(resp)
+		x.copyHeader(resp)
 		x.w.WriteHeader(resp.Status)
-		x.stream.begun = true
+		x.stream.headSent = true
 	}
 	e := eventReader{body: resp.Body, buf: make([]byte, 0, streamBuffer)}
 	flush := http.NewResponseController(x.w).Flush
 	for {
 		events, err := e.next()
 		if len(events) > 0 {
-			if goesOn && !after(firstID(events), x.stream.last) {
+			if goesOn && !idAfter(firstID(events), x.stream.lastEventID) {
 				return cut
 			}
 			goesOn = false
 			now := time.Now()
-			x.silence.answered(now)
-			x.stream.note(now, events)
+			x.watch.recordFirstByte(now)
+			x.stream.recordEvents(now, events)
 			if _, werr := x.w.Write(events); werr != nil {
 				return cut
 			}
@@ -77,7 +77,7 @@
 		case errors.Is(err, io.EOF):
 			return delivered
 		case err != nil:
-			return x.silence.ending(cut)
+			return x.watch.result(cut)
 		case len(events) > 0 && !resp.Body.Buffered() && flush() != nil:
 			return cut
 		}
@@ -143,9 +143,9 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// after reports whether an event's id comes after another one's. Ids that are
+// idAfter reports whether an event's id comes idAfter another one's. Ids that are
 // no numbers cannot be compared and are taken to be in order.
-func after(id, last string) bool {
+func idAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
 	return errA != nil || errB != nil || a > b
--- a/wisteriarouter/upstream/conn.go
+++ b/wisteriarouter/upstream/conn.go
@@ -20,24 +20,24 @@
 	// cannot block. A longer one is written beside the reading: an endpoint may
 	// refuse it before it has read it all.
 	inlineBody = 4 << 10
-	// longestForeign is the size of an answer to another request up to which
+	// maxForeignBody is the size of an answer to another request up to which
 	// it is read past.
-	longestForeign = 64 << 10
-	// foreignAnswers is how many of them are read past.
-	foreignAnswers = 2
+	maxForeignBody = 64 << 10
+	// maxForeignResponses is how many of them are read past.
+	maxForeignResponses = 2
 )
 
 // conn is a connection to an endpoint. It serves one request at a time.
 type conn struct {
-	client  *Client
-	address string
-	nc      net.Conn
-	r       *bufio.Reader
-	served  int
-	unused  time.Time     // since when
-	expires time.Time     // when the endpoint may close it
-	written chan struct{} // closed when the request has been written; nil if it was written inline
-	failed  atomic.Bool   // the write failed
+	client      *Client
+	address     string
+	nc          net.Conn
+	r           *bufio.Reader
+	served      int
+	idleSince   time.Time     // since when
+	expires     time.Time     // when the endpoint may close it
+	written     chan struct{} // closed when the request has been written; nil if it was written inline
+	writeFailed atomic.Bool   // the write failed
 }
 
 func newConn(c *Client, address string, nc net.Conn) *conn {
@@ -54,22 +54,22 @@
 	if err := c.write(r); err != nil {
 		return nil, ErrBroken.Wrap(err, "write to endpoint %s", c.address)
 	}
-	for range foreignAnswers + 1 {
-		resp, err := c.head(r)
+	for range maxForeignResponses + 1 {
+		resp, err := c.readHead(r)
 		if err != nil {
 			return nil, ErrBroken.Wrap(err, "answer of endpoint %s", c.address)
 		}
-		if r.Mine == nil || r.Mine(resp.StatusCode, resp.Header) {
-			return c.answer(resp), nil
+		if r.Matches == nil || r.Matches(resp.StatusCode, resp.Header) {
+			return c.response(resp), nil
 		}
-		if err := skip(resp); err != nil {
-			return nil, ErrForeign.Wrap(err, "endpoint %s", c.address)
+		if err := discard(resp); err != nil {
+			return nil, ErrMismatch.Wrap(err, "endpoint %s", c.address)
 		}
 	}
-	return nil, ErrForeign.New("endpoint %s", c.address)
+	return nil, ErrMismatch.New("endpoint %s", c.address)
 }
 
-func (c *conn) answer(resp *http.Response) *Response {
+func (c *conn) response(resp *http.Response) *Response {
 	return &Response{
 		Status: resp.StatusCode,
 		Header: resp.Header,
@@ -79,8 +79,8 @@
 	}
 }
 
-// head reads the head of an answer, past those that only say to go on.
-func (c *conn) head(r *Request) (*http.Response, error) {
+// readHead reads the readHead of an answer, past those that only say to go on.
+func (c *conn) readHead(r *Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: r.Method})
 		if err != nil {
@@ -92,22 +92,22 @@
 	}
 }
 
-var errEndless = errors.New("upstream: an answer to another request has no end")
+var errUnbounded = errors.New("upstream: an answer to another request has no end")
 
-// skip reads past an answer that belongs to another request.
-func skip(resp *http.Response) error {
-	if resp.Close || resp.ContentLength > longestForeign {
-		return errEndless
+// discard reads past an answer that belongs to another request.
+func discard(resp *http.Response) error {
+	if resp.Close || resp.ContentLength > maxForeignBody {
+		return errUnbounded
 	}
 	var buf [1 << 10]byte
-	for read := 0; read <= longestForeign; {
+	for read := 0; read <= maxForeignBody; {
 		n, err := resp.Body.Read(buf[:])
 		read += n
 		if err != nil {
-			return endOf(err)
+			return ignoreEOF(err)
 		}
 	}
-	return errEndless
+	return errUnbounded
 }
 
 // write sends a request, beside the reading of the answer if it is long.
@@ -134,7 +134,7 @@
 	if _, err := w.conn.nc.Write(w.data); err != nil {
 		// The reader finds the connection broken, unless the endpoint has
 		// answered before it had read everything.
-		w.conn.failed.Store(true)
+		w.conn.writeFailed.Store(true)
 	}
 }
 
@@ -160,24 +160,24 @@
 // serve again: the endpoint closes it, the request was not read to its end, or
 // there are bytes that nobody asked for.
 func (c *conn) release(resp *http.Response) {
-	if resp.Close || !c.wrote() || c.r.Buffered() > 0 {
+	if resp.Close || !c.writeComplete() || c.r.Buffered() > 0 {
 		c.abort()
 		return
 	}
 	now := time.Now()
-	c.unused = now
+	c.idleSince = now
 	c.expires = now.Add(c.keepAlive(resp.Header))
-	c.client.idle.put(c, c.client.cfg.PerEndpoint)
+	c.client.idle.put(c, c.client.cfg.MaxIdlePerEndpoint)
 }
 
-// wrote reports whether the whole request has been written.
-func (c *conn) wrote() bool {
+// writeComplete reports whether the whole request has been written.
+func (c *conn) writeComplete() bool {
 	if c.written == nil {
 		return true
 	}
 	select {
 	case <-c.written:
-		return !c.failed.Load()
+		return !c.writeFailed.Load()
 	default:
 		return false
 	}
@@ -200,13 +200,13 @@
 			return time.Duration(s)*time.Second - keepAliveMargin
 		}
 	}
-	return c.client.cfg.Idle
+	return c.client.cfg.IdleTimeout
 }
 
-// quiet reports whether an unused connection is still open and has received
+// usable reports whether an unused connection is still open and has received
 // nothing. An endpoint that has closed it, or has sent a second answer, would
 // spoil the next request.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
 		return true
--- a/wisteriarouter/upstream/pool.go
+++ b/wisteriarouter/upstream/pool.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// endOf returns nil for the regular end of a body.
-func endOf(err error) error {
+// ignoreEOF returns nil for the regular end of a body.
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
@@ -23,17 +23,17 @@
 
 // take returns the connection that was used last, if one can serve again.
 // Longest, if not zero, bounds the time for which it has been unused.
-func (p *pool) take(now time.Time, address string, longest time.Duration) *conn {
+func (p *pool) take(now time.Time, address string, maxIdle time.Duration) *conn {
 	for {
-		c := p.pop(now, address, longest)
-		if c == nil || c.quiet() {
+		c := p.pop(now, address, maxIdle)
+		if c == nil || c.usable() {
 			return c
 		}
 		c.abort()
 	}
 }
 
-func (p *pool) pop(now time.Time, address string, longest time.Duration) *conn {
+func (p *pool) pop(now time.Time, address string, maxIdle time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.conns[address]
@@ -41,7 +41,7 @@
 		return nil
 	}
 	c := all[len(all)-1]
-	if now.After(c.expires) || longest > 0 && now.Sub(c.unused) > longest {
+	if now.After(c.expires) || maxIdle > 0 && now.Sub(c.idleSince) > maxIdle {
 		return nil // so have all others
 	}
 	p.conns[address] = all[:len(all)-1]
--- a/wisteriarouter/upstream/trust.go
+++ b/wisteriarouter/upstream/trust.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// trust learns for how long the unused connections of each group can be relied
+// idleLimits learns for how long the unused connections of each group can be relied
 // on. Some endpoints drop them without a word, long before the time that they
 // name: whatever is sent next is reset, and a request that must not run twice
 // is lost. Requests that may run twice show what holds: for them a drop costs
 // one more attempt. The zero value trusts what endpoints say, but for requests
 // that run once.
-type trust struct {
+type idleLimits struct {
 	mu     sync.Mutex
-	groups map[string]evidence
+	groups map[string]idleRecord
 }
 
-// evidence is what a group's connections have shown.
-type evidence struct {
+// idleRecord is what a group's connections have shown.
+type idleRecord struct {
 	proven time.Duration // the longest time unused after which one has served
 	limit  time.Duration // from which on they may be dropped; zero if none was
 }
@@ -27,33 +27,33 @@
 	// it is used: one way there and back, 7 ms between availability zones, and
 	// a lost packet on the way. An endpoint that fails later had the request.
 	dropWithin = 100 * time.Millisecond
-	// trustShare is the part of a time unused that led to a drop, or was
+	// idleLimitFactor is the part of a time unused that led to a drop, or was
 	// proven, for which the next connections are relied on.
-	trustShare = 0.6
-	// leastTrust keeps bursts on few connections; below it a drop is taken for
+	idleLimitFactor = 0.6
+	// minIdleLimit keeps bursts on few connections; below it a drop is taken for
 	// chance.
-	leastTrust = 200 * time.Millisecond
+	minIdleLimit = 200 * time.Millisecond
 )
 
-// longest returns for how long a connection may have been unused for a request;
+// maxIdle returns for how long a connection may have been unused for a request;
 // zero for no limit but the endpoint's. A request that runs once relies only on
 // what has been proven, and on least anyway.
-func (t *trust) longest(group string, once bool, least, most time.Duration) time.Duration {
+func (t *idleLimits) maxIdle(group string, once bool, least, most time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
 	if !once {
 		return e.limit
 	}
-	longest := min(max(least, time.Duration(trustShare*float64(e.proven))), most)
+	longest := min(max(least, time.Duration(idleLimitFactor*float64(e.proven))), most)
 	if e.limit > 0 {
 		longest = min(longest, e.limit)
 	}
 	return longest
 }
 
-// served takes in that a connection has served after a time unused.
-func (t *trust) served(group string, unused time.Duration) {
+// recordSuccess takes in that a connection has recordSuccess after a time unused.
+func (t *idleLimits) recordSuccess(group string, unused time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
@@ -63,16 +63,16 @@
 	}
 }
 
-// failed takes in that a connection has failed on which a request was sent.
-func (t *trust) failed(group string, c *conn, sent, now time.Time) {
-	unused := sent.Sub(c.unused)
-	if c.served < 2 || now.Sub(sent) > dropWithin || unused < leastTrust {
+// recordFailure takes in that a connection has recordFailure on which a request was sent.
+func (t *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
+	unused := sent.Sub(c.idleSince)
+	if c.served < 2 || now.Sub(sent) > dropWithin || unused < minIdleLimit {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
-	limit := max(time.Duration(trustShare*float64(unused)), leastTrust)
+	limit := max(time.Duration(idleLimitFactor*float64(unused)), minIdleLimit)
 	if e.limit == 0 || limit < e.limit {
 		e.limit = limit
 	}
@@ -80,9 +80,9 @@
 	t.put(group, e)
 }
 
-func (t *trust) put(group string, e evidence) {
+func (t *idleLimits) put(group string, e idleRecord) {
 	if t.groups == nil {
-		t.groups = make(map[string]evidence)
+		t.groups = make(map[string]idleRecord)
 	}
 	t.groups[group] = e
 }
--- a/wisteriarouter/upstream/upstream.go
+++ b/wisteriarouter/upstream/upstream.go
@@ -25,13 +25,13 @@
 	// ErrBroken says that the connection failed behind the first byte that was
 	// sent: the endpoint may have run the request.
 	ErrBroken = Errors.NewType("broken")
-	// ErrForeign says that the answer belongs to another request. The endpoint
+	// ErrMismatch says that the answer belongs to another request. The endpoint
 	// may have run this one.
-	ErrForeign = Errors.NewType("foreign")
+	ErrMismatch = Errors.NewType("foreign")
 )
 
-// Sent reports whether a byte of the request may have reached the endpoint.
-func Sent(err error) bool { return !errorx.IsOfType(err, ErrDial) }
+// MayHaveSent reports whether a byte of the request may have reached the endpoint.
+func MayHaveSent(err error) bool { return !errorx.IsOfType(err, ErrDial) }
 
 // Refused reports whether nobody listens at the endpoint's address: its process
 // has ended. Without an answer it may be a lost packet as well.
@@ -44,17 +44,17 @@
 	Host   string
 	Header http.Header // without those that concern one connection only
 	Body   []byte
-	// Once says that the request may run at most once. It is then not sent on
+	// AtMostOnce says that the request may run at most once. It is then not sent on
 	// a connection that has been idle for long: the endpoint may just be
 	// closing it, and nobody could tell whether the request has run.
-	Once bool
+	AtMostOnce bool
 	// Group names endpoints that treat unused connections alike, such as those
 	// of one pool.
 	Group string
-	// Mine reports whether an answer belongs to this request. Endpoints have
+	// Matches reports whether an answer belongs to this request. Endpoints have
 	// been seen to answer twice; the second answer then stands where the next
 	// request expects its own.
-	Mine func(status int, h http.Header) bool
+	Matches func(status int, h http.Header) bool
 }
 
 // Response is an endpoint's answer. Its Body has to be read to its end or
@@ -76,14 +76,14 @@
 	// of new connections at an endpoint loses the first packet, and the next
 	// one comes a second later.
 	DialTimeout time.Duration
-	// Idle is how long an unused connection is kept if the endpoint does not
+	// IdleTimeout is how long an unused connection is kept if the endpoint does not
 	// say, 4 s.
-	Idle time.Duration
-	// OnceIdle is how long a connection may have been unused for a request
+	IdleTimeout time.Duration
+	// AtMostOnceIdle is how long a connection may have been unused for a request
 	// that must run at most once, before longer times have been proven, 1 s.
-	OnceIdle time.Duration
-	// PerEndpoint is how many unused connections are kept to an endpoint, 16.
-	PerEndpoint int
+	AtMostOnceIdle time.Duration
+	// MaxIdlePerEndpoint is how many unused connections are kept to an endpoint, 16.
+	MaxIdlePerEndpoint int
 	// OnDial, if set, is told of each connection that was made.
 	OnDial func(address string, err error, d time.Duration)
 }
@@ -93,10 +93,10 @@
 		c.Dial = (&net.Dialer{}).DialContext
 	}
 	setDuration(&c.DialTimeout, time.Second)
-	setDuration(&c.Idle, 4*time.Second)
-	setDuration(&c.OnceIdle, time.Second)
-	if c.PerEndpoint == 0 {
-		c.PerEndpoint = 16
+	setDuration(&c.IdleTimeout, 4*time.Second)
+	setDuration(&c.AtMostOnceIdle, time.Second)
+	if c.MaxIdlePerEndpoint == 0 {
+		c.MaxIdlePerEndpoint = 16
 	}
 	return c
 }
@@ -109,9 +109,9 @@
 
 // Client sends requests to endpoints. It is safe for concurrent use.
 type Client struct {
-	cfg   Config
-	idle  pool
-	trust trust
+	cfg        Config
+	idle       pool
+	idleLimits idleLimits
 }
 
 // NewClient returns a client, and a function that closes its idle connections.
@@ -156,11 +156,11 @@
 	if err != nil {
 		stop()
 		cn.abort()
-		c.trust.failed(r.Group, cn, sent, time.Now())
+		c.idleLimits.recordFailure(r.Group, cn, sent, time.Now())
 		return nil, err
 	}
 	if resp.Reused {
-		c.trust.served(r.Group, sent.Sub(cn.unused))
+		c.idleLimits.recordSuccess(r.Group, sent.Sub(cn.idleSince))
 	}
 	resp.Body.stop = stop
 	return resp, nil
@@ -169,7 +169,7 @@
 // Reusable returns for how long a connection to an endpoint of a group may be
 // unused until a request that runs once needs a new one.
 func (c *Client) Reusable(group string) time.Duration {
-	return c.trust.longest(group, true, c.cfg.OnceIdle, c.cfg.Idle)
+	return c.idleLimits.maxIdle(group, true, c.cfg.AtMostOnceIdle, c.cfg.IdleTimeout)
 }
 
 // aliveTimeout is how long an endpoint has to take a connection. A process that
@@ -186,13 +186,13 @@
 		return false
 	}
 	now := time.Now()
-	cn.unused, cn.expires = now, now.Add(c.cfg.Idle)
-	c.idle.put(cn, c.cfg.PerEndpoint)
+	cn.idleSince, cn.expires = now, now.Add(c.cfg.IdleTimeout)
+	c.idle.put(cn, c.cfg.MaxIdlePerEndpoint)
 	return true
 }
 
 func (c *Client) connect(ctx context.Context, address string, r *Request) (*conn, error) {
-	longest := c.trust.longest(r.Group, r.Once, c.cfg.OnceIdle, c.cfg.Idle)
+	longest := c.idleLimits.maxIdle(r.Group, r.AtMostOnce, c.cfg.AtMostOnceIdle, c.cfg.IdleTimeout)
 	if cn := c.idle.take(time.Now(), address, longest); cn != nil {
 		return cn, nil
 	}
--- a/wisteriarouter/upstream/upstream_test.go
+++ b/wisteriarouter/upstream/upstream_test.go
@@ -96,7 +96,7 @@
 func request(id string) *upstream.Request {
 	return &upstream.Request{
 		Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -119,7 +119,7 @@
 	return c
 }
 
-func TestConnectionServesAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
 	c := newClient(t, upstream.Config{})
@@ -154,7 +154,7 @@
 		r.Method = method
 		_, err = do(c, e.address(), r)
 		assert.Assert(t, errorx.IsOfType(err, upstream.ErrBroken), "%v", err)
-		assert.Assert(t, upstream.Sent(err))
+		assert.Assert(t, upstream.MayHaveSent(err))
 		assert.Equal(t, e.arrivals.Load(), int32(2), method)
 	}
 }
@@ -169,14 +169,14 @@
 	c := newClient(t, upstream.Config{})
 	_, err = do(c, address, request("1"))
 	assert.Assert(t, errorx.IsOfType(err, upstream.ErrDial), "%v", err)
-	assert.Assert(t, !upstream.Sent(err))
+	assert.Assert(t, !upstream.MayHaveSent(err))
 	assert.Assert(t, !c.Alive(t.Context(), address))
 }
 
 // An endpoint sends a second answer to a request, late, where the next request
 // on the connection expects its own. The next caller would get the order of
 // somebody else.
-func TestSecondAnswerGoesToNobody(t *testing.T) {
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer func(c net.Conn, id string)
@@ -214,7 +214,7 @@
 
 // The answer to the request before stands in front of the right one, since it
 // came after that request had been given up.
-func TestAnswerToAnotherRequestIsReadPast(t *testing.T) {
+func TestForeignResponseIsDiscarded(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return ok("other") + ok(id) })
 	c := newClient(t, upstream.Config{})
@@ -223,18 +223,18 @@
 	assert.Equal(t, body, "ok")
 }
 
-func TestOnlyAnswersToOthersIsAnError(t *testing.T) {
+func TestOnlyForeignResponsesIsAnError(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(string) string { return ok("a") + ok("b") + ok("c") + ok("d") })
 	c := newClient(t, upstream.Config{})
 	_, err := do(c, e.address(), request("1"))
-	assert.Assert(t, errorx.IsOfType(err, upstream.ErrForeign), "%v", err)
-	assert.Assert(t, upstream.Sent(err))
+	assert.Assert(t, errorx.IsOfType(err, upstream.ErrMismatch), "%v", err)
+	assert.Assert(t, upstream.MayHaveSent(err))
 }
 
 // An endpoint dies in the middle of an answer. What has come so far must not
 // pass for the whole.
-func TestAnswerThatBreaksOffIsAnError(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	tests := []struct{ name, answer string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf"},
 		{"in chunks", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
@@ -260,7 +260,7 @@
 
 // An answer without a length ends with its connection. If the connection is
 // reset rather than closed, a part of the answer is missing.
-func TestAnswerWithoutLengthThatIsResetIsAnError(t *testing.T) {
+func TestResetOfResponseWithoutLengthIsAnError(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		e := newEndpoint(t, nil)
 		e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -283,7 +283,7 @@
 // An endpoint refuses a long request before it has read it all, keeps the
 // connection, and reads on later. Were the next request sent there, its first
 // bytes would be taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
 		if _, err := r.ReadString('\n'); err != nil {
@@ -326,7 +326,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestEndpointsWordOnConnections(t *testing.T) {
+func TestConnectionAndKeepAliveHeaders(t *testing.T) {
 	tests := []struct {
 		name, header string
 		pause        time.Duration
@@ -358,15 +358,15 @@
 // An endpoint drops unused connections without a word, sooner than it says. A
 // request that must not run twice would be lost on one, since nobody can tell
 // whether it ran.
-func TestRequestThatRunsOnceTakesNoOldConnection(t *testing.T) {
+func TestAtMostOnceRequestUsesNoStaleConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
-	c := newClient(t, upstream.Config{OnceIdle: 50 * time.Millisecond})
+	c := newClient(t, upstream.Config{AtMostOnceIdle: 50 * time.Millisecond})
 	_, err := do(c, e.address(), request("1"))
 	assert.NilError(t, err)
 	time.Sleep(100 * time.Millisecond)
 	once := request("2")
-	once.Once = true
+	once.AtMostOnce = true
 	_, err = do(c, e.address(), once)
 	assert.NilError(t, err)
 	assert.Equal(t, e.conns.Load(), int32(2))
@@ -375,7 +375,7 @@
 // Endpoints drop unused connections after a while and say nothing. Each router
 // would lose an order on each of its connections; after the first loss it makes
 // new ones in time.
-func TestDroppedConnectionsAreLearnedFrom(t *testing.T) {
+func TestIdleLimitIsLearnedFromDrops(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
 		var answered time.Time
@@ -399,7 +399,7 @@
 	lost := 0
 	for i := range 8 {
 		once := request(fmt.Sprint(i))
-		once.Once, once.Group = true, "desk"
+		once.AtMostOnce, once.Group = true, "desk"
 		if _, err := do(c, e.address(), once); err != nil {
 			lost++
 		}
@@ -426,7 +426,7 @@
 	assert.Equal(t, e.arrivals.Load(), int32(3))
 }
 
-func TestInterimAnswersArePassedOver(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return "HTTP/1.1 103 Early Hints\r\n\r\n" + ok(id) })
 	body, err := do(newClient(t, upstream.Config{}), e.address(), request("1"))
@@ -459,5 +459,5 @@
 }
 
 func TestSentOfOtherErrors(t *testing.T) {
-	assert.Assert(t, upstream.Sent(errors.New("anything")))
+	assert.Assert(t, upstream.MayHaveSent(errors.New("anything")))
 }
