--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -15,7 +15,7 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// attempt sends the request to one endpoint and hands on its answer.
+// attempt sends the request to one endpoint and forwards its response.
 func (x *exchange) attempt(ctx context.Context, p Place) attemptResult {
 	id := coordination.Attempt(strconv.Itoa(x.evidence.Attempts()))
 	x.status = 0
@@ -50,29 +50,30 @@
 	return x.forward(resp)
 }
 
-// failure is an endpoint's own failure, kept until another attempt has an
-// answer.
+// failure is a failure response of an endpoint, kept until another attempt gets a
+// response.
 type failure struct {
 	resp *upstream.Response
 	body []byte
 }
 
-// keepFailure reads an endpoint's failure, to be handed on if no other attempt comes
-// about. A long one is handed on as it comes.
+// keepFailure reads a failure response, to be forwarded if no other attempt
+// succeeds. It returns false for one that is too long to buffer, which is
+// forwarded as it arrives.
 func (x *exchange) keepFailure(resp *upstream.Response) bool {
 	if resp.Length < 0 || resp.Length > maxDrainBytes {
 		return false
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return true // there is nothing to hand on
+		return true // there is nothing to forward
 	}
 	x.failure = &failure{resp: resp, body: body}
 	return true
 }
 
-// mayRetry reports whether another attempt would be made after such an end, so
-// that an endpoint's own failure is handed on if it is the last word.
+// mayRetry reports whether another attempt would follow an attempt with this
+// result. A failure response is forwarded if it is the last one.
 func (x *exchange) mayRetry(end attemptResult) bool {
 	return x.policy().mayRetry(end, x.sends, len(x.exclude))
 }
@@ -81,7 +82,7 @@
 	return retryPolicy{idempotent: x.route.Idempotent() && !x.stream.unrepeatable, attempts: x.route.Attempts}
 }
 
-// unanswered ends an attempt that got no answer.
+// unanswered handles an attempt that got no response, and returns its result.
 func (x *exchange) unanswered(id coordination.Attempt, p Place, err error) attemptResult {
 	if !upstream.MayHaveSent(err) {
 		x.evidence.NothingSent(id)
@@ -95,9 +96,10 @@
 	return x.watch.result(broken)
 }
 
-// classify tells what an answer is worth. A status that promises that the
-// request has not run is taken only from an endpoint that says so in its own
-// words; a success only if the endpoint vouches for it.
+// classify returns the result of an attempt from the status and headers of the
+// response. A status alone does not prove that the request has not run: the
+// endpoint must say so in its headers. A success counts only with the endpoint's
+// signature.
 func classify(status int, says platform.Answer) attemptResult {
 	switch {
 	case says.NotRun:
@@ -113,7 +115,7 @@
 	}
 }
 
-// request returns what is sent to an endpoint.
+// request returns the request for the endpoint of p.
 func (x *exchange) request(p Place) *upstream.Request {
 	h := withoutHopByHop(x.r.Header)
 	f := platform.Forward{
@@ -140,15 +142,15 @@
 	}
 }
 
-// matches reports whether an answer is to this request. A refusal may come
-// without the request's id, but not behind another answer.
+// matches reports whether a response belongs to this request. A refusal may lack
+// the request id, but must not carry the id of another request.
 func (x *exchange) matches(status int, h http.Header) bool {
 	says := platform.DecodeAnswer(status, h)
 	return says.Attempt == x.metadata.Attempt || says.Attempt == "" && status >= http.StatusBadRequest
 }
 
-// defaultDeadline is what an endpoint is given if neither the caller nor the
-// operator sets a limit.
+// defaultDeadline is the deadline passed to an endpoint if neither the caller nor
+// the operator sets a limit.
 const defaultDeadline = time.Minute
 
 func (x *exchange) remaining() time.Duration {
@@ -158,25 +160,25 @@
 	return time.Until(x.deadline)
 }
 
-// maxDrainBytes is how much of an answer that is not handed on is read to save
-// its connection.
+// maxDrainBytes is how many bytes of a discarded response are read so that its
+// connection can be reused.
 const maxDrainBytes = 16 << 10
 
 func drain(b *upstream.Body) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(b, maxDrainBytes)) // the connection is closed if this fails
 }
 
-// maxBufferedBody is the size up to which an answer is read in full before it is
-// handed on. One that breaks off can then be asked for again.
+// maxBufferedBody is the size in bytes up to which a response is read completely
+// before it is forwarded, so that a truncated one can be requested again.
 const maxBufferedBody = 256 << 10
 
-// forward hands an answer on to the caller.
+// forward forwards a response to the caller.
 func (x *exchange) forward(resp *upstream.Response) attemptResult {
 	if isStream(resp) {
 		return x.forwardStream(resp)
 	}
 	if x.stream.headSent {
-		return cut // the caller is in the middle of a stream, and this is none
+		return cut // the caller has received part of a stream, and this response is not one
 	}
 	if resp.Length > maxBufferedBody {
 		return x.forwardLong(resp)
@@ -194,20 +196,20 @@
 	return delivered
 }
 
-// isStream reports whether an answer is a series of events.
+// isStream reports whether a response is a stream of server-sent events.
 func isStream(resp *upstream.Response) bool {
 	return resp.Status == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// write writes an endpoint's whole answer.
+// write forwards a buffered response.
 func (x *exchange) write(resp *upstream.Response, body []byte) {
 	x.copyHeader(resp)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(resp.Status)
-	_, _ = x.w.Write(body) // a caller that has gone needs no answer
+	_, _ = x.w.Write(body) // the caller may have disconnected
 }
 
-// forwardLong hands on an answer as it comes, behind what was read already.
+// forwardLong forwards a response as it arrives, after the bytes already read.
 func (x *exchange) forwardLong(resp *upstream.Response, read ...byte) attemptResult {
 	x.copyHeader(resp)
 	if resp.Length >= 0 {
@@ -224,20 +226,20 @@
 	return delivered
 }
 
-// copyHeader copies the copyHeader of an answer.
+// copyHeader copies the headers of a response to the caller's.
 func (x *exchange) copyHeader(resp *upstream.Response) {
 	h := x.w.Header()
 	maps.Copy(h, withoutHopByHop(resp.Header))
 	h.Del("Content-Length")
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // net/http would guess one
+		h["Content-Type"] = nil // prevents content sniffing by net/http
 	}
 	if x.server.Stopping != nil && x.server.Stopping() {
 		h.Set("Connection", "close")
 	}
 }
 
-// logPlacement logs where a request is sent and what decided it.
+// logPlacement logs the endpoint of an attempt and what determined the choice.
 func (x *exchange) logPlacement(p Place, took time.Duration) {
 	x.server.Metrics.sent(x, p)
 	x.emit(event.RelayPlaced,
@@ -253,9 +255,9 @@
 	)
 }
 
-// missedTarget tells by which of the route's targets an answer came missedTarget: "first" for
-// the time to its first byte, "pause" for a pause between its events, or "" for
-// none.
+// missedTarget returns which of the route's targets the response missed: "first"
+// for the time to first byte, "pause" for the longest pause between events, or ""
+// for none.
 func (x *exchange) missedTarget() string {
 	first := time.Now()
 	if !x.stream.firstEventAt.IsZero() {
@@ -271,7 +273,8 @@
 	}
 }
 
-// sharedTokens returns how many tokens of the prompt other requests share.
+// sharedTokens returns how many tokens of the prompt are shared with other
+// requests.
 func (x *exchange) sharedTokens() (tokens int) {
 	for _, p := range x.metadata.Parts[:max(len(x.metadata.Parts)-1, 0)] {
 		tokens += p.Tokens
@@ -279,7 +282,7 @@
 	return tokens
 }
 
-// logAttempt logs how an attempt ended.
+// logAttempt logs the result of an attempt.
 func (x *exchange) logAttempt(p Place, end attemptResult) {
 	x.emit(event.RelayAttempt,
 		event.F("attempt", x.evidence.Attempts()),
--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -19,7 +19,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// exchange is one request of a caller from its arrival to its end.
+// exchange is the state of one request, from its arrival to its end.
 type exchange struct {
 	server   *Server
 	w        http.ResponseWriter
@@ -33,22 +33,22 @@
 	priority coordination.Priority
 	pool     coordination.Pool
 	body     []byte
-	deadline time.Time // by when the answer has to be complete; zero for no limit
+	deadline time.Time // by which the response must be complete; zero for no limit
 
 	evidence  outcome.Evidence
 	exclude   []coordination.Endpoint
-	sends     int // requests that may have reached an endpoint
-	status    int // of the last endpoint's answer; 0 if none came
+	sends     int // number of attempts that may have reached an endpoint
+	status    int // of the last response; 0 if there is none
 	stream    stream
-	failure   *failure       // of an endpoint, that the caller has not got
-	watch     *responseWatch // of the endpoint that is asked
-	nextPlace *Place         // for the next attempt, where the last one met silence
-	tracked   TrackedRequest // nil for a request that is not followed
+	failure   *failure       // failure response that was not forwarded; nil if there is none
+	watch     *responseWatch // on the current attempt
+	nextPlace *Place         // reserved for the next attempt after an overdue one; nil if there is none
+	tracked   TrackedRequest // nil for a request that is not tracked
 }
 
-// giveUpSlack is how long the router waits beyond the time that an endpoint
-// was given. The endpoint's own word that the time is up says more than the
-// router's; it needs one way back, of some 5 ms, and its turn.
+// giveUpSlack is how long the router waits beyond the deadline given to the
+// endpoint. The endpoint's own timeout response tells more than the router's; it
+// needs one network trip of about 5 ms and time to be scheduled.
 const giveUpSlack = 100 * time.Millisecond
 
 func (x *exchange) serve() {
@@ -71,7 +71,7 @@
 	finished = x.run(ctx)
 }
 
-// matchRoute finds the request's route and pool.
+// matchRoute finds the route and the pool of the request, or refuses it.
 func (x *exchange) matchRoute() bool {
 	x.table = x.server.table(x.r.Context(), x.metadata.Deadline)
 	if x.table == nil {
@@ -89,7 +89,8 @@
 	return true
 }
 
-// requestDeadline returns when the caller, or the operator, no longer wants an answer.
+// requestDeadline returns the earlier of the caller's deadline and the route's
+// timeout; the zero time if there is neither.
 func (x *exchange) requestDeadline() time.Time {
 	wait := x.metadata.Deadline
 	if t := x.route.Timeout; t > 0 && (wait == 0 || t < wait) {
@@ -101,7 +102,7 @@
 	return x.arrived.Add(wait)
 }
 
-// authenticate checks the caller's key.
+// authenticate checks the caller's API key, or refuses the request.
 func (x *exchange) authenticate() bool {
 	if x.table.Accounts == nil || x.route.Public {
 		return true
@@ -116,13 +117,13 @@
 	return true
 }
 
-// retryAfterStop is when a caller may come back whose router is about to stop: the
-// balancer has sent callers to others for long, and they are served there.
+// retryAfterStop is the Retry-After of a router that is shutting down. It is short
+// because the load balancer already directs callers to other routers.
 const retryAfterStop = 50 * time.Millisecond
 
-// fitsBeforeShutdown refuses a request that is not likely to be complete when the router ends.
-// Its caller loses less by asking another router now than by an answer that breaks
-// off.
+// fitsBeforeShutdown refuses a request that will probably not be complete when the
+// router shuts down. Asking another router now costs the caller less than a
+// truncated response.
 func (x *exchange) fitsBeforeShutdown() bool {
 	if x.server.ShutdownIn == nil {
 		return true
@@ -138,41 +139,41 @@
 	if needs <= left {
 		return true
 	}
-	x.refuse(http.StatusServiceUnavailable, "the router is about to stop", retryAfterStop)
+	x.refuse(http.StatusServiceUnavailable, "the router is shutting down", retryAfterStop)
 	return false
 }
 
-// defaultBodyBytes bounds a body if the desired state does not.
+// defaultBodyBytes limits the size of a request body if the desired state does not.
 const defaultBodyBytes = 4 << 20
 
-// readBody reads the whole body, so that the request can be sent again where that
-// is allowed, and so that a slow caller occupies no endpoint.
+// readBody reads the whole body, or refuses the request. The request can then be
+// sent again where that is allowed, and a slow caller does not occupy an endpoint.
 func (x *exchange) readBody() bool {
 	limit := int64(x.table.BodyBytes)
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
 	if x.r.ContentLength > limit {
-		x.refuse(http.StatusRequestEntityTooLarge, "the body is too large", 0)
+		x.refuse(http.StatusRequestEntityTooLarge, "the request body is too large", 0)
 		return false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, "the body is too large", 0)
+		x.refuse(http.StatusRequestEntityTooLarge, "the request body is too large", 0)
 		return false
 	case err != nil:
-		x.refuse(http.StatusBadRequest, "the body cannot be read", 0)
+		x.refuse(http.StatusBadRequest, "the request body cannot be read", 0)
 		return false
 	}
 	x.body = body
 	return true
 }
 
-// routingKey returns what leads the request to the endpoint that has its prompt
-// cached: the longest part of the prompt that other requests share, which is
-// the one before the request's own. A request without parts goes anywhere.
+// routingKey returns the key that routes the request to the endpoint that has its
+// prompt cached: the id of the longest part that other requests share, which is
+// the last but one part. A request without parts may go to any endpoint.
 func (x *exchange) routingKey() string {
 	parts := x.metadata.Parts
 	switch {
@@ -185,8 +186,8 @@
 	}
 }
 
-// run makes attempts until the request has its answer or there is no more to
-// be done. It reports whether an endpoint has answered.
+// run makes attempts until one delivers a response or no further attempt is
+// allowed. It reports whether a response was delivered.
 func (x *exchange) run(ctx context.Context) bool {
 	defer x.releaseNextPlace()
 	for {
@@ -216,7 +217,7 @@
 	}
 }
 
-// releaseNextPlace gives back a place that was got for an attempt that is not made.
+// dropSpare releases a place that was reserved for an attempt that is not made.
 func (x *exchange) releaseNextPlace() {
 	if x.nextPlace != nil {
 		x.nextPlace.Release()
@@ -224,8 +225,8 @@
 	}
 }
 
-// acquire gets a place for the next attempt. If there is none it ends the
-// request.
+// acquire gets a place for the next attempt. If there is none it ends the request
+// and returns false.
 func (x *exchange) acquire(ctx context.Context) (Place, bool) {
 	asked := time.Now()
 	if x.nextPlace != nil {
@@ -237,9 +238,9 @@
 	place, refusal := x.server.Placer.Place(ctx, x.placeRequest())
 	x.server.Metrics.placed(x.pool, time.Since(asked))
 	if refusal != nil && ctx.Err() == nil && x.failure != nil && len(x.exclude) > 0 {
-		// There is no other endpoint. One that has failed by itself often
-		// does not fail again: 14 in 100 answers of a plain service are
-		// failures of the moment.
+		// No other endpoint is available. An endpoint that returned a failure may
+		// succeed on a retry: 14 in 100 responses of a plain service are
+		// transient failures.
 		x.exclude = nil
 		place, refusal = x.server.Placer.Place(ctx, x.placeRequest())
 	}
@@ -272,7 +273,7 @@
 	}
 }
 
-// takeRetry decides whether another attempt may be made, and takes it from the
+// takeRetry reports whether another attempt may be made, and takes it from the
 // budget.
 func (x *exchange) takeRetry(end attemptResult) bool {
 	if !x.mayRetry(end) {
@@ -286,11 +287,13 @@
 	return false
 }
 
-// errShutdown is why requests are cancelled that the end of a stop meets.
-var errShutdown = errors.New("relay: the router stops")
+// errShutdown is the cause of cancelling the requests in flight at the end of a
+// shutdown.
+var errShutdown = errors.New("relay: the router is shutting down")
 
-// withShutdown returns a context that is also cancelled when the router has to answer
-// what is in flight since it ends, and what releases it.
+// withShutdown returns a context that is also cancelled when the router must
+// answer requests in flight because it shuts down, and a function that releases
+// it.
 func (s *Server) withShutdown(ctx context.Context) (context.Context, func()) {
 	if s.ShutdownContext == nil {
 		return ctx, func() {}
@@ -300,8 +303,8 @@
 	return ctx, func() { stop(); cancel(nil) }
 }
 
-// expire ends a request whose time is up, whose caller has gone or whose router
-// ends.
+// expire ends a request whose deadline has passed, whose caller has disconnected or
+// whose router is shutting down.
 func (x *exchange) expire(ctx context.Context) {
 	ends := errors.Is(context.Cause(ctx), errShutdown)
 	if errors.Is(ctx.Err(), context.Canceled) && !ends {
@@ -311,30 +314,30 @@
 	}
 	switch notRun := x.evidence.Outcome() == outcome.NotRun; {
 	case notRun && ends:
-		x.refuse(http.StatusServiceUnavailable, "the router stops", retryAfterStop)
+		x.refuse(http.StatusServiceUnavailable, "the router is shutting down", retryAfterStop)
 	case notRun:
 		x.refuse(http.StatusServiceUnavailable, "no endpoint was free in time", retryAfterFull)
 	case ends:
-		x.respond(http.StatusGatewayTimeout, "the router stops", 0)
+		x.respond(http.StatusGatewayTimeout, "the router is shutting down", 0)
 	default:
 		x.respond(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
 	}
 }
 
-// retryAfterFull is when a caller may come back whose endpoint has declined:
-// some requests of a full endpoint have ended by then, at 60 ms of work each.
+// retryAfterFull is the Retry-After of a request that no endpoint accepted. A full
+// endpoint completes some requests in that time, at 60 ms of work each.
 const retryAfterFull = 250 * time.Millisecond
 
-// fail ends a request after its last attempt.
+// fail ends a request after its last attempt, whose result was end.
 func (x *exchange) fail(end attemptResult) {
 	if end == cut {
-		x.abortResponse("the answer broke off")
+		x.abortResponse("the response was truncated")
 	}
 	x.respondWithoutResult("no endpoint has answered", retryAfterFull)
 }
 
-// respondWithoutResult tells the caller that there is no answer. Only a request that certainly
-// has not run gets the status that promises so.
+// respondWithoutResult ends a request that has no response to deliver. Only a
+// request that certainly has not run gets the status that says so.
 func (x *exchange) respondWithoutResult(why string, after time.Duration) {
 	if x.stream.headSent {
 		x.abortResponse(why)
@@ -351,20 +354,20 @@
 	x.refuse(http.StatusServiceUnavailable, why, after)
 }
 
-// abortResponse breaks off an answer of which the caller has got a part, so that it does
-// not look complete.
+// abortResponse closes the connection of a partially sent response, so that the
+// caller does not take it for complete.
 func (x *exchange) abortResponse(why string) {
 	x.emit(event.RelayCut, event.F("why", why), event.F("last-event", x.stream.lastEventID))
 	x.server.Metrics.ended(x, "cut")
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a request that has reached no endpoint.
+// refuse answers a request that no endpoint has run.
 func (x *exchange) refuse(status int, why string, after time.Duration) {
 	x.respond(status, why, after)
 }
 
-// respond answers in the router's own name.
+// respond sends a response generated by the router.
 func (x *exchange) respond(status int, why string, after time.Duration) {
 	if x.stream.headSent {
 		x.abortResponse(why)
@@ -377,10 +380,10 @@
 		platform.SetRetryAfter(h, after)
 	}
 	x.w.WriteHeader(status)
-	_, _ = io.WriteString(x.w, why+"\n") // a caller that has gone needs no answer
+	_, _ = io.WriteString(x.w, why+"\n") // the caller may have disconnected
 }
 
-// emit logs an event of the request.
+// emit logs an event with the fields of the request.
 func (x *exchange) emit(k event.Kind, fields ...event.Field) {
 	fields = append(fields, event.F("request", x.metadata.Attempt))
 	if x.table != nil {
@@ -392,13 +395,13 @@
 	x.server.Log.Emit(k, fields...)
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// withoutHopByHop returns a copy of h without the headers that concern one
-// connection only.
+// withoutHopByHop returns a copy of h without the hop-by-hop headers, including
+// those that its Connection header names.
 func withoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
--- a/wisteriarouter/relay/longest.go
+++ b/wisteriarouter/relay/longest.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// durationWindow is the time for which answers count as recent, and for as long
-// again.
+// durationWindow is the length of a measuring window. Responses of the current and
+// the previous window count as recent.
 const durationWindow = 10 * time.Second
 
-// durationTracker knows how long recent answers of each route took at most.
+// durationTracker holds the longest recent response time of each route.
 type durationTracker struct {
 	mu       sync.Mutex
-	since    time.Time                // when the present window began
-	current  map[string]time.Duration // by route, in the present window
-	previous map[string]time.Duration // in the one before
+	since    time.Time                // start of the current window
+	current  map[string]time.Duration // longest by route, in the current window
+	previous map[string]time.Duration // longest by route, in the previous window
 }
 
-// record takes in that an answer was complete.
+// record records the duration of a complete response.
 func (l *durationTracker) record(route string, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +25,7 @@
 	l.current[route] = max(l.current[route], took)
 }
 
-// longest returns the longest time that a recent answer took; false if there was none.
+// longest returns the longest recent duration of the route; false if there is none.
 func (l *durationTracker) longest(route string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	return max(now, before), a || b
 }
 
-// rotate begins a new window once the present one is over.
+// rotate starts a new window if the current one is over.
 func (l *durationTracker) rotate() {
 	switch age := time.Since(l.since); {
 	case l.current == nil || age >= 2*durationWindow:
--- a/wisteriarouter/relay/longest_test.go
+++ b/wisteriarouter/relay/longest_test.go
@@ -14,7 +14,7 @@
 		var l durationTracker
 		for _, tc := range []struct {
 			pause time.Duration
-			note  time.Duration // 0 for none
+			note  time.Duration // duration to record; 0 for none
 			want  time.Duration // 0 for unknown
 		}{
 			{0, 0, 0},
--- a/wisteriarouter/relay/policy.go
+++ b/wisteriarouter/relay/policy.go
@@ -1,35 +1,35 @@
 package relay
 
-// attemptResult tells how an attempt ended.
+// attemptResult is the result of an attempt.
 type attemptResult uint8
 
 const (
-	delivered attemptResult = iota // the caller has the answer
-	unsent                         // no byte has reached the endpoint
-	declined                       // the endpoint says that it has not run the request
-	failed                         // the endpoint answered with a failure of its own
-	broken                         // no usable answer came; the request may have run
-	silent                         // no byte of an answer came for so long that the request goes on elsewhere
-	cut                            // the answer ended in its middle, after the caller had got some of it
+	delivered attemptResult = iota // the response was forwarded to the caller
+	unsent                         // no byte of the request reached the endpoint
+	declined                       // the endpoint reports that it has not run the request
+	failed                         // the endpoint returned a failure response
+	broken                         // no usable response arrived; the request may have run
+	silent                         // the response was overdue and the request moves to another endpoint
+	cut                            // the response broke off after part of it was forwarded
 )
 
 var resultNames = [...]string{"delivered", "unsent", "declined", "failed", "broken", "silent", "cut"}
 
-// String returns the name of e as logs and metrics show it.
+// String returns the name of e in logs and metrics.
 func (e attemptResult) String() string { return resultNames[e] }
 
-// retryPolicy says what may be repeated.
+// retryPolicy decides whether a request may be retried.
 type retryPolicy struct {
 	idempotent bool
-	attempts   int // endpoints to which the request may be sent
+	attempts   int // how many times the request may be sent
 }
 
-// unsentTries is how many endpoints a request that has reached none is tried
-// at. Each may cost the time of a connection that is not made.
+// unsentTries is how many endpoints are tried for a request that has reached none.
+// Each may cost the time of a failed dial.
 const unsentTries = 4
 
-// mayRetry reports whether a request that was sent a number of times, and met a
-// number of endpoints in vain, may have another attempt after one that ended so.
+// mayRetry reports whether another attempt may follow one with result e, given how
+// many times the request was sent and how many endpoints were tried in vain.
 func (p retryPolicy) mayRetry(e attemptResult, sends, met int) bool {
 	switch e {
 	case unsent:
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay serves callers over plain HTTP/1.1: it finds the route of a
-// request in the operators' desired state, has it placed at an endpoint, and
-// hands the endpoint's answer back as it is. What may be repeated, when to give
-// up and what to tell the caller is decided here; how much an endpoint may
-// carry is decided by package placement.
+// Package relay serves callers over plain HTTP/1.1. It matches a request to a
+// route of the operators' desired state, has it placed at an endpoint, and
+// forwards the endpoint's response unchanged. It decides which requests may be
+// retried, when to give up and what the caller is told. Package placement
+// decides how much load an endpoint may carry.
 package relay
 
 import (
@@ -21,108 +21,108 @@
 // PlaceRequest describes the place that an attempt needs.
 type PlaceRequest struct {
 	Pool            coordination.Pool
-	Key             string // of what the request shares with others; equal keys prefer the same endpoint
+	Key             string // routing key of the shared prompt prefix; equal keys prefer the same endpoint
 	Account         coordination.Account
 	Priority        coordination.Priority
-	StartBy         time.Time     // by when the request has to start
-	FirstByteTarget time.Duration // from Arrived, within which the answer has to begin to be on time; zero for no objective
+	StartBy         time.Time     // latest time at which the request may start
+	FirstByteTarget time.Duration // time to first byte, counted from Arrived, that counts as on time; zero for no target
 	Arrived         time.Time
 	Exclude         []coordination.Endpoint
-	PrefixCached    bool   // endpoints keep what the request shares with others
+	PrefixCached    bool   // endpoints cache the shared prefix of the request
 	RunAlone        bool   // the request is suspected of crashing endpoints
-	Kind            string // requests of one kind take alike and fail alike
-	// LastAttempt says that no further attempt could mend a failure of this one.
+	Kind            string // requests of one kind have similar latency and failure rates
+	// LastAttempt reports that a failure of this attempt cannot be retried.
 	LastAttempt bool
-	// NoWait says that the attempt is not to wait for a place.
+	// NoWait reports that the attempt must not wait in a queue for a place.
 	NoWait bool
 }
 
-// Place is a granted place at an endpoint. Release gives it back and may be
-// called again.
+// Place is a granted place at an endpoint. Release returns it and may be called
+// more than once.
 type Place struct {
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
 	Address     string
-	// Rank is the endpoint's place in the order in which requests with this
-	// key try endpoints; 0 is the one that has their shared parts cached.
+	// Rank is the endpoint's position in the order in which requests with this
+	// key try endpoints; 0 is the one that has the shared prefix cached.
 	Rank int
-	// CacheSource is the address of another endpoint that is likely to have the
-	// request's shared parts cached while this one has not; empty if there is
-	// none.
+	// CacheSource is the address of another endpoint that probably has the shared
+	// prefix cached when this one has not; empty if there is none.
 	CacheSource string
 	Release     func()
-	// FirstByteLimit is how long a good endpoint takes for the first byte of an answer
-	// to such a request, at most; zero if that is not known.
+	// FirstByteLimit is the longest time that a healthy endpoint takes to the
+	// first byte of the response to such a request; zero if it is not known.
 	FirstByteLimit time.Duration
-	// Observer is told what the attempt shows of the endpoint; nil if nobody
-	// wants to know.
+	// Observer records the attempt's evidence of the endpoint's health; nil if it
+	// is not tracked.
 	Observer Observer
 }
 
-// Observer takes in what an attempt shows of its endpoint, before the place is
-// released.
+// Observer records what an attempt shows of its endpoint's health. It is called
+// before the place is released.
 type Observer interface {
-	// RecordFirstByte tells when the first byte of the answer came.
+	// RecordFirstByte records the time to the first byte of the response.
 	RecordFirstByte(took time.Duration)
-	// Overdue tells at once that none has come within the place's patience, and
-	// reports whether the endpoint is known to fail. It may be called again.
+	// Overdue records at once that no byte has arrived within the place's
+	// FirstByteLimit, and reports whether the endpoint is known to fail. It may
+	// be called again.
 	Overdue(ctx context.Context) (out bool)
-	// RecordSuccess and Failed tell how the attempt has ended. An attempt that ended
-	// for other reasons than the endpoint's tells neither.
+	// RecordSuccess and RecordFailure record how the attempt ended. Neither is
+	// called for an attempt that ended for reasons other than the endpoint's.
 	RecordSuccess()
 	RecordFailure()
 }
 
 // Placer grants places.
 type Placer interface {
-	// Place returns a place for an attempt, or the final refusal.
+	// Place returns a place for an attempt, or a refusal, which is final.
 	Place(ctx context.Context, w PlaceRequest) (Place, *outcome.Refusal)
-	// Dead takes in that an endpoint cannot be reached.
+	// Dead records that an endpoint cannot be reached.
 	Dead(e coordination.Endpoint, n coordination.Incarnation)
 }
 
 // DesiredState is the operators' desired state in force.
 type DesiredState interface {
-	// Table returns the present table, or nil before the first.
+	// Table returns the current table, or nil before the first one.
 	Table() *route.Table
-	// Known returns a channel that is closed with the first table.
+	// Known returns a channel that is closed when the first table is available.
 	Known() <-chan struct{}
-	// Age returns how long ago the store confirmed what this router knows.
+	// Age returns the time since the store last confirmed the router's state.
 	Age() time.Duration
 }
 
-// RetryBudget limits second attempts to a share of each pool's requests.
+// RetryBudget limits retries to a share of each pool's requests.
 type RetryBudget interface {
-	// RecordRequest counts a request.
+	// RecordRequest counts a request towards the budget of its pool.
 	RecordRequest(p coordination.Pool)
-	// Take reports whether one more attempt may be made, and counts it.
+	// Take reports whether one more attempt may be made, and if so counts it.
 	Take(p coordination.Pool) bool
 }
 
 // Sender sends requests to endpoints.
 type Sender interface {
 	Send(ctx context.Context, address string, r *upstream.Request) (*upstream.Response, error)
-	// Alive reports whether an endpoint takes connections.
+	// Alive reports whether an endpoint accepts connections.
 	Alive(ctx context.Context, address string) bool
 }
 
-// Server answers callers.
+// Server is the HTTP handler for callers.
 type Server struct {
 	Desired  DesiredState
 	Placer   Placer
 	Sender   Sender
 	Retries  RetryBudget
-	Suspects CrashGuard // nil if requests are not followed
+	Suspects CrashGuard // nil if requests are not tracked
 	Log      event.Log
 	Metrics  *Metrics
-	// Stopping reports whether answers are to end their connections.
+	// Stopping reports whether responses close their connections.
 	Stopping func() bool
-	// ShutdownIn reports how long a router that takes no new connections still serves
-	// those that it has; false if it goes on.
+	// ShutdownIn returns how long a router that accepts no new connections still
+	// serves the existing ones; false if it is not shutting down.
 	ShutdownIn func() (time.Duration, bool)
 
-	// ShutdownContext is done when requests in flight have to be answered since the router ends;
-	// nil if it never is.
+	// ShutdownContext is done when requests in flight must be answered because the
+	// router is shutting down; nil if that never happens.
 	ShutdownContext context.Context
 
 	durations durationTracker
@@ -135,23 +135,24 @@
 	x.serve()
 }
 
-// A router that starts reads the desired state within some 50 ms, or up to
-// 0.3 s behind the store's return if it was away. Until then a request can
-// neither be placed nor be refused for good. Sent away at once, all callers of
-// a fleet that starts anew would be back before it knows the state, and give up
-// after a few such rounds. A request therefore waits, for no more than a part
-// of its time: so long a wait still leaves its caller the time to ask elsewhere.
-// Who has not been read within a second is taken to be ignored.
+// A starting router reads the desired state within about 50 ms, or up to 0.3 s
+// after the store is back if it was unavailable. Until then a request can neither
+// be placed nor be refused for good. Refused at once, all callers of a restarting
+// fleet would return before it knows the state and give up after a few rounds. A
+// request therefore waits for a fraction of its time, which leaves its caller
+// time to ask another router. A request that has not been read within a second
+// counts as ignored.
 const (
-	stateWaitShare = 8                      // of the time that the caller gives
-	maxStateWait   = 500 * time.Millisecond // also of who names no time
+	stateWaitShare = 8                      // fraction 1/n of the deadline set by the caller
+	maxStateWait   = 500 * time.Millisecond // also for requests without a deadline
 )
 
-// retryAfterState is when a caller may come back that has waited in vain: by
-// then the router has asked the store twice more.
+// retryAfterState is the Retry-After of a request that waited for the desired
+// state in vain: the router has asked the store twice more by then.
 const retryAfterState = 500 * time.Millisecond
 
-// stateWait returns how long a request may wait for the first desired state.
+// stateWait returns how long a request may wait for the first desired state, given
+// its deadline (zero if there is none).
 func stateWait(deadline time.Duration) time.Duration {
 	if deadline <= 0 {
 		return maxStateWait
@@ -159,8 +160,8 @@
 	return min(deadline/stateWaitShare, maxStateWait)
 }
 
-// table returns the table in force. It waits a moment for the first; nil if
-// there is none by then.
+// table returns the table in force. It waits up to stateWait for the first one and
+// returns nil if there is none by then.
 func (s *Server) table(ctx context.Context, deadline time.Duration) *route.Table {
 	if t := s.Desired.Table(); t != nil {
 		return t
--- a/wisteriarouter/relay/relay_test.go
+++ b/wisteriarouter/relay/relay_test.go
@@ -9,8 +9,8 @@
 	"wisteriaspool/platform"
 )
 
-// What may be repeated decides whether an order is booked twice, and whether a
-// lookup that failed for a moment reaches its caller.
+// The retry policy must not book an order twice, and must hide transient failures of
+// a lookup from its caller.
 func TestRetryPolicy(t *testing.T) {
 	once, twice := retryPolicy{attempts: 2}, retryPolicy{idempotent: true, attempts: 2}
 	tests := []struct {
@@ -38,8 +38,8 @@
 	}
 }
 
-// A status that promises "not run" is believed only with the endpoint's own
-// word, and a success only if the endpoint vouches for it.
+// A request counts as not run only if the endpoint reports it, whatever the status,
+// and a success counts only if the endpoint signed it.
 func TestClassify(t *testing.T) {
 	signed := platform.Answer{Signed: true}
 	tests := []struct {
@@ -88,12 +88,12 @@
 	}
 }
 
-// An endpoint that is to go on with a stream sends an event that the caller has.
+// An endpoint that continues a stream may send an event that the caller already has.
 func TestIDAfter(t *testing.T) {
 	assert.Assert(t, idAfter("3", "2"))
 	assert.Assert(t, !idAfter("2", "2"))
 	assert.Assert(t, !idAfter("2", "10"))
-	assert.Assert(t, idAfter("x", "2"), "ids that are no numbers cannot be compared")
+	assert.Assert(t, idAfter("x", "2"), "ids that are not numbers cannot be compared")
 	assert.Assert(t, idAfter("1", ""))
 }
 
@@ -103,5 +103,5 @@
 		"Te": {"trailers"}, "Upgrade": {"h2c"}, "X-Other": {"2"},
 	}
 	assert.DeepEqual(t, withoutHopByHop(h), http.Header{"X-Other": {"2"}})
-	assert.Equal(t, h.Get("X-Mine"), "1", "the caller's own headers stay as they are")
+	assert.Equal(t, h.Get("X-Mine"), "1", "the caller's headers were modified")
 }
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -11,39 +11,39 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// errSilent ends an attempt whose endpoint has been silent for too long.
-var errSilent = errors.New("relay: the endpoint is silent")
-
-// responseWatch watches for the first byte of an attempt's answer. Endpoints have been
-// seen to take requests and never answer them, while their health checks are
-// good: the caller waited until its deadline, up to 15 s, and got nothing. A
-// request that may be repeated goes on elsewhere after a time in which good
-// endpoints answer, provided that another endpoint has room at once and the
-// budget of second attempts allows it. Until both are certain the first attempt
-// stays open, and its answer is taken if it comes.
+// errSilent is the cause of cancelling an attempt whose response is overdue.
+var errSilent = errors.New("relay: the response of the endpoint is overdue")
+
+// responseWatch waits for the first byte of an attempt's response. Endpoints have
+// accepted requests and never answered them while their health checks passed: the
+// caller waited until its deadline, up to 15 s, and got nothing. A request that may
+// be retried moves to another endpoint once healthy endpoints would have answered,
+// if another endpoint has room at once and the retry budget allows it. Until both
+// are certain the first attempt stays open, and its response is used if it arrives.
 //
-// On a day with a third of the engines mute for 12 s, and a third of the plain
-// service failing 7 of 10 before, 8.3 of 100 requests failed without it and
-// without the ejection of endpoints, and 3.2 with both; 2 of these are lost with
-// their routers (mean of five plays each).
+// With a third of the engines not answering for 12 s, and a third of the plain
+// service failing 7 of 10 requests before that, 8.3 of 100 requests failed without
+// responseWatch and without the ejection of endpoints, and 3.2 with both; 2 of these
+// are lost with their routers (mean of five runs each).
 type responseWatch struct {
 	exchange     *exchange
 	place        Place
 	request      PlaceRequest
-	retryable    bool // the request may have another attempt
+	retryable    bool // another attempt may follow
 	began        time.Time
-	overdueAfter time.Duration // behind began, when the answer is overdue
+	overdueAfter time.Duration // time since began after which the response is overdue; zero for never
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
-	timer        *time.Timer // nil if it is not known how long answers take
+	timer        *time.Timer // nil if overdueAfter is zero
 
 	mu            sync.Mutex
-	firstByteSeen bool // a byte has come
+	firstByteSeen bool // a byte of the response has arrived
 	ended         bool // the attempt has ended
 	next          *Place
 }
 
-// watchFirstByte begins to watch over an attempt. The returned function ends it.
+// watchFirstByte starts the watch over an attempt. It returns the context of the
+// attempt and a function that ends the watch.
 func (x *exchange) watchFirstByte(ctx context.Context, p Place) (context.Context, func()) {
 	s := &responseWatch{exchange: x, place: p, began: time.Now(), request: x.placeRequest()}
 	s.request.Exclude = append(slices.Clip(x.exclude), p.Endpoint)
@@ -58,11 +58,11 @@
 	return s.ctx, s.stop
 }
 
-// overdueDelay returns when an answer is overdue: later than others of the pool have
-// begun of late, or when half of the time has passed in which the operator wants
-// it to begin. What is left then suffices for another attempt: moved at the end of
-// that time, a request is late however soon the next endpoint answers. Zero is
-// never.
+// overdueDelay returns the time after which a response is overdue: patience, which
+// is the longest time to first byte of other recent requests to the pool, or half of
+// the route's target if that is shorter. The other half leaves time for another
+// attempt: a request that moves only at its target is late however soon the next
+// endpoint answers. Zero means never.
 func overdueDelay(patience, target time.Duration) time.Duration {
 	due := target / targetDivisor
 	if patience == 0 || due == 0 {
@@ -71,8 +71,8 @@
 	return min(patience, due)
 }
 
-// stop ends the watch. A place for another attempt is kept only if this one
-// ended by its silence.
+// stop ends the watch. A place that was reserved for another attempt is kept only if
+// this attempt ended because its response was overdue.
 func (s *responseWatch) stop() {
 	if s.timer != nil {
 		s.timer.Stop()
@@ -86,7 +86,7 @@
 	}
 }
 
-// recordFirstByte takes in that the answer has begun.
+// recordFirstByte records that the response has begun.
 func (s *responseWatch) recordFirstByte(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,8 @@
 	}
 }
 
-// result returns how the attempt has ended: by silence, or else as given.
+// result returns silent if the attempt was cancelled as overdue, and otherwise the
+// given result.
 func (s *responseWatch) result(otherwise attemptResult) attemptResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +114,7 @@
 	return silent
 }
 
-// run does what there is to do once the endpoint has been silent for too long.
+// run logs that the response is overdue and moves the request when that is due.
 func (s *responseWatch) run() {
 	if !s.waiting() {
 		return
@@ -131,21 +132,22 @@
 	}
 }
 
-// An attempt that an engine may still be reading the prompt for costs that work
-// again if it is moved, and while many long prompts are read all of them are
-// overdue. It is moved when the endpoint is found to fail, for which the owner is
-// asked, at first after a quarter of the time that answers take and then more and
-// more seldom, or when the silence has lasted for twice that time. Moved at once,
-// a day's shared parts that are read again went from 100,000 tokens to 600,000 in
-// one play of three. A plain service has no such work, and its requests are moved
-// as soon as good endpoints would have answered.
+// Moving a request from an engine that may still be processing its prompt costs
+// that work again, and while many long prompts are processed all of them are
+// overdue. Such a request moves when the owner reports that the endpoint fails, or
+// when the wait has lasted twice the time that responses take. The owner is asked
+// when the response becomes overdue, again after a quarter of that delay, and then
+// at doubling intervals. Moving at once raised the shared tokens that were computed
+// again in a day from 100,000 to 600,000 in one of three runs. A plain service has
+// no such work, and its requests move as soon as healthy endpoints would have
+// answered.
 const (
 	overdueDivisor    = 4
 	cachedLimitFactor = 2
 	targetDivisor     = 2
 )
 
-// silentTooLong reports whether the silence itself is enough to move the request.
+// silentTooLong reports whether the wait alone justifies moving the request.
 func (s *responseWatch) silentTooLong() bool {
 	if s.place.FirstByteLimit == 0 {
 		return false
@@ -157,12 +159,12 @@
 	return time.Since(s.began) >= enough
 }
 
-// move gets a place at another endpoint that has room now, and ends the attempt
+// move gets a place at another endpoint that has room now, and cancels the attempt
 // in favour of it.
 func (s *responseWatch) move() bool {
 	next, refusal := s.exchange.server.Placer.Place(s.ctx, s.request)
 	if refusal != nil {
-		return false // the first attempt may still bring the answer
+		return false // the first attempt may still get a response
 	}
 	if !s.switchTo(next) {
 		next.Release()
@@ -181,15 +183,15 @@
 	}
 }
 
-// waiting reports whether the attempt still waiting for its first byte.
+// waiting reports whether the attempt is still waiting for its first byte.
 func (s *responseWatch) waiting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.firstByteSeen && !s.ended
 }
 
-// switchTo ends the attempt in favour of one at another place, unless the answer
-// has begun or the budget is spent.
+// switchTo cancels the attempt in favour of one at next, unless the response has
+// begun, the attempt has ended or the retry budget is spent.
 func (s *responseWatch) switchTo(next Place) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,9 +213,9 @@
 	}
 }
 
-// observe tells what an attempt showed of its endpoint. Who has left, or whose
-// time is up, shows nothing: an endpoint that kept it waiting was reported when
-// the answer was overdue.
+// observe records what an attempt showed of its endpoint. A disconnected caller or
+// an expired deadline shows nothing: an endpoint that kept the request waiting was
+// reported when its response became overdue.
 func (x *exchange) observe(ctx context.Context, p Place, end attemptResult) {
 	if p.Observer == nil {
 		return
@@ -227,6 +229,7 @@
 	}
 }
 
-// isEndpointFailure reports whether a status tells of a failure of the endpoint's own. A
-// time-out is the request's: it came with too little time.
+// isEndpointFailure reports whether a status means that the endpoint failed. A
+// timeout counts as well; observe exempts 504, where the request came with too
+// little time.
 func isEndpointFailure(status int) bool { return status >= http.StatusInternalServerError }
--- a/wisteriarouter/relay/silence_test.go
+++ b/wisteriarouter/relay/silence_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// An answer is overdue while there is still time for another attempt.
+// A response must become overdue while there is still time for another attempt.
 func TestOverdueDelay(t *testing.T) {
 	tests := []struct {
 		name             string
--- a/wisteriarouter/relay/state_test.go
+++ b/wisteriarouter/relay/state_test.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// lateDesired is a desired state that becomes known at a moment.
+// lateDesired is a desired state that becomes known later.
 type lateDesired struct {
 	known chan struct{}
 	table *route.Table
@@ -34,7 +34,7 @@
 func (d *lateDesired) Known() <-chan struct{} { return d.known }
 func (d *lateDesired) Age() time.Duration     { return 0 }
 
-// fullPlacer refuses everything and counts who asked.
+// fullPlacer refuses all requests and counts them.
 type fullPlacer struct{ asked int }
 
 func (p *fullPlacer) Place(context.Context, PlaceRequest) (Place, *outcome.Refusal) {
@@ -44,20 +44,20 @@
 
 func (p *fullPlacer) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
-// noRetries allows no second attempt.
+// noRetries allows no retries.
 type noRetries struct{}
 
 func (noRetries) RecordRequest(coordination.Pool) {}
 func (noRetries) Take(coordination.Pool) bool     { return false }
 
-// All routers restart at once, and callers are back before any of them has
-// read the desired state. Were each turned away at once, they would use up
-// their tries against a fleet that is ready a moment later.
+// Guards against refusing callers at once after a restart of all routers: before the
+// desired state is read, callers would use up their attempts against a fleet that is
+// ready a moment later.
 func TestRequestWaitsForTheFirstDesiredState(t *testing.T) {
 	tests := []struct {
 		name     string
-		deadline string        // of the caller, in milliseconds
-		known    time.Duration // behind the request's arrival
+		deadline string        // X-Deadline-Ms of the request, in milliseconds
+		known    time.Duration // time after the request's arrival
 		placed   int
 		waited   time.Duration
 	}{
--- a/wisteriarouter/relay/stream.go
+++ b/wisteriarouter/relay/stream.go
@@ -11,16 +11,16 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// stream is how far the caller has got of a series of events.
+// stream is the progress of a response, as far as the caller has received it.
 type stream struct {
-	headSent bool // the caller has got the head of an answer
-	// unrepeatable says that the caller has got a part of an answer that is no
-	// series of events, which cannot go on elsewhere.
+	headSent bool // the headers of a response were sent to the caller
+	// unrepeatable reports that the caller has part of a response that is not an
+	// event stream, and that another endpoint therefore cannot continue.
 	unrepeatable bool
-	lastEventID  string // id of the last event that the caller has whole
+	lastEventID  string // id of the last complete event sent to the caller
 	firstEventAt time.Time
-	lastEventAt  time.Time     // when the last event came
-	longestPause time.Duration // longest between two events
+	lastEventAt  time.Time     // arrival of the last event
+	longestPause time.Duration // longest time between two events
 }
 
 func (s *stream) firstMs(arrived time.Time) int64 {
@@ -30,7 +30,7 @@
 	return s.firstEventAt.Sub(arrived).Milliseconds()
 }
 
-// recordEvents notes that events have come.
+// recordEvents records the arrival of complete events.
 func (s *stream) recordEvents(now time.Time, events []byte) {
 	if s.firstEventAt.IsZero() {
 		s.firstEventAt = now
@@ -43,13 +43,13 @@
 	}
 }
 
-// streamBuffer holds some events; most come one by one.
+// streamBuffer is the initial buffer size in bytes. It holds several events; most arrive singly.
 const streamBuffer = 4 << 10
 
-// forwardStream hands on the events of an answer as they come, each in one piece:
-// an endpoint may stop in the middle of an event, and the caller must not get
-// a part of one that another endpoint then sends in full. Nor does it get an
-// event twice, if an endpoint that is to go on begins too early.
+// forwardStream forwards the events of a response as they arrive, only complete
+// ones: an endpoint may fail in the middle of an event, which another endpoint then
+// sends in full. If the endpoint that continues a stream starts too early, the
+// response ends, so that the caller receives no event twice.
 func (x *exchange) forwardStream(resp *upstream.Response) attemptResult {
 	goesOn := x.stream.headSent
 	if !goesOn {
@@ -84,15 +84,15 @@
 	}
 }
 
-// eventReader reads whole events.
+// eventReader reads complete events.
 type eventReader struct {
 	body *upstream.Body
 	buf  []byte
-	used int // bytes of buf that were returned
+	used int // number of bytes of buf already returned
 }
 
-// next returns the whole events that one read has brought, perhaps none. With
-// io.EOF it returns all that is left.
+// next returns the complete events after one read, which may be none. With io.EOF it
+// returns all remaining bytes.
 func (e *eventReader) next() ([]byte, error) {
 	e.buf = append(e.buf[:0], e.buf[e.used:]...)
 	e.used = 0
@@ -108,8 +108,8 @@
 	return e.buf[:e.used], err
 }
 
-// wholeEvents returns the length of the whole events at the start of b. An
-// event ends with an empty line.
+// wholeEvents returns the length of the complete events at the start of b. An event
+// ends with an empty line.
 func wholeEvents(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -132,8 +132,8 @@
 	return idAt(b, bytes.Index(b, []byte("\nid:")))
 }
 
-// idAt returns the id whose line begins behind the line end at i. A negative i
-// stands for the start of b.
+// idAt returns the id in the line that begins after the line break at index i. An i
+// of -1 stands for the start of b.
 func idAt(b []byte, i int) string {
 	line, ok := bytes.CutPrefix(b[i+1:], []byte("id:"))
 	if !ok {
@@ -143,8 +143,8 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// idAfter reports whether an event's id comes idAfter another one's. Ids that are
-// no numbers cannot be compared and are taken to be in order.
+// idAfter reports whether an event id comes after another one. Ids that are not
+// numbers cannot be compared and are assumed to be in order.
 func idAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
--- a/wisteriarouter/relay/trail.go
+++ b/wisteriarouter/relay/trail.go
@@ -10,27 +10,27 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// CrashGuard keeps requests that crash endpoints from taking one after another.
+// CrashGuard prevents a request that crashes endpoints from crashing several in turn.
 type CrashGuard interface {
-	// Follow begins to follow a request, or refuses it. It may wait until
-	// another copy of a suspect has ended.
+	// Follow starts to track a request, or refuses it. It may wait until another
+	// copy of a suspect has ended.
 	Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (TrackedRequest, *outcome.Refusal)
 }
 
-// TrackedRequest follows one request. End is called once, at the end.
+// TrackedRequest is a request that CrashGuard tracks. End is called once, at the end.
 type TrackedRequest interface {
-	// Alone reports whether the next attempt must run apart from suspects.
+	// Alone reports whether the next attempt must run apart from other suspects.
 	Alone() bool
-	// Crashed tells that the endpoint which ran the request has died. It
-	// returns when the request may go on, or with its refusal.
+	// Crashed records that the endpoint that ran the request has died. It returns
+	// nil when the request may continue, or its refusal.
 	Crashed(ctx context.Context, e coordination.Endpoint, n coordination.Incarnation) *outcome.Refusal
-	// End tells whether the request has run to its end.
+	// End stops tracking; finished reports whether the request has run to its end.
 	End(finished bool)
 }
 
-// track begins to track a request that may be one that crashes endpoints. One
-// without a body is not followed: many callers ask for the same, and the crash
-// of an endpoint beside them would have them all refused.
+// track starts to track a request, since it may be one that crashes endpoints. A
+// request without a body is not tracked: many callers send the same one, and an
+// endpoint that crashed while it ran them would get all of them refused.
 func (x *exchange) track(ctx context.Context) bool {
 	if len(x.body) == 0 || x.server.Suspects == nil {
 		return true
@@ -45,9 +45,9 @@
 	return true
 }
 
-// checkCrash looks whether the endpoint of an attempt that broke has died, and
-// reports whether the request may have another attempt. An endpoint that only
-// loses an answer still takes connections.
+// checkCrash checks whether the endpoint of a broken attempt has died, and reports
+// whether the request may have another attempt. An endpoint that only lost a
+// response still accepts connections.
 func (x *exchange) checkCrash(ctx context.Context, p Place) bool {
 	if x.server.Sender.Alive(ctx, p.Address) || ctx.Err() != nil {
 		return true
@@ -64,18 +64,17 @@
 	return false
 }
 
-// endTracking ends the following of a request.
+// endTracking stops tracking the request.
 func (x *exchange) endTracking(finished bool) {
 	if x.tracked != nil {
 		x.tracked.End(finished)
 	}
 }
 
-// reportUnreachable takes in that no connection to an endpoint could be made. That
-// nobody listens there is certain, and all routers are told. That nobody answers
-// may be one lost packet: then the endpoint is asked once more, beside the
-// request. Once, a single lost packet took the only endpoint of a pool away from
-// all routers for five seconds.
+// reportUnreachable handles a failed dial. A refused connection proves that the
+// process has ended, and all routers are told. A dial that timed out may be due to a
+// single lost packet, so the endpoint is checked again in the background: one lost
+// packet once took the only endpoint of a pool from all routers for five seconds.
 func (s *Server) reportUnreachable(p Place, err error) {
 	if upstream.Refused(err) {
 		s.Placer.Dead(p.Endpoint, p.Incarnation)
@@ -84,7 +83,7 @@
 	go deathCheck{server: s, place: p}.run()
 }
 
-// deathCheck looks whether an endpoint that did not answer has died.
+// deathCheck checks whether an endpoint that did not answer has died.
 type deathCheck struct {
 	server *Server
 	place  Place
--- a/wisteriarouter/upstream/conn.go
+++ b/wisteriarouter/upstream/conn.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	readBuffer = 4 << 10 // bytes; an event of a stream has some hundred
-	// inlineBody is the size up to which a request is written before its
-	// answer is read. It fits the smallest send buffer, so that the write
-	// cannot block. A longer one is written beside the reading: an endpoint may
-	// refuse it before it has read it all.
+	readBuffer = 4 << 10 // bytes; an event of a stream has a few hundred
+	// inlineBody is the size in bytes up to which a request is written before its
+	// response is read. It fits the smallest send buffer, so that the write cannot
+	// block. A longer one is written concurrently with reading, because an endpoint
+	// may refuse it before it has read all of it.
 	inlineBody = 4 << 10
-	// maxForeignBody is the size of an answer to another request up to which
-	// it is read past.
+	// maxForeignBody is the size in bytes up to which the response to another
+	// request is discarded; a longer one fails the request.
 	maxForeignBody = 64 << 10
-	// maxForeignResponses is how many of them are read past.
+	// maxForeignResponses is how many such responses are discarded.
 	maxForeignResponses = 2
 )
 
@@ -34,9 +34,9 @@
 	nc          net.Conn
 	r           *bufio.Reader
 	served      int
-	idleSince   time.Time     // since when
-	expires     time.Time     // when the endpoint may close it
-	written     chan struct{} // closed when the request has been written; nil if it was written inline
+	idleSince   time.Time     // start of the idle period
+	expires     time.Time     // when the endpoint may close the connection
+	written     chan struct{} // closed when the request is written; nil if it was written inline
 	writeFailed atomic.Bool   // the write failed
 }
 
@@ -44,11 +44,11 @@
 	return &conn{client: c, address: address, nc: nc, r: bufio.NewReaderSize(nc, readBuffer)}
 }
 
-// abort closes the connection. Bytes that have not been read make the kernel
-// reset it, which the endpoint notices at once.
+// abort closes the connection. If there are unread bytes the kernel resets it, which
+// the endpoint notices at once.
 func (c *conn) abort() { _ = c.nc.Close() }
 
-// exchange writes a request and reads the head of its answer.
+// exchange writes a request and reads the headers of its response.
 func (c *conn) exchange(r *Request) (*Response, error) {
 	c.served++
 	if err := c.write(r); err != nil {
@@ -57,7 +57,7 @@
 	for range maxForeignResponses + 1 {
 		resp, err := c.readHead(r)
 		if err != nil {
-			return nil, ErrBroken.Wrap(err, "answer of endpoint %s", c.address)
+			return nil, ErrBroken.Wrap(err, "response of endpoint %s", c.address)
 		}
 		if r.Matches == nil || r.Matches(resp.StatusCode, resp.Header) {
 			return c.response(resp), nil
@@ -79,7 +79,7 @@
 	}
 }
 
-// readHead reads the readHead of an answer, past those that only say to go on.
+// readHead reads the headers of the final response, after any interim (1xx) ones.
 func (c *conn) readHead(r *Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: r.Method})
@@ -92,9 +92,9 @@
 	}
 }
 
-var errUnbounded = errors.New("upstream: an answer to another request has no end")
+var errUnbounded = errors.New("upstream: the response to another request is too long to discard")
 
-// discard reads past an answer that belongs to another request.
+// discard reads and drops a response that belongs to another request.
 func discard(resp *http.Response) error {
 	if resp.Close || resp.ContentLength > maxForeignBody {
 		return errUnbounded
@@ -110,7 +110,7 @@
 	return errUnbounded
 }
 
-// write sends a request, beside the reading of the answer if it is long.
+// write sends a request, in the background if it is long.
 func (c *conn) write(r *Request) error {
 	b := encode(r)
 	c.written = nil
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// writer writes one request.
+// writer writes one request in the background.
 type writer struct {
 	conn *conn
 	data []byte
@@ -132,19 +132,19 @@
 func (w writer) run() {
 	defer close(w.conn.written)
 	if _, err := w.conn.nc.Write(w.data); err != nil {
-		// The reader finds the connection broken, unless the endpoint has
-		// answered before it had read everything.
+		// Reading fails as well, unless the endpoint answered before it had read
+		// the whole request.
 		w.conn.writeFailed.Store(true)
 	}
 }
 
-// encode returns a request as it goes on the wire, in one piece, so that it
-// takes no more packets than it must.
+// encode returns the request in HTTP/1.1 wire format. A single buffer keeps the
+// number of packets to a minimum.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1<<10)
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.WriteSubset(&b, framing) // a Buffer takes all writes
+	_ = r.Header.WriteSubset(&b, framing) // writes to a Buffer do not fail
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -153,12 +153,12 @@
 	return b.Bytes()
 }
 
-// framing are the headers that this package writes itself.
+// framing holds the headers that this package writes itself.
 var framing = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true}
 
-// release gives the connection back after a whole answer, unless it cannot
-// serve again: the endpoint closes it, the request was not read to its end, or
-// there are bytes that nobody asked for.
+// release returns the connection to the idle pool after a complete response. It
+// closes a connection that cannot be reused: the endpoint closes it, the request was
+// not written completely, or unexpected bytes follow the response.
 func (c *conn) release(resp *http.Response) {
 	if resp.Close || !c.writeComplete() || c.r.Buffered() > 0 {
 		c.abort()
@@ -183,13 +183,12 @@
 	}
 }
 
-// keepAliveMargin is how much earlier than the endpoint this side gives up an
-// unused connection. It covers the way there and back, some 10 ms, and a pause
-// of the process.
+// keepAliveMargin is how much earlier than the endpoint the client closes an idle
+// connection. It covers the round trip of about 10 ms and a pause of the process.
 const keepAliveMargin = 250 * time.Millisecond
 
-// keepAlive returns how long the connection may stay unused, by the endpoint's
-// word if it gives one.
+// keepAlive returns how long the connection may stay idle: the timeout in the
+// endpoint's Keep-Alive header less keepAliveMargin, or the configured default.
 func (c *conn) keepAlive(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -203,9 +202,9 @@
 	return c.client.cfg.IdleTimeout
 }
 
-// usable reports whether an unused connection is still open and has received
-// nothing. An endpoint that has closed it, or has sent a second answer, would
-// spoil the next request.
+// usable reports whether an idle connection is still open and has received nothing.
+// If the endpoint has closed it or sent a second response, the next request on it
+// would fail.
 func (c *conn) usable() bool {
 	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
--- a/wisteriarouter/upstream/pool.go
+++ b/wisteriarouter/upstream/pool.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ignoreEOF returns nil for the regular end of a body.
+// ignoreEOF returns nil for io.EOF, the regular end of a body, and otherwise err.
 func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -15,14 +15,14 @@
 	return err
 }
 
-// pool holds unused connections by address, the latest used last.
+// pool holds idle connections by address, the most recently used last.
 type pool struct {
 	mu    sync.Mutex
 	conns map[string][]*conn
 }
 
-// take returns the connection that was used last, if one can serve again.
-// Longest, if not zero, bounds the time for which it has been unused.
+// take returns the most recently used connection that is usable, or nil. A maxIdle
+// other than zero limits how long it has been idle.
 func (p *pool) take(now time.Time, address string, maxIdle time.Duration) *conn {
 	for {
 		c := p.pop(now, address, maxIdle)
@@ -42,14 +42,14 @@
 	}
 	c := all[len(all)-1]
 	if now.After(c.expires) || maxIdle > 0 && now.Sub(c.idleSince) > maxIdle {
-		return nil // so have all others
+		return nil // all others have been idle for longer
 	}
 	p.conns[address] = all[:len(all)-1]
 	return c
 }
 
-// put keeps a connection, and closes the one that was unused for longest if
-// there are more than limit.
+// put adds a connection, and closes the one that has been idle for longest if there
+// are more than limit.
 func (p *pool) put(c *conn, limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/wisteriarouter/upstream/trust.go
+++ b/wisteriarouter/upstream/trust.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// idleLimits learns for how long the unused connections of each group can be relied
-// on. Some endpoints drop them without a word, long before the time that they
-// name: whatever is sent next is reset, and a request that must not run twice
-// is lost. Requests that may run twice show what holds: for them a drop costs
-// one more attempt. The zero value trusts what endpoints say, but for requests
-// that run once.
+// idleLimits learns how long the connections of each group can stay idle and still
+// be reused. Some endpoints silently drop idle connections long before the timeout
+// that they announce: the next request on one is reset, and a request that must not
+// run twice is lost. Repeatable requests reveal the real limit, since a drop costs
+// them only another attempt. The zero value relies on the announced timeouts, except
+// for requests that may run at most once.
 type idleLimits struct {
 	mu     sync.Mutex
 	groups map[string]idleRecord
@@ -18,26 +18,26 @@
 
 // idleRecord is what a group's connections have shown.
 type idleRecord struct {
-	proven time.Duration // the longest time unused after which one has served
-	limit  time.Duration // from which on they may be dropped; zero if none was
+	proven time.Duration // longest idle time after which a connection was reused successfully
+	limit  time.Duration // idle time from which connections may be dropped; zero if no drop was seen
 }
 
 const (
-	// dropWithin is the time within which a dropped connection is reset when
-	// it is used: one way there and back, 7 ms between availability zones, and
-	// a lost packet on the way. An endpoint that fails later had the request.
+	// dropWithin is the time within which a dropped connection is reset when it is
+	// used: a round trip of 7 ms between availability zones and one lost packet. If
+	// the failure comes later, the endpoint had received the request.
 	dropWithin = 100 * time.Millisecond
-	// idleLimitFactor is the part of a time unused that led to a drop, or was
-	// proven, for which the next connections are relied on.
+	// idleLimitFactor is the fraction of an idle time that led to a drop, or was
+	// proven, for which the next connections are reused.
 	idleLimitFactor = 0.6
-	// minIdleLimit keeps bursts on few connections; below it a drop is taken for
-	// chance.
+	// minIdleLimit keeps bursts on few connections; a drop after a shorter idle
+	// time is considered accidental.
 	minIdleLimit = 200 * time.Millisecond
 )
 
-// maxIdle returns for how long a connection may have been unused for a request;
-// zero for no limit but the endpoint's. A request that runs once relies only on
-// what has been proven, and on least anyway.
+// maxIdle returns how long a connection may have been idle to be reused for a
+// request; zero for no limit other than the endpoint's. With once set, the request
+// relies on proven idle times, at least on least and at most on most.
 func (t *idleLimits) maxIdle(group string, once bool, least, most time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	return longest
 }
 
-// recordSuccess takes in that a connection has recordSuccess after a time unused.
+// recordSuccess records that a connection was reused successfully after an idle time.
 func (t *idleLimits) recordSuccess(group string, unused time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// recordFailure takes in that a connection has recordFailure on which a request was sent.
+// recordFailure records that a connection failed on which a request was sent.
 func (t *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
 	unused := sent.Sub(c.idleSince)
 	if c.served < 2 || now.Sub(sent) > dropWithin || unused < minIdleLimit {
--- a/wisteriarouter/upstream/upstream.go
+++ b/wisteriarouter/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 and keeps their
-// connections. Unlike a client of net/http it never sends a request twice by
-// itself, it tells how far a failed one has come, and it takes no bytes for an
-// answer that another request is owed.
+// Package upstream sends requests to endpoints over HTTP/1.1 and pools their
+// connections. Unlike the client of net/http it never repeats a request by itself,
+// it reports whether a failed request may have reached the endpoint, and it accepts
+// no response that belongs to another request.
 package upstream
 
 import (
@@ -20,71 +20,73 @@
 var Errors = errorx.NewNamespace("upstream")
 
 var (
-	// ErrDial says that no connection could be made: nothing was sent.
+	// ErrDial reports that no connection could be made: nothing was sent.
 	ErrDial = Errors.NewType("dial")
-	// ErrBroken says that the connection failed behind the first byte that was
-	// sent: the endpoint may have run the request.
+	// ErrBroken reports that the connection failed after the first byte was sent:
+	// the endpoint may have run the request.
 	ErrBroken = Errors.NewType("broken")
-	// ErrMismatch says that the answer belongs to another request. The endpoint
-	// may have run this one.
+	// ErrMismatch reports that the response belongs to another request. The
+	// endpoint may have run this one.
 	ErrMismatch = Errors.NewType("foreign")
 )
 
 // MayHaveSent reports whether a byte of the request may have reached the endpoint.
 func MayHaveSent(err error) bool { return !errorx.IsOfType(err, ErrDial) }
 
-// Refused reports whether nobody listens at the endpoint's address: its process
-// has ended. Without an answer it may be a lost packet as well.
+// Refused reports whether the endpoint refused the connection, which means that its
+// process has ended. A dial that gets no answer may be due to a lost packet instead.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Request is one request to one endpoint.
 type Request struct {
 	Method string
-	Target string // path and query as the caller sent them
+	Target string // path and query as sent by the caller
 	Host   string
-	Header http.Header // without those that concern one connection only
+	Header http.Header // without hop-by-hop headers
 	Body   []byte
-	// AtMostOnce says that the request may run at most once. It is then not sent on
-	// a connection that has been idle for long: the endpoint may just be
-	// closing it, and nobody could tell whether the request has run.
+	// AtMostOnce reports that the request may run at most once. It is not sent on a
+	// connection that has been idle for long: the endpoint may just be closing it,
+	// and whether the request has run could not be determined.
 	AtMostOnce bool
-	// Group names endpoints that treat unused connections alike, such as those
-	// of one pool.
+	// Group names endpoints that treat idle connections alike, such as those of
+	// one pool.
 	Group string
-	// Matches reports whether an answer belongs to this request. Endpoints have
-	// been seen to answer twice; the second answer then stands where the next
-	// request expects its own.
+	// Matches reports whether a response belongs to this request; nil accepts all.
+	// Some endpoints answer a request twice, and the second response then arrives
+	// in place of the response to the next request.
 	Matches func(status int, h http.Header) bool
 }
 
-// Response is an endpoint's answer. Its Body has to be read to its end or
-// closed; only then does the connection serve again.
+// Response is an endpoint's response. Its Body must be read to its end or closed.
+// The connection is reused only if it was read to its end.
 type Response struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body in bytes, or -1 if it is not known
+	Length int64 // of the body in bytes, or -1 if unknown
 	Body   *Body
-	// Reused tells that the connection had served before.
+	// Reused reports that the connection had served an earlier request.
 	Reused bool
 }
 
-// Config tunes a Client. A zero field means its default.
+// Config configures a Client. A zero field selects the default.
 type Config struct {
-	// Dial makes connections; plain TCP by default.
+	// Dial makes connections; the default is plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout is the longest time for a new connection, 1 s. A full queue
-	// of new connections at an endpoint loses the first packet, and the next
-	// one comes a second later.
+	// DialTimeout limits the time for a new connection; the default is 1 s. An
+	// endpoint whose accept queue is full loses the first packet, which is sent
+	// again after a second.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept if the endpoint does not
-	// say, 4 s.
+	// IdleTimeout is how long an idle connection is kept if the endpoint does not
+	// announce a timeout; the default is 4 s.
 	IdleTimeout time.Duration
-	// AtMostOnceIdle is how long a connection may have been unused for a request
-	// that must run at most once, before longer times have been proven, 1 s.
+	// AtMostOnceIdle is how long a connection may have been idle to be reused for
+	// a request that may run at most once, until longer idle times have been
+	// proven; the default is 1 s.
 	AtMostOnceIdle time.Duration
-	// MaxIdlePerEndpoint is how many unused connections are kept to an endpoint, 16.
+	// MaxIdlePerEndpoint is the maximum number of idle connections to an endpoint;
+	// the default is 16.
 	MaxIdlePerEndpoint int
-	// OnDial, if set, is told of each connection that was made.
+	// OnDial, if set, is called after each dial with its error and duration.
 	OnDial func(address string, err error, d time.Duration)
 }
 
@@ -126,8 +128,7 @@
 	}
 }
 
-// sweepInterval is how often connections are looked for that have been unused
-// for too long.
+// sweepInterval is the interval between searches for expired idle connections.
 const sweepInterval = time.Second
 
 func (c *Client) run(ctx context.Context) {
@@ -143,8 +144,9 @@
 	}
 }
 
-// Send sends a request and returns the head of its answer. When ctx ends, the
-// connection is closed, which makes the endpoint stop its work.
+// Send sends a request and returns its response once the headers have arrived. When
+// ctx ends, the connection is closed, which makes the endpoint stop its work. The
+// error is an ErrDial, ErrBroken or ErrMismatch.
 func (c *Client) Send(ctx context.Context, address string, r *Request) (*Response, error) {
 	cn, err := c.connect(ctx, address, r)
 	if err != nil {
@@ -166,18 +168,18 @@
 	return resp, nil
 }
 
-// Reusable returns for how long a connection to an endpoint of a group may be
-// unused until a request that runs once needs a new one.
+// Reusable returns how long a connection to an endpoint of the group may have
+// been idle to be reused for a request that may run at most once.
 func (c *Client) Reusable(group string) time.Duration {
 	return c.idleLimits.maxIdle(group, true, c.cfg.AtMostOnceIdle, c.cfg.IdleTimeout)
 }
 
-// aliveTimeout is how long an endpoint has to take a connection. A process that
-// has died refuses it at once; a machine without power does not answer.
+// aliveTimeout is how long an endpoint has to accept a connection. A dead process
+// refuses it at once; a machine without power does not answer.
 const aliveTimeout = 250 * time.Millisecond
 
-// Alive reports whether an endpoint takes connections. The connection that
-// shows it serves the next request.
+// Alive reports whether an endpoint accepts connections. The connection made for the
+// check is kept for the next request.
 func (c *Client) Alive(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
 	defer cancel()
@@ -213,16 +215,16 @@
 	return newConn(c, address, nc), nil
 }
 
-// Body is the body of an answer.
+// Body is the body of a response.
 type Body struct {
 	conn *conn
 	resp *http.Response
-	stop func() bool // ends the watch over the request's context
+	stop func() bool // detaches the connection from the request's context
 	done bool
 }
 
-// Read implements io.Reader. Behind the end of the whole body it returns
-// io.EOF; a body that was cut off ends with another error.
+// Read implements io.Reader. It returns io.EOF after a complete body and ErrBroken
+// for one that was cut off.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
@@ -238,11 +240,11 @@
 	return n, err
 }
 
-// Buffered reports whether more of the answer has arrived and waits to be
-// read, so that it can go on in one packet with what was read before.
+// Buffered reports whether more of the response has arrived and is unread, so that
+// it can be forwarded in one packet with what was read before.
 func (b *Body) Buffered() bool { return !b.done && b.conn.r.Buffered() > 0 }
 
-// finish gives the connection back for the next request.
+// finish makes the connection available for the next request.
 func (b *Body) finish() {
 	b.done = true
 	if b.stop() {
@@ -250,8 +252,8 @@
 	}
 }
 
-// Close ends the answer. The connection is closed unless the body was read to
-// its end.
+// Close ends the response. It closes the connection unless the body was read to its
+// end.
 func (b *Body) Close() {
 	if b.done {
 		return
--- a/wisteriarouter/upstream/upstream_test.go
+++ b/wisteriarouter/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// endpoint is a server that answers as a test wants, byte by byte.
+// endpoint is a server whose responses a test writes byte by byte.
 type endpoint struct {
 	listener net.Listener
 	start    sync.Once
@@ -57,13 +57,13 @@
 	s.serve(s.conn, bufio.NewReader(s.conn), s.n)
 }
 
-// address returns where the endpoint listens. It serves from then on.
+// address starts the endpoint, if it is not running, and returns its address.
 func (e *endpoint) address() string {
 	e.start.Do(func() { go e.run() })
 	return e.listener.Addr().String()
 }
 
-// read reads one request with its body and returns its id.
+// read reads one request including its body and returns its id.
 func (e *endpoint) read(r *bufio.Reader) (id string, err error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return req.Header.Get("Id"), err
 }
 
-// each returns a server that answers every request of a connection.
+// each returns a function that answers every request on a connection.
 func (e *endpoint) each(answer func(id string) string) func(net.Conn, *bufio.Reader, int) {
 	return func(c net.Conn, r *bufio.Reader, _ int) {
 		for {
@@ -100,7 +100,7 @@
 	}
 }
 
-// do sends a request and returns its whole answer.
+// do sends a request and returns the body of its response.
 func do(c *upstream.Client, address string, r *upstream.Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -131,8 +131,9 @@
 	assert.Equal(t, e.conns.Load(), int32(1))
 }
 
-// An endpoint closes the connection on which it has just got a request. A
-// client that sends the request again by itself books an order twice.
+// Guards against a client that repeats a request by itself: an endpoint closes the
+// connection on which it has just received a request, and a repeated order would be
+// booked twice.
 func TestNothingIsSentTwice(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -143,7 +144,7 @@
 		if _, err := io.WriteString(c, ok(id)); err != nil {
 			return
 		}
-		_, _ = e.read(r) // and close without an answer
+		_, _ = e.read(r) // then close without a response
 	}
 	for _, method := range []string{"GET", "POST", "HEAD"} {
 		c := newClient(t, upstream.Config{})
@@ -159,8 +160,8 @@
 	}
 }
 
-// Nobody listens at an endpoint's address. The caller may be told that the
-// request has not run.
+// A refused connection proves that nothing was sent, so that the caller can be told
+// that the request has not run.
 func TestNothingWasSentIfNobodyListens(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -173,9 +174,9 @@
 	assert.Assert(t, !c.Alive(t.Context(), address))
 }
 
-// An endpoint sends a second answer to a request, late, where the next request
-// on the connection expects its own. The next caller would get the order of
-// somebody else.
+// Guards against giving a response to the wrong caller: an endpoint answers a request
+// twice, and the second response arrives in place of the response to the next request
+// on the connection.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -212,8 +213,8 @@
 	}
 }
 
-// The answer to the request before stands in front of the right one, since it
-// came after that request had been given up.
+// A response to an earlier request, sent after that request was abandoned, precedes
+// the right one.
 func TestForeignResponseIsDiscarded(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return ok("other") + ok(id) })
@@ -232,8 +233,8 @@
 	assert.Assert(t, upstream.MayHaveSent(err))
 }
 
-// An endpoint dies in the middle of an answer. What has come so far must not
-// pass for the whole.
+// Guards against taking a truncated response for a complete one when an endpoint dies
+// while sending it.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	tests := []struct{ name, answer string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf"},
@@ -258,8 +259,8 @@
 	}
 }
 
-// An answer without a length ends with its connection. If the connection is
-// reset rather than closed, a part of the answer is missing.
+// A response without a length ends when its connection closes. If the connection is
+// reset instead, part of the response is missing.
 func TestResetOfResponseWithoutLengthIsAnError(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		e := newEndpoint(t, nil)
@@ -268,7 +269,7 @@
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf")
-			time.Sleep(20 * time.Millisecond) // a reset overtakes what has not been read
+			time.Sleep(20 * time.Millisecond) // a reset discards data that has not been read
 			if reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
@@ -280,9 +281,9 @@
 	}
 }
 
-// An endpoint refuses a long request before it has read it all, keeps the
-// connection, and reads on later. Were the next request sent there, its first
-// bytes would be taken for the rest of the body.
+// Guards against reusing a connection with a partially sent request: an endpoint
+// refuses a long request before it has read all of it, and later reads on. It would
+// take the next request for the rest of the body.
 func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -302,8 +303,8 @@
 	assert.Equal(t, e.conns.Load(), int32(2))
 }
 
-// The caller has gone, and the endpoint goes on with work that nobody will
-// read and somebody pays for. It notices only that the connection ends.
+// Guards against work for a caller that has disconnected: the endpoint stops only
+// when its connection is closed.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
 	e := newEndpoint(t, nil)
@@ -355,9 +356,9 @@
 	}
 }
 
-// An endpoint drops unused connections without a word, sooner than it says. A
-// request that must not run twice would be lost on one, since nobody can tell
-// whether it ran.
+// Guards against losing a request that must not run twice: endpoints silently drop
+// idle connections sooner than announced, and whether a request sent on a dropped
+// connection has run cannot be determined.
 func TestAtMostOnceRequestUsesNoStaleConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
@@ -372,9 +373,8 @@
 	assert.Equal(t, e.conns.Load(), int32(2))
 }
 
-// Endpoints drop unused connections after a while and say nothing. Each router
-// would lose an order on each of its connections; after the first loss it makes
-// new ones in time.
+// Guards against repeated losses when endpoints silently drop idle connections: after
+// the first loss the client must open new connections in time.
 func TestIdleLimitIsLearnedFromDrops(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -408,8 +408,8 @@
 	assert.Equal(t, lost, 1)
 }
 
-// A connection that the endpoint has closed while it was unused is found out
-// before a request is sent on it.
+// A connection that the endpoint closed while it was idle is detected before a request
+// is sent on it.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -434,8 +434,8 @@
 	assert.Equal(t, body, "ok")
 }
 
-// What a caller sends in a header or target must not become a second request
-// at the endpoint.
+// Guards against request smuggling: a header or target from a caller must not become
+// a second request at the endpoint.
 func TestHeadersCannotSmuggle(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
