--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -139,7 +139,7 @@
 	if needs <= left {
 		return true
 	}
-	x.refuse(http.StatusServiceUnavailable, "the router is shutting down", retryAfterStop)
+	x.refuse(http.StatusServiceUnavailable, "the router shuts down before the request can complete", retryAfterStop)
 	return false
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-// dropSpare releases a place that was reserved for an attempt that is not made.
+// releaseNextPlace releases a place that was reserved for an attempt that is not made.
 func (x *exchange) releaseNextPlace() {
 	if x.nextPlace != nil {
 		x.nextPlace.Release()
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -63,9 +63,8 @@
 type Observer interface {
 	// RecordFirstByte records the time to the first byte of the response.
 	RecordFirstByte(took time.Duration)
-	// Overdue records at once that no byte has arrived within the place's
-	// FirstByteLimit, and reports whether the endpoint is known to fail. It may
-	// be called again.
+	// Overdue records at once that the first byte is overdue, and reports whether
+	// the endpoint is known to fail. It may be called again.
 	Overdue(ctx context.Context) (out bool)
 	// RecordSuccess and RecordFailure record how the attempt ended. Neither is
 	// called for an attempt that ended for reasons other than the endpoint's.
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -58,11 +58,11 @@
 	return s.ctx, s.stop
 }
 
-// overdueDelay returns the time after which a response is overdue: patience, which
-// is the longest time to first byte of other recent requests to the pool, or half of
-// the route's target if that is shorter. The other half leaves time for another
-// attempt: a request that moves only at its target is late however soon the next
-// endpoint answers. Zero means never.
+// overdueDelay returns the time after which a response is overdue: firstByteLimit,
+// which follows from recent requests to the pool, or half of the route's target if
+// that is shorter. The other half leaves time for another attempt: a request that
+// moves only at its target is late however soon the next endpoint answers. Zero
+// means never.
 func overdueDelay(patience, target time.Duration) time.Duration {
 	due := target / targetDivisor
 	if patience == 0 || due == 0 {
--- a/wisteriarouter/upstream/conn.go
+++ b/wisteriarouter/upstream/conn.go
@@ -57,7 +57,7 @@
 	for range maxForeignResponses + 1 {
 		resp, err := c.readHead(r)
 		if err != nil {
-			return nil, ErrBroken.Wrap(err, "response of endpoint %s", c.address)
+			return nil, ErrBroken.Wrap(err, "answer of endpoint %s", c.address)
 		}
 		if r.Matches == nil || r.Matches(resp.StatusCode, resp.Header) {
 			return c.response(resp), nil
