--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -33,8 +33,8 @@
 	if !isStream(resp) {
 		x.watch.recordFirstByte(time.Now())
 	}
-	says := platform.DecodeAnswer(resp.Status, resp.Header)
-	end := classify(resp.Status, says)
+	reply := platform.DecodeAnswer(resp.Status, resp.Header)
+	end := classify(resp.Status, reply)
 	switch end {
 	case declined:
 		x.evidence.Declined(id)
@@ -100,11 +100,11 @@
 // response. A status alone does not prove that the request has not run: the
 // endpoint must say so in its headers. A success counts only with the endpoint's
 // signature.
-func classify(status int, says platform.Answer) attemptResult {
+func classify(status int, reply platform.Answer) attemptResult {
 	switch {
-	case says.NotRun:
+	case reply.NotRun:
 		return declined
-	case status < http.StatusBadRequest && !says.Signed:
+	case status < http.StatusBadRequest && !reply.Signed:
 		return broken
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests, status == http.StatusRequestTimeout:
 		return broken
@@ -145,8 +145,8 @@
 // matches reports whether a response belongs to this request. A refusal may lack
 // the request id, but must not carry the id of another request.
 func (x *exchange) matches(status int, h http.Header) bool {
-	says := platform.DecodeAnswer(status, h)
-	return says.Attempt == x.metadata.Attempt || says.Attempt == "" && status >= http.StatusBadRequest
+	reply := platform.DecodeAnswer(status, h)
+	return reply.Attempt == x.metadata.Attempt || reply.Attempt == "" && status >= http.StatusBadRequest
 }
 
 // defaultDeadline is the deadline passed to an endpoint if neither the caller nor
--- a/wisteriarouter/relay/policy.go
+++ b/wisteriarouter/relay/policy.go
@@ -30,10 +30,10 @@
 
 // mayRetry reports whether another attempt may follow one with result e, given how
 // many times the request was sent and how many endpoints were tried in vain.
-func (p retryPolicy) mayRetry(e attemptResult, sends, met int) bool {
+func (p retryPolicy) mayRetry(e attemptResult, sends, tried int) bool {
 	switch e {
 	case unsent:
-		return met < unsentTries && (sends < p.attempts)
+		return tried < unsentTries && (sends < p.attempts)
 	case declined:
 		return sends < p.attempts
 	case failed, broken, silent, cut:
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -65,7 +65,7 @@
 	RecordFirstByte(took time.Duration)
 	// Overdue records at once that the first byte is overdue, and reports whether
 	// the endpoint is known to fail. It may be called again.
-	Overdue(ctx context.Context) (out bool)
+	Overdue(ctx context.Context) (failing bool)
 	// RecordSuccess and RecordFailure record how the attempt ended. Neither is
 	// called for an attempt that ended for reasons other than the endpoint's.
 	RecordSuccess()
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -11,8 +11,8 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// errSilent is the cause of cancelling an attempt whose response is overdue.
-var errSilent = errors.New("relay: the response of the endpoint is overdue")
+// errOverdue is the cause of cancelling an attempt whose response is overdue.
+var errOverdue = errors.New("relay: the response of the endpoint is overdue")
 
 // responseWatch waits for the first byte of an attempt's response. Endpoints have
 // accepted requests and never answered them while their health checks passed: the
@@ -63,12 +63,12 @@
 // that is shorter. The other half leaves time for another attempt: a request that
 // moves only at its target is late however soon the next endpoint answers. Zero
 // means never.
-func overdueDelay(patience, target time.Duration) time.Duration {
+func overdueDelay(firstByteLimit, target time.Duration) time.Duration {
 	due := target / targetDivisor
-	if patience == 0 || due == 0 {
-		return max(patience, due)
+	if firstByteLimit == 0 || due == 0 {
+		return max(firstByteLimit, due)
 	}
-	return min(patience, due)
+	return min(firstByteLimit, due)
 }
 
 // stop ends the watch. A place that was reserved for another attempt is kept only if
@@ -107,7 +107,7 @@
 func (s *responseWatch) result(otherwise attemptResult) attemptResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next == nil || !errors.Is(context.Cause(s.ctx), errSilent) {
+	if s.next == nil || !errors.Is(context.Cause(s.ctx), errOverdue) {
 		return otherwise
 	}
 	s.exchange.nextPlace = s.next
@@ -121,11 +121,11 @@
 	}
 	s.exchange.server.Log.Emit(event.RelayOverdue, s.fields()...)
 	for pause := s.overdueAfter / overdueDivisor; s.waiting(); pause *= 2 {
-		out := s.place.Observer != nil && s.place.Observer.Overdue(s.ctx)
+		failing := s.place.Observer != nil && s.place.Observer.Overdue(s.ctx)
 		if !s.retryable || s.ctx.Err() != nil {
 			return
 		}
-		if (out || s.silentTooLong()) && s.move() {
+		if (failing || s.silentTooLong()) && s.move() {
 			return
 		}
 		s.sleep(pause)
@@ -199,7 +199,7 @@
 		return false
 	}
 	s.next = &next
-	s.cancel(errSilent)
+	s.cancel(errOverdue)
 	return true
 }
 
--- a/wisteriarouter/relay/stream.go
+++ b/wisteriarouter/relay/stream.go
@@ -51,8 +51,8 @@
 // sends in full. If the endpoint that continues a stream starts too early, the
 // response ends, so that the caller receives no event twice.
 func (x *exchange) forwardStream(resp *upstream.Response) attemptResult {
-	goesOn := x.stream.headSent
-	if !goesOn {
+	resumed := x.stream.headSent
+	if !resumed {
 		x.copyHeader(resp)
 		x.w.WriteHeader(resp.Status)
 		x.stream.headSent = true
@@ -62,10 +62,10 @@
 	for {
 		events, err := e.next()
 		if len(events) > 0 {
-			if goesOn && !idAfter(firstID(events), x.stream.lastEventID) {
+			if resumed && !idAfter(firstID(events), x.stream.lastEventID) {
 				return cut
 			}
-			goesOn = false
+			resumed = false
 			now := time.Now()
 			x.watch.recordFirstByte(now)
 			x.stream.recordEvents(now, events)
--- a/wisteriarouter/upstream/trust.go
+++ b/wisteriarouter/upstream/trust.go
@@ -36,8 +36,9 @@
 )
 
 // maxIdle returns how long a connection may have been idle to be reused for a
-// request; zero for no limit other than the endpoint's. With once set, the request
-// relies on proven idle times, at least on least and at most on most.
+// request; zero for no limit other than the endpoint's. With once set, it is
+// derived from the longest proven idle time, between least and most, and does not
+// exceed the group's limit.
 func (t *idleLimits) maxIdle(group string, once bool, least, most time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,26 +54,26 @@
 }
 
 // recordSuccess records that a connection was reused successfully after an idle time.
-func (t *idleLimits) recordSuccess(group string, unused time.Duration) {
+func (t *idleLimits) recordSuccess(group string, idleTime time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
-	if unused > e.proven && (e.limit == 0 || unused < e.limit) {
-		e.proven = unused
+	if idleTime > e.proven && (e.limit == 0 || idleTime < e.limit) {
+		e.proven = idleTime
 		t.put(group, e)
 	}
 }
 
 // recordFailure records that a connection failed on which a request was sent.
 func (t *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
-	unused := sent.Sub(c.idleSince)
-	if c.served < 2 || now.Sub(sent) > dropWithin || unused < minIdleLimit {
+	idleTime := sent.Sub(c.idleSince)
+	if c.served < 2 || now.Sub(sent) > dropWithin || idleTime < minIdleLimit {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
-	limit := max(time.Duration(idleLimitFactor*float64(unused)), minIdleLimit)
+	limit := max(time.Duration(idleLimitFactor*float64(idleTime)), minIdleLimit)
 	if e.limit == 0 || limit < e.limit {
 		e.limit = limit
 	}
--- a/wisteriarouter/upstream/upstream.go
+++ b/wisteriarouter/upstream/upstream.go
@@ -194,8 +194,8 @@
 }
 
 func (c *Client) connect(ctx context.Context, address string, r *Request) (*conn, error) {
-	longest := c.idleLimits.maxIdle(r.Group, r.AtMostOnce, c.cfg.AtMostOnceIdle, c.cfg.IdleTimeout)
-	if cn := c.idle.take(time.Now(), address, longest); cn != nil {
+	maxIdle := c.idleLimits.maxIdle(r.Group, r.AtMostOnce, c.cfg.AtMostOnceIdle, c.cfg.IdleTimeout)
+	if cn := c.idle.take(time.Now(), address, maxIdle); cn != nil {
 		return cn, nil
 	}
 	return c.dial(ctx, address)
