--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -139,7 +139,7 @@
 	if needs <= left {
 		return true
 	}
-	x.refuse(http.StatusServiceUnavailable, "the router shuts down before the request can complete", retryAfterStop)
+	x.refuse(http.StatusServiceUnavailable, "the router is about to stop", retryAfterStop)
 	return false
 }
 
@@ -154,17 +154,17 @@
 		limit = defaultBodyBytes
 	}
 	if x.r.ContentLength > limit {
-		x.refuse(http.StatusRequestEntityTooLarge, "the request body is too large", 0)
+		x.refuse(http.StatusRequestEntityTooLarge, "the body is too large", 0)
 		return false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, "the request body is too large", 0)
+		x.refuse(http.StatusRequestEntityTooLarge, "the body is too large", 0)
 		return false
 	case err != nil:
-		x.refuse(http.StatusBadRequest, "the request body cannot be read", 0)
+		x.refuse(http.StatusBadRequest, "the body cannot be read", 0)
 		return false
 	}
 	x.body = body
@@ -314,11 +314,11 @@
 	}
 	switch notRun := x.evidence.Outcome() == outcome.NotRun; {
 	case notRun && ends:
-		x.refuse(http.StatusServiceUnavailable, "the router is shutting down", retryAfterStop)
+		x.refuse(http.StatusServiceUnavailable, "the router stops", retryAfterStop)
 	case notRun:
 		x.refuse(http.StatusServiceUnavailable, "no endpoint was free in time", retryAfterFull)
 	case ends:
-		x.respond(http.StatusGatewayTimeout, "the router is shutting down", 0)
+		x.respond(http.StatusGatewayTimeout, "the router stops", 0)
 	default:
 		x.respond(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
 	}
