--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -19,61 +19,61 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// exchange is one request of a caller from its arrival to its end.
+// exchange is the state of one request, from its arrival to its end.
 type exchange struct {
-	server  *Server
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	asked   platform.Request
-
-	table   *route.Table
-	route   *route.Route
-	account coordination.Account
-	rank    coordination.Priority
-	pool    coordination.Pool
-	body    []byte
-	until   time.Time // by when the answer has to be complete; zero for no limit
-
-	evidence outcome.Evidence
-	exclude  []coordination.Endpoint
-	sends    int // requests that may have reached an endpoint
-	status   int // of the last endpoint's answer; 0 if none came
-	stream   stream
-	failure  *failure // of an endpoint, that the caller has not got
-	silence  *silence // of the endpoint that is asked
-	spare    *Place   // for the next attempt, where the last one met silence
-	trail    Trail    // nil for a request that is not followed
+	server   *Server
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Time
+	metadata platform.Request
+
+	table    *route.Table
+	route    *route.Route
+	account  coordination.Account
+	priority coordination.Priority
+	pool     coordination.Pool
+	body     []byte
+	deadline time.Time // by which the response must be complete; zero for no limit
+
+	evidence  outcome.Evidence
+	exclude   []coordination.Endpoint
+	sends     int // number of attempts that may have reached an endpoint
+	status    int // of the last response; 0 if there is none
+	stream    stream
+	failure   *failure       // failure response that was not forwarded; nil if there is none
+	watch     *responseWatch // on the current attempt
+	nextPlace *Place         // reserved for the next attempt after an overdue one; nil if there is none
+	tracked   TrackedRequest // nil for a request that is not tracked
 }
 
-// giveUpSlack is how long the router waits beyond the time that an endpoint
-// was given. The endpoint's own word that the time is up says more than the
-// router's; it needs one way back, of some 5 ms, and its turn.
+// giveUpSlack is how long the router waits beyond the deadline given to the
+// endpoint. The endpoint's own timeout response tells more than the router's; it
+// needs one network trip of about 5 ms and time to be scheduled.
 const giveUpSlack = 100 * time.Millisecond
 
 func (x *exchange) serve() {
-	if !x.find() || !x.allow() || !x.inTime() || !x.read() {
+	if !x.matchRoute() || !x.authenticate() || !x.fitsBeforeShutdown() || !x.readBody() {
 		return
 	}
-	ctx, stop := x.server.untilEnd(x.r.Context())
+	ctx, stop := x.server.withShutdown(x.r.Context())
 	defer stop()
-	if !x.until.IsZero() {
+	if !x.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, x.until.Add(giveUpSlack))
+		ctx, cancel = context.WithDeadline(ctx, x.deadline.Add(giveUpSlack))
 		defer cancel()
 	}
-	x.server.Retries.Request(x.pool)
-	if !x.follow(ctx) {
+	x.server.Retries.RecordRequest(x.pool)
+	if !x.track(ctx) {
 		return
 	}
 	finished := false
-	defer func() { x.ended(finished) }()
+	defer func() { x.endTracking(finished) }()
 	finished = x.run(ctx)
 }
 
-// find finds the request's route and pool.
-func (x *exchange) find() bool {
-	x.table = x.server.table(x.r.Context(), x.asked.Deadline)
+// matchRoute finds the route and the pool of the request, or refuses it.
+func (x *exchange) matchRoute() bool {
+	x.table = x.server.table(x.r.Context(), x.metadata.Deadline)
 	if x.table == nil {
 		x.refuse(http.StatusServiceUnavailable, "no desired state is known yet", retryAfterState)
 		return false
@@ -83,15 +83,16 @@
 		x.refuse(http.StatusNotFound, "no route serves this host and path", 0)
 		return false
 	}
-	x.pool = x.route.Pool(xxhash.Sum64String(string(x.asked.Attempt)))
-	x.rank = x.table.Priority(x.route, nil)
-	x.until = x.limit()
+	x.pool = x.route.Pool(xxhash.Sum64String(string(x.metadata.Attempt)))
+	x.priority = x.table.Priority(x.route, nil)
+	x.deadline = x.requestDeadline()
 	return true
 }
 
-// limit returns when the caller, or the operator, no longer wants an answer.
-func (x *exchange) limit() time.Time {
-	wait := x.asked.Deadline
+// requestDeadline returns the earlier of the caller's deadline and the route's
+// timeout; the zero time if there is neither.
+func (x *exchange) requestDeadline() time.Time {
+	wait := x.metadata.Deadline
 	if t := x.route.Timeout; t > 0 && (wait == 0 || t < wait) {
 		wait = t
 	}
@@ -101,38 +102,38 @@
 	return x.arrived.Add(wait)
 }
 
-// allow checks the caller's key.
-func (x *exchange) allow() bool {
+// authenticate checks the caller's API key, or refuses the request.
+func (x *exchange) authenticate() bool {
 	if x.table.Accounts == nil || x.route.Public {
 		return true
 	}
-	tenant, ok := x.table.Tenant(x.asked.Key)
+	tenant, ok := x.table.Tenant(x.metadata.Key)
 	if !ok {
 		x.refuse(http.StatusUnauthorized, "the key is not known", 0)
 		return false
 	}
 	x.account = tenant.Account
-	x.rank = x.table.Priority(x.route, tenant.Priority)
+	x.priority = x.table.Priority(x.route, tenant.Priority)
 	return true
 }
 
-// retryAfterStop is when a caller may come back whose router is about to stop: the
-// balancer has sent callers to others for long, and they are served there.
+// retryAfterStop is the Retry-After of a router that is shutting down. It is short
+// because the load balancer already directs callers to other routers.
 const retryAfterStop = 50 * time.Millisecond
 
-// inTime refuses a request that is not likely to be complete when the router ends.
-// Its caller loses less by asking another router now than by an answer that breaks
-// off.
-func (x *exchange) inTime() bool {
-	if x.server.Left == nil {
+// fitsBeforeShutdown refuses a request that will probably not be complete when the
+// router shuts down. Asking another router now costs the caller less than a
+// truncated response.
+func (x *exchange) fitsBeforeShutdown() bool {
+	if x.server.ShutdownIn == nil {
 		return true
 	}
-	left, ends := x.server.Left()
+	left, ends := x.server.ShutdownIn()
 	if !ends {
 		return true
 	}
-	needs, known := x.server.longest.of(x.route.Name)
-	if limit := x.left(); !known || limit < needs {
+	needs, known := x.server.durations.longest(x.route.Name)
+	if limit := x.remaining(); !known || limit < needs {
 		needs = limit
 	}
 	if needs <= left {
@@ -142,12 +143,12 @@
 	return false
 }
 
-// defaultBodyBytes bounds a body if the desired state does not.
+// defaultBodyBytes limits the size of a request body if the desired state does not.
 const defaultBodyBytes = 4 << 20
 
-// read reads the whole body, so that the request can be sent again where that
-// is allowed, and so that a slow caller occupies no endpoint.
-func (x *exchange) read() bool {
+// readBody reads the whole body, or refuses the request. The request can then be
+// sent again where that is allowed, and a slow caller does not occupy an endpoint.
+func (x *exchange) readBody() bool {
 	limit := int64(x.table.BodyBytes)
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -170,14 +171,14 @@
 	return true
 }
 
-// key returns what leads the request to the endpoint that has its prompt
-// cached: the longest part of the prompt that other requests share, which is
-// the one before the request's own. A request without parts goes anywhere.
-func (x *exchange) key() string {
-	parts := x.asked.Parts
+// routingKey returns the key that routes the request to the endpoint that has its
+// prompt cached: the id of the longest part that other requests share, which is
+// the last but one part. A request without parts may go to any endpoint.
+func (x *exchange) routingKey() string {
+	parts := x.metadata.Parts
 	switch {
 	case !x.route.Sticky || len(parts) == 0:
-		return string(x.asked.Attempt)
+		return string(x.metadata.Attempt)
 	case len(parts) == 1:
 		return parts[0].ID
 	default:
@@ -185,10 +186,10 @@
 	}
 }
 
-// run makes attempts until the request has its answer or there is no more to
-// be done. It reports whether an endpoint has answered.
+// run makes attempts until one delivers a response or no further attempt is
+// allowed. It reports whether a response was delivered.
 func (x *exchange) run(ctx context.Context) bool {
-	defer x.dropSpare()
+	defer x.releaseNextPlace()
 	for {
 		place, ok := x.acquire(ctx)
 		if !ok {
@@ -197,18 +198,18 @@
 		end := x.attempt(ctx, place)
 		x.observe(ctx, place, end)
 		place.Release()
-		x.note(place, end)
+		x.logAttempt(place, end)
 		if end == delivered {
 			x.server.Metrics.delivered(x)
-			x.server.longest.note(x.route.Name, time.Since(x.arrived))
+			x.server.durations.record(x.route.Name, time.Since(x.arrived))
 			return true
 		}
-		goOn := end != broken && end != cut || x.crashed(ctx, place)
+		goOn := end != broken && end != cut || x.checkCrash(ctx, place)
 		if ctx.Err() != nil {
 			x.expire(ctx)
 			return false
 		}
-		if !goOn || !x.again(end) {
+		if !goOn || !x.takeRetry(end) {
 			x.fail(end)
 			return false
 		}
@@ -216,69 +217,69 @@
 	}
 }
 
-// dropSpare gives back a place that was got for an attempt that is not made.
-func (x *exchange) dropSpare() {
-	if x.spare != nil {
-		x.spare.Release()
-		x.spare = nil
+// releaseNextPlace releases a place that was reserved for an attempt that is not made.
+func (x *exchange) releaseNextPlace() {
+	if x.nextPlace != nil {
+		x.nextPlace.Release()
+		x.nextPlace = nil
 	}
 }
 
-// acquire gets a place for the next attempt. If there is none it ends the
-// request.
+// acquire gets a place for the next attempt. If there is none it ends the request
+// and returns false.
 func (x *exchange) acquire(ctx context.Context) (Place, bool) {
 	asked := time.Now()
-	if x.spare != nil {
-		place := *x.spare
-		x.spare = nil
-		x.place(place, 0)
+	if x.nextPlace != nil {
+		place := *x.nextPlace
+		x.nextPlace = nil
+		x.logPlacement(place, 0)
 		return place, true
 	}
-	place, refusal := x.server.Placer.Place(ctx, x.want())
+	place, refusal := x.server.Placer.Place(ctx, x.placeRequest())
 	x.server.Metrics.placed(x.pool, time.Since(asked))
 	if refusal != nil && ctx.Err() == nil && x.failure != nil && len(x.exclude) > 0 {
-		// There is no other endpoint. One that has failed by itself often
-		// does not fail again: 14 in 100 answers of a plain service are
-		// failures of the moment.
+		// No other endpoint is available. An endpoint that returned a failure may
+		// succeed on a retry: 14 in 100 responses of a plain service are
+		// transient failures.
 		x.exclude = nil
-		place, refusal = x.server.Placer.Place(ctx, x.want())
+		place, refusal = x.server.Placer.Place(ctx, x.placeRequest())
 	}
 	switch {
 	case refusal != nil && ctx.Err() != nil:
 		x.expire(ctx)
 		return Place{}, false
 	case refusal != nil:
-		x.end(refusal.Message, refusal.RetryAfter)
+		x.respondWithoutResult(refusal.Message, refusal.RetryAfter)
 		return Place{}, false
 	}
-	x.place(place, time.Since(asked))
+	x.logPlacement(place, time.Since(asked))
 	return place, true
 }
 
-func (x *exchange) want() Want {
-	return Want{
-		Pool:     x.pool,
-		Key:      x.key(),
-		Account:  x.account,
-		Priority: x.rank,
-		Start:    x.until,
-		Target:   x.route.FirstByteTarget,
-		Arrived:  x.arrived,
-		Exclude:  slices.Clip(x.exclude),
-		Cached:   x.route.Sticky,
-		Alone:    x.trail != nil && x.trail.Alone(),
-		Kind:     x.route.Name,
-		Once:     !x.policy().again(broken, x.sends+1, len(x.exclude)+1),
+func (x *exchange) placeRequest() PlaceRequest {
+	return PlaceRequest{
+		Pool:            x.pool,
+		Key:             x.routingKey(),
+		Account:         x.account,
+		Priority:        x.priority,
+		StartBy:         x.deadline,
+		FirstByteTarget: x.route.FirstByteTarget,
+		Arrived:         x.arrived,
+		Exclude:         slices.Clip(x.exclude),
+		PrefixCached:    x.route.Sticky,
+		RunAlone:        x.tracked != nil && x.tracked.Alone(),
+		Kind:            x.route.Name,
+		LastAttempt:     !x.policy().mayRetry(broken, x.sends+1, len(x.exclude)+1),
 	}
 }
 
-// again decides whether another attempt may be made, and takes it from the
+// takeRetry reports whether another attempt may be made, and takes it from the
 // budget.
-func (x *exchange) again(end ending) bool {
+func (x *exchange) takeRetry(end attemptResult) bool {
 	if !x.mayRetry(end) {
 		return false
 	}
-	if end == unsent || x.spare != nil || x.server.Retries.Take(x.pool) {
+	if end == unsent || x.nextPlace != nil || x.server.Retries.Take(x.pool) {
 		x.server.Metrics.retried(x.pool, end)
 		return true
 	}
@@ -286,24 +287,26 @@
 	return false
 }
 
-// errEnd is why requests are cancelled that the end of a stop meets.
-var errEnd = errors.New("relay: the router stops")
+// errShutdown is the cause of cancelling the requests in flight at the end of a
+// shutdown.
+var errShutdown = errors.New("relay: the router is shutting down")
 
-// untilEnd returns a context that is also cancelled when the router has to answer
-// what is in flight since it ends, and what releases it.
-func (s *Server) untilEnd(ctx context.Context) (context.Context, func()) {
-	if s.End == nil {
+// withShutdown returns a context that is also cancelled when the router must
+// answer requests in flight because it shuts down, and a function that releases
+// it.
+func (s *Server) withShutdown(ctx context.Context) (context.Context, func()) {
+	if s.ShutdownContext == nil {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(s.End, func() { cancel(errEnd) })
+	stop := context.AfterFunc(s.ShutdownContext, func() { cancel(errShutdown) })
 	return ctx, func() { stop(); cancel(nil) }
 }
 
-// expire ends a request whose time is up, whose caller has gone or whose router
-// ends.
+// expire ends a request whose deadline has passed, whose caller has disconnected or
+// whose router is shutting down.
 func (x *exchange) expire(ctx context.Context) {
-	ends := errors.Is(context.Cause(ctx), errEnd)
+	ends := errors.Is(context.Cause(ctx), errShutdown)
 	if errors.Is(ctx.Err(), context.Canceled) && !ends {
 		x.emit(event.RelayCallerGone, event.F("after-ms", time.Since(x.arrived).Milliseconds()))
 		x.server.Metrics.ended(x, "caller-gone")
@@ -315,29 +318,29 @@
 	case notRun:
 		x.refuse(http.StatusServiceUnavailable, "no endpoint was free in time", retryAfterFull)
 	case ends:
-		x.answer(http.StatusGatewayTimeout, "the router stops", 0)
+		x.respond(http.StatusGatewayTimeout, "the router stops", 0)
 	default:
-		x.answer(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
+		x.respond(http.StatusGatewayTimeout, "no endpoint has answered in time", 0)
 	}
 }
 
-// retryAfterFull is when a caller may come back whose endpoint has declined:
-// some requests of a full endpoint have ended by then, at 60 ms of work each.
+// retryAfterFull is the Retry-After of a request that no endpoint accepted. A full
+// endpoint completes some requests in that time, at 60 ms of work each.
 const retryAfterFull = 250 * time.Millisecond
 
-// fail ends a request after its last attempt.
-func (x *exchange) fail(end ending) {
+// fail ends a request after its last attempt, whose result was end.
+func (x *exchange) fail(end attemptResult) {
 	if end == cut {
-		x.cut("the answer broke off")
+		x.abortResponse("the response was truncated")
 	}
-	x.end("no endpoint has answered", retryAfterFull)
+	x.respondWithoutResult("no endpoint has answered", retryAfterFull)
 }
 
-// end tells the caller that there is no answer. Only a request that certainly
-// has not run gets the status that promises so.
-func (x *exchange) end(why string, after time.Duration) {
-	if x.stream.begun {
-		x.cut(why)
+// respondWithoutResult ends a request that has no response to deliver. Only a
+// request that certainly has not run gets the status that says so.
+func (x *exchange) respondWithoutResult(why string, after time.Duration) {
+	if x.stream.headSent {
+		x.abortResponse(why)
 	}
 	if x.failure != nil {
 		x.write(x.failure.resp, x.failure.body)
@@ -345,29 +348,29 @@
 		return
 	}
 	if x.evidence.Outcome() != outcome.NotRun {
-		x.answer(http.StatusBadGateway, why, 0)
+		x.respond(http.StatusBadGateway, why, 0)
 		return
 	}
 	x.refuse(http.StatusServiceUnavailable, why, after)
 }
 
-// cut breaks off an answer of which the caller has got a part, so that it does
-// not look complete.
-func (x *exchange) cut(why string) {
-	x.emit(event.RelayCut, event.F("why", why), event.F("last-event", x.stream.last))
+// abortResponse closes the connection of a partially sent response, so that the
+// caller does not take it for complete.
+func (x *exchange) abortResponse(why string) {
+	x.emit(event.RelayCut, event.F("why", why), event.F("last-event", x.stream.lastEventID))
 	x.server.Metrics.ended(x, "cut")
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a request that has reached no endpoint.
+// refuse answers a request that no endpoint has run.
 func (x *exchange) refuse(status int, why string, after time.Duration) {
-	x.answer(status, why, after)
+	x.respond(status, why, after)
 }
 
-// answer answers in the router's own name.
-func (x *exchange) answer(status int, why string, after time.Duration) {
-	if x.stream.begun {
-		x.cut(why)
+// respond sends a response generated by the router.
+func (x *exchange) respond(status int, why string, after time.Duration) {
+	if x.stream.headSent {
+		x.abortResponse(why)
 	}
 	x.server.Metrics.refused(x, status)
 	x.emit(event.RelayRefused, event.F("status", status), event.F("why", why), event.F("retry-after-ms", after.Milliseconds()))
@@ -377,12 +380,12 @@
 		platform.SetRetryAfter(h, after)
 	}
 	x.w.WriteHeader(status)
-	_, _ = io.WriteString(x.w, why+"\n") // a caller that has gone needs no answer
+	_, _ = io.WriteString(x.w, why+"\n") // the caller may have disconnected
 }
 
-// emit logs an event of the request.
+// emit logs an event with the fields of the request.
 func (x *exchange) emit(k event.Kind, fields ...event.Field) {
-	fields = append(fields, event.F("request", x.asked.Attempt))
+	fields = append(fields, event.F("request", x.metadata.Attempt))
 	if x.table != nil {
 		fields = append(fields, event.F("version", x.table.Version), event.F("age-ms", x.server.Desired.Age().Milliseconds()))
 	}
@@ -392,14 +395,14 @@
 	x.server.Log.Emit(k, fields...)
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// withoutHops returns a copy of h without the headers that concern one
-// connection only.
-func withoutHops(h http.Header) http.Header {
+// withoutHopByHop returns a copy of h without the hop-by-hop headers, including
+// those that its Connection header names.
+func withoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
 		for name := range strings.SplitSeq(field, ",") {
--- a/wisteriarouter/relay/stream.go
+++ b/wisteriarouter/relay/stream.go
@@ -11,64 +11,64 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// stream is how far the caller has got of a series of events.
+// stream is the progress of a response, as far as the caller has received it.
 type stream struct {
-	begun bool // the caller has got the head of an answer
-	// unrepeatable says that the caller has got a part of an answer that is no
-	// series of events, which cannot go on elsewhere.
+	headSent bool // the headers of a response were sent to the caller
+	// unrepeatable reports that the caller has part of a response that is not an
+	// event stream, and that another endpoint therefore cannot continue.
 	unrepeatable bool
-	last         string // id of the last event that the caller has whole
-	first        time.Time
-	moved        time.Time     // when the last event came
-	pause        time.Duration // longest between two events
+	lastEventID  string // id of the last complete event sent to the caller
+	firstEventAt time.Time
+	lastEventAt  time.Time     // arrival of the last event
+	longestPause time.Duration // longest time between two events
 }
 
 func (s *stream) firstMs(arrived time.Time) int64 {
-	if s.first.IsZero() {
+	if s.firstEventAt.IsZero() {
 		return 0
 	}
-	return s.first.Sub(arrived).Milliseconds()
+	return s.firstEventAt.Sub(arrived).Milliseconds()
 }
 
-// note notes that events have come.
-func (s *stream) note(now time.Time, events []byte) {
-	if s.first.IsZero() {
-		s.first = now
+// recordEvents records the arrival of complete events.
+func (s *stream) recordEvents(now time.Time, events []byte) {
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.moved))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.moved = now
+	s.lastEventAt = now
 	if id := lastID(events); id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
 }
 
-// streamBuffer holds some events; most come one by one.
+// streamBuffer is the initial buffer size in bytes. It holds several events; most arrive singly.
 const streamBuffer = 4 << 10
 
-// handStream hands on the events of an answer as they come, each in one piece:
-// an endpoint may stop in the middle of an event, and the caller must not get
-// a part of one that another endpoint then sends in full. Nor does it get an
-// event twice, if an endpoint that is to go on begins too early.
-func (x *exchange) handStream(resp *upstream.Response) ending {
-	goesOn := x.stream.begun
-	if !goesOn {
-		x.head(resp)
+// forwardStream forwards the events of a response as they arrive, only complete
+// ones: an endpoint may fail in the middle of an event, which another endpoint then
+// sends in full. If the endpoint that continues a stream starts too early, the
+// response ends, so that the caller receives no event twice.
+func (x *exchange) forwardStream(resp *upstream.Response) attemptResult {
+	resumed := x.stream.headSent
+	if !resumed {
+		x.copyHeader(resp)
 		x.w.WriteHeader(resp.Status)
-		x.stream.begun = true
+		x.stream.headSent = true
 	}
 	e := eventReader{body: resp.Body, buf: make([]byte, 0, streamBuffer)}
 	flush := http.NewResponseController(x.w).Flush
 	for {
 		events, err := e.next()
 		if len(events) > 0 {
-			if goesOn && !after(firstID(events), x.stream.last) {
+			if resumed && !idAfter(firstID(events), x.stream.lastEventID) {
 				return cut
 			}
-			goesOn = false
+			resumed = false
 			now := time.Now()
-			x.silence.answered(now)
-			x.stream.note(now, events)
+			x.watch.recordFirstByte(now)
+			x.stream.recordEvents(now, events)
 			if _, werr := x.w.Write(events); werr != nil {
 				return cut
 			}
@@ -77,22 +77,22 @@
 		case errors.Is(err, io.EOF):
 			return delivered
 		case err != nil:
-			return x.silence.ending(cut)
+			return x.watch.result(cut)
 		case len(events) > 0 && !resp.Body.Buffered() && flush() != nil:
 			return cut
 		}
 	}
 }
 
-// eventReader reads whole events.
+// eventReader reads complete events.
 type eventReader struct {
 	body *upstream.Body
 	buf  []byte
-	used int // bytes of buf that were returned
+	used int // number of bytes of buf already returned
 }
 
-// next returns the whole events that one read has brought, perhaps none. With
-// io.EOF it returns all that is left.
+// next returns the complete events after one read, which may be none. With io.EOF it
+// returns all remaining bytes.
 func (e *eventReader) next() ([]byte, error) {
 	e.buf = append(e.buf[:0], e.buf[e.used:]...)
 	e.used = 0
@@ -108,8 +108,8 @@
 	return e.buf[:e.used], err
 }
 
-// wholeEvents returns the length of the whole events at the start of b. An
-// event ends with an empty line.
+// wholeEvents returns the length of the complete events at the start of b. An event
+// ends with an empty line.
 func wholeEvents(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -132,8 +132,8 @@
 	return idAt(b, bytes.Index(b, []byte("\nid:")))
 }
 
-// idAt returns the id whose line begins behind the line end at i. A negative i
-// stands for the start of b.
+// idAt returns the id in the line that begins after the line break at index i. An i
+// of -1 stands for the start of b.
 func idAt(b []byte, i int) string {
 	line, ok := bytes.CutPrefix(b[i+1:], []byte("id:"))
 	if !ok {
@@ -143,9 +143,9 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// after reports whether an event's id comes after another one's. Ids that are
-// no numbers cannot be compared and are taken to be in order.
-func after(id, last string) bool {
+// idAfter reports whether an event id comes after another one. Ids that are not
+// numbers cannot be compared and are assumed to be in order.
+func idAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
 	return errA != nil || errB != nil || a > b
