--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -71,7 +71,7 @@
 // [Grant.Release] once the request no longer runs at the endpoint.
 func (e *Entry) Acquire(ctx context.Context, req Request) (*Grant, Refusal) {
 	cfg, v := e.cfg.Load(), e.view.Load()
-	g := e.held.open(e, req.Alone)
+	g := e.held.open(e, req.Isolated)
 	w := newWalk(time.Now(), req, cfg, v.set, v.routers)
 	w.latest, w.doubts = e.view.Load, &e.doubts
 	for {
@@ -87,7 +87,7 @@
 		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
 		r := e.sendQuery(ctx, g, req, a, cfg)
 		if r.Code == Outlier {
-			e.doubts.add(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.Once}, r.RetryAfter.Duration())
+			e.doubts.add(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.NonRetryable}, r.RetryAfter.Duration())
 		}
 		if !w.handleReply(a, r) {
 			continue
@@ -118,8 +118,8 @@
 		Deadline:     a.deadline,
 		Wait:         a.wait,
 		Final:        a.final,
-		Isolated:     req.Alone,
-		NonRetryable: req.Once,
+		Isolated:     req.Isolated,
+		NonRetryable: req.NonRetryable,
 		AllowOutlier: a.insist,
 		Target:       a.target,
 	}
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -236,7 +236,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 1, 1)
 		for _, n := range f.nodes {
-			g, refusal := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool, Once: true})
+			g, refusal := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool, NonRetryable: true})
 			assert.Assert(t, g != nil, "%v", refusal)
 			g.Release()
 		}
--- a/coordination/placement/routers.go
+++ b/coordination/placement/routers.go
@@ -113,9 +113,9 @@
 	return highestHash(among, xxhash.Sum64String(string(name)))
 }
 
-// Place returns the owner for a hash, such as a content fingerprint. All
+// OwnerOfHash returns the owner for a hash, such as a content fingerprint. All
 // routers with the same members select the same owner.
-func (r *Routers) Place(hash uint64) coordination.Instance {
+func (r *Routers) OwnerOfHash(hash uint64) coordination.Instance {
 	return highestHash(r.owners, hash)
 }
 
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -26,12 +26,12 @@
 	// it has passed.
 	Target, Waited time.Duration
 
-	// Alone marks a request that is suspected of crashing endpoints.
-	Alone bool
+	// Isolated marks a request that is suspected of crashing endpoints.
+	Isolated bool
 
-	// Once marks a request that cannot be retried after a failure, so that it avoids
-	// endpoints suspected of failing.
-	Once bool
+	// NonRetryable marks a request that cannot be retried after a failure, so that
+	// it avoids endpoints suspected of failing.
+	NonRetryable bool
 
 	// NoWait makes Acquire refuse the request rather than wait in a queue.
 	NoWait bool
@@ -288,7 +288,7 @@
 		if slices.Contains(w.req.Avoid, d.ID) {
 			continue
 		}
-		if w.insist || !w.doubts.contains(now, avoidKey{pool: w.req.Pool, endpoint: d.ID, nonRetryable: w.req.Once}) {
+		if w.insist || !w.doubts.contains(now, avoidKey{pool: w.req.Pool, endpoint: d.ID, nonRetryable: w.req.NonRetryable}) {
 			return d
 		}
 		w.skipOutlier()
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -24,7 +24,7 @@
 
 // Placer maps the hash of a fingerprint to the router that is its gate.
 type Placer interface {
-	Place(hash uint64) coordination.Instance
+	OwnerOfHash(hash uint64) coordination.Instance
 }
 
 // Guard tracks the requests that enter through one router and reports them to
@@ -317,7 +317,7 @@
 
 func (g *Guard) gateOf(f Fingerprint) coordination.Instance {
 	if b, ok := g.placer.Load().(placerBox); ok {
-		return b.Place(uint64(f))
+		return b.OwnerOfHash(uint64(f))
 	}
 	return ""
 }
--- a/coordination/suspicion/guard_test.go
+++ b/coordination/suspicion/guard_test.go
@@ -27,8 +27,8 @@
 // gateAt assigns all fingerprints to one router.
 type gateAt coordination.Instance
 
-// Place implements Placer.
-func (g gateAt) Place(uint64) coordination.Instance { return coordination.Instance(g) }
+// OwnerOfHash implements Placer.
+func (g gateAt) OwnerOfHash(uint64) coordination.Instance { return coordination.Instance(g) }
 
 // add adds a router for which the gate of all fingerprints is at.
 func (g gates) add(id, at coordination.Instance) *Guard {
--- a/coordination/suspicion/world_test.go
+++ b/coordination/suspicion/world_test.go
@@ -142,7 +142,7 @@
 
 type ownGate coordination.Instance
 
-func (g ownGate) Place(uint64) coordination.Instance { return coordination.Instance(g) }
+func (g ownGate) OwnerOfHash(uint64) coordination.Instance { return coordination.Instance(g) }
 
 // loop updates the router's list repeatedly, each time delayed by lag.
 func (r *router) loop(ctx context.Context, lag time.Duration) {
@@ -302,7 +302,7 @@
 func (r *router) acquire(ctx context.Context, f *TrackedRequest, j job, avoid []coordination.Endpoint) (*placement.Grant, Refusal) {
 	for {
 		alone := f.Alone()
-		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: simPool, Key: j.key, Alone: alone, Avoid: avoid})
+		g, _ := r.entry.Acquire(ctx, placement.Request{Pool: simPool, Key: j.key, Isolated: alone, Avoid: avoid})
 		if g == nil {
 			return nil, Refusal{}
 		}
--- a/wisteriarouter/daemon/abuse_test.go
+++ b/wisteriarouter/daemon/abuse_test.go
@@ -46,7 +46,7 @@
 // each would hold memory for ever, and enough of them would lock others out.
 // They are cut off, and ordinary callers notice nothing meanwhile.
 func TestSlowHeadersAreCutOff(t *testing.T) {
-	w := newWorld(t, 1, 1)
+	w := newTestCluster(t, 1, 1)
 	drippers := make([]*dripper, 100)
 	var wg sync.WaitGroup
 	for n := range drippers {
@@ -65,7 +65,7 @@
 }
 
 // checkRefused checks that an answer is a typed refusal that claims no run.
-func (a answer) checkRefused(t *testing.T, status int, code outcome.Code) {
+func (a response) checkRefused(t *testing.T, status int, code outcome.Code) {
 	t.Helper()
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, status, a.body)
@@ -80,7 +80,7 @@
 // A caller sends bodies and headers that no router should take in. It is told
 // so, and no endpoint sees any of it.
 func TestOversizedAndMalformedRequests(t *testing.T) {
-	w := newWorld(t, 1, 1)
+	w := newTestCluster(t, 1, 1)
 	before := w.arrivals()
 	large := `{"model":"m","messages":[{"role":"user","content":"` + strings.Repeat("x", 1<<20+1<<16) + `"}]}`
 	w.post(t.Context(), 0, "/v1/chat/completions", large).checkRefused(t, http.StatusRequestEntityTooLarge, outcome.TooLarge)
@@ -99,7 +99,7 @@
 // the engine, and its place is free again: more callers go than there are
 // places, and the next one is served.
 func TestCallersThatGoAwayFreeTheirPlaces(t *testing.T) {
-	w := newWorld(t, 1, 1)
+	w := newTestCluster(t, 1, 1)
 	w.engines[0].SetFaults(standinengine.Faults{Slow: 20})
 	const gone = 20
 	for range gone {
@@ -119,7 +119,7 @@
 }
 
 // goAway asks for a stream and closes the connection once it has begun.
-func (w *world) goAway() {
+func (w *testCluster) goAway() {
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a long answer please"}]}`
 	conn, err := net.Dial("tcp", w.routers[0].CallersAddress())
 	assert.NilError(w.t, err)
--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -45,7 +45,7 @@
 	})
 	return &service.Runner{
 		Plans:   do.MustInvoke[*teams](i),
-		Placer:  do.MustInvoke[*placing](i),
+		Placer:  do.MustInvoke[*placer](i),
 		Retries: do.MustInvoke[*teamRetries](i),
 		Client:  client,
 		Ledger:  ledger,
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -26,7 +26,7 @@
 	st := stateOf(i)
 	return &caller.Server{
 		Teams:    do.MustInvoke[*teams](i),
-		Placer:   do.MustInvoke[*placing](i),
+		Placer:   do.MustInvoke[*placer](i),
 		Engines:  do.MustInvoke[*engine.Client](i),
 		Suspects: do.MustInvoke[*suspects](i),
 		Retries:  do.MustInvoke[*teamRetries](i),
--- a/wisteriarouter/daemon/collector.go
+++ b/wisteriarouter/daemon/collector.go
@@ -57,15 +57,15 @@
 		"Connections with other routers.", nil, nil)
 	peerDropped = prometheus.NewDesc("wisteria_peer_messages_dropped_total",
 		"Gossip messages that a slow peer's full queue did not take.", nil, nil)
-	peerBusy = prometheus.NewDesc("wisteria_peer_calls_refused_total",
+	peerCallsRefused = prometheus.NewDesc("wisteria_peer_calls_refused_total",
 		"Calls of other routers that were turned away.", nil, nil)
-	peerShed = prometheus.NewDesc("wisteria_rumors_shed_total",
+	rumorsShed = prometheus.NewDesc("wisteria_rumors_shed_total",
 		"Soft rumours dropped to stay under the byte budget.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (c *peerCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{peerBytes, peerMessages, peerMembers, peerConns, peerShed, peerDropped, peerBusy} {
+	for _, d := range []*prometheus.Desc{peerBytes, peerMessages, peerMembers, peerConns, rumorsShed, peerDropped, peerCallsRefused} {
 		ch <- d
 	}
 }
@@ -86,6 +86,6 @@
 	}
 	ch <- prometheus.MustNewConstMetric(peerConns, prometheus.GaugeValue, float64(s.Conns))
 	ch <- prometheus.MustNewConstMetric(peerDropped, prometheus.CounterValue, float64(s.Dropped))
-	ch <- prometheus.MustNewConstMetric(peerBusy, prometheus.CounterValue, float64(s.Busy))
-	ch <- prometheus.MustNewConstMetric(peerShed, prometheus.CounterValue, float64(s.Membership.RumorsShed))
+	ch <- prometheus.MustNewConstMetric(peerCallsRefused, prometheus.CounterValue, float64(s.Busy))
+	ch <- prometheus.MustNewConstMetric(rumorsShed, prometheus.CounterValue, float64(s.Membership.RumorsShed))
 }
--- a/wisteriarouter/daemon/daemon.go
+++ b/wisteriarouter/daemon/daemon.go
@@ -19,34 +19,34 @@
 
 // Daemon is a running router.
 type Daemon struct {
-	injector do.Injector
-	cleanups *cleanups
-	servers  *servers
-	state    *state
-	log      event.Log
-	logger   *logrus.Logger
-	stopLog  func()
-	within   time.Duration // longest shutdown
-	delay    time.Duration // for which new requests are served in a shutdown
+	injector   do.Injector
+	cleanups   *cleanups
+	servers    *servers
+	state      *state
+	log        event.Log
+	logger     *logrus.Logger
+	stopLog    func()
+	stopWithin time.Duration // longest shutdown
+	stopDelay  time.Duration // for which new requests are served in a shutdown
 }
 
 // state is what all parts of a router may ask about its life.
 type state struct {
-	instance    coordination.Instance
-	incarnation coordination.Incarnation
-	started     time.Time
-	ready       atomic.Bool               // has settings and endpoints
-	leaving     atomic.Bool               // told the balancer and the other routers so
-	stopping    atomic.Bool               // refuses new requests
-	ends        atomic.Pointer[time.Time] // by when what is in flight is cut off; nil before stopping
-	end         context.Context           // done when what is in flight has to be answered
-	endNow      context.CancelFunc        // ends it
-	inFlight    func() int                // requests of callers; set before the listeners serve
+	instance     coordination.Instance
+	incarnation  coordination.Incarnation
+	started      time.Time
+	ready        atomic.Bool               // has settings and endpoints
+	leaving      atomic.Bool               // told the balancer and the other routers so
+	stopping     atomic.Bool               // refuses new requests
+	stopDeadline atomic.Pointer[time.Time] // by when what is in flight is cut off; nil before stopping
+	drainCtx     context.Context           // done when what is in flight has to be answered
+	cancelDrain  context.CancelFunc        // ends it
+	inFlight     func() int                // requests of callers; set before the listeners serve
 }
 
-// left returns how long a router that is stopping still serves; false before.
-func (s *state) left() (time.Duration, bool) {
-	ends := s.ends.Load()
+// remaining returns how long a router that is stopping still serves; false before.
+func (s *state) remaining() (time.Duration, bool) {
+	ends := s.stopDeadline.Load()
 	if ends == nil {
 		return 0, false
 	}
@@ -100,21 +100,21 @@
 	writer, stopLog := event.NewWriter(logs)
 	logger := newLogger(cfg.Log, writer)
 	d := &Daemon{
-		logger:   logger,
-		stopLog:  stopLog,
-		injector: do.New(),
-		cleanups: &cleanups{},
-		log:      event.NewLog(logger, event.F("router", cfg.Instance)),
-		within:   cfg.Limits.StopWithin,
-		delay:    min(cfg.Limits.StopDelay, cfg.Limits.StopWithin/2),
+		logger:     logger,
+		stopLog:    stopLog,
+		injector:   do.New(),
+		cleanups:   &cleanups{},
+		log:        event.NewLog(logger, event.F("router", cfg.Instance)),
+		stopWithin: cfg.Limits.StopWithin,
+		stopDelay:  min(cfg.Limits.StopDelay, cfg.Limits.StopWithin/2),
 		state: &state{
 			instance:    cfg.Instance,
 			incarnation: coordination.Incarnation(now.UnixMilli()),
 			started:     now,
 		},
 	}
-	d.state.end, d.state.endNow = context.WithCancel(context.Background())
-	d.cleanups.add(d.state.endNow)
+	d.state.drainCtx, d.state.cancelDrain = context.WithCancel(context.Background())
+	d.cleanups.add(d.state.cancelDrain)
 	do.ProvideValue(d.injector, cfg)
 	do.ProvideValue(d.injector, d.log)
 	do.ProvideValue(d.injector, d.state)
@@ -187,15 +187,15 @@
 		return 0
 	}
 	d.log.Emit(event.Stopping)
-	ctx, cancel := context.WithTimeout(context.Background(), d.within)
+	ctx, cancel := context.WithTimeout(context.Background(), d.stopWithin)
 	defer cancel()
 	d.servers.leave(ctx)
 	// The balancer goes on sending requests until it has seen that this router
 	// is not ready. They are served, so that its callers notice nothing.
-	time.Sleep(d.delay)
+	time.Sleep(d.stopDelay)
 	if end, ok := ctx.Deadline(); ok {
-		d.state.ends.Store(&end)
-		defer time.AfterFunc(time.Until(end.Add(-answerReserve)), d.state.endNow).Stop()
+		d.state.stopDeadline.Store(&end)
+		defer time.AfterFunc(time.Until(end.Add(-answerReserve)), d.state.cancelDrain).Stop()
 	}
 	d.state.stopping.Store(true)
 	left := d.servers.drain(ctx)
--- a/wisteriarouter/daemon/daemon_test.go
+++ b/wisteriarouter/daemon/daemon_test.go
@@ -35,8 +35,8 @@
 non-idempotent = confirm
 `
 
-// world is a platform, engines, a service and routers on loopback.
-type world struct {
+// testCluster is a platform, engines, a service and routers on loopback.
+type testCluster struct {
 	t        testing.TB
 	platform *standinplatform.Server
 	address  string
@@ -48,11 +48,11 @@
 	logs     *logs
 }
 
-func newWorld(t testing.TB, routers, engines int) *world {
-	return buildWorld(&world{t: t, refresh: 100 * time.Millisecond, logs: &logs{}}, routers, engines)
+func newTestCluster(t testing.TB, routers, engines int) *testCluster {
+	return startTestCluster(&testCluster{t: t, refresh: 100 * time.Millisecond, logs: &logs{}}, routers, engines)
 }
 
-func buildWorld(w *world, routers, engines int) *world {
+func startTestCluster(w *testCluster, routers, engines int) *testCluster {
 	t := w.t
 	var closePlatform func()
 	w.platform, closePlatform = standinplatform.New(standinplatform.Options{})
@@ -77,14 +77,14 @@
 
 func engineID(n int) string { return fmt.Sprintf("e%d", n+1) }
 
-func (w *world) serve(h http.Handler) string {
+func (w *testCluster) serve(h http.Handler) string {
 	s := httptest.NewServer(h)
 	w.t.Cleanup(s.CloseClientConnections)
 	w.t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func (w *world) addEngine(id string) {
+func (w *testCluster) addEngine(id string) {
 	e, stop := standinengine.New(standinengine.Options{ID: id, Step: 5 * time.Millisecond, Restart: restart})
 	w.t.Cleanup(stop)
 	w.engines = append(w.engines, e)
@@ -94,7 +94,7 @@
 	})
 }
 
-func (w *world) addService() {
+func (w *testCluster) addService() {
 	s, stop := standinservice.New(standinservice.Options{ID: "s1"})
 	w.t.Cleanup(stop)
 	w.service = s
@@ -104,7 +104,7 @@
 	})
 }
 
-func (w *world) addRouter(n int) {
+func (w *testCluster) addRouter(n int) {
 	seeds := ""
 	if n > 1 {
 		seeds = "[peers]\nseeds = " + w.routers[0].PeersAddress() + "\n"
@@ -144,7 +144,7 @@
 }
 
 // put writes the team's settings as an operator does.
-func (w *world) put(text string) {
+func (w *testCluster) put(text string) {
 	c, closeClient, err := platform.New(platform.Config{Endpoints: []string{"http://" + w.address}})
 	assert.NilError(w.t, err)
 	defer closeClient()
@@ -157,7 +157,7 @@
 }
 
 // awaitReady waits until a router answers the team's requests.
-func (w *world) awaitReady(n int) {
+func (w *testCluster) awaitReady(n int) {
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
 		a := w.chat(w.t.Context(), n, "ready?")
 		if a.status == http.StatusOK {
@@ -167,15 +167,15 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is what a caller got.
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (w *world) post(ctx context.Context, n int, path, body string, headers ...string) answer {
+func (w *testCluster) post(ctx context.Context, n int, path, body string, headers ...string) response {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.routers[n].CallersAddress()+path, strings.NewReader(body))
 	assert.NilError(w.t, err)
 	req.Header.Set("Content-Type", "application/json")
@@ -186,19 +186,19 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
-	return answer{status: res.StatusCode, header: res.Header, body: string(text), err: err}
+	return response{status: res.StatusCode, header: res.Header, body: string(text), err: err}
 }
 
-func (w *world) chat(ctx context.Context, n int, content string) answer {
+func (w *testCluster) chat(ctx context.Context, n int, content string) response {
 	return w.post(ctx, n, "/v1/chat/completions", fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}]}`, content))
 }
 
 // arrivals returns how many requests have reached the engines.
-func (w *world) arrivals() int {
+func (w *testCluster) arrivals() int {
 	n := 0
 	for _, e := range w.engines {
 		n += e.Stats().Arrivals
@@ -206,7 +206,7 @@
 	return n
 }
 
-func (w *world) awaitArrivals(n int) {
+func (w *testCluster) awaitArrivals(n int) {
 	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
 		if w.arrivals() >= n {
 			return poll.Success()
@@ -215,23 +215,23 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func expected(content string) string {
+func expectedAnswer(content string) string {
 	return standinengine.Answer([]standinengine.Message{{Role: "user", Content: standinengine.Content(content)}}, 0)
 }
 
-// talk is one chat of a concurrent run.
-type talk struct {
-	world   *world
+// retryingChat is one chat of a concurrent run.
+type retryingChat struct {
+	cluster *testCluster
 	router  int
 	content string
-	result  *answer
+	result  *response
 }
 
 // run asks until the request is no longer refused. A refusal tells that nothing
 // ran and when to come back, so that asking again is safe.
-func (c talk) run() {
+func (c retryingChat) run() {
 	for {
-		*c.result = c.world.chat(c.world.t.Context(), c.router, c.content)
+		*c.result = c.cluster.chat(c.cluster.t.Context(), c.router, c.content)
 		if c.result.status != http.StatusTooManyRequests || c.result.header.Get("X-Outcome") != "not-run" {
 			return
 		}
@@ -239,13 +239,13 @@
 	}
 }
 
-func TestWholePath(t *testing.T) {
-	w := newWorld(t, 3, 3)
+func TestChatAndActionEndToEnd(t *testing.T) {
+	w := newTestCluster(t, 3, 3)
 	a := w.chat(t.Context(), 0, "a quote for 300 copies")
 	assert.Equal(t, a.status, 200, a.body)
 	assert.Equal(t, a.header.Get("X-Outcome"), "ran")
 	assert.Assert(t, a.header.Get("X-Route-Hint") != "")
-	assert.Assert(t, strings.Contains(a.body, strings.TrimSpace(expected("a quote for 300 copies"))), a.body)
+	assert.Assert(t, strings.Contains(a.body, strings.TrimSpace(expectedAnswer("a quote for 300 copies"))), a.body)
 
 	key := uuid.Must(uuid.NewV7()).String()
 	first := w.post(t.Context(), 0, "/v1/services/order-desk/confirm", `{"key":"1"}`, "Idempotency-Key", key)
@@ -258,14 +258,14 @@
 
 // A router and then an engine are stopped as planned while many answers are on
 // their way. No caller notices: each answer arrives whole.
-func TestGracefulStopsCutOffNothing(t *testing.T) {
-	w := newWorld(t, 3, 3)
+func TestGracefulStopsCompleteInFlightChats(t *testing.T) {
+	w := newTestCluster(t, 3, 3)
 	const chats = 60
 	before := w.arrivals()
-	results := make([]answer, chats)
+	results := make([]response, chats)
 	var wg sync.WaitGroup
 	for n := range chats {
-		c := talk{world: w, router: n % 3, content: fmt.Sprintf("chat %d", n), result: &results[n]}
+		c := retryingChat{cluster: w, router: n % 3, content: fmt.Sprintf("chat %d", n), result: &results[n]}
 		if n >= chats/2 && c.router == 1 {
 			c.router = 2 // the balancer has seen that router 2 is not ready
 		}
@@ -282,14 +282,14 @@
 	for n, a := range results {
 		assert.NilError(t, a.err)
 		assert.Equal(t, a.status, 200, a.body)
-		assert.Assert(t, strings.Contains(a.body, strings.TrimSpace(expected(fmt.Sprintf("chat %d", n)))))
+		assert.Assert(t, strings.Contains(a.body, strings.TrimSpace(expectedAnswer(fmt.Sprintf("chat %d", n)))))
 	}
 }
 
 // The address is taken, by a second router on the same instance for example.
 // Starting fails with the reason at once.
 func TestAddressInUse(t *testing.T) {
-	w := newWorld(t, 1, 1)
+	w := newTestCluster(t, 1, 1)
 	text := fmt.Sprintf("[router]\ninstance = r9\navailability-zone = a\n[listen]\ncallers = %s\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n[platform]\nkv = %s\ninstances = %s\n[log]\nlevel = error\n",
 		w.routers[0].CallersAddress(), w.address, w.address)
 	cfg, problems := config.Parse("test.ini", []byte(text))
--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -19,11 +19,11 @@
 	reach    *peer.Reach
 	ownerCap int
 
-	mu        sync.Mutex
-	answering []membership.Member // of which the others are made
-	all       []placement.Router
-	owning    []placement.Router // those that may own endpoints
-	snapshot  *placement.Routers // of owning
+	mu           sync.Mutex
+	members      []membership.Member // of which the others are made
+	all          []placement.Router
+	ownerRouters []placement.Router // those that may own endpoints
+	snapshot     *placement.Routers // of owning
 }
 
 func newFleet(i do.Injector) (*fleet, error) {
@@ -50,16 +50,16 @@
 // refresh takes in a change. The caller holds f.mu.
 func (f *fleet) refresh() {
 	members := f.reach.Answering()
-	if f.snapshot != nil && membership.SameList(members, f.answering) {
+	if f.snapshot != nil && membership.SameList(members, f.members) {
 		return
 	}
-	f.answering = members
+	f.members = members
 	all := lo.Map(members, routerOf)
 	owning := lo.FilterMap(members, func(m membership.Member, i int) (placement.Router, bool) { return all[i], m.Owner })
-	if f.snapshot != nil && slices.Equal(all, f.all) && slices.Equal(owning, f.owning) {
+	if f.snapshot != nil && slices.Equal(all, f.all) && slices.Equal(owning, f.ownerRouters) {
 		return
 	}
-	f.all, f.owning, f.snapshot = all, owning, placement.NewRouters(owning, f.ownerCap)
+	f.all, f.ownerRouters, f.snapshot = all, owning, placement.NewRouters(owning, f.ownerCap)
 }
 
 // routerOf leaves out the incarnation: a router that was frozen returns with a
--- a/wisteriarouter/daemon/fleet_bench_test.go
+++ b/wisteriarouter/daemon/fleet_bench_test.go
@@ -43,12 +43,12 @@
 func benchEngines(routers int) int { return routers * 890 / 330 }
 
 func benchFleet(b *testing.B, size, rate int) {
-	w := buildWorld(&world{t: b, refresh: time.Second, logs: &logs{}}, size, benchEngines(size))
+	w := startTestCluster(&testCluster{t: b, refresh: time.Second, logs: &logs{}}, size, benchEngines(size))
 	time.Sleep(benchSettle)
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
 	for n := range size {
-		l := load{world: w, router: n, rate: rate}
+		l := loadGenerator{cluster: w, router: n, rate: rate}
 		wg.Go(func() { l.run(ctx) })
 	}
 	before, calls, used := w.counters(), w.platform.Calls(), processTime()
@@ -68,14 +68,14 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// load asks a router for short answers at a steady rate.
-type load struct {
-	world  *world
-	router int
-	rate   int
+// loadGenerator asks a router for short answers at a steady rate.
+type loadGenerator struct {
+	cluster *testCluster
+	router  int
+	rate    int
 }
 
-func (l load) run(ctx context.Context) {
+func (l loadGenerator) run(ctx context.Context) {
 	if l.rate == 0 {
 		return
 	}
@@ -89,19 +89,19 @@
 			return
 		case <-t.C:
 		}
-		q := question{load: l, n: n}
+		q := loadRequest{loadGenerator: l, n: n}
 		wg.Go(q.run)
 	}
 }
 
-// question is one request of a load.
-type question struct {
-	load
+// loadRequest is one request of a load.
+type loadRequest struct {
+	loadGenerator
 	n int
 }
 
-func (q question) run() {
-	q.world.chat(context.Background(), q.router, fmt.Sprintf("chat %d of router %d", q.n, q.router))
+func (q loadRequest) run() {
+	q.cluster.chat(context.Background(), q.router, fmt.Sprintf("chat %d of router %d", q.n, q.router))
 }
 
 // counters are sums over all routers.
@@ -112,7 +112,7 @@
 	gossip    float64 // bytes of membership and rumours
 }
 
-func (w *world) counters() counters {
+func (w *testCluster) counters() counters {
 	var c counters
 	for _, r := range w.routers {
 		res, err := http.Get("http://" + r.OperatorsAddress() + "/metrics")
--- a/wisteriarouter/daemon/leave_test.go
+++ b/wisteriarouter/daemon/leave_test.go
@@ -24,8 +24,8 @@
 	messages []standinengine.Message
 }
 
-// reply is what is read of an answer.
-type reply struct {
+// completion is what is read of an answer.
+type completion struct {
 	Choices []struct {
 		Message standinengine.Message `json:"message"`
 	} `json:"choices"`
@@ -36,9 +36,9 @@
 	} `json:"usage"`
 }
 
-// say has a conversation go on through a router, and returns the engine that
+// sendTurn has a conversation go on through a router, and returns the engine that
 // answered and how many tokens of the prompt it had cached.
-func (w *world) say(n int, c *conversation, words int) (engine string, cached int) {
+func (w *testCluster) sendTurn(n int, c *conversation, words int) (engine string, cached int) {
 	w.t.Helper()
 	text := strings.Repeat(fmt.Sprintf("%s.%d ", c.id, len(c.messages)), words)
 	c.messages = append(c.messages, standinengine.Message{Role: "user", Content: standinengine.Content(text)})
@@ -47,7 +47,7 @@
 	a := w.post(w.t.Context(), n, "/v1/chat/completions", string(body), "X-Chat-Id", c.id, "X-Route-Hint", c.hint)
 	assert.NilError(w.t, a.err)
 	assert.Equal(w.t, a.status, http.StatusOK, a.body)
-	var r reply
+	var r completion
 	assert.NilError(w.t, json.Unmarshal([]byte(a.body), &r))
 	assert.Equal(w.t, string(r.Choices[0].Message.Content), standinengine.Answer(c.messages, 16))
 	c.messages = append(c.messages, r.Choices[0].Message)
@@ -59,12 +59,12 @@
 // An engine leaves as planned, and the chats that it has served return through
 // any router. Their users would wait for the first token, and their accounts
 // would be billed for the whole prompt again.
-func TestChatsStayWarmBehindPlannedLeave(t *testing.T) {
-	w := newWorld(t, 3, 3)
+func TestChatsStayCachedAfterPlannedLeave(t *testing.T) {
+	w := newTestCluster(t, 3, 3)
 	there := make([]*conversation, 0)
 	for n := range 24 {
 		c := &conversation{id: fmt.Sprintf("quote-%d", n)}
-		if engine, _ := w.say(n%3, c, 320); engine == engineID(0) {
+		if engine, _ := w.sendTurn(n%3, c, 320); engine == engineID(0) {
 			there = append(there, c)
 		}
 	}
@@ -80,7 +80,7 @@
 	// which is cold. On a busy machine that may happen to one now and then.
 	first := 0
 	for n, c := range there {
-		engine, cached := w.say(n%3, c, 4)
+		engine, cached := w.sendTurn(n%3, c, 4)
 		assert.Assert(t, engine != engineID(0))
 		if engine == firstOf(c, engineID(1), engineID(2)) {
 			first++
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -14,8 +14,8 @@
 // An engine begins to stop, and the platform's list goes on showing it as live.
 // Only one router reads its word. If the others did not hear of it, requests
 // would reach it until it is gone, and be refused or cut off there.
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
-	w := newWorld(t, 3, 3)
+func TestLeavingEngineReceivesNoNewRequests(t *testing.T) {
+	w := newTestCluster(t, 3, 3)
 	done := make(chan struct{})
 	var others sync.WaitGroup
 	beside := make([]*innocents, len(w.routers))
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -14,41 +14,43 @@
 // this router has seen elsewhere in the pool, and has the grant tell the
 // endpoint's owner.
 type observer struct {
-	watch *outlier.Monitor
-	grant *placement.Grant
-	sight outlier.Request
-	told  atomic.Bool // that the answer is overdue; an attempt speaks once
+	monitor  *outlier.Monitor
+	grant    *placement.Grant
+	request  outlier.Request
+	reported atomic.Bool // that the answer is overdue; an attempt speaks once
 }
 
 // Answered implements relay.Observer.
-func (o *observer) Answered(took time.Duration) { o.watch.RecordFirstByte(time.Now(), o.sight, took) }
+func (o *observer) Answered(took time.Duration) {
+	o.monitor.RecordFirstByte(time.Now(), o.request, took)
+}
 
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
-	if o.told.Swap(true) {
+	if o.reported.Swap(true) {
 		return o.grant.ReportEvidence(ctx, 0)
 	}
-	return o.grant.ReportEvidence(ctx, o.watch.RecordFailure(time.Now(), o.sight))
+	return o.grant.ReportEvidence(ctx, o.monitor.RecordFailure(time.Now(), o.request))
 }
 
 // Served implements relay.Observer.
 func (o *observer) Served() {
-	if !o.told.Swap(true) {
-		o.grant.RecordEvidence(o.watch.RecordSuccess(time.Now(), o.sight))
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordSuccess(time.Now(), o.request))
 	}
 }
 
 // Failed implements relay.Observer.
 func (o *observer) Failed() {
-	if !o.told.Swap(true) {
-		o.grant.RecordEvidence(o.watch.RecordFailure(time.Now(), o.sight))
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordFailure(time.Now(), o.request))
 	}
 }
 
 // outlierLogger logs that an endpoint is taken out for its failures, or back.
 type outlierLogger struct{ log event.Log }
 
-func (l outlierLogger) tell(j placement.OutlierChange) {
+func (l outlierLogger) logChange(j placement.OutlierChange) {
 	l.log.Emit(event.EndpointOutlier,
 		event.F("endpoint", j.Endpoint), event.F("incarnation", j.Incarnation), event.F("pool", j.Pool),
 		event.F("zone", j.Zone), event.F("standing", j.Standing.String()),
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -30,7 +30,7 @@
 		teams:     t,
 		node:      node,
 		directory: do.MustInvoke[*endpoint.Directory](i),
-		placing:   do.MustInvoke[*placing](i),
+		placing:   do.MustInvoke[*placer](i),
 	}
 	s := &operator.Server{
 		Self:    st.state.instance,
@@ -66,7 +66,7 @@
 	teams     *teams
 	node      *peer.Node
 	directory *endpoint.Directory
-	placing   *placing
+	placing   *placer
 }
 
 func (s *status) report() operator.Status {
@@ -104,6 +104,6 @@
 		State:    k.State.String(),
 		Running:  s.placing.running(k.ID),
 		Capacity: k.Capacity,
-		Owner:    s.placing.view.Load().Owner(k.ID, k.Zone),
+		Owner:    s.placing.routers.Load().Owner(k.ID, k.Zone),
 	}
 }
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -26,7 +26,7 @@
 type orders struct {
 	self      coordination.Instance
 	teams     *teams
-	placing   *placing
+	placing   *placer
 	directory *endpoint.Directory
 }
 
@@ -34,7 +34,7 @@
 	o := &orders{
 		self:      stateOf(i).instance,
 		teams:     do.MustInvoke[*teams](i),
-		placing:   do.MustInvoke[*placing](i),
+		placing:   do.MustInvoke[*placer](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 	}
 	given := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -71,7 +71,7 @@
 // Duties implements order.Pools: the pools of which this router is the root and
 // for which some team has set anything to load.
 func (o *orders) Duties() []coordination.Pool {
-	view := o.placing.view.Load()
+	view := o.placing.routers.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
 		return view.Root(p, nobody) == o.self && len(o.Plan(p)) > 0
 	})
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -27,7 +27,7 @@
 	do.Provide(i, newPlatform)
 	do.Provide(i, newEngines)
 	do.Provide(i, newDirectory)
-	do.Provide(i, newPlacing)
+	do.Provide(i, newPlacer)
 	do.Provide(i, newTeams)
 	do.Provide(i, newTeamRetries)
 	do.Provide(i, newActions)
@@ -144,14 +144,14 @@
 	return c, nil
 }
 
-// listPause is the time between two reads of the list of instances by any
+// minListInterval is the time between two reads of the list of instances by any
 // router of the fleet: the platform's rates do not grow as the fleet does.
 // Leaving endpoints are known sooner, from their own word and from rumours.
-const listPause = 10 * time.Millisecond
+const minListInterval = 10 * time.Millisecond
 
-// refreshEvery returns how often one of so many routers reads the list.
-func refreshEvery(configured time.Duration, routers int) time.Duration {
-	return max(configured, time.Duration(routers)*listPause)
+// refreshInterval returns how often one of so many routers reads the list.
+func refreshInterval(configured time.Duration, routers int) time.Duration {
+	return max(configured, time.Duration(routers)*minListInterval)
 }
 
 // newDirectory makes the directory of endpoints and keeps it fresh. What one
@@ -165,7 +165,7 @@
 	r := &endpoint.Refresher{
 		Directory: d,
 		Lister:    do.MustInvoke[*platform.Client](i),
-		Interval:  func() time.Duration { return refreshEvery(cfg.Platform.Refresh, len(node.Members())) },
+		Interval:  func() time.Duration { return refreshInterval(cfg.Platform.Refresh, len(node.Members())) },
 		Log:       logOf(i),
 	}
 	onStop(i, r.Start(context.Background()))
@@ -174,7 +174,7 @@
 
 // newReach makes what notices routers that do not answer.
 func newReach(i do.Injector) (*peer.Reach, error) {
-	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.told)
+	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
 	onStop(i, cleanup)
 	return r, nil
 }
@@ -182,7 +182,7 @@
 // reachLogger logs that a router has gone away or is back.
 type reachLogger struct{ log event.Log }
 
-func (l reachLogger) told(id coordination.Instance, away bool) {
+func (l reachLogger) logChange(id coordination.Instance, away bool) {
 	kind := event.PeerBack
 	if away {
 		kind = event.PeerAway
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -21,25 +21,25 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// placing joins the decisions of placement with what the router knows of
+// placer joins the decisions of placement with what the router knows of
 // endpoints and of other routers.
-type placing struct {
-	self      coordination.Instance
-	fleet     *fleet
-	directory *endpoint.Directory
-	node      *peer.Node
-	reach     *peer.Reach
-	owner     *placement.Owner
-	entry     *placement.Entry
-	changes   chan struct{} // a sign that lists have changed
-	polls     chan struct{} // a sign to read the loads at once; nil if they are not read
-	view      atomic.Pointer[placement.Routers]
-	tuning    atomic.Pointer[tuning]
-	reports   sync.Map // by endpoint, the last load that each owned endpoint reported
-	lives     lives
-	losses    losses
-	started   time.Time
-	alone     bool // it had to meet the other routers first
+type placer struct {
+	self         coordination.Instance
+	fleet        *fleet
+	directory    *endpoint.Directory
+	node         *peer.Node
+	reach        *peer.Reach
+	owner        *placement.Owner
+	entry        *placement.Entry
+	changes      chan struct{} // a sign that lists have changed
+	pollNow      chan struct{} // a sign to read the loads at once; nil if they are not read
+	routers      atomic.Pointer[placement.Routers]
+	settings     atomic.Pointer[placementSettings]
+	reports      sync.Map // by endpoint, the last load that each owned endpoint reported
+	incarnations incarnationMap
+	recentLosses recentLosses
+	started      time.Time
+	hasSeeds     bool // it had to meet the other routers first
 
 	updating  sync.Mutex       // held by update; guards the fields below
 	roster    placement.Roster // damps endpoints that come and go
@@ -48,75 +48,75 @@
 	observers []func(all []endpoint.Known)
 }
 
-func newPlacing(i do.Injector) (*placing, error) {
+func newPlacer(i do.Injector) (*placer, error) {
 	cfg := settingsOf(i)
 	engines := do.MustInvoke[*engine.Client](i)
 	loads := loadReader{directory: do.MustInvoke[*endpoint.Directory](i), engines: engines}
-	p := buildPlacing(i, loads, placement.Config{})
-	p.polls = make(chan struct{}, 1)
-	p.alone = len(cfg.Peers.Seeds) > 0
-	p.watch()
-	p.poll(i, engines, cfg.Limits.LoadInterval)
-	p.drive(i)
+	p := buildPlacer(i, loads, placement.Config{})
+	p.pollNow = make(chan struct{}, 1)
+	p.hasSeeds = len(cfg.Peers.Seeds) > 0
+	p.watchLists()
+	p.startPoller(i, engines, cfg.Limits.LoadInterval)
+	p.startLoop(i)
 	return p, nil
 }
 
-// buildPlacing makes placing with the lists as they are now. Loads may be nil,
+// buildPlacer makes placing with the lists as they are now. Loads may be nil,
 // if endpoints are not asked for theirs.
-func buildPlacing(i do.Injector, loads placement.LoadReader, tuned placement.Config) *placing {
+func buildPlacer(i do.Injector, loads placement.LoadReader, config placement.Config) *placer {
 	cfg := settingsOf(i)
 	st := stateOf(i)
-	p := &placing{
-		self:      cfg.Instance,
-		fleet:     do.MustInvoke[*fleet](i),
-		directory: do.MustInvoke[*endpoint.Directory](i),
-		node:      do.MustInvoke[*peer.Node](i),
-		reach:     do.MustInvoke[*peer.Reach](i),
-		owner:     placement.NewOwner(cfg.Instance, tuned),
-		changes:   make(chan struct{}, 1),
-		lives:     lives{},
-		started:   st.started,
+	p := &placer{
+		self:         cfg.Instance,
+		fleet:        do.MustInvoke[*fleet](i),
+		directory:    do.MustInvoke[*endpoint.Directory](i),
+		node:         do.MustInvoke[*peer.Node](i),
+		reach:        do.MustInvoke[*peer.Reach](i),
+		owner:        placement.NewOwner(cfg.Instance, config),
+		changes:      make(chan struct{}, 1),
+		incarnations: incarnationMap{},
+		started:      st.started,
 	}
 	id := placement.EntryID{Instance: cfg.Instance, Incarnation: st.incarnation}
-	p.owner.OnOutlier(outlierLogger{logOf(i)}.tell)
-	p.entry = placement.NewEntry(id, p.owner, p.reach, loads, tuned)
-	p.tuning.Store(newTuning(nil))
+	p.owner.OnOutlier(outlierLogger{logOf(i)}.logChange)
+	p.entry = placement.NewEntry(id, p.owner, p.reach, loads, config)
+	p.settings.Store(newPlacementSettings(nil))
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(&placementCollector{owner: p.owner})
-	p.handle()
+	p.registerHandlers()
 	p.update()
 	return p
 }
 
-// watch has placing follow the lists.
-func (p *placing) watch() {
-	p.node.OnChange(func([]membership.Member) { p.changed() })
-	p.reach.Watch(p.changed)
-	p.directory.Watch(p.changed)
+// watchLists has placing follow the lists.
+func (p *placer) watchLists() {
+	p.node.OnChange(func([]membership.Member) { p.signalChange() })
+	p.reach.Watch(p.signalChange)
+	p.directory.Watch(p.signalChange)
 }
 
-// poll has placing follow the loads that endpoints report.
-func (p *placing) poll(i do.Injector, engines *engine.Client, interval time.Duration) {
+// startPoller has placing follow the loads that endpoints report.
+func (p *placer) startPoller(i do.Injector, engines *engine.Client, interval time.Duration) {
 	poller := &endpoint.Poller{
 		Directory: p.directory,
 		Loads:     engines,
 		Interval:  interval,
-		Soon:      p.polls,
+		Soon:      p.pollNow,
 		Owned:     p.owns,
-		OnLoad:    p.report,
+		OnLoad:    p.recordLoad,
 	}
 	onStop(i, poller.Start(context.Background()))
 }
 
-// drive has placing do what changes and time bring about.
-func (p *placing) drive(i do.Injector) {
+// startLoop has placing do what changes and time bring about.
+func (p *placer) startLoop(i do.Injector) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.loop(ctx)
 	onStop(i, cancel)
 	onStop(i, placement.Start(p.owner, p.entry))
 }
 
-// handle registers the owner's part of the protocol between routers.
-func (p *placing) handle() {
+// registerHandlers registers the owner's part of the protocol between routers.
+func (p *placer) registerHandlers() {
 	own := func(fn func(context.Context, []byte) ([]byte, error)) peer.Handler {
 		return func(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 			return fn(ctx, payload)
@@ -128,17 +128,17 @@
 	p.node.Handle(placement.TopicSum, own(p.owner.HandleSum))
 }
 
-// changed notes that a list has changed. Many changes at once lead to one
+// signalChange notes that a list has signalChange. Many changes at once lead to one
 // update.
-func (p *placing) changed() {
+func (p *placer) signalChange() {
 	select {
 	case p.changes <- struct{}{}:
 	default:
 	}
 }
 
-func (p *placing) loop(ctx context.Context) {
-	t := time.NewTicker(steadyInterval)
+func (p *placer) loop(ctx context.Context) {
+	t := time.NewTicker(rosterInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -153,22 +153,22 @@
 	}
 }
 
-// steadyInterval is how often it is looked whether an endpoint that came and
+// rosterInterval is how often it is looked whether an endpoint that came and
 // went has been steady for long enough to get its share of chats again.
-const steadyInterval = 15 * time.Second
+const rosterInterval = 15 * time.Second
 
 // observe has fn called with the list of endpoints now and, before requests are
 // placed by it, with each that differs.
-func (p *placing) observe(fn func(all []endpoint.Known)) {
+func (p *placer) observe(fn func(all []endpoint.Known)) {
 	p.updating.Lock()
 	defer p.updating.Unlock()
 	p.observers = append(p.observers, fn)
 	fn(p.listed)
 }
 
-// tell tells the observers of a list that differs from the last one. The caller
+// notifyObservers tells the observers of a list that differs from the last one. The caller
 // holds p.updating.
-func (p *placing) tell(all []endpoint.Known) {
+func (p *placer) notifyObservers(all []endpoint.Known) {
 	if slices.Equal(all, p.listed) {
 		return
 	}
@@ -179,24 +179,24 @@
 }
 
 // update takes the lists in. Requests are placed by them once it returns.
-func (p *placing) update() {
+func (p *placer) update() {
 	p.updating.Lock()
 	defer p.updating.Unlock()
 	all := p.directory.All()
 	routers := p.fleet.owners()
-	p.tell(all)
-	p.view.Store(routers)
-	p.owner.Update(placement.NewSet(p.served(all)), routers)
+	p.notifyObservers(all)
+	p.routers.Store(routers)
+	p.owner.Update(placement.NewSet(p.ownerDescriptors(all)), routers)
 	p.pollNew(all)
 	p.entry.Update(p.roster.Update(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
-		return p.tuning.Load().descriptor(k.Descriptor)
+		return p.settings.Load().descriptor(k.Descriptor)
 	})), routers)
 }
 
 // pollNew has the loads read at once if this router has become the owner of an
 // endpoint: it grants nothing there until it knows what the endpoint runs.
-func (p *placing) pollNew(all []endpoint.Known) {
-	if p.polls == nil {
+func (p *placer) pollNew(all []endpoint.Known) {
+	if p.pollNow == nil {
 		return
 	}
 	owned := make(map[coordination.Endpoint]bool)
@@ -212,33 +212,33 @@
 		return
 	}
 	select {
-	case p.polls <- struct{}{}:
+	case p.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// meetTime is how long a router that has seeds waits for the others before it
+// joinWait is how long a router that has seeds waits for the others before it
 // reads the loads of endpoints: until it has met them it takes all for its own.
-const meetTime = time.Second
+const joinWait = time.Second
 
-func (p *placing) owns(k endpoint.Known) bool {
-	if p.alone && time.Since(p.started) < meetTime {
+func (p *placer) owns(k endpoint.Known) bool {
+	if p.hasSeeds && time.Since(p.started) < joinWait {
 		return false
 	}
-	return p.view.Load().Owner(k.ID, k.Zone) == p.self
+	return p.routers.Load().Owner(k.ID, k.Zone) == p.self
 }
 
 // running returns what an endpoint that this router owns last reported to run.
-func (p *placing) running(id coordination.Endpoint) int {
+func (p *placer) running(id coordination.Endpoint) int {
 	if l, ok := p.reports.Load(id); ok {
 		return l.(engine.Load).Running
 	}
 	return 0
 }
 
-func (p *placing) report(k endpoint.Known, l engine.Load) {
-	if p.reported(k.ID) != l.Incarnation {
-		p.changed()
+func (p *placer) recordLoad(k endpoint.Known, l engine.Load) {
+	if p.reportedIncarnation(k.ID) != l.Incarnation {
+		p.signalChange()
 	}
 	p.reports.Store(k.ID, l)
 	p.owner.Report(reportOf(k.ID, l))
@@ -272,14 +272,14 @@
 }
 
 // Place implements caller.Placer.
-func (p *placing) Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (p *placer) Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
 	req := placement.Request{
 		Pool:     w.Pool,
 		Key:      keyOf(w),
 		Hint:     placement.ParseHint(w.Hint),
 		Account:  w.Account,
 		Priority: w.Priority,
-		Alone:    w.Alone,
+		Isolated: w.Alone,
 		Avoid:    w.Exclude,
 	}
 	g, k, refusal := p.acquire(ctx, req, w.Deadline)
@@ -299,7 +299,7 @@
 // acquire asks for a grant for a request that has to start by a time, which may
 // be zero, and finds the endpoint that it is for. Placement learns of a change of
 // the list behind the directory, so that a grant may be for one that has gone.
-func (p *placing) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Known, *outcome.Refusal) {
+func (p *placer) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Known, *outcome.Refusal) {
 	for {
 		if !by.IsZero() {
 			req.Deadline = max(time.Until(by), time.Millisecond)
@@ -345,7 +345,7 @@
 
 // Adopt implements caller.Placer. The attempt already runs at its endpoint and
 // counts there through the endpoint's own report, so it needs no new grant.
-func (p *placing) Adopt(id coordination.Endpoint) (caller.Place, bool) {
+func (p *placer) Adopt(id coordination.Endpoint) (caller.Place, bool) {
 	k, ok := p.directory.Find(id)
 	if !ok {
 		return caller.Place{}, false
@@ -360,7 +360,7 @@
 }
 
 // Leaving implements caller.Placer.
-func (p *placing) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
+func (p *placer) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
 	p.directory.Leave(id, n)
 	p.owner.MarkLeaving(id, n)
 }
--- a/wisteriarouter/daemon/placing_test.go
+++ b/wisteriarouter/daemon/placing_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against requests that are refused since the endpoint of their grant has gone.
-func TestRequestGoesOnWhenTheEndpointOfItsGrantIsGone(t *testing.T) {
+func TestAcquireRetriesIfGrantedEndpointIsGone(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		listed []coordination.Endpoint
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := placingOf([]coordination.Endpoint{"e0", "e1", "e2"}, tc.listed)
+				p := newTestPlacer([]coordination.Endpoint{"e0", "e1", "e2"}, tc.listed)
 				time.Sleep(2 * time.Second) // until the owner has settled
 				for key := range placement.Key(20) {
 					g, k, refusal := p.acquire(t.Context(), placement.Request{Pool: "p", Key: key}, time.Now().Add(time.Second))
@@ -41,15 +41,15 @@
 	}
 }
 
-// placingOf returns the placing of a router that owns all endpoints. What it places
+// newTestPlacer returns the placing of a router that owns all endpoints. What it places
 // by is a list behind the directory.
-func placingOf(before, listed []coordination.Endpoint) *placing {
+func newTestPlacer(before, listed []coordination.Endpoint) *placer {
 	routers := placement.NewRouters([]placement.Router{{ID: "self", Zone: "z"}}, 0)
 	var set []placement.Descriptor
 	for _, id := range before {
 		set = append(set, placement.Descriptor{ID: id, Pool: "p", Zone: "z", Incarnation: 1})
 	}
-	p := &placing{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayConfig)}
+	p := &placer{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayConfig)}
 	p.entry = placement.NewEntry(placement.EntryID{Instance: "self", Incarnation: 1}, p.owner, nil, nil, relayConfig)
 	p.owner.Update(placement.NewSet(set), routers)
 	p.entry.Update(placement.NewSet(set), routers)
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -18,7 +18,7 @@
 // relister keeps the platform's list at the engines' present incarnations, as
 // the platform does when one restarts.
 type relister struct {
-	world *world
+	world *testCluster
 }
 
 func (l relister) run(ctx context.Context) {
@@ -46,7 +46,7 @@
 }
 
 // crashes returns how often engines crashed.
-func (w *world) crashes() int {
+func (w *testCluster) crashes() int {
 	n := 0
 	for _, e := range w.engines {
 		n += e.Stats().Crashes
@@ -62,10 +62,10 @@
 
 // innocents asks one new thing after another through one router.
 type innocents struct {
-	world  *world
+	world  *testCluster
 	router int
 	done   <-chan struct{}
-	asked  []talk
+	asked  []retryingChat
 }
 
 func (s *innocents) run() {
@@ -83,8 +83,8 @@
 			return
 		case underWay <- struct{}{}:
 		}
-		c := talk{
-			world: s.world, router: s.router, result: new(answer),
+		c := retryingChat{
+			cluster: s.world, router: s.router, result: new(response),
 			content: fmt.Sprintf("innocent %d through router %d", n, s.router+1),
 		}
 		s.asked = append(s.asked, c)
@@ -100,18 +100,18 @@
 	for _, c := range s.asked {
 		assert.NilError(s.world.t, c.result.err)
 		assert.Equal(s.world.t, c.result.status, http.StatusOK, "%q: %s", c.content, c.result.body)
-		assert.Assert(s.world.t, strings.Contains(c.result.body, strings.TrimSpace(expected(c.content))), c.result.body)
+		assert.Assert(s.world.t, strings.Contains(c.result.body, strings.TrimSpace(expectedAnswer(c.content))), c.result.body)
 	}
 }
 
 // poisoner sends one crashing request again and again, each time through
 // another router.
 type poisoner struct {
-	world   *world
+	world   *testCluster
 	first   int
 	content string
 	sends   int
-	answers []answer
+	answers []response
 }
 
 func (p *poisoner) run() {
@@ -126,7 +126,7 @@
 // ordinary things. Without a verdict that all routers share, every engine falls
 // again and again, and ordinary answers are lost with them.
 func TestPoisonRequests(t *testing.T) {
-	w := newWorld(t, 3, 6)
+	w := newTestCluster(t, 3, 6)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go relister{w}.run(ctx)
@@ -169,7 +169,7 @@
 // for a second endpoint, and the requests are suspected of a crash that none
 // of them caused.
 func TestRestartingEngineGetsNothing(t *testing.T) {
-	w := newWorld(t, 3, 3)
+	w := newTestCluster(t, 3, 3)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
--- a/wisteriarouter/daemon/process_test.go
+++ b/wisteriarouter/daemon/process_test.go
@@ -43,8 +43,8 @@
 	return c
 }
 
-// listen starts a stand-in and returns the address that it listens on.
-func (p *processes) listen(name string, args ...string) string {
+// startStandin starts a stand-in and returns the address that it listens on.
+func (p *processes) startStandin(name string, args ...string) string {
 	file := filepath.Join(p.dir, name+".addr")
 	p.start(name, append(append([]string{"standin"}, args...), "-addr-file", file)...)
 	var address []byte
@@ -75,13 +75,13 @@
 	build := exec.Command("go", "build", "-o", p.dir+"/", "wisteriaspool/wisteriarouter", "wisteriaspool/standin")
 	out, err := build.CombinedOutput()
 	assert.NilError(t, err, string(out))
-	p.platform = p.listen("platform", "platform")
+	p.platform = p.startStandin("platform", "platform")
 	for n := range engines {
-		p.listen(fmt.Sprintf("e%d", n+1), "engine", "-id", fmt.Sprintf("e%d", n+1), "-pool", "m@1", "-platform", "http://"+p.platform)
+		p.startStandin(fmt.Sprintf("e%d", n+1), "engine", "-id", fmt.Sprintf("e%d", n+1), "-pool", "m@1", "-platform", "http://"+p.platform)
 	}
-	p.services = append(p.services, p.listen("s1", "service", "-id", "s1", "-time", "5ms", "-platform", "http://"+p.platform))
+	p.services = append(p.services, p.startStandin("s1", "service", "-id", "s1", "-time", "5ms", "-platform", "http://"+p.platform))
 	p.startRouters(freeAddresses(t, 3*routers))
-	w := &world{t: t, address: p.platform}
+	w := &testCluster{t: t, address: p.platform}
 	w.put(teamText)
 	for _, address := range p.callers {
 		poll.WaitOn(t, ready(address), poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
@@ -116,15 +116,15 @@
 	}
 }
 
-// load runs callers, who check that each answer is whole and its own, that no
+// startLoad runs callers, who check that each answer is whole and its own, that no
 // action runs twice and that no outcome is false.
-func (p *processes) load() *exec.Cmd {
+func (p *processes) startLoad() *exec.Cmd {
 	return p.start("load", "standin", "load", "-routers", strings.Join(p.callers, ","), "-duration", "6s",
 		"-rate", "8", "-pause", "1s", "-action-rate", "4", "-services", strings.Join(p.services, ","), "-retries", "6")
 }
 
-// finish waits for the callers, whose verdict is their exit status.
-func (p *processes) finish(c *exec.Cmd) {
+// waitLoad waits for the callers, whose verdict is their exit status.
+func (p *processes) waitLoad(c *exec.Cmd) {
 	err := c.Wait()
 	report, _ := os.ReadFile(filepath.Join(p.dir, "load.log"))
 	assert.NilError(p.t, err, string(report))
@@ -137,7 +137,7 @@
 // Routers are killed, frozen and stopped as processes while callers stream and
 // send actions. Callers of a dead router reconnect to another one. Nobody hears
 // a wrong or broken answer, and no action runs twice.
-func TestProcessesInTrouble(t *testing.T) {
+func TestProcessFaults(t *testing.T) {
 	for name, trouble := range map[string]func(p *processes){
 		"a router killed": func(p *processes) {
 			time.Sleep(2 * time.Second)
@@ -153,7 +153,7 @@
 			time.Sleep(2 * time.Second)
 			p.signal("r1", syscall.SIGTERM)
 			p.signal("r2", syscall.SIGTERM)
-			w := &world{t: p.t, address: p.platform}
+			w := &testCluster{t: p.t, address: p.platform}
 			w.put(teamText + "\n[account \"label\"]\nweight = 2\n")
 			for _, each := range []string{"r1", "r2"} {
 				assert.NilError(p.t, p.running[each].Wait(), "%s did not stop cleanly", each)
@@ -162,9 +162,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newProcesses(t, 4, 4)
-			load := p.load()
+			load := p.startLoad()
 			trouble(p)
-			p.finish(load)
+			p.waitLoad(load)
 		})
 	}
 }
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -25,9 +25,9 @@
 	provideShared(i)
 	do.Provide(i, newStore)
 	do.Provide(i, newMirror)
-	do.Provide(i, newListedDirectory)
+	do.Provide(i, newStoreDirectory)
 	do.Provide(i, newRegister)
-	do.Provide(i, newRelayPlacing)
+	do.Provide(i, newRelayBasePlacer)
 	do.Provide(i, newDesired)
 	do.Provide(i, newRelayPlacer)
 	do.Provide(i, newPoolRetries)
@@ -59,8 +59,8 @@
 		Log:      logOf(i),
 		Metrics:  relay.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
 		Stopping: stateOf(i).leaving.Load,
-		Left:     stateOf(i).left,
-		End:      stateOf(i).end,
+		Left:     stateOf(i).remaining,
+		End:      stateOf(i).drainCtx,
 	}, nil
 }
 
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -18,21 +18,21 @@
 
 // desired holds the desired state in force.
 type desired struct {
-	log    event.Log
-	table  atomic.Pointer[route.Table]
-	place  *placing
-	mirror *mirror.Mirror
-	asked  *mirror.CallLog
-	relay  atomic.Pointer[config.Relay]
-	ready  chan struct{} // closed with the first desired state
+	log     event.Log
+	table   atomic.Pointer[route.Table]
+	placer  *placer
+	mirror  *mirror.Mirror
+	callLog *mirror.CallLog
+	relay   atomic.Pointer[config.Relay]
+	ready   chan struct{} // closed with the first desired state
 }
 
 func newDesired(i do.Injector) (*desired, error) {
 	d := &desired{
-		log:   logOf(i),
-		place: do.MustInvoke[*placing](i),
-		asked: new(mirror.CallLog),
-		ready: make(chan struct{}),
+		log:     logOf(i),
+		placer:  do.MustInvoke[*placer](i),
+		callLog: new(mirror.CallLog),
+		ready:   make(chan struct{}),
 	}
 	d.relay.Store(settingsOf(i).Relay)
 	m := do.MustInvoke[*mirror.Mirror](i)
@@ -40,9 +40,9 @@
 	// Endpoints are taken in before the desired state: requests that wait for
 	// it would otherwise find their pools empty.
 	do.MustInvoke[*endpoint.Register](i)
-	m.Observe(d.take)
+	m.Observe(d.applyChanges)
 	m.Observe(newBehindMetric(do.MustInvoke[*prometheus.Registry](i)))
-	feed(i, m, d.asked)
+	startFeed(i, m, d.callLog)
 	return d, nil
 }
 
@@ -55,9 +55,9 @@
 // Age implements relay.Desired.
 func (d *desired) Age() time.Duration { return d.mirror.Age() }
 
-// take puts a new desired state in force. One that cannot be read, or that is
+// applyChanges puts a new desired state in force. One that cannot be read, or that is
 // older than the one in force, changes nothing.
-func (d *desired) take(n mirror.Changes) {
+func (d *desired) applyChanges(n mirror.Changes) {
 	for _, item := range n.Items {
 		if item.Key == platform.StateKey && !item.Deleted {
 			d.apply(item, n)
@@ -77,7 +77,7 @@
 		return
 	}
 	d.table.Store(route.NewTable(s))
-	d.place.bounds(s, d.relay.Load())
+	d.placer.applyBounds(s, d.relay.Load())
 	d.log.Emit(event.SettingsApplied,
 		event.F("version", s.Version),
 		event.F("revision", item.Revision),
@@ -87,28 +87,28 @@
 		event.F("unconfirmed-ms", n.Unconfirmed.Milliseconds()),
 	)
 	if old == nil {
-		d.place.update()
+		d.placer.update()
 		close(d.ready)
 		return
 	}
 	d.warnLate(s.Version, n)
 }
 
-// lateAfter is how long behind the first router a change is logged as late: a
+// lateThreshold is how long behind the first router a change is logged as late: a
 // quarter of the two seconds in which it has to be in force.
-const lateAfter = 500 * time.Millisecond
+const lateThreshold = 500 * time.Millisecond
 
 // warnLate logs a version that other routers have had for long, with whom this
 // router asked meanwhile.
 func (d *desired) warnLate(v route.Version, n mirror.Changes) {
-	if n.Behind < lateAfter {
+	if n.Behind < lateThreshold {
 		return
 	}
 	d.log.Emit(event.SettingsLate,
 		event.F("version", v),
 		event.F("from", sourceName(n.From)),
 		event.F("behind-ms", n.Behind.Milliseconds()),
-		event.F("asked", d.asked.String()),
+		event.F("asked", d.callLog.String()),
 	)
 }
 
@@ -124,6 +124,6 @@
 func (d *desired) configure(cfg config.Relay) {
 	d.relay.Store(&cfg)
 	if t := d.table.Load(); t != nil {
-		d.place.bounds(t.State, &cfg)
+		d.placer.applyBounds(t.State, &cfg)
 	}
 }
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -11,10 +11,10 @@
 	instances "wisteriaspool/wisteriarouter/platform"
 )
 
-// newListedDirectory makes the directory of endpoints from their entries in
+// newStoreDirectory makes the directory of endpoints from their entries in
 // the store.
-func newListedDirectory(i do.Injector) (*endpoint.Directory, error) {
-	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.tell}, nil
+func newStoreDirectory(i do.Injector) (*endpoint.Directory, error) {
+	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.logLeaving}, nil
 }
 
 // newRegister has the entries in the store taken into the directory.
@@ -26,13 +26,13 @@
 		Log:       logOf(i),
 	}
 	m.OnStoreRecovery(r.StoreBack)
-	m.Observe(entryReader{register: r, log: logOf(i)}.take)
+	m.Observe(entryReader{register: r, log: logOf(i)}.applyChanges)
 	return r, nil
 }
 
 type leavingLogger struct{ log event.Log }
 
-func (l leavingLogger) tell(id coordination.Endpoint, n coordination.Incarnation) {
+func (l leavingLogger) logLeaving(id coordination.Endpoint, n coordination.Incarnation) {
 	l.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
@@ -42,20 +42,20 @@
 	log      event.Log
 }
 
-func (r entryReader) take(n mirror.Changes) {
+func (r entryReader) applyChanges(n mirror.Changes) {
 	changes := make([]endpoint.Change, 0, len(n.Items))
 	for _, item := range n.Items {
 		if !platform.IsEntry(item.Key) {
 			continue
 		}
-		if c, ok := r.change(item); ok {
+		if c, ok := r.decodeChange(item); ok {
 			changes = append(changes, c)
 		}
 	}
 	r.register.Take(changes)
 }
 
-func (r entryReader) change(item mirror.Item) (endpoint.Change, bool) {
+func (r entryReader) decodeChange(item mirror.Item) (endpoint.Change, bool) {
 	if item.Deleted {
 		return endpoint.Change{Entry: instances.Entry{ID: platform.EntryID(item.Key)}, Gone: true}, true
 	}
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -118,7 +118,7 @@
 	for g, n := range states {
 		gauge(endpointStates, float64(n), g.pool, g.state)
 	}
-	for pool, n := range c.retries.left() {
+	for pool, n := range c.retries.remaining() {
 		gauge(retriesLeft, float64(n), string(pool))
 	}
 }
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -11,9 +11,9 @@
 	"wisteriaspool/standin/replica"
 )
 
-// warm sends requests to each router, so that it knows how a kind of request
+// warmUp sends requests to each router, so that it knows how a kind of request
 // usually fares.
-func (s *site) warm(path string, n int) {
+func (s *relayCluster) warmUp(path string, n int) {
 	s.t.Helper()
 	for router := range s.routers {
 		for i := range n {
@@ -25,7 +25,7 @@
 
 // busiest returns the endpoint that has got most requests: the one that has
 // their prompts cached.
-func (s *site) busiest() *replica.Replica {
+func (s *relayCluster) busiest() *replica.Replica {
 	return lo.MaxBy(s.replicas, func(a, b *replica.Replica) bool { return len(a.Arrivals()) > len(b.Arrivals()) })
 }
 
@@ -33,7 +33,7 @@
 // its health check is good. A lookup that fails there is sent again; an order
 // cannot be, and its caller gets the failure. After some lookups hardly any order
 // may meet that endpoint any more.
-func TestOrdersKeepOffAFailingEndpoint(t *testing.T) {
+func TestUnsafeRequestsAvoidFailingEndpoint(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  replica.Faults
@@ -45,9 +45,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newSite(t, 2, 3, 0)
-			s.warm("/safe/", 12)
-			s.warm("/unsafe/", 12)
+			s := newRelayCluster(t, 2, 3, 0)
+			s.warmUp("/safe/", 12)
+			s.warmUp("/unsafe/", 12)
 			s.replicas[0].Fail(test.faults)
 			for n := range test.lookups {
 				assert.Equal(t, s.send(n%2, fmt.Sprintf("/safe/%d", n)).status, 200)
@@ -65,9 +65,9 @@
 
 // One of three endpoints takes forty times as long as the others. Lookups that
 // meet it are answered by another one, and soon hardly any meet it.
-func TestLookupsLeaveASlowEndpoint(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 20)
+func TestSafeRequestsAvoidSlowEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 20)
 	s.replicas[0].Fail(replica.Faults{Slow: 400 * time.Millisecond})
 	slow := 0
 	for n := range 40 {
@@ -82,9 +82,9 @@
 
 // The endpoint serves again. It gets its share back within seconds, by lookups
 // first.
-func TestFailingEndpointComesBack(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 12)
+func TestRecoveredEndpointReceivesRequests(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 12)
 	s.replicas[0].Fail(replica.Faults{Status: 500})
 	for n := range 20 {
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
@@ -102,9 +102,9 @@
 // One of three engines takes requests and never answers. A stream that may go on
 // elsewhere waited for its deadline, 5 s away, and its caller got nothing. Now it
 // moves on while there is time.
-func TestSilentStreamMovesOn(t *testing.T) {
-	s := newSite(t, 2, 0, 3)
-	s.warm("/resumable/", 12)
+func TestSilentResumableStreamIsRetried(t *testing.T) {
+	s := newRelayCluster(t, 2, 0, 3)
+	s.warmUp("/resumable/", 12)
 	s.busiest().Fail(replica.Faults{Mute: true})
 	for n := range 12 {
 		start := time.Now()
@@ -117,9 +117,9 @@
 
 // A stream that may run only once meets an engine that never answers. It must
 // not be sent to a second one, however long the silence lasts.
-func TestSilentStreamThatMayRunOnceStays(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
-	s.warm("/stream/", 12)
+func TestSilentNonResumableStreamIsNotRetried(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
+	s.warmUp("/stream/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Mute: true, Only: "/stream/once"})
 	}
@@ -131,16 +131,16 @@
 // All engines are silent. Moving the requests to and fro would double the work
 // of a pool that is in trouble, so that an attempt is given up only for a place
 // at an engine that is not known to fail, and only within the budget.
-func TestSilenceOfAllEnginesIsNotAnsweredByMoves(t *testing.T) {
-	s := newSite(t, 1, 0, 3)
-	s.warm("/resumable/", 12)
+func TestRetriesAreBoundedIfAllEnginesAreSilent(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 3)
+	s.warmUp("/resumable/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Mute: true, Only: "/resumable/silent"})
 	}
 	const n = 12
 	done := make(chan int, n)
 	for i := range n {
-		go sender{site: s, path: fmt.Sprintf("/resumable/silent-%d", i), done: done}.run()
+		go sender{cluster: s, path: fmt.Sprintf("/resumable/silent-%d", i), done: done}.run()
 	}
 	for range n {
 		<-done
@@ -154,18 +154,18 @@
 
 // sender sends one request.
 type sender struct {
-	site *site
-	path string
-	done chan int
+	cluster *relayCluster
+	path    string
+	done    chan int
 }
 
-func (s sender) run() { s.done <- s.site.send(0, s.path).status }
+func (s sender) run() { s.done <- s.cluster.send(0, s.path).status }
 
 // One kind of request fails wherever it is sent. No endpoint is to blame, and
 // other requests find all of them in use.
-func TestKindThatFailsEverywhereBlamesNobody(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 12)
+func TestKindThatFailsEverywhereEjectsNoEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Status: 500, Only: "/unsafe/"})
 	}
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -24,12 +24,12 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// newRelayPlacing makes placing for endpoints that are not asked for their
+// newRelayBasePlacer makes placing for endpoints that are not asked for their
 // loads: each such question has a price, and the owners' grants say the same.
-func newRelayPlacing(i do.Injector) (*placing, error) {
-	p := buildPlacing(i, nil, relayConfig)
-	p.watch()
-	p.drive(i)
+func newRelayBasePlacer(i do.Injector) (*placer, error) {
+	p := buildPlacer(i, nil, relayConfig)
+	p.watchLists()
+	p.startLoop(i)
 	return p, nil
 }
 
@@ -47,58 +47,58 @@
 	FallbackLimit: 3,
 }
 
-// bounds puts the bounds of a desired state's pools in force.
-func (p *placing) bounds(s route.State, cfg *config.Relay) {
+// applyBounds puts the applyBounds of a desired state's pools in force.
+func (p *placer) applyBounds(s route.State, cfg *config.Relay) {
 	c := relayConfig
-	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineAhead
+	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineOvercommit
 	c.Pools = make(map[coordination.Pool]placement.PoolBound)
 	for name, pool := range s.Pools {
 		if !pool.Engine {
-			c.Pools[name] = placement.PoolBound{Bound: plainFactor, Slack: plainSlack, Overcommit: plainAhead}
+			c.Pools[name] = placement.PoolBound{Bound: plainBound, Slack: plainSlack, Overcommit: plainOvercommit}
 		}
 	}
 	p.owner.Configure(c)
 	p.entry.Configure(c)
-	p.changed()
+	p.signalChange()
 }
 
-// plainFactor is the bound of a plain service, whose endpoints have nothing
+// plainBound is the bound of a plain service, whose endpoints have nothing
 // cached: as even as can be.
 const (
-	plainFactor = 1.25
-	plainSlack  = 2
-	// plainAhead is half of an endpoint's slots: 30 ms of 60 ms of work.
-	plainAhead = 0.5
-	// engineAhead is less, since a stream lasts a second and more.
-	engineAhead = 0.25
+	plainBound = 1.25
+	plainSlack = 2
+	// plainOvercommit is half of an endpoint's slots: 30 ms of 60 ms of work.
+	plainOvercommit = 0.5
+	// engineOvercommit is less, since a stream lasts a second and more.
+	engineOvercommit = 0.25
 )
 
 // relayPlacer implements relay.Placer.
 type relayPlacer struct {
-	*placing
+	*placer
 	holders atomic.Pointer[placement.CacheHolders]
-	watched outlier.Monitor
+	monitor outlier.Monitor
 
-	near     placement.Key // this router's
-	affinity placement.Affinity
-	conns    reuser
+	subsetKey placement.Key // this router's
+	affinity  placement.Affinity
+	conns     reusePredictor
 }
 
-// reuser tells for how long connections to a group of endpoints can be used
+// reusePredictor tells for how long connections to a group of endpoints can be used
 // again.
-type reuser interface {
+type reusePredictor interface {
 	Reusable(group string) time.Duration
 }
 
 func newRelayPlacer(i do.Injector) (*relayPlacer, error) {
-	p := &relayPlacer{placing: do.MustInvoke[*placing](i), conns: do.MustInvoke[*upstream.Client](i)}
-	p.near = placement.KeyOf(coordination.Chat(p.self))
-	p.observe(p.list)
+	p := &relayPlacer{placer: do.MustInvoke[*placer](i), conns: do.MustInvoke[*upstream.Client](i)}
+	p.subsetKey = placement.KeyOf(coordination.Chat(p.self))
+	p.observe(p.updateHolders)
 	return p, nil
 }
 
-// list takes in a change of the list of endpoints.
-func (p *relayPlacer) list(listed []endpoint.Known) {
+// updateHolders takes in a change of the updateHolders of endpoints.
+func (p *relayPlacer) updateHolders(listed []endpoint.Known) {
 	if len(listed) == 0 {
 		return
 	}
@@ -109,28 +109,28 @@
 // Place implements relay.Placer.
 func (p *relayPlacer) Place(ctx context.Context, w relay.Want) (relay.Place, *outcome.Refusal) {
 	req := placement.Request{
-		Pool:     w.Pool,
-		Key:      placement.KeyOf(coordination.Chat(w.Key)),
-		Account:  w.Account,
-		Priority: w.Priority,
-		Alone:    w.Alone,
-		Avoid:    w.Exclude,
-		Once:     w.Once,
-		NoWait:   w.Now,
-		Target:   w.Target,
-		Waited:   time.Since(w.Arrived),
+		Pool:         w.Pool,
+		Key:          placement.KeyOf(coordination.Chat(w.Key)),
+		Account:      w.Account,
+		Priority:     w.Priority,
+		Isolated:     w.Alone,
+		Avoid:        w.Exclude,
+		NonRetryable: w.Once,
+		NoWait:       w.Now,
+		Target:       w.Target,
+		Waited:       time.Since(w.Arrived),
 	}
 	if !w.Cached {
-		req.SubsetKey = p.near
+		req.SubsetKey = p.subsetKey
 		req.SubsetSize = p.affinity.SubsetSize(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
 	}
 	g, k, refusal := p.acquire(ctx, req, w.Start)
 	if refusal != nil {
 		return relay.Place{}, refusal
 	}
-	seen := &observer{watch: &p.watched, grant: g, sight: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
+	seen := &observer{monitor: &p.monitor, grant: g, request: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
 	place := relay.Place{
-		Patience:    p.watched.FirstByteLimit(time.Now(), seen.sight),
+		Patience:    p.monitor.FirstByteLimit(time.Now(), seen.request),
 		Observer:    seen,
 		Endpoint:    k.ID,
 		Incarnation: g.Endpoint.Incarnation,
@@ -139,14 +139,14 @@
 		Release:     g.Release,
 	}
 	if w.Cached {
-		place.Cache = p.cache(w.Pool, req.Key, k.ID)
+		place.Cache = p.cacheSource(w.Pool, req.Key, k.ID)
 	}
 	return place, nil
 }
 
-// cache returns the address of the endpoint that has the request's shared
+// cacheSource returns the address of the endpoint that has the request's shared
 // parts if the chosen one has not.
-func (p *relayPlacer) cache(pool coordination.Pool, key placement.Key, chosen coordination.Endpoint) string {
+func (p *relayPlacer) cacheSource(pool coordination.Pool, key placement.Key, chosen coordination.Endpoint) string {
 	d := p.holders.Load().Source(pool, key, chosen)
 	if d == nil {
 		return ""
@@ -174,12 +174,12 @@
 func newPoolRetries(i do.Injector) (*poolRetries, error) {
 	cfg := settingsOf(i).Relay
 	r := &poolRetries{share: cfg.RetryShare, burst: cfg.RetryBurst, log: logOf(i), routers: 1, budgets: make(map[coordination.Pool]*retry.Budget)}
-	do.MustInvoke[*peer.Node](i).OnChange(r.members)
+	do.MustInvoke[*peer.Node](i).OnChange(r.setMembers)
 	return r, nil
 }
 
-// members takes in a new list of routers.
-func (r *poolRetries) members(all []membership.Member) {
+// setMembers takes in a new list of routers.
+func (r *poolRetries) setMembers(all []membership.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(all) > r.routers {
@@ -209,8 +209,8 @@
 	return b
 }
 
-// left returns what is left of each budget.
-func (r *poolRetries) left() map[coordination.Pool]int {
+// remaining returns what is remaining of each budget.
+func (r *poolRetries) remaining() map[coordination.Pool]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return lo.MapValues(r.budgets, func(b *retry.Budget, _ coordination.Pool) int { return b.Left() })
--- a/wisteriarouter/daemon/relay_site_test.go
+++ b/wisteriarouter/daemon/relay_site_test.go
@@ -22,8 +22,8 @@
 	"wisteriaspool/wisteriarouter/daemon"
 )
 
-// site is a store, endpoints and relaying routers on loopback.
-type site struct {
+// relayCluster is a store, endpoints and relaying routers on loopback.
+type relayCluster struct {
 	t        testing.TB
 	store    *hub.Store
 	address  string
@@ -55,8 +55,8 @@
 	}
 }
 
-func newSite(t testing.TB, routers, desks, models int) *site {
-	s := &site{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+func newRelayCluster(t testing.TB, routers, desks, models int) *relayCluster {
+	s := &relayCluster{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
 	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // lets waiting watches go
@@ -80,7 +80,7 @@
 }
 
 // awaitMembers waits until a router has met all others.
-func (s *site) awaitMembers(n, routers int) {
+func (s *relayCluster) awaitMembers(n, routers int) {
 	want := fmt.Sprintf("wisteria_members{state=\"alive\"} %d\n", routers)
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		resp, err := http.Get("http://" + s.routers[n].OperatorsAddress() + "/metrics")
@@ -96,7 +96,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-func (s *site) addReplica(o replica.Options) *replica.Replica {
+func (s *relayCluster) addReplica(o replica.Options) *replica.Replica {
 	r, kill, err := replica.Start(s.store, o)
 	assert.NilError(s.t, err)
 	s.t.Cleanup(kill)
@@ -105,7 +105,7 @@
 }
 
 // put writes the next version of the desired state.
-func (s *site) put(d desiredState) {
+func (s *relayCluster) put(d desiredState) {
 	s.version++
 	for i, r := range d.routes {
 		r["name"], r["hostname"] = "r"+strconv.Itoa(i), "desk.example"
@@ -122,7 +122,7 @@
 	s.store.Put("op/config", value)
 }
 
-func (s *site) addRouter() {
+func (s *relayCluster) addRouter() {
 	n := len(s.routers)
 	var seeds string
 	if n > 0 {
@@ -154,7 +154,7 @@
 	s.routers, s.stops = append(s.routers, d), append(s.stops, once)
 }
 
-func (s *site) ready(n int) bool {
+func (s *relayCluster) ready(n int) bool {
 	resp, err := http.Get("http://" + s.routers[n].ReadinessAddress() + "/wisteriaspool/readyz")
 	if err != nil {
 		return false
@@ -163,7 +163,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (s *site) awaitReady(n int) {
+func (s *relayCluster) awaitReady(n int) {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		if s.ready(n) {
 			return poll.Success()
@@ -172,8 +172,8 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// gotReply is what a caller got.
-type gotReply struct {
+// relayResponse is what a caller got.
+type relayResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -192,7 +192,7 @@
 	return fmt.Sprintf("id%d", lastID)
 }
 
-func (s *site) request(ctx context.Context, router int, path string, header ...string) *http.Request {
+func (s *relayCluster) request(ctx context.Context, router int, path string, header ...string) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.routers[router].CallersAddress()+path, strings.NewReader("body of "+path))
 	assert.NilError(s.t, err)
 	req.Host = "desk.example"
@@ -209,18 +209,18 @@
 	return req
 }
 
-func (s *site) send(router int, path string, header ...string) gotReply {
+func (s *relayCluster) send(router int, path string, header ...string) relayResponse {
 	resp, err := s.client.Do(s.request(s.t.Context(), router, path, header...))
 	if err != nil {
-		return gotReply{err: err}
+		return relayResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return gotReply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return relayResponse{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
 // runs returns how many requests a path has had at all endpoints.
-func (s *site) runs(path string) (n int) {
+func (s *relayCluster) runs(path string) (n int) {
 	for _, r := range s.replicas {
 		for _, a := range r.Arrivals() {
 			if a.Path == path {
--- a/wisteriarouter/daemon/relay_start_test.go
+++ b/wisteriarouter/daemon/relay_start_test.go
@@ -13,24 +13,24 @@
 
 // waiter is a caller that asks a router which has just started.
 type waiter struct {
-	site *site
-	got  gotReply
+	cluster *relayCluster
+	got     relayResponse
 }
 
-func (w *waiter) run() { w.got = w.site.send(0, "/safe/1") }
+func (w *waiter) run() { w.got = w.cluster.send(0, "/safe/1") }
 
 // A router starts while the store is away, and callers ask it meanwhile. The
 // store is back a moment later. Were they turned away at once, or as soon as
 // the routes are known and the endpoints are not, they would have to come back
 // to a router that could have served them.
-func TestRelayServesThoseWhoWaitedForItsFirstState(t *testing.T) {
-	s := newSite(t, 0, 3, 0)
+func TestRelayServesRequestsReceivedBeforeFirstState(t *testing.T) {
+	s := newRelayCluster(t, 0, 3, 0)
 	s.store.Fail(hub.Faults{Down: true})
 	s.addRouter()
 	waiters := make([]waiter, 6)
 	var wg sync.WaitGroup
 	for i := range waiters {
-		waiters[i].site = s
+		waiters[i].cluster = s
 		wg.Go(waiters[i].run)
 	}
 	time.Sleep(50 * time.Millisecond)
--- a/wisteriarouter/daemon/relay_stop_test.go
+++ b/wisteriarouter/daemon/relay_stop_test.go
@@ -18,7 +18,7 @@
 
 // Guards against requests that a stopping router reads and then drops with their
 // connection.
-func TestRelayAnswersRequestsThatEndDuringItsStop(t *testing.T) {
+func TestRelayAnswersRequestsCompletedDuringStop(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		kept bool    // the connection has had an answer before
@@ -30,11 +30,11 @@
 		{name: "head on a kept connection", kept: true, part: 0.95},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSite(t, 1, 1, 0)
+			s := newRelayCluster(t, 1, 1, 0)
 			c := s.connect(0)
 			if tc.kept {
 				c.write(c.text("/unsafe/before"))
-				assert.Equal(t, c.answer().StatusCode, http.StatusOK)
+				assert.Equal(t, c.readResponse().StatusCode, http.StatusOK)
 			}
 			text := c.text("/unsafe/last")
 			before := int(tc.part * float64(len(text)))
@@ -44,7 +44,7 @@
 			go stopper{s.stops[0], left}.run()
 			s.awaitNoListener(0)
 			c.write(text[before:])
-			got := c.answer()
+			got := c.readResponse()
 			assert.Equal(t, got.StatusCode, http.StatusOK)
 			assert.Assert(t, got.Close, "the answer keeps the connection")
 			assert.Equal(t, <-left, 0)
@@ -54,22 +54,22 @@
 
 // Guards against answers that break off since their router took the request when it
 // had no time left to complete it.
-func TestRelayRefusesWhatItsStopWouldCutOff(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayRefusesRequestsItsStopWouldCutOff(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 180, Pause: 20 * time.Millisecond})
-	plain, begun := s.begin("/stream/begun")
-	stream, begunToo := s.begin("/stream/begun")
+	plain, begun := s.beginStream("/stream/begun")
+	stream, begunToo := s.beginStream("/stream/begun")
 	assert.Equal(t, s.send(0, "/unsafe/before").status, http.StatusOK)
 	left := make(chan int, 1)
 	go stopper{s.stops[0], left}.run()
-	plain.finish(begun)
-	stream.finish(begunToo)
+	plain.readBody(begun)
+	stream.readBody(begunToo)
 	plain.write(plain.text("/unsafe/late"))
 	stream.write(stream.text("/stream/late"))
-	got := plain.answer()
+	got := plain.readResponse()
 	assert.Equal(t, got.StatusCode, http.StatusOK)
 	assert.Assert(t, got.Close)
-	got = stream.answer()
+	got = stream.readResponse()
 	assert.Equal(t, got.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, got.Close)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
@@ -79,8 +79,8 @@
 
 // Guards against requests that wait for a place, or for their endpoint, and are cut off
 // by the end of a stop without a word.
-func TestRelayAnswersWhatTheEndOfItsStopMeets(t *testing.T) {
-	s := newSite(t, 1, 0, 0)
+func TestRelayAnswersPendingRequestsAtEndOfStop(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 0)
 	s.addReplica(replica.Options{ID: "d0", Service: "desk", Zone: "a", Slots: 1})
 	s.replicas[0].Fail(replica.Faults{Slow: 20 * time.Second})
 	d := plainState()
@@ -90,9 +90,9 @@
 	s.put(d)
 	time.Sleep(300 * time.Millisecond) // it is in force
 	const requests = 12
-	got := make(chan gotReply, requests)
+	got := make(chan relayResponse, requests)
 	for range requests {
-		go asker{s, "/unsafe/last", got}.run()
+		go longSender{s, "/unsafe/last", got}.run()
 	}
 	time.Sleep(500 * time.Millisecond) // they wait
 	assert.Equal(t, s.stops[0](), 0)
@@ -106,18 +106,18 @@
 	assert.Equal(t, statuses[http.StatusServiceUnavailable], requests-s.runs("/unsafe/last"), "%v", statuses)
 }
 
-// asker sends one request that has time.
-type asker struct {
-	site *site
-	path string
-	got  chan<- gotReply
+// longSender sends one request that has time.
+type longSender struct {
+	cluster *relayCluster
+	path    string
+	got     chan<- relayResponse
 }
 
-func (a asker) run() { a.got <- a.site.send(0, a.path, "X-Deadline-Ms", "14000") }
+func (a longSender) run() { a.got <- a.cluster.send(0, a.path, "X-Deadline-Ms", "14000") }
 
 // Guards against operators' requests that are read and dropped at the end of a stop.
-func TestRelayAnswersOperatorsDuringItsStop(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayAnswersOperatorsDuringStop(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	c := s.connectTo(s.routers[0].OperatorsAddress())
 	text := "GET /metrics HTTP/1.1\r\nHost: router.example\r\n\r\n"
 	c.write(text[:10])
@@ -126,7 +126,7 @@
 	go stopper{s.stops[0], left}.run()
 	s.awaitNoListenerAt(s.routers[0].OperatorsAddress())
 	c.write(text[10:])
-	got := c.answer()
+	got := c.readResponse()
 	assert.Equal(t, got.StatusCode, http.StatusOK)
 	assert.Assert(t, got.Close)
 	assert.Equal(t, <-left, 0)
@@ -139,11 +139,11 @@
 	r *bufio.Reader
 }
 
-func (s *site) connect(router int) *connection {
+func (s *relayCluster) connect(router int) *connection {
 	return s.connectTo(s.routers[router].CallersAddress())
 }
 
-func (s *site) connectTo(address string) *connection {
+func (s *relayCluster) connectTo(address string) *connection {
 	c, err := net.Dial("tcp", address)
 	assert.NilError(s.t, err)
 	s.t.Cleanup(func() { _ = c.Close() })
@@ -166,9 +166,9 @@
 	assert.NilError(c.t, err)
 }
 
-// begin asks for a stream, once the router knows an endpoint for it, and reads the
+// beginStream asks for a stream, once the router knows an endpoint for it, and reads the
 // head of the answer, which keeps the connection.
-func (s *site) begin(path string) (c *connection, resp *http.Response) {
+func (s *relayCluster) beginStream(path string) (c *connection, resp *http.Response) {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		c = s.connect(0)
 		c.write(c.text(path))
@@ -184,26 +184,26 @@
 	return c, resp
 }
 
-func (c *connection) answer() *http.Response {
+func (c *connection) readResponse() *http.Response {
 	resp, err := http.ReadResponse(c.r, nil)
 	assert.NilError(c.t, err, "the connection ended without an answer")
-	c.finish(resp)
+	c.readBody(resp)
 	return resp
 }
 
-// finish reads the rest of an answer.
-func (c *connection) finish(resp *http.Response) {
+// readBody reads the rest of an answer.
+func (c *connection) readBody(resp *http.Response) {
 	_, err := io.Copy(io.Discard, resp.Body)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, resp.Body.Close())
 }
 
 // awaitNoListener waits until a router takes no new connections of callers.
-func (s *site) awaitNoListener(router int) {
+func (s *relayCluster) awaitNoListener(router int) {
 	s.awaitNoListenerAt(s.routers[router].CallersAddress())
 }
 
-func (s *site) awaitNoListenerAt(address string) {
+func (s *relayCluster) awaitNoListenerAt(address string) {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -30,34 +30,34 @@
 // that go by it observe.
 func newMirror(do.Injector) (*mirror.Mirror, error) { return mirror.New(), nil }
 
-// feed starts to feed the mirror, whose observers are set by then, from the
+// startFeed starts to startFeed the mirror, whose observers are set by then, from the
 // store and from other routers.
-func feed(i do.Injector, m *mirror.Mirror, asked *mirror.CallLog) {
+func startFeed(i do.Injector, m *mirror.Mirror, callLog *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
-	away := do.MustInvoke[*peer.Reach](i)
+	reach := do.MustInvoke[*peer.Reach](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
 		Self:          node.Self().Instance,
 		Prefix:        platform.Prefix,
 		Mirror:        m,
 		Store:         do.MustInvoke[*platform.Store](i),
-		Transport:     away,
+		Transport:     reach,
 		Routers:       do.MustInvoke[*fleet](i).routers,
-		OnState:       storeLogger{logOf(i)}.told,
-		CallLog:       asked,
-		OnHintFailure: untoldLogger{logOf(i)}.told,
+		OnState:       storeLogger{logOf(i)}.logStatus,
+		CallLog:       callLog,
+		OnHintFailure: hintFailureLogger{logOf(i)}.logFailure,
 	})
 	node.Handle(mirror.Topic, f.Handle)
 	node.Handle(mirror.TopicHint, func(_ context.Context, from coordination.Instance, payload []byte) ([]byte, error) {
 		return nil, f.HandleHint(from, payload)
 	})
-	away.Watch(f.RecheckStore)
+	reach.Watch(f.RecheckStore)
 	onStop(i, f.Start())
 }
 
 // storeLogger logs that the store is lost or back.
 type storeLogger struct{ log event.Log }
 
-func (s storeLogger) told(err error) {
+func (s storeLogger) logStatus(err error) {
 	if err == nil {
 		s.log.Emit(event.PlatformBack)
 		return
@@ -65,9 +65,9 @@
 	s.log.Emit(event.PlatformLost, event.F("error", err.Error()))
 }
 
-// untoldLogger logs hints that could not be sent or followed.
-type untoldLogger struct{ log event.Log }
+// hintFailureLogger logs hints that could not be sent or followed.
+type hintFailureLogger struct{ log event.Log }
 
-func (u untoldLogger) told(id coordination.Instance, err error) {
+func (u hintFailureLogger) logFailure(id coordination.Instance, err error) {
 	u.log.Emit(event.HintFailed, event.F("peer", id), event.F("error", err.Error()))
 }
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -17,8 +17,8 @@
 	"wisteriaspool/standin/replica"
 )
 
-func TestRelayServesEachKind(t *testing.T) {
-	s := newSite(t, 2, 2, 2)
+func TestRelayServesEachRouteType(t *testing.T) {
+	s := newRelayCluster(t, 2, 2, 2)
 	for router := range s.routers {
 		whole := s.send(router, "/safe/1")
 		assert.NilError(t, whole.err)
@@ -36,8 +36,8 @@
 
 // A caller names a client account, and headers that only the fleet sets. The
 // endpoint must see the account that holds the caller's key.
-func TestRelayTellsEndpointsWhoCalls(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayReplacesInternalHeaders(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	assert.Equal(t, s.send(0, "/safe/1", "X-Tenant", "zeta", "Kv-Fetch", "10.0.0.1:1").status, 200)
 	a := s.replicas[0].Arrivals()[0]
 	assert.Equal(t, a.Tenant, "acme")
@@ -46,8 +46,8 @@
 
 // An endpoint dies in the middle of an event of a stream that may go on
 // elsewhere. The caller gets every event once, and none in part.
-func TestRelayGoesOnWithAStreamElsewhere(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
+func TestRelayResumesStreamAtAnotherEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{CutAfter: 2})
 	}
@@ -67,8 +67,8 @@
 
 // A stream that must not run twice breaks off. The caller sees that it is not
 // complete, and no other endpoint runs it.
-func TestRelayDoesNotRepeatAStream(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
+func TestRelayDoesNotRetryNonResumableStream(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{CutAfter: 2})
 	}
@@ -81,8 +81,8 @@
 // An endpoint runs an order and its answer is lost. Nobody can tell whether it
 // ran, so the caller must not be told that it did not, and it must not run
 // again.
-func TestRelayNeverRepeatsAnOrder(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
+func TestRelayNeverRetriesUnsafeRequest(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{CutLate: true})
 	}
@@ -92,8 +92,8 @@
 	assert.Equal(t, s.runs("/safe/1"), 2)
 }
 
-func TestRelaySendsASafeRequestAgain(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
+func TestRelayRetriesSafeRequest(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
 	s.replicas[0].Fail(replica.Faults{Status: 500})
 	for range 8 {
 		assert.Equal(t, s.send(0, "/safe/1").status, 200)
@@ -103,8 +103,8 @@
 // The only endpoint of a pool fails requests now and then. A safe request is
 // tried there again, as it may be; if it fails for good, the caller gets the
 // endpoint's own answer and not one that the router makes up.
-func TestRelayTriesTheOnlyEndpointAgain(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayRetriesAtOnlyEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	s.replicas[0].Fail(replica.Faults{Status: 500})
 	got := s.send(0, "/safe/1")
 	assert.Equal(t, got.status, 500)
@@ -118,7 +118,7 @@
 // The router that owns all endpoints of a pool is killed without a word. Until
 // the others do without it, they place by what they know themselves.
 func TestRelayServesWhileAnOwnerIsDead(t *testing.T) {
-	s := newSite(t, 2, 3, 0)
+	s := newRelayCluster(t, 2, 3, 0)
 	go stopper{s.stops[1], make(chan int, 1)}.run()
 	for range 20 {
 		assert.Equal(t, s.send(0, "/unsafe/1").status, 200)
@@ -128,8 +128,8 @@
 
 // All endpoints are full. The caller is told at once that its order was not
 // run, and when to come back.
-func TestRelayRefusesAtOnceWhenAllIsFull(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
+func TestRelayRefusesAtOnceIfAllEndpointsAreFull(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Full: true})
 	}
@@ -144,8 +144,8 @@
 
 // An endpoint is killed. Until its entry is gone, requests meet nobody at its
 // address; they have not run there and go elsewhere.
-func TestRelayGoesRoundADeadEndpoint(t *testing.T) {
-	s := newSite(t, 2, 3, 0)
+func TestRelayAvoidsDeadEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 2, 3, 0)
 	s.kill[1]()
 	for n := range 12 {
 		assert.Equal(t, s.send(n%2, "/unsafe/1").status, 200)
@@ -155,8 +155,8 @@
 
 // The caller goes away in the middle of a stream. The endpoint must stop
 // within half a second: nobody reads what it makes, and somebody pays.
-func TestRelayStopsTheEndpointWhenTheCallerLeaves(t *testing.T) {
-	s := newSite(t, 1, 0, 1)
+func TestRelayCancelsAttemptIfCallerDisconnects(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 1)
 	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Pause: 20 * time.Millisecond})
 	s.kill[0]()
 	s.store.Delete(s.replicas[0].Key())
@@ -182,8 +182,8 @@
 
 // An operator takes a key away while the store turns one router away. A caller
 // that comes through that router must be refused like through all others.
-func TestRelayHearsOfARevokedKeyFromPeers(t *testing.T) {
-	s := newSite(t, 3, 1, 0)
+func TestRelayLearnsOfRevokedKeyFromPeers(t *testing.T) {
+	s := newRelayCluster(t, 3, 1, 0)
 	for n := range s.routers {
 		assert.Equal(t, s.send(n, "/safe/1", "Authorization", "Bearer k2").status, 200)
 	}
@@ -205,8 +205,8 @@
 
 // Something unreadable is written over the desired state, and foreign entries
 // beside those of the endpoints. The last good state stays in force.
-func TestRelayKeepsTheLastGoodState(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayKeepsLastValidState(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	s.store.Put("op/config", []byte("{not json"))
 	s.store.Put("servers/foreign", []byte(`{"backend":7}`))
 	s.store.Put("servers/\xff", []byte{0xff})
@@ -222,7 +222,7 @@
 // The store goes away and the leases of all entries run out. The routers serve
 // on with what they know.
 func TestRelayServesWithoutTheStore(t *testing.T) {
-	s := newSite(t, 2, 2, 1)
+	s := newRelayCluster(t, 2, 2, 1)
 	s.store.Fail(hub.Faults{Down: true})
 	time.Sleep(300 * time.Millisecond)
 	for _, r := range s.replicas {
@@ -243,8 +243,8 @@
 // A router is stopped while it serves. What it has begun it finishes, and it
 // says at once that it takes no new callers.
 func TestRelayStopsGracefully(t *testing.T) {
-	s := newSite(t, 2, 1, 1)
-	done := make(chan gotReply, 1)
+	s := newRelayCluster(t, 2, 1, 1)
+	done := make(chan relayResponse, 1)
 	go streamer{s, done}.run()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s.runs("/stream/long") > 0 {
@@ -267,11 +267,11 @@
 }
 
 type streamer struct {
-	site *site
-	done chan<- gotReply
+	cluster *relayCluster
+	done    chan<- relayResponse
 }
 
-func (s streamer) run() { s.done <- s.site.send(0, "/stream/long") }
+func (s streamer) run() { s.done <- s.cluster.send(0, "/stream/long") }
 
 type stopper struct {
 	stop func() int
@@ -282,8 +282,8 @@
 
 // An endpoint announces that it stops. Requests that it has begun end there;
 // none begins.
-func TestRelayLeavesADrainingEndpoint(t *testing.T) {
-	s := newSite(t, 2, 2, 0)
+func TestRelayAvoidsDrainingEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 2, 2, 0)
 	s.replicas[0].Drain()
 	time.Sleep(300 * time.Millisecond)
 	before := len(s.replicas[0].Arrivals())
@@ -295,8 +295,8 @@
 
 // A route gives its answers half a second, and an endpoint takes longer. The
 // caller has a final answer in time, and the endpoint is let off.
-func TestRelayKeepsToTheRoutesTimeout(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+func TestRelayEnforcesRouteTimeout(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	next := plainState()
 	next.routes[0]["timeoutMs"] = 300
 	s.put(next)
@@ -318,7 +318,7 @@
 // What a caller smuggles behind a request, or with two lengths, must not run
 // as somebody's request.
 func TestRelayRefusesSmuggling(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+	s := newRelayCluster(t, 1, 1, 0)
 	head := "POST /safe/smuggled HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: a\r\nAuthorization: Bearer k1\r\n"
 	evil := "GET /safe/evil HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: b\r\n\r\n"
 	for name, text := range map[string]string{
@@ -346,8 +346,8 @@
 // A request crashes each endpoint that runs it, and its caller sends it again
 // and again, as soon as the routers can have heard of each other. It may take
 // two endpoints, not the whole pool.
-func TestRelayConvictsARequestThatCrashesEndpoints(t *testing.T) {
-	s := newSite(t, 2, 0, 5)
+func TestRelayRefusesRequestThatCrashesEndpoints(t *testing.T) {
+	s := newRelayCluster(t, 2, 0, 5)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Crash: "/resumable/poison"})
 	}
@@ -363,8 +363,8 @@
 
 // A router gets a few requests a second for a pool of ten endpoints. Sent to all of
 // them, each would need a new connection.
-func TestRelayKeepsToAFewEndpoints(t *testing.T) {
-	s := newSite(t, 1, 10, 0)
+func TestRelayUsesFewEndpointsAtLowRate(t *testing.T) {
+	s := newRelayCluster(t, 1, 10, 0)
 	for n := range 24 {
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
 		time.Sleep(100 * time.Millisecond)
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -36,18 +36,18 @@
 		HeaderWait:  lim.HeaderWait,
 		HeaderBytes: lim.HeaderBytes,
 		IdleTimeout: idleTimeout,
-		Observer:    newDrops(i),
+		Observer:    newDropObserver(i),
 	}
 }
 
-// drops implements downstream.Observer.
-type drops struct {
+// dropObserver implements downstream.Observer.
+type dropObserver struct {
 	log   event.Log
 	count prometheus.Counter
 }
 
-func newDrops(i do.Injector) *drops {
-	d := &drops{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
+func newDropObserver(i do.Injector) *dropObserver {
+	d := &dropObserver{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wisteria_requests_dropped_total",
 		Help: "Requests that were read, in part or whole, on connections that ended without an answer.",
 	})}
@@ -56,7 +56,7 @@
 }
 
 // Dropped implements downstream.Observer.
-func (d *drops) Dropped(each downstream.Drop) {
+func (d *dropObserver) Dropped(each downstream.Drop) {
 	d.count.Inc()
 	d.log.Emit(event.RequestDropped,
 		event.F("bytes", each.Read),
@@ -75,18 +75,18 @@
 	readiness net.Listener // nil unless the router relays
 }
 
-// boundListener is a listener to be bound, and where it goes.
-type boundListener struct {
-	address string
-	bound   *net.Listener
+// listenTarget is a listener to be bound, and where it goes.
+type listenTarget struct {
+	address  string
+	listener *net.Listener
 }
 
 func newListeners(i do.Injector) (*listeners, error) {
 	cfg := settingsOf(i).Listen
 	ls := &listeners{}
-	wanted := []boundListener{{cfg.Callers, &ls.callers}, {cfg.Operators, &ls.operators}, {cfg.Peers, &ls.peers}}
+	wanted := []listenTarget{{cfg.Callers, &ls.callers}, {cfg.Operators, &ls.operators}, {cfg.Peers, &ls.peers}}
 	if r := settingsOf(i).Relay; r != nil {
-		wanted = append(wanted, boundListener{r.Readiness, &ls.readiness})
+		wanted = append(wanted, listenTarget{r.Readiness, &ls.readiness})
 	}
 	for _, each := range wanted {
 		l, err := net.Listen("tcp", each.address)
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		onStop(i, func() { _ = l.Close() })
-		*each.bound = l
+		*each.listener = l
 	}
 	return ls, nil
 }
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -30,7 +30,7 @@
 	node  *peer.Node
 	gate  *suspicion.Gate
 	guard *suspicion.Guard
-	place *placing
+	place *placer
 	log   event.Log
 	known map[coordination.Instance]bool
 	table *suspicion.Table
@@ -51,7 +51,7 @@
 		gate:  suspicion.NewGate(table),
 		table: table,
 		set:   placement.NewSet(nil),
-		place: do.MustInvoke[*placing](i),
+		place: do.MustInvoke[*placer](i),
 		log:   logOf(i),
 		known: make(map[coordination.Instance]bool),
 	}
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -32,9 +32,9 @@
 func newTeams(i do.Injector) (*teams, error) {
 	cfg := settingsOf(i)
 	node := do.MustInvoke[*peer.Node](i)
-	place := do.MustInvoke[*placing](i)
+	place := do.MustInvoke[*placer](i)
 	t := &teams{replica: &settings.Replica{}, log: logOf(i)}
-	t.applied = append(t.applied, func() { place.tune(t.replica.Snapshots()) })
+	t.applied = append(t.applied, func() { place.applySettings(t.replica.Snapshots()) })
 	t.replica.Observe(t.observe)
 	sync, stop := settings.NewSync(
 		settings.Config{Self: cfg.Instance, Zone: cfg.Zone},
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -40,7 +40,7 @@
 }
 
 // bound implements placed.
-func (p *placing) bound() float64 { return p.tuning.Load().placement.Bound }
+func (p *placer) bound() float64 { return p.settings.Load().placement.Bound }
 
 // kvEngines are the calls to engines that moves need.
 type kvEngines interface {
@@ -55,7 +55,7 @@
 	metrics := newTransferMetrics()
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(metrics.results, metrics.bytes)
 	t, stop := startTransfers(transferConfig(settingsOf(i).Transfer), do.MustInvoke[*endpoint.Directory](i),
-		do.MustInvoke[*placing](i), do.MustInvoke[*engine.Client](i), metrics)
+		do.MustInvoke[*placer](i), do.MustInvoke[*engine.Client](i), metrics)
 	onStop(i, stop)
 	return t, nil
 }
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -12,23 +12,23 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// tuning turns the settings in force into what placement goes by. Teams may
+// placementSettings turns the settings in force into what placement goes by. Teams may
 // share a pool, and an endpoint has one load: of several values for it the
 // strictest counts.
-type tuning struct {
+type placementSettings struct {
 	placement placement.Config
 	capacity  map[coordination.Pool]int // requests for each endpoint
 }
 
-func newTuning(snapshots []*settings.Snapshot) *tuning {
-	t := &tuning{capacity: make(map[coordination.Pool]int)}
+func newPlacementSettings(snapshots []*settings.Snapshot) *placementSettings {
+	t := &placementSettings{capacity: make(map[coordination.Pool]int)}
 	t.placement.AccountWeights = make(map[coordination.Account]float64)
 	for _, s := range snapshots {
 		for _, m := range s.Settings.Models() {
-			t.model(m)
+			t.addModel(m)
 		}
 		for _, each := range s.Settings.Services() {
-			t.limit(each.Pool(), each.Capacity)
+			t.addCapacity(each.Pool(), each.Capacity)
 		}
 		for account, weight := range s.Settings.Weights() {
 			t.placement.AccountWeights[account] = weight
@@ -37,8 +37,8 @@
 	return t
 }
 
-func (t *tuning) model(m settings.Model) {
-	t.limit(m.Pool(), m.Capacity)
+func (t *placementSettings) addModel(m settings.Model) {
+	t.addCapacity(m.Pool(), m.Capacity)
 	c := &t.placement
 	if c.Bound == 0 { // the first model; a bound is never zero
 		c.Bound, c.WarmWait, c.QueueLimit = m.LoadBound, m.WarmWait, m.Queue
@@ -49,8 +49,8 @@
 	c.QueueLimit = min(c.QueueLimit, m.Queue)
 }
 
-// limit notes a capacity, of which zero says nothing.
-func (t *tuning) limit(p coordination.Pool, capacity int) {
+// addCapacity notes a capacity, of which zero says nothing.
+func (t *placementSettings) addCapacity(p coordination.Pool, capacity int) {
 	t.capacity[p] = strictest(t.capacity[p], capacity)
 }
 
@@ -63,7 +63,7 @@
 }
 
 // descriptor returns d with its pool's capacity.
-func (t *tuning) descriptor(d placement.Descriptor) placement.Descriptor {
+func (t *placementSettings) descriptor(d placement.Descriptor) placement.Descriptor {
 	d.Capacity = strictest(d.Capacity, t.capacity[d.Pool])
 	return d
 }
@@ -106,13 +106,13 @@
 	return b
 }
 
-// tune puts the settings in force into effect.
-func (p *placing) tune(snapshots []*settings.Snapshot) {
-	t := newTuning(snapshots)
-	p.tuning.Store(t)
+// applySettings puts the settings in force into effect.
+func (p *placer) applySettings(snapshots []*settings.Snapshot) {
+	t := newPlacementSettings(snapshots)
+	p.settings.Store(t)
 	p.owner.Configure(t.placement)
 	p.entry.Configure(t.placement)
-	p.changed()
+	p.signalChange()
 }
 
 func newTeamRetries(i do.Injector) (*teamRetries, error) {
--- a/wisteriarouter/daemon/tuning_test.go
+++ b/wisteriarouter/daemon/tuning_test.go
@@ -18,8 +18,8 @@
 
 // Two teams share a pool and set different limits for it. An endpoint has one
 // load, so the looser limit would break the promise made to the other team.
-func TestStrictestSettingCounts(t *testing.T) {
-	got := newTuning([]*settings.Snapshot{
+func TestStrictestSettingApplies(t *testing.T) {
+	got := newPlacementSettings([]*settings.Snapshot{
 		snapshot(t, "[service \"order-desk\"]\ncapacity = 4\n[account \"label\"]\nweight = 3\n"),
 		snapshot(t, "[model \"m\"]\nload-bound = 1.5\nqueue = 9\nwarm-wait = 20ms\ncapacity = 8\n"),
 		snapshot(t, "[model \"m\"]\nload-bound = 1.2\nqueue = 30\nwarm-wait = 40ms\n"),
