--- a/wisteriarouter/daemon/collector.go
+++ b/wisteriarouter/daemon/collector.go
@@ -7,17 +7,17 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// placementCollector exports what an owner counts.
+// placementCollector exports the decisions and loads of an owner as metrics.
 type placementCollector struct {
 	owner *placement.Owner
 }
 
 var (
 	ownerDecisions = prometheus.NewDesc("wisteria_owner_decisions_total",
-		"Answers that this router gave as the owner of endpoints, by decision and code.",
+		"Admission decisions of this router as the owner of endpoints, by decision and code.",
 		[]string{"decision", "code"}, nil)
 	ownerLoad = prometheus.NewDesc("wisteria_owned_endpoint_load",
-		"Requests at endpoints that this router owns: counted, held by grants, queued.",
+		"Requests at endpoints owned by this router: counted, held by grants, queued.",
 		[]string{"endpoint", "pool", "kind"}, nil)
 )
 
@@ -39,28 +39,29 @@
 	}
 }
 
-// peerCollector exports what a node counts.
+// peerCollector exports the traffic and membership counters of a node as
+// metrics.
 type peerCollector struct {
 	node *peer.Node
 }
 
 var (
 	peerBytes = prometheus.NewDesc("wisteria_peer_bytes_total",
-		"Control traffic with other routers by message type, topic and direction.",
+		"Bytes of control messages to and from other routers, by message type, topic and direction.",
 		[]string{"type", "topic", "direction"}, nil)
 	peerMessages = prometheus.NewDesc("wisteria_peer_messages_total",
-		"Control messages with other routers by type, topic and direction.",
+		"Control messages to and from other routers, by type, topic and direction.",
 		[]string{"type", "topic", "direction"}, nil)
 	peerMembers = prometheus.NewDesc("wisteria_members",
-		"Routers by state, as this one sees them.", []string{"state"}, nil)
+		"Routers by state in this router's membership list.", []string{"state"}, nil)
 	peerConns = prometheus.NewDesc("wisteria_peer_connections",
-		"Connections with other routers.", nil, nil)
+		"Open connections to other routers.", nil, nil)
 	peerDropped = prometheus.NewDesc("wisteria_peer_messages_dropped_total",
-		"Gossip messages that a slow peer's full queue did not take.", nil, nil)
+		"Gossip messages dropped because the send queue of a slow peer was full.", nil, nil)
 	peerCallsRefused = prometheus.NewDesc("wisteria_peer_calls_refused_total",
-		"Calls of other routers that were turned away.", nil, nil)
+		"Calls from other routers that were refused.", nil, nil)
 	rumorsShed = prometheus.NewDesc("wisteria_rumors_shed_total",
-		"Soft rumours dropped to stay under the byte budget.", nil, nil)
+		"Low-priority rumors dropped to stay within the byte budget.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/wisteriarouter/daemon/daemon.go
+++ b/wisteriarouter/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon puts a router together and runs it.
+// Package daemon assembles the parts of a router from its configuration, runs
+// them and shuts them down.
 package daemon
 
 import (
@@ -26,25 +27,26 @@
 	log        event.Log
 	logger     *logrus.Logger
 	stopLog    func()
-	stopWithin time.Duration // longest shutdown
-	stopDelay  time.Duration // for which new requests are served in a shutdown
+	stopWithin time.Duration // maximum duration of a shutdown
+	stopDelay  time.Duration // how long new requests are still served during a shutdown
 }
 
-// state is what all parts of a router may ask about its life.
+// state is the lifecycle state of a router, shared by its parts.
 type state struct {
 	instance     coordination.Instance
 	incarnation  coordination.Incarnation
 	started      time.Time
-	ready        atomic.Bool               // has settings and endpoints
-	leaving      atomic.Bool               // told the balancer and the other routers so
-	stopping     atomic.Bool               // refuses new requests
-	stopDeadline atomic.Pointer[time.Time] // by when what is in flight is cut off; nil before stopping
-	drainCtx     context.Context           // done when what is in flight has to be answered
-	cancelDrain  context.CancelFunc        // ends it
-	inFlight     func() int                // requests of callers; set before the listeners serve
+	ready        atomic.Bool               // settings and endpoints are known
+	leaving      atomic.Bool               // the load balancer and the other routers are told
+	stopping     atomic.Bool               // new requests are refused
+	stopDeadline atomic.Pointer[time.Time] // when requests in flight are cut off; nil before stopping
+	drainCtx     context.Context           // done when requests in flight must be answered
+	cancelDrain  context.CancelFunc        // cancels drainCtx
+	inFlight     func() int                // number of callers' requests; set before the listeners serve
 }
 
-// remaining returns how long a router that is stopping still serves; false before.
+// remaining returns how long a stopping router still serves requests. It
+// reports false if the router is not stopping.
 func (s *state) remaining() (time.Duration, bool) {
 	ends := s.stopDeadline.Load()
 	if ends == nil {
@@ -53,7 +55,7 @@
 	return time.Until(*ends), true
 }
 
-// String returns the state as operators see it.
+// String returns the state as shown to operators.
 func (s *state) String() string {
 	switch {
 	case s.leaving.Load():
@@ -65,10 +67,10 @@
 	}
 }
 
-// Ready reports whether the balancer should send requests here.
+// Ready reports whether the load balancer should send requests to this router.
 func (s *state) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
 
-// cleanups are run in reverse order of their making.
+// cleanups is a list of functions that run at shutdown, last added first.
 type cleanups struct {
 	mu  sync.Mutex
 	fns []func()
@@ -89,8 +91,10 @@
 	c.fns = nil
 }
 
-// Start starts a router and returns it with its graceful shutdown, which
-// returns how many requests it had to cut off.
+// Start starts a router. It returns the router and a function that shuts it
+// down gracefully and returns the number of requests that it had to cut off. It
+// fails if a part cannot be created, for example because the address of a
+// listener is in use.
 func Start(cfg *config.Config) (*Daemon, func() int, error) {
 	return start(cfg, os.Stdout)
 }
@@ -151,23 +155,25 @@
 	return l
 }
 
-// Failed is closed when the router cannot go on.
+// Failed returns a channel that is closed when a listener fails, after which
+// the router cannot continue.
 func (d *Daemon) Failed() <-chan struct{} { return d.servers.failed }
 
-// Err returns why the router could not go on, or nil.
+// Err returns the error of the listener that failed, or nil.
 func (d *Daemon) Err() error { return d.servers.err() }
 
-// CallersAddress returns the address for callers as it was bound.
+// CallersAddress returns the bound address of the listener for callers.
 func (d *Daemon) CallersAddress() string { return d.servers.callers.address() }
 
-// OperatorsAddress returns the address for operators as it was bound.
+// OperatorsAddress returns the bound address of the listener for operators.
 func (d *Daemon) OperatorsAddress() string { return d.servers.operators.address() }
 
-// PeersAddress returns the address for other routers as it was bound.
+// PeersAddress returns the bound address of the listener for other routers.
 func (d *Daemon) PeersAddress() string { return d.servers.peers.address() }
 
-// ReadinessAddress returns the address on which the platform's balancer asks,
-// or nothing if the router does not relay.
+// ReadinessAddress returns the bound address of the listener for the readiness
+// checks of the platform's load balancer. It is empty if the router does not
+// relay.
 func (d *Daemon) ReadinessAddress() string {
 	if d.servers.readiness == nil {
 		return ""
@@ -175,13 +181,15 @@
 	return d.servers.readiness.address()
 }
 
-// answerReserve is how long before the end of a stop what is still in flight is
-// answered, if it can be, in place of the answer that it waits for.
+// answerReserve is the time before the end of a shutdown at which the router
+// answers the requests still in flight itself, where possible, instead of
+// waiting for their endpoints.
 const answerReserve = 200 * time.Millisecond
 
-// shutdown stops the router gracefully: it refuses new requests, tells the
-// other routers, lets what is in flight finish, and only then ends its own
-// parts. It returns how many requests were left when the limit passed.
+// shutdown stops the router gracefully: it announces the shutdown, serves new
+// requests for stopDelay, then refuses them, waits for the requests in flight,
+// and at last stops its own parts. It returns the number of requests left when
+// the time limit passed. Further calls return 0 at once.
 func (d *Daemon) shutdown() int {
 	if d.state.leaving.Swap(true) {
 		return 0
@@ -190,8 +198,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.stopWithin)
 	defer cancel()
 	d.servers.leave(ctx)
-	// The balancer goes on sending requests until it has seen that this router
-	// is not ready. They are served, so that its callers notice nothing.
+	// The load balancer sends requests until it has seen that this router is
+	// not ready. They are served, so that callers see no failure.
 	time.Sleep(d.stopDelay)
 	if end, ok := ctx.Deadline(); ok {
 		d.state.stopDeadline.Store(&end)
--- a/wisteriarouter/daemon/daemon_test.go
+++ b/wisteriarouter/daemon/daemon_test.go
@@ -35,7 +35,8 @@
 non-idempotent = confirm
 `
 
-// testCluster is a platform, engines, a service and routers on loopback.
+// testCluster runs a platform, engines, a service and routers on loopback
+// addresses.
 type testCluster struct {
 	t        testing.TB
 	platform *standinplatform.Server
@@ -44,7 +45,7 @@
 	service  *standinservice.Service
 	routers  []*daemon.Daemon
 	stops    []func() int
-	refresh  time.Duration // of the list of instances
+	refresh  time.Duration // refresh interval of the instance list
 	logs     *logs
 }
 
@@ -72,7 +73,7 @@
 	return w
 }
 
-// restart is how long an engine is dead after a crash.
+// restart is how long an engine is down after a crash.
 const restart = time.Second
 
 func engineID(n int) string { return fmt.Sprintf("e%d", n+1) }
@@ -143,7 +144,7 @@
 	w.stops = append(w.stops, stopOnce)
 }
 
-// put writes the team's settings as an operator does.
+// put writes the team's settings as an operator would.
 func (w *testCluster) put(text string) {
 	c, closeClient, err := platform.New(platform.Config{Endpoints: []string{"http://" + w.address}})
 	assert.NilError(w.t, err)
@@ -167,7 +168,7 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-// response is what a caller got.
+// response is the response that a caller received.
 type response struct {
 	status int
 	header http.Header
@@ -211,7 +212,7 @@
 		if w.arrivals() >= n {
 			return poll.Success()
 		}
-		return poll.Continue("%d of %d requests have arrived", w.arrivals(), n)
+		return poll.Continue("%d of %d requests arrived", w.arrivals(), n)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
@@ -227,8 +228,8 @@
 	result  *response
 }
 
-// run asks until the request is no longer refused. A refusal tells that nothing
-// ran and when to come back, so that asking again is safe.
+// run sends the request until it is no longer refused. A refusal says that
+// nothing ran and when to retry, so a retry is safe.
 func (c retryingChat) run() {
 	for {
 		*c.result = c.cluster.chat(c.cluster.t.Context(), c.router, c.content)
@@ -256,8 +257,8 @@
 	assert.Equal(t, len(w.service.Arrivals().Arrivals), 1)
 }
 
-// A router and then an engine are stopped as planned while many answers are on
-// their way. No caller notices: each answer arrives whole.
+// A router and then an engine are stopped gracefully while many answers are in
+// progress. Every caller must receive its complete answer.
 func TestGracefulStopsCompleteInFlightChats(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
 	const chats = 60
@@ -267,7 +268,7 @@
 	for n := range chats {
 		c := retryingChat{cluster: w, router: n % 3, content: fmt.Sprintf("chat %d", n), result: &results[n]}
 		if n >= chats/2 && c.router == 1 {
-			c.router = 2 // the balancer has seen that router 2 is not ready
+			c.router = 2 // the load balancer has seen that router 2 is not ready
 		}
 		wg.Go(c.run)
 		if n == chats/2-1 {
@@ -286,8 +287,8 @@
 	}
 }
 
-// The address is taken, by a second router on the same instance for example.
-// Starting fails with the reason at once.
+// The address is in use, for example by a second router on the same instance.
+// Start must return the reason at once.
 func TestAddressInUse(t *testing.T) {
 	w := newTestCluster(t, 1, 1)
 	text := fmt.Sprintf("[router]\ninstance = r9\navailability-zone = a\n[listen]\ncallers = %s\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n[platform]\nkv = %s\ninstances = %s\n[log]\nlevel = error\n",
--- a/wisteriarouter/daemon/export_test.go
+++ b/wisteriarouter/daemon/export_test.go
@@ -1,4 +1,4 @@
 package daemon
 
-// StartWithLog starts a router that logs to a writer.
+// StartWithLog starts a router that logs to the given writer.
 var StartWithLog = start
--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -12,26 +12,26 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// fleet tells which routers answer, in the forms that the decisions need. Each
-// is made once for a change: they grow with the fleet, and are asked for with
-// each call to another router.
+// fleet holds the list of reachable routers in the forms that placement needs.
+// They are computed once for each change of the membership, because their size
+// grows with the fleet and every call to another router reads them.
 type fleet struct {
 	reach    *peer.Reach
 	ownerCap int
 
 	mu           sync.Mutex
-	members      []membership.Member // of which the others are made
+	members      []membership.Member // the members that the fields below are computed from
 	all          []placement.Router
-	ownerRouters []placement.Router // those that may own endpoints
-	snapshot     *placement.Routers // of owning
+	ownerRouters []placement.Router // routers that may own endpoints
+	snapshot     *placement.Routers // of ownerRouters
 }
 
 func newFleet(i do.Injector) (*fleet, error) {
 	return &fleet{reach: do.MustInvoke[*peer.Reach](i), ownerCap: settingsOf(i).Peers.OwnerCap}, nil
 }
 
-// routers returns the routers that answer, as far as this one knows. The slice
-// must not be written to.
+// routers returns the routers that this one considers reachable. The caller
+// must not modify the slice.
 func (f *fleet) routers() []placement.Router {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,7 +39,7 @@
 	return f.all
 }
 
-// owners returns those of them that may own endpoints.
+// owners returns the reachable routers that may own endpoints.
 func (f *fleet) owners() *placement.Routers {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,7 +47,8 @@
 	return f.snapshot
 }
 
-// refresh takes in a change. The caller holds f.mu.
+// refresh recomputes the lists if the membership has changed. The caller holds
+// f.mu.
 func (f *fleet) refresh() {
 	members := f.reach.Answering()
 	if f.snapshot != nil && membership.SameList(members, f.members) {
@@ -62,8 +63,8 @@
 	f.all, f.ownerRouters, f.snapshot = all, owning, placement.NewRouters(owning, f.ownerCap)
 }
 
-// routerOf leaves out the incarnation: a router that was frozen returns with a
-// higher one, and its grants are still held by the same process.
+// routerOf omits the incarnation: a router that was frozen rejoins with a
+// higher one, but the same process still holds its grants.
 func routerOf(m membership.Member, _ int) placement.Router {
 	return placement.Router{ID: m.Instance, Zone: m.Zone}
 }
--- a/wisteriarouter/daemon/fleet_bench_test.go
+++ b/wisteriarouter/daemon/fleet_bench_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// BenchmarkFleet measures what a router costs in a fleet of a given size, in
-// one process with all the others and with the stand-ins: control bytes and
-// messages, calls to the platform, processor time and memory, each for one
-// router. The fleet is idle or serves a number of requests a second for each
-// router; slopes over size and load give docs/CAPACITY.md.
+// BenchmarkFleet measures the cost of a router in a fleet of a given size:
+// control bytes and messages, platform calls, processor time and memory, each
+// per router. All routers and the stand-ins run in one process. The fleet is
+// idle or serves a number of requests per second for each router. The slopes
+// over size and load are the source of docs/CAPACITY.md.
 //
 //	go test -run xxx -bench Fleet -benchtime 1x ./daemon
 func BenchmarkFleet(b *testing.B) {
@@ -38,8 +38,8 @@
 	benchWindow = 10 * time.Second
 )
 
-// benchEngines returns how many engines stand behind a fleet: as many for each
-// router as at the target, 890 for 330.
+// benchEngines returns the number of engines for a fleet, in the ratio of the
+// target size: 890 engines for 330 routers.
 func benchEngines(routers int) int { return routers * 890 / 330 }
 
 func benchFleet(b *testing.B, size, rate int) {
@@ -68,7 +68,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// loadGenerator asks a router for short answers at a steady rate.
+// loadGenerator sends requests with short answers to a router at a constant
+// rate.
 type loadGenerator struct {
 	cluster *testCluster
 	router  int
@@ -94,7 +95,7 @@
 	}
 }
 
-// loadRequest is one request of a load.
+// loadRequest is one request of a loadGenerator.
 type loadRequest struct {
 	loadGenerator
 	n int
@@ -104,12 +105,12 @@
 	q.cluster.chat(context.Background(), q.router, fmt.Sprintf("chat %d of router %d", q.n, q.router))
 }
 
-// counters are sums over all routers.
+// counters holds sums over all routers.
 type counters struct {
 	bytes     float64
 	messages  float64
-	admission float64 // bytes of placement
-	gossip    float64 // bytes of membership and rumours
+	admission float64 // bytes of placement messages
+	gossip    float64 // bytes of membership and rumors
 }
 
 func (w *testCluster) counters() counters {
@@ -128,8 +129,8 @@
 	return c
 }
 
-// add takes in one line of metrics about what was sent. Rumours are counted
-// inside gossip already.
+// add adds one metrics line about sent messages. Rumors are skipped because
+// they are already counted as gossip.
 func (c *counters) add(line string) {
 	if !strings.Contains(line, `direction="sent"`) || strings.Contains(line, `type="rumor"`) {
 		return
@@ -151,7 +152,7 @@
 	}
 }
 
-// processTime returns the processor time that the process has used.
+// processTime returns the processor time used by the process.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -160,7 +161,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory returns the bytes of live heap and of stacks.
+// memory returns the size of the live heap and the stacks in bytes.
 func memory() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/wisteriarouter/daemon/leave_test.go
+++ b/wisteriarouter/daemon/leave_test.go
@@ -17,14 +17,15 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// conversation is a chat that goes on as its caller's application would.
+// conversation is a chat of several turns, with the state that the caller's
+// application keeps.
 type conversation struct {
 	id       string
 	hint     string
 	messages []standinengine.Message
 }
 
-// completion is what is read of an answer.
+// completion holds the fields of a chat answer that the tests read.
 type completion struct {
 	Choices []struct {
 		Message standinengine.Message `json:"message"`
@@ -36,8 +37,8 @@
 	} `json:"usage"`
 }
 
-// sendTurn has a conversation go on through a router, and returns the engine that
-// answered and how many tokens of the prompt it had cached.
+// sendTurn sends the next turn of a conversation through a router. It returns
+// the engine that answered and the number of prompt tokens that it had cached.
 func (w *testCluster) sendTurn(n int, c *conversation, words int) (engine string, cached int) {
 	w.t.Helper()
 	text := strings.Repeat(fmt.Sprintf("%s.%d ", c.id, len(c.messages)), words)
@@ -56,9 +57,10 @@
 	return engine, r.Usage.Details.Cached
 }
 
-// An engine leaves as planned, and the chats that it has served return through
-// any router. Their users would wait for the first token, and their accounts
-// would be billed for the whole prompt again.
+// An engine leaves as planned, and the chats that it served continue through
+// any router. Their context must be cached at the next engine: otherwise
+// callers wait longer for the first token, and their accounts are billed for
+// the whole prompt again.
 func TestChatsStayCachedAfterPlannedLeave(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
 	there := make([]*conversation, 0)
@@ -68,16 +70,17 @@
 			there = append(there, c)
 		}
 	}
-	assert.Assert(t, len(there) >= 3, "only %d chats went to the engine that leaves", len(there))
+	assert.Assert(t, len(there) >= 3, "only %d chats were placed at the engine that leaves", len(there))
 	w.engines[0].Leave()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n := w.engines[1].Stats().Imports + w.engines[2].Stats().Imports; n < len(there) {
-			return poll.Continue("%d of %d chats have been moved", n, len(there))
+			return poll.Continue("%d of %d chats were moved", n, len(there))
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
-	// An owner that learns late of a release sends a chat on to another engine,
-	// which is cold. On a busy machine that may happen to one now and then.
+	// An owner that learns late of a release sends a chat to another engine,
+	// which has nothing cached. On a busy machine that may happen to single
+	// chats.
 	first := 0
 	for n, c := range there {
 		engine, cached := w.sendTurn(n%3, c, 4)
@@ -87,11 +90,11 @@
 			assert.Assert(t, cached >= 320, "%s had %d tokens cached at %s", c.id, cached, engine)
 		}
 	}
-	assert.Assert(t, 2*first > len(there), "%d of %d chats went to the first engine in line", first, len(there))
+	assert.Assert(t, 2*first > len(there), "%d of %d chats were placed at their first candidate", first, len(there))
 	assert.Equal(t, w.engines[0].Stats().ArrivalsLeaving, 0)
 }
 
-// firstOf returns the engine that a conversation goes to if none is busy.
+// firstOf returns the engine at which a conversation is placed if none is busy.
 func firstOf(c *conversation, engines ...string) string {
 	set := placement.NewSet(lo.Map(engines, func(id string, _ int) placement.Descriptor {
 		return placement.Descriptor{ID: coordination.Endpoint(id), Pool: "m@1"}
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -8,12 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// leaveWithin is how long a leaving endpoint may still get new work.
+// leaveWithin is how long a leaving endpoint may still receive new requests.
 const leaveWithin = 3 * time.Second
 
-// An engine begins to stop, and the platform's list goes on showing it as live.
-// Only one router reads its word. If the others did not hear of it, requests
-// would reach it until it is gone, and be refused or cut off there.
+// An engine begins to stop while the platform's list still shows it as live,
+// and only one router reads the engine's load report. If the other routers did
+// not learn of it, they would send requests to the engine until it is gone,
+// which would be refused or cut off there.
 func TestLeavingEngineReceivesNoNewRequests(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
 	done := make(chan struct{})
@@ -33,6 +34,6 @@
 		s.check()
 	}
 	s := w.engines[0].Stats()
-	assert.Assert(t, s.LastArrival.Before(left.Add(leaveWithin)), "work came %v after the first word", s.LastArrival.Sub(left))
-	assert.Assert(t, w.arrivals() > s.Arrivals+20, "the others got no work")
+	assert.Assert(t, s.LastArrival.Before(left.Add(leaveWithin)), "a request arrived %v after the engine announced its stop", s.LastArrival.Sub(left))
+	assert.Assert(t, w.arrivals() > s.Arrivals+20, "the other engines received no requests")
 }
--- a/wisteriarouter/daemon/logs_test.go
+++ b/wisteriarouter/daemon/logs_test.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// logs gathers what the routers of a world log.
+// logs collects the logs of the routers of a test.
 type logs struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -19,7 +19,7 @@
 	return l.text.Write(p)
 }
 
-// lines returns the lines that name an event.
+// lines returns the log lines of an event.
 func (l *logs) lines(event string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -14,14 +14,16 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// incarnationMap holds the incarnation of each endpoint that may be given work.
+// incarnationMap holds the incarnation of each endpoint that may receive
+// requests.
 type incarnationMap map[coordination.Endpoint]coordination.Incarnation
 
-// ownerDescriptors returns the endpoints as this router owns them. The list names a
-// restarted engine's new incarnation before the engine serves. Requests sent
-// there then would meet a dead engine, and be suspected of having crashed it.
-// So its owner holds to the old incarnation, which grants nothing to those who
-// ask for the new one, until the engine itself has reported.
+// ownerDescriptors returns the endpoints as this router places requests there
+// as their owner. The instance list names the new incarnation of a restarted
+// engine before the engine serves. Requests sent to it by then would fail and
+// be suspected of having crashed it. So the owner keeps the old incarnation,
+// which grants nothing to requests for the new one, until the engine itself has
+// reported the new one.
 func (p *placer) ownerDescriptors(all []endpoint.Known) []placement.Descriptor {
 	next := make(incarnationMap, len(all))
 	served := lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
@@ -39,7 +41,8 @@
 	return served
 }
 
-// reportedIncarnation returns the incarnation that an endpoint's last report named.
+// reportedIncarnation returns the incarnation in an endpoint's last load
+// report, or 0 if there is none.
 func (p *placer) reportedIncarnation(id coordination.Endpoint) coordination.Incarnation {
 	if l, ok := p.reports.Load(id); ok {
 		return l.(engine.Load).Incarnation
@@ -53,13 +56,14 @@
 	if !ok || !p.recentLosses.add(time.Now(), id) {
 		return
 	}
-	// The list may name the next incarnation already, its owner not yet.
+	// The instance list may name the next incarnation before the owner uses it.
 	k.Incarnation = n
 	go lossReport{placer: p, descriptor: k.Descriptor}.run(context.Background())
 }
 
-// lossReport tells an endpoint's owner of its death, beside the request that met it:
-// an owner that is dead itself would hold the request up.
+// lossReport reports the death of an endpoint to its owner. It runs outside the
+// request that found the endpoint dead, because an owner that is dead too would
+// delay the request.
 type lossReport struct {
 	*placer
 	descriptor placement.Descriptor
@@ -67,18 +71,19 @@
 
 func (l lossReport) run(ctx context.Context) { l.entry.ReportLost(ctx, l.descriptor) }
 
-// lossReportInterval is the least time between two words of the same death. Each request
-// that an endpoint ran learns of it.
+// lossReportInterval is the minimum time between two reports of the same dead
+// endpoint: every request that ran there detects the loss.
 const lossReportInterval = 250 * time.Millisecond
 
-// recentLosses remembers which deaths were told of late. The zero value is ready for
-// use.
+// recentLosses holds the endpoints that were reported dead within
+// lossReportInterval. The zero value is ready for use.
 type recentLosses struct {
 	mu         sync.Mutex
 	reportedAt map[coordination.Endpoint]time.Time
 }
 
-// add reports whether a death is to be told, and notes it.
+// add records a dead endpoint and reports whether the loss is to be reported to
+// the owner.
 func (l *recentLosses) add(now time.Time, id coordination.Endpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -10,14 +10,14 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// observer implements relay.Observer: it weighs what one attempt shows by what
-// this router has seen elsewhere in the pool, and has the grant tell the
-// endpoint's owner.
+// observer implements relay.Observer. It scores the result of one attempt
+// against what this router has seen elsewhere in the pool, and has the grant
+// report the score to the endpoint's owner.
 type observer struct {
 	monitor  *outlier.Monitor
 	grant    *placement.Grant
 	request  outlier.Request
-	reported atomic.Bool // that the answer is overdue; an attempt speaks once
+	reported atomic.Bool // whether a result is recorded; an attempt counts once
 }
 
 // Answered implements relay.Observer.
@@ -47,7 +47,8 @@
 	}
 }
 
-// outlierLogger logs that an endpoint is taken out for its failures, or back.
+// outlierLogger logs that an endpoint is ejected for its failures or returned
+// to use.
 type outlierLogger struct{ log event.Log }
 
 func (l outlierLogger) logChange(j placement.OutlierChange) {
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -20,8 +20,8 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// provide declares how each part is made. A part is made when the first other
-// one asks for it.
+// provide registers the constructors of the parts. A part is created when it is
+// first requested.
 func provide(i do.Injector) {
 	provideShared(i)
 	do.Provide(i, newPlatform)
@@ -37,7 +37,7 @@
 	do.Provide(i, newServers)
 }
 
-// provideShared declares the parts that every router has.
+// provideShared registers the constructors of the parts that every router has.
 func provideShared(i do.Injector) {
 	do.Provide(i, newListeners)
 	do.Provide(i, newRegistry)
@@ -54,7 +54,8 @@
 
 func stateOf(i do.Injector) *state { return do.MustInvoke[*state](i) }
 
-// onStop has fn called when the router ends, behind the parts made later.
+// onStop registers fn to be called when the router stops, after the parts
+// created later have stopped.
 func onStop(i do.Injector, fn func()) { do.MustInvoke[*cleanups](i).add(fn) }
 
 func newRegistry(do.Injector) (*prometheus.Registry, error) {
@@ -68,12 +69,12 @@
 	return budget.New(settingsOf(i).Platform.Calls), nil
 }
 
-// newPlatform makes the client of the platform, whose calls are counted.
+// newPlatform creates the client of the platform and the metrics of its calls.
 func newPlatform(i do.Injector) (*platform.Client, error) {
 	cfg := settingsOf(i).Platform
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_platform_calls_total",
-		Help: "Calls to the platform by operation and result.",
+		Help: "Calls to the platform, by operation and result.",
 	}, []string{"op", "status"})
 	seconds := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "wisteria_platform_call_seconds",
@@ -105,7 +106,7 @@
 	return all
 }
 
-// newNode makes this router's part in the fleet.
+// newNode creates this router's membership in the fleet.
 func newNode(i do.Injector) (*peer.Node, error) {
 	cfg := settingsOf(i)
 	st := stateOf(i)
@@ -144,19 +145,21 @@
 	return c, nil
 }
 
-// minListInterval is the time between two reads of the list of instances by any
-// router of the fleet: the platform's rates do not grow as the fleet does.
-// Leaving endpoints are known sooner, from their own word and from rumours.
+// minListInterval is the minimum time between two reads of the instance list by
+// any router of the fleet, so that the call rate at the platform does not grow
+// with the fleet. Leaving endpoints are known sooner, from their own load
+// reports and from rumors.
 const minListInterval = 10 * time.Millisecond
 
-// refreshInterval returns how often one of so many routers reads the list.
+// refreshInterval returns how often each router reads the instance list, given
+// the number of routers.
 func refreshInterval(configured time.Duration, routers int) time.Duration {
 	return max(configured, time.Duration(routers)*minListInterval)
 }
 
-// newDirectory makes the directory of endpoints and keeps it fresh. What one
-// router notices of a leaving endpoint reaches the others as a rumour, long
-// before the platform's list shows it.
+// newDirectory creates the directory of endpoints and starts to refresh it. A
+// router that learns that an endpoint is leaving tells the others by a rumor,
+// long before the platform's list shows it.
 func newDirectory(i do.Injector) (*endpoint.Directory, error) {
 	cfg := settingsOf(i)
 	node := do.MustInvoke[*peer.Node](i)
@@ -172,14 +175,14 @@
 	return d, nil
 }
 
-// newReach makes what notices routers that do not answer.
+// newReach creates the detector of routers that do not answer.
 func newReach(i do.Injector) (*peer.Reach, error) {
 	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
 	onStop(i, cleanup)
 	return r, nil
 }
 
-// reachLogger logs that a router has gone away or is back.
+// reachLogger logs that a router has become unreachable or reachable again.
 type reachLogger struct{ log event.Log }
 
 func (l reachLogger) logChange(id coordination.Instance, away bool) {
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -21,8 +21,8 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// placer joins the decisions of placement with what the router knows of
-// endpoints and of other routers.
+// placer connects the placement decisions with the directory of endpoints and
+// the membership of routers. It implements caller.Placer.
 type placer struct {
 	self         coordination.Instance
 	fleet        *fleet
@@ -31,20 +31,20 @@
 	reach        *peer.Reach
 	owner        *placement.Owner
 	entry        *placement.Entry
-	changes      chan struct{} // a sign that lists have changed
-	pollNow      chan struct{} // a sign to read the loads at once; nil if they are not read
+	changes      chan struct{} // signals that a list has changed
+	pollNow      chan struct{} // requests an immediate poll of the loads; nil if loads are not polled
 	routers      atomic.Pointer[placement.Routers]
 	settings     atomic.Pointer[placementSettings]
-	reports      sync.Map // by endpoint, the last load that each owned endpoint reported
+	reports      sync.Map // the last load reported by each owned endpoint, by endpoint
 	incarnations incarnationMap
 	recentLosses recentLosses
 	started      time.Time
-	hasSeeds     bool // it had to meet the other routers first
+	hasSeeds     bool // the router joins through seeds, so it first has to meet the others
 
 	updating  sync.Mutex       // held by update; guards the fields below
-	roster    placement.Roster // damps endpoints that come and go
+	roster    placement.Roster // delays the return of endpoints that come and go
 	owned     map[coordination.Endpoint]bool
-	listed    []endpoint.Known // the list of the last update
+	listed    []endpoint.Known // the list at the last update
 	observers []func(all []endpoint.Known)
 }
 
@@ -61,8 +61,8 @@
 	return p, nil
 }
 
-// buildPlacer makes placing with the lists as they are now. Loads may be nil,
-// if endpoints are not asked for theirs.
+// buildPlacer creates a placer with the present lists. loads is nil if
+// endpoints are not asked for their loads.
 func buildPlacer(i do.Injector, loads placement.LoadReader, config placement.Config) *placer {
 	cfg := settingsOf(i)
 	st := stateOf(i)
@@ -87,14 +87,15 @@
 	return p
 }
 
-// watchLists has placing follow the lists.
+// watchLists subscribes to changes of the membership, of reachability and of
+// the endpoints.
 func (p *placer) watchLists() {
 	p.node.OnChange(func([]membership.Member) { p.signalChange() })
 	p.reach.Watch(p.signalChange)
 	p.directory.Watch(p.signalChange)
 }
 
-// startPoller has placing follow the loads that endpoints report.
+// startPoller starts to poll the loads of owned endpoints.
 func (p *placer) startPoller(i do.Injector, engines *engine.Client, interval time.Duration) {
 	poller := &endpoint.Poller{
 		Directory: p.directory,
@@ -107,7 +108,8 @@
 	onStop(i, poller.Start(context.Background()))
 }
 
-// startLoop has placing do what changes and time bring about.
+// startLoop starts the update loop and the background work of the owner and the
+// entry.
 func (p *placer) startLoop(i do.Injector) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.loop(ctx)
@@ -115,7 +117,8 @@
 	onStop(i, placement.Start(p.owner, p.entry))
 }
 
-// registerHandlers registers the owner's part of the protocol between routers.
+// registerHandlers registers the owner's handlers for messages of other
+// routers.
 func (p *placer) registerHandlers() {
 	own := func(fn func(context.Context, []byte) ([]byte, error)) peer.Handler {
 		return func(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
@@ -128,8 +131,8 @@
 	p.node.Handle(placement.TopicSum, own(p.owner.HandleSum))
 }
 
-// signalChange notes that a list has signalChange. Many changes at once lead to one
-// update.
+// signalChange signals that a list has changed. Changes in quick succession
+// lead to one update.
 func (p *placer) signalChange() {
 	select {
 	case p.changes <- struct{}{}:
@@ -153,12 +156,13 @@
 	}
 }
 
-// rosterInterval is how often it is looked whether an endpoint that came and
-// went has been steady for long enough to get its share of chats again.
+// rosterInterval is how often the roster is updated without a change, so that
+// an endpoint that came and went gets its share of chats back once it has been
+// stable for long enough.
 const rosterInterval = 15 * time.Second
 
-// observe has fn called with the list of endpoints now and, before requests are
-// placed by it, with each that differs.
+// observe calls fn with the present list of endpoints and with each later list
+// that differs, before requests are placed by that list.
 func (p *placer) observe(fn func(all []endpoint.Known)) {
 	p.updating.Lock()
 	defer p.updating.Unlock()
@@ -166,8 +170,8 @@
 	fn(p.listed)
 }
 
-// notifyObservers tells the observers of a list that differs from the last one. The caller
-// holds p.updating.
+// notifyObservers calls the observers if the list differs from the last one.
+// The caller holds p.updating.
 func (p *placer) notifyObservers(all []endpoint.Known) {
 	if slices.Equal(all, p.listed) {
 		return
@@ -178,7 +182,7 @@
 	}
 }
 
-// update takes the lists in. Requests are placed by them once it returns.
+// update reads the present lists. Requests are placed by them once it returns.
 func (p *placer) update() {
 	p.updating.Lock()
 	defer p.updating.Unlock()
@@ -193,8 +197,8 @@
 	})), routers)
 }
 
-// pollNew has the loads read at once if this router has become the owner of an
-// endpoint: it grants nothing there until it knows what the endpoint runs.
+// pollNew requests an immediate poll if this router has become the owner of an
+// endpoint, because it grants nothing there until it knows the endpoint's load.
 func (p *placer) pollNew(all []endpoint.Known) {
 	if p.pollNow == nil {
 		return
@@ -217,8 +221,9 @@
 	}
 }
 
-// joinWait is how long a router that has seeds waits for the others before it
-// reads the loads of endpoints: until it has met them it takes all for its own.
+// joinWait is how long a router with seeds waits for the other routers before
+// it polls the loads of endpoints. Until it has met them, it considers itself
+// the owner of all endpoints.
 const joinWait = time.Second
 
 func (p *placer) owns(k endpoint.Known) bool {
@@ -228,7 +233,8 @@
 	return p.routers.Load().Owner(k.ID, k.Zone) == p.self
 }
 
-// running returns what an endpoint that this router owns last reported to run.
+// running returns the number of running requests in the last load report of an
+// endpoint that this router owns.
 func (p *placer) running(id coordination.Endpoint) int {
 	if l, ok := p.reports.Load(id); ok {
 		return l.(engine.Load).Running
@@ -255,7 +261,8 @@
 	}
 }
 
-// loadReader reads an endpoint's own report for a decision without its owner.
+// loadReader reads an endpoint's load for a decision that is made without its
+// owner.
 type loadReader struct {
 	directory *endpoint.Directory
 	engines   *engine.Client
@@ -296,9 +303,10 @@
 	}, nil
 }
 
-// acquire asks for a grant for a request that has to start by a time, which may
-// be zero, and finds the endpoint that it is for. Placement learns of a change of
-// the list behind the directory, so that a grant may be for one that has gone.
+// acquire requests a grant for a request that has to start by a time, zero for
+// no limit, and looks up its endpoint. Placement learns of a change of the list
+// later than the directory, so a grant may be for an endpoint that has gone;
+// then another grant is requested.
 func (p *placer) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Known, *outcome.Refusal) {
 	for {
 		if !by.IsZero() {
@@ -316,8 +324,9 @@
 	}
 }
 
-// keyOf returns what leads a chat to its endpoint; a request without a chat
-// goes by its content.
+// keyOf returns the key by which a request is assigned to an endpoint: the
+// account and the chat, or the content's fingerprint for a request without a
+// chat.
 func keyOf(w caller.Want) placement.Key {
 	if w.Chat == "" {
 		return placement.Key(w.Fingerprint)
@@ -325,8 +334,9 @@
 	return placement.KeyOf(coordination.Chat(string(w.Account) + "/" + string(w.Chat)))
 }
 
-// refusalOf words a refusal of placement for callers. The request has reached
-// no endpoint; the caller package corrects the outcome if earlier attempts did.
+// refusalOf converts a refusal of placement into one for callers. The request
+// has reached no endpoint; the caller package corrects the outcome if earlier
+// attempts did.
 func refusalOf(r placement.Refusal) *outcome.Refusal {
 	code := outcome.Overloaded
 	switch r.Code {
@@ -344,7 +354,7 @@
 }
 
 // Adopt implements caller.Placer. The attempt already runs at its endpoint and
-// counts there through the endpoint's own report, so it needs no new grant.
+// is counted there by the endpoint's load report, so it needs no new grant.
 func (p *placer) Adopt(id coordination.Endpoint) (caller.Place, bool) {
 	k, ok := p.directory.Find(id)
 	if !ok {
--- a/wisteriarouter/daemon/placing_test.go
+++ b/wisteriarouter/daemon/placing_test.go
@@ -13,7 +13,8 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// Guards against requests that are refused since the endpoint of their grant has gone.
+// The endpoint of a grant may be gone from the directory. The request must get
+// another grant and not be refused while endpoints are left.
 func TestAcquireRetriesIfGrantedEndpointIsGone(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -41,8 +42,9 @@
 	}
 }
 
-// newTestPlacer returns the placing of a router that owns all endpoints. What it places
-// by is a list behind the directory.
+// newTestPlacer returns the placer of a router that owns all endpoints. Its
+// placement still uses the list before; its directory has the newer one,
+// listed.
 func newTestPlacer(before, listed []coordination.Endpoint) *placer {
 	routers := placement.NewRouters([]placement.Router{{ID: "self", Zone: "z"}}, 0)
 	var set []placement.Descriptor
--- a/wisteriarouter/daemon/process_test.go
+++ b/wisteriarouter/daemon/process_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// processes is a fleet of separate processes on loopback.
+// processes is a fleet of separate processes on loopback addresses.
 type processes struct {
 	t        *testing.T
 	dir      string
@@ -27,7 +27,8 @@
 	services []string
 }
 
-// start runs a program. Whatever still runs at the end of the test is killed.
+// start starts a program, which is killed at the end of the test if it still
+// runs.
 func (p *processes) start(name string, args ...string) *exec.Cmd {
 	logs, err := os.Create(filepath.Join(p.dir, name+".log"))
 	assert.NilError(p.t, err)
@@ -58,7 +59,7 @@
 	return strings.TrimSpace(string(address))
 }
 
-// freeAddresses returns addresses that nobody used a moment ago.
+// freeAddresses returns addresses that were unused a moment ago.
 func freeAddresses(t *testing.T, n int) []string {
 	var all []string
 	for range n {
@@ -101,7 +102,7 @@
 	}
 }
 
-// ready checks that a router has settings and serves the team.
+// ready checks that a router has settings and serves requests.
 func ready(address string) poll.Check {
 	return func(poll.LogT) poll.Result {
 		res, err := http.Get("http://" + address + "/readyz")
@@ -116,14 +117,16 @@
 	}
 }
 
-// startLoad runs callers, who check that each answer is whole and its own, that no
-// action runs twice and that no outcome is false.
+// startLoad starts the load generator. It checks that each answer is complete
+// and belongs to its request, that no action runs twice and that no reported
+// outcome is false.
 func (p *processes) startLoad() *exec.Cmd {
 	return p.start("load", "standin", "load", "-routers", strings.Join(p.callers, ","), "-duration", "6s",
 		"-rate", "8", "-pause", "1s", "-action-rate", "4", "-services", strings.Join(p.services, ","), "-retries", "6")
 }
 
-// waitLoad waits for the callers, whose verdict is their exit status.
+// waitLoad waits for the load generator and fails the test if its exit status
+// reports an error.
 func (p *processes) waitLoad(c *exec.Cmd) {
 	err := c.Wait()
 	report, _ := os.ReadFile(filepath.Join(p.dir, "load.log"))
@@ -134,9 +137,9 @@
 	assert.NilError(p.t, p.running[name].Process.Signal(s))
 }
 
-// Routers are killed, frozen and stopped as processes while callers stream and
-// send actions. Callers of a dead router reconnect to another one. Nobody hears
-// a wrong or broken answer, and no action runs twice.
+// Router processes are killed, frozen and stopped while callers stream and send
+// actions. Callers of a dead router reconnect to another one. No caller may
+// receive a wrong or incomplete answer, and no action may run twice.
 func TestProcessFaults(t *testing.T) {
 	for name, trouble := range map[string]func(p *processes){
 		"a router killed": func(p *processes) {
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -19,8 +19,8 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// provideRelay declares the parts of a router that relays plain HTTP on a
-// platform whose store holds the desired state and the endpoints.
+// provideRelay registers the constructors of a router that relays plain HTTP on
+// a platform whose store holds the desired state and the endpoints.
 func provideRelay(i do.Injector) {
 	provideShared(i)
 	do.Provide(i, newStore)
@@ -36,7 +36,7 @@
 	do.Provide(i, newRelayServers)
 }
 
-// newSender makes the client that sends requests to endpoints.
+// newSender creates the client that sends requests to endpoints.
 func newSender(i do.Injector) (*upstream.Client, error) {
 	m := newDialMetrics(do.MustInvoke[*prometheus.Registry](i))
 	c, cleanup := upstream.NewClient(upstream.Config{Dial: platform.Dialer(dialTimeout).DialContext, DialTimeout: dialTimeout, OnDial: m})
@@ -44,9 +44,9 @@
 	return c, nil
 }
 
-// dialTimeout is the longest time for a connection to an endpoint. Between
-// availability zones it takes 7 ms; a first packet that is lost is sent again
-// after a second, when another endpoint has long answered.
+// dialTimeout limits connecting to an endpoint. Connecting takes 7 ms between
+// availability zones. A lost first packet is retransmitted after 1 s, by which
+// time another endpoint has long answered.
 const dialTimeout = 400 * time.Millisecond
 
 func newRelay(i do.Injector) (*relay.Server, error) {
@@ -76,12 +76,12 @@
 	return t, nil
 }
 
-// relaySuspicion is what suspicion goes by where endpoints crash and return
-// within seconds: a suspect waits no longer than a rumour takes through the
-// fleet, and the other requests of its pool are not held up.
+// relaySuspicion configures suspicion for endpoints that crash and return
+// within seconds: a suspect request waits no longer than a rumor takes to reach
+// the whole fleet, and the other requests of its pool are not delayed.
 var relaySuspicion = suspicion.Config{Hold: 200 * time.Millisecond, LossWindow: time.Millisecond}
 
-// newRelayServers serves on the listeners of a relaying router.
+// newRelayServers starts the listeners of a relaying router.
 func newRelayServers(i do.Injector) (*servers, error) {
 	cfg := newServerConfig(i)
 	bound := do.MustInvoke[*listeners](i)
@@ -110,7 +110,7 @@
 	return s, nil
 }
 
-// relayReadiness declares the router ready once it has a desired state and has
+// relayReadiness marks the router ready once it has a desired state and has
 // read the list of endpoints.
 type relayReadiness struct {
 	readiness
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// desired holds the desired state in force.
+// desired holds the desired state in force. It implements relay.Desired.
 type desired struct {
 	log     event.Log
 	table   atomic.Pointer[route.Table]
@@ -37,8 +37,8 @@
 	d.relay.Store(settingsOf(i).Relay)
 	m := do.MustInvoke[*mirror.Mirror](i)
 	d.mirror = m
-	// Endpoints are taken in before the desired state: requests that wait for
-	// it would otherwise find their pools empty.
+	// Endpoints are read before the desired state: requests that wait for it
+	// would otherwise find their pools empty.
 	do.MustInvoke[*endpoint.Register](i)
 	m.Observe(d.applyChanges)
 	m.Observe(newBehindMetric(do.MustInvoke[*prometheus.Registry](i)))
@@ -55,8 +55,8 @@
 // Age implements relay.Desired.
 func (d *desired) Age() time.Duration { return d.mirror.Age() }
 
-// applyChanges puts a new desired state in force. One that cannot be read, or that is
-// older than the one in force, changes nothing.
+// applyChanges puts a new desired state in force. A state that cannot be
+// decoded, or that is not newer than the one in force, is ignored.
 func (d *desired) applyChanges(n mirror.Changes) {
 	for _, item := range n.Items {
 		if item.Key == platform.StateKey && !item.Deleted {
@@ -94,12 +94,12 @@
 	d.warnLate(s.Version, n)
 }
 
-// lateThreshold is how long behind the first router a change is logged as late: a
-// quarter of the two seconds in which it has to be in force.
+// lateThreshold is the delay after the first router from which a change is
+// logged as late: a quarter of the 2 s within which it has to be in force.
 const lateThreshold = 500 * time.Millisecond
 
-// warnLate logs a version that other routers have had for long, with whom this
-// router asked meanwhile.
+// warnLate logs a version that reached this router late, with the routers that
+// it asked meanwhile.
 func (d *desired) warnLate(v route.Version, n mirror.Changes) {
 	if n.Behind < lateThreshold {
 		return
@@ -112,7 +112,7 @@
 	)
 }
 
-// sourceName is the name of a mirror's source in the log.
+// sourceName returns the log name of a mirror's source.
 func sourceName(from coordination.Instance) string {
 	if from == "" {
 		return "store"
@@ -120,7 +120,7 @@
 	return string(from)
 }
 
-// configure takes in new settings of this router.
+// configure applies reloaded settings of this router.
 func (d *desired) configure(cfg config.Relay) {
 	d.relay.Store(&cfg)
 	if t := d.table.Load(); t != nil {
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -11,13 +11,13 @@
 	instances "wisteriaspool/wisteriarouter/platform"
 )
 
-// newStoreDirectory makes the directory of endpoints from their entries in
-// the store.
+// newStoreDirectory creates a directory for the endpoints listed in the store.
 func newStoreDirectory(i do.Injector) (*endpoint.Directory, error) {
 	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.logLeaving}, nil
 }
 
-// newRegister has the entries in the store taken into the directory.
+// newRegister creates the register that applies the store's entries to the
+// directory.
 func newRegister(i do.Injector) (*endpoint.Register, error) {
 	m := do.MustInvoke[*mirror.Mirror](i)
 	r := &endpoint.Register{
@@ -36,7 +36,7 @@
 	l.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
-// entryReader turns items of the store into changes of endpoints.
+// entryReader converts store items into endpoint changes.
 type entryReader struct {
 	register *endpoint.Register
 	log      event.Log
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -14,18 +14,19 @@
 	"wisteriaspool/wisteriarouter/endpoint"
 )
 
-// callBuckets are for calls over a network, in seconds.
+// callBuckets are histogram buckets for network calls, in seconds.
 var callBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5}
 
-// newStoreMetrics returns what counts the calls to the store.
+// newStoreMetrics registers the metrics of calls to the store and returns the
+// function that records a call.
 func newStoreMetrics(r *prometheus.Registry) func(platform.Op, kv.Status, time.Duration) {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_store_calls_total",
-		Help: "Calls to the platform's store by operation and result.",
+		Help: "Calls to the platform's store, by operation and result.",
 	}, []string{"op", "status"})
 	seconds := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "wisteria_store_call_seconds",
-		Help:    "Duration of calls to the platform's store; a watch waits for a change.",
+		Help:    "Duration of calls to the platform's store. A watch lasts until a change.",
 		Buckets: callBuckets,
 	}, []string{"op"})
 	r.MustRegister(calls, seconds)
@@ -35,27 +36,28 @@
 	}
 }
 
-// behindBuckets are for the time by which a change is later here than at the
-// first router, in seconds.
+// behindBuckets are histogram buckets for the delay of a change after the first
+// router, in seconds.
 var behindBuckets = []float64{.01, .03, .1, .3, .5, 1, 1.5, 2, 3}
 
-// newBehindMetric returns what counts how late changes of the store reach this
-// router.
+// newBehindMetric registers the metric of how late changes of the store reach
+// this router and returns the function that records them.
 func newBehindMetric(r *prometheus.Registry) func(mirror.Changes) {
 	behind := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "wisteria_mirror_behind_seconds",
-		Help:    "Time from when the store told the first router of a change until this one had it.",
+		Help:    "Time from the delivery of a change to the first router until this router received it.",
 		Buckets: behindBuckets,
 	})
 	r.MustRegister(behind)
 	return func(n mirror.Changes) { behind.Observe(n.Behind.Seconds()) }
 }
 
-// newDialMetrics returns what counts new connections to endpoints.
+// newDialMetrics registers the metric of new connections to endpoints and
+// returns the function that records a connection.
 func newDialMetrics(r *prometheus.Registry) func(string, error, time.Duration) {
 	dials := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_endpoint_dials_total",
-		Help: "New connections to endpoints by result.",
+		Help: "New connections to endpoints, by result.",
 	}, []string{"result"})
 	r.MustRegister(dials)
 	return func(_ string, err error, _ time.Duration) {
@@ -75,7 +77,7 @@
 	return mux
 }
 
-// relayCollector exports what a relaying router knows, and how old it is.
+// relayCollector exports the state of a relaying router and its age as metrics.
 type relayCollector struct {
 	desired   *desired
 	directory *endpoint.Directory
@@ -84,13 +86,13 @@
 
 var (
 	storeAge = prometheus.NewDesc("wisteria_store_age_seconds",
-		"Time since the store confirmed what this router knows, itself or through others.", nil, nil)
+		"Time since the store confirmed this router's copy of its data, directly or through other routers.", nil, nil)
 	stateVersion = prometheus.NewDesc("wisteria_desired_state_version",
 		"Version of the desired state in force.", nil, nil)
 	endpointStates = prometheus.NewDesc("wisteria_endpoints",
-		"Endpoints by pool and state.", []string{"pool", "state"}, nil)
+		"Endpoints, by pool and state.", []string{"pool", "state"}, nil)
 	retriesLeft = prometheus.NewDesc("wisteria_retries_left",
-		"Second attempts that this router could make now.", []string{"pool"}, nil)
+		"Retries left in this router's budget, by pool.", []string{"pool"}, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -11,8 +11,8 @@
 	"wisteriaspool/standin/replica"
 )
 
-// warmUp sends requests to each router, so that it knows how a kind of request
-// usually fares.
+// warmUp sends requests to each router, so that it has a baseline of the
+// latency and failures of a kind of request.
 func (s *relayCluster) warmUp(path string, n int) {
 	s.t.Helper()
 	for router := range s.routers {
@@ -23,22 +23,22 @@
 	}
 }
 
-// busiest returns the endpoint that has got most requests: the one that has
-// their prompts cached.
+// busiest returns the endpoint that received the most requests, which is the
+// one that has their prompts cached.
 func (s *relayCluster) busiest() *replica.Replica {
 	return lo.MaxBy(s.replicas, func(a, b *replica.Replica) bool { return len(a.Arrivals()) > len(b.Arrivals()) })
 }
 
-// One of three endpoints fails all that it gets, or every second request, while
-// its health check is good. A lookup that fails there is sent again; an order
-// cannot be, and its caller gets the failure. After some lookups hardly any order
-// may meet that endpoint any more.
+// One of three endpoints fails all its requests, or every second one, while its
+// health check passes. A failed safe request is retried. An unsafe one cannot
+// be, and its caller receives the failure. After a number of safe requests,
+// hardly any unsafe request may reach that endpoint.
 func TestUnsafeRequestsAvoidFailingEndpoint(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  replica.Faults
-		lookups int // after which it has to be known
-		most    int // of 30 orders that may fail
+		lookups int // after which the endpoint has to be ejected
+		most    int // maximum failures of 30 unsafe requests
 	}{
 		{"all", replica.Faults{Status: 500}, 40, 1},
 		{"by half", replica.Faults{Status: 500, Every: 2}, 60, 2},
@@ -58,13 +58,14 @@
 					failed++
 				}
 			}
-			assert.Assert(t, failed <= test.most, "%d of 30 orders failed", failed)
+			assert.Assert(t, failed <= test.most, "%d of 30 unsafe requests failed", failed)
 		})
 	}
 }
 
-// One of three endpoints takes forty times as long as the others. Lookups that
-// meet it are answered by another one, and soon hardly any meet it.
+// One of three endpoints takes 40 times as long as the others. Safe requests
+// sent to it are answered by another endpoint, and soon hardly any are sent to
+// it.
 func TestSafeRequestsAvoidSlowEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 0)
 	s.warmUp("/safe/", 20)
@@ -77,11 +78,11 @@
 			slow++
 		}
 	}
-	assert.Assert(t, slow <= 4, "%d of 40 lookups were slow", slow)
+	assert.Assert(t, slow <= 4, "%d of 40 safe requests were slow", slow)
 }
 
-// The endpoint serves again. It gets its share back within seconds, by lookups
-// first.
+// An ejected endpoint works again. It must receive its share of requests again
+// within seconds, safe requests first.
 func TestRecoveredEndpointReceivesRequests(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 0)
 	s.warmUp("/safe/", 12)
@@ -99,9 +100,9 @@
 	}
 }
 
-// One of three engines takes requests and never answers. A stream that may go on
-// elsewhere waited for its deadline, 5 s away, and its caller got nothing. Now it
-// moves on while there is time.
+// One of three engines accepts requests and never answers. A resumable stream
+// must be retried at another engine while there is time, instead of waiting for
+// its deadline of 5 s and failing.
 func TestSilentResumableStreamIsRetried(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 3)
 	s.warmUp("/resumable/", 12)
@@ -115,8 +116,8 @@
 	}
 }
 
-// A stream that may run only once meets an engine that never answers. It must
-// not be sent to a second one, however long the silence lasts.
+// A stream that must not run twice reaches an engine that never answers. It
+// must not be sent to a second engine, however long the engine is silent.
 func TestSilentNonResumableStreamIsNotRetried(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 2)
 	s.warmUp("/stream/", 12)
@@ -128,9 +129,9 @@
 	assert.Equal(t, s.runs("/stream/once"), 1)
 }
 
-// All engines are silent. Moving the requests to and fro would double the work
-// of a pool that is in trouble, so that an attempt is given up only for a place
-// at an engine that is not known to fail, and only within the budget.
+// All engines are silent. Retrying the requests would double the load of a
+// failing pool, so an attempt is abandoned only if an engine that is not known
+// to fail grants a place, and only within the retry budget.
 func TestRetriesAreBoundedIfAllEnginesAreSilent(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 3)
 	s.warmUp("/resumable/", 12)
@@ -161,8 +162,8 @@
 
 func (s sender) run() { s.done <- s.cluster.send(0, s.path).status }
 
-// One kind of request fails wherever it is sent. No endpoint is to blame, and
-// other requests find all of them in use.
+// One kind of request fails at every endpoint. No endpoint may be ejected for
+// it, and other requests must still reach all of them.
 func TestKindThatFailsEverywhereEjectsNoEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 0)
 	s.warmUp("/safe/", 12)
@@ -180,6 +181,6 @@
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
 	}
 	for i, r := range s.replicas {
-		assert.Assert(t, len(r.Arrivals()) > arrived[i], "endpoint %d gets nothing", i)
+		assert.Assert(t, len(r.Arrivals()) > arrived[i], "endpoint %d received no requests", i)
 	}
 }
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -24,8 +24,9 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// newRelayBasePlacer makes placing for endpoints that are not asked for their
-// loads: each such question has a price, and the owners' grants say the same.
+// newRelayBasePlacer creates a placer that does not poll the loads of
+// endpoints: each call has a cost, and the owners' grants give the same
+// information.
 func newRelayBasePlacer(i do.Injector) (*placer, error) {
 	p := buildPlacer(i, nil, relayConfig)
 	p.watchLists()
@@ -33,21 +34,23 @@
 	return p, nil
 }
 
-// relayConfig is what placement goes by before the first desired state. A
-// router that is killed is back within seconds; until its lease has run out,
-// its requests count at the owners.
+// relayConfig configures placement before the first desired state. A router
+// that is killed restarts within seconds. The requests of its earlier
+// incarnation count at the owners until their lease has expired.
 var relayConfig = placement.Config{
 	Grace:      250 * time.Millisecond,
 	EntryLease: 3 * time.Second,
-	// An endpoint that has died is back within seconds, or its entry is gone.
-	// One that lives and was taken for dead, by a packet that was lost, would
-	// be missed; if it is the only one of its pool, all is refused meanwhile.
+	// An endpoint that has died either returns within seconds or its entry is
+	// removed. One that was taken for dead because of a lost packet is still
+	// usable; if it is the only one of its pool, all requests are refused
+	// meanwhile.
 	LostTTL: time.Second,
-	// A router has one request at an endpoint in the mean; three are a burst.
+	// A router has one request at an endpoint on average; three allow for a
+	// burst.
 	FallbackLimit: 3,
 }
 
-// applyBounds puts the applyBounds of a desired state's pools in force.
+// applyBounds applies the load bounds of a desired state's pools.
 func (p *placer) applyBounds(s route.State, cfg *config.Relay) {
 	c := relayConfig
 	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineOvercommit
@@ -62,14 +65,15 @@
 	p.signalChange()
 }
 
-// plainBound is the bound of a plain service, whose endpoints have nothing
-// cached: as even as can be.
+// plainBound and plainSlack bound the load of a plain service. Its endpoints
+// have no cache, so the load is kept as even as possible.
 const (
 	plainBound = 1.25
 	plainSlack = 2
-	// plainOvercommit is half of an endpoint's slots: 30 ms of 60 ms of work.
+	// plainOvercommit is half of an endpoint's slots, for a delay of 30 ms with
+	// requests of 60 ms.
 	plainOvercommit = 0.5
-	// engineOvercommit is less, since a stream lasts a second and more.
+	// engineOvercommit is lower because a stream lasts 1 s or more.
 	engineOvercommit = 0.25
 )
 
@@ -79,13 +83,13 @@
 	holders atomic.Pointer[placement.CacheHolders]
 	monitor outlier.Monitor
 
-	subsetKey placement.Key // this router's
+	subsetKey placement.Key // this router's key for subsets of a pool
 	affinity  placement.Affinity
 	conns     reusePredictor
 }
 
-// reusePredictor tells for how long connections to a group of endpoints can be used
-// again.
+// reusePredictor estimates for how long idle connections to a group of
+// endpoints can be reused.
 type reusePredictor interface {
 	Reusable(group string) time.Duration
 }
@@ -97,7 +101,8 @@
 	return p, nil
 }
 
-// updateHolders takes in a change of the updateHolders of endpoints.
+// updateHolders updates the cache holders after a change of the list of
+// endpoints.
 func (p *relayPlacer) updateHolders(listed []endpoint.Known) {
 	if len(listed) == 0 {
 		return
@@ -144,8 +149,8 @@
 	return place, nil
 }
 
-// cacheSource returns the address of the endpoint that has the request's shared
-// parts if the chosen one has not.
+// cacheSource returns the address of the endpoint that has the shared parts of
+// the request cached, or an empty string if that is the chosen one or unknown.
 func (p *relayPlacer) cacheSource(pool coordination.Pool, key placement.Key, chosen coordination.Endpoint) string {
 	d := p.holders.Load().Source(pool, key, chosen)
 	if d == nil {
@@ -159,15 +164,15 @@
 }
 
 // poolRetries holds a retry budget for each pool. It implements relay.Retries.
-// The share is that of all requests, so that it holds for the fleet if each
-// router keeps it; of the burst each router has its part.
+// The share is a fraction of all requests, so it holds for the fleet if each
+// router keeps to it. The burst is divided among the routers.
 type poolRetries struct {
 	share float64
 	burst int
 	log   event.Log
 
 	mu      sync.Mutex
-	routers int // the most seen: routers that are cut off do not all take more
+	routers int // the largest number seen, so that partitioned routers do not each claim a larger part of the burst
 	budgets map[coordination.Pool]*retry.Budget
 }
 
@@ -178,7 +183,7 @@
 	return r, nil
 }
 
-// setMembers takes in a new list of routers.
+// setMembers applies a new list of routers.
 func (r *poolRetries) setMembers(all []membership.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +193,7 @@
 	}
 }
 
-// configure takes in new settings of this router.
+// configure applies reloaded settings of this router.
 func (r *poolRetries) configure(cfg config.Relay) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +214,7 @@
 	return b
 }
 
-// remaining returns what is remaining of each budget.
+// remaining returns the number of retries left in each pool's budget.
 func (r *poolRetries) remaining() map[coordination.Pool]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/wisteriarouter/daemon/relay_site_test.go
+++ b/wisteriarouter/daemon/relay_site_test.go
@@ -22,7 +22,8 @@
 	"wisteriaspool/wisteriarouter/daemon"
 )
 
-// relayCluster is a store, endpoints and relaying routers on loopback.
+// relayCluster runs a store, endpoints and relaying routers on loopback
+// addresses.
 type relayCluster struct {
 	t        testing.TB
 	store    *hub.Store
@@ -36,7 +37,7 @@
 	client   *http.Client
 }
 
-// desiredState is what an operator writes; routes are by their prefix.
+// desiredState holds the parts of the desired state that tests change.
 type desiredState struct {
 	routes  []map[string]any
 	tenants []map[string]any
@@ -59,7 +60,7 @@
 	s := &relayCluster{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // lets waiting watches go
+	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // ends pending watches
 	s.address = strings.TrimPrefix(srv.URL, "http://")
 	for n := range desks {
 		s.addReplica(replica.Options{ID: fmt.Sprintf("d%d", n), Service: "desk", Zone: "a", Pause: 10 * time.Millisecond})
@@ -71,7 +72,7 @@
 	for range routers {
 		s.addRouter()
 	}
-	t.Cleanup(s.client.CloseIdleConnections) // the routers' stops need not wait for them
+	t.Cleanup(s.client.CloseIdleConnections) // so that the routers need not wait for idle connections when they stop
 	for n := range routers {
 		s.awaitReady(n)
 		s.awaitMembers(n, routers)
@@ -79,7 +80,7 @@
 	return s
 }
 
-// awaitMembers waits until a router has met all others.
+// awaitMembers waits until a router has all others in its membership list.
 func (s *relayCluster) awaitMembers(n, routers int) {
 	want := fmt.Sprintf("wisteria_members{state=\"alive\"} %d\n", routers)
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
@@ -92,7 +93,7 @@
 		if err == nil && strings.Contains(string(text), want) {
 			return poll.Success()
 		}
-		return poll.Continue("router %d has not met all others", n)
+		return poll.Continue("router %d does not list all others as alive", n)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
@@ -168,16 +169,16 @@
 		if s.ready(n) {
 			return poll.Success()
 		}
-		return poll.Continue("not ready")
+		return poll.Continue("the router is not ready")
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// relayResponse is what a caller got.
+// relayResponse is the response that a caller received.
 type relayResponse struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // from reading the body
 }
 
 var (
@@ -219,7 +220,8 @@
 	return relayResponse{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// runs returns how many requests a path has had at all endpoints.
+// runs returns the number of requests for a path that arrived at all endpoints
+// together.
 func (s *relayCluster) runs(path string) (n int) {
 	for _, r := range s.replicas {
 		for _, a := range r.Arrivals() {
@@ -231,7 +233,7 @@
 	return n
 }
 
-// events returns the whole series of events of a stream.
+// events returns the events of a stream from one number to another, inclusive.
 func events(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
--- a/wisteriarouter/daemon/relay_start_test.go
+++ b/wisteriarouter/daemon/relay_start_test.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/standin/hub"
 )
 
-// waiter is a caller that asks a router which has just started.
+// waiter is a caller that sends a request to a router that has just started.
 type waiter struct {
 	cluster *relayCluster
 	got     relayResponse
@@ -19,10 +19,10 @@
 
 func (w *waiter) run() { w.got = w.cluster.send(0, "/safe/1") }
 
-// A router starts while the store is away, and callers ask it meanwhile. The
-// store is back a moment later. Were they turned away at once, or as soon as
-// the routes are known and the endpoints are not, they would have to come back
-// to a router that could have served them.
+// A router starts while the store is unavailable and receives requests before
+// the store returns. The requests must be served once the state is known. If
+// they were refused at once, or as soon as the routes but not the endpoints are
+// known, callers would have to retry at a router that could have served them.
 func TestRelayServesRequestsReceivedBeforeFirstState(t *testing.T) {
 	s := newRelayCluster(t, 0, 3, 0)
 	s.store.Fail(hub.Faults{Down: true})
--- a/wisteriarouter/daemon/relay_stop_test.go
+++ b/wisteriarouter/daemon/relay_stop_test.go
@@ -16,13 +16,13 @@
 	"wisteriaspool/standin/replica"
 )
 
-// Guards against requests that a stopping router reads and then drops with their
-// connection.
+// A stopping router must answer requests that it has read in part, instead of
+// dropping them with their connection.
 func TestRelayAnswersRequestsCompletedDuringStop(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		kept bool    // the connection has had an answer before
-		part float64 // of the request that is written before the stop
+		kept bool    // the connection has served a request before
+		part float64 // fraction of the request that is written before the stop
 	}{
 		{name: "new connection"},
 		{name: "part of a head on a new connection", part: 0.5},
@@ -39,21 +39,21 @@
 			text := c.text("/unsafe/last")
 			before := int(tc.part * float64(len(text)))
 			c.write(text[:before])
-			time.Sleep(20 * time.Millisecond) // the router has read it
+			time.Sleep(20 * time.Millisecond) // until the router has read it
 			left := make(chan int, 1)
 			go stopper{s.stops[0], left}.run()
 			s.awaitNoListener(0)
 			c.write(text[before:])
 			got := c.readResponse()
 			assert.Equal(t, got.StatusCode, http.StatusOK)
-			assert.Assert(t, got.Close, "the answer keeps the connection")
+			assert.Assert(t, got.Close, "the response keeps the connection open")
 			assert.Equal(t, <-left, 0)
 		})
 	}
 }
 
-// Guards against answers that break off since their router took the request when it
-// had no time left to complete it.
+// A stopping router must refuse a request that it has no time left to complete,
+// because the answer would break off.
 func TestRelayRefusesRequestsItsStopWouldCutOff(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 180, Pause: 20 * time.Millisecond})
@@ -77,8 +77,8 @@
 	assert.Equal(t, <-left, 0)
 }
 
-// Guards against requests that wait for a place, or for their endpoint, and are cut off
-// by the end of a stop without a word.
+// Requests that wait for a place, or for their endpoint, must be answered at
+// the end of a shutdown and not cut off without a response.
 func TestRelayAnswersPendingRequestsAtEndOfStop(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 0)
 	s.addReplica(replica.Options{ID: "d0", Service: "desk", Zone: "a", Slots: 1})
@@ -88,13 +88,13 @@
 		r["timeoutMs"] = 15000
 	}
 	s.put(d)
-	time.Sleep(300 * time.Millisecond) // it is in force
+	time.Sleep(300 * time.Millisecond) // until it is in force
 	const requests = 12
 	got := make(chan relayResponse, requests)
 	for range requests {
 		go longSender{s, "/unsafe/last", got}.run()
 	}
-	time.Sleep(500 * time.Millisecond) // they wait
+	time.Sleep(500 * time.Millisecond) // until they wait
 	assert.Equal(t, s.stops[0](), 0)
 	statuses := make(map[int]int)
 	for range requests {
@@ -106,7 +106,7 @@
 	assert.Equal(t, statuses[http.StatusServiceUnavailable], requests-s.runs("/unsafe/last"), "%v", statuses)
 }
 
-// longSender sends one request that has time.
+// longSender sends one request with a long deadline.
 type longSender struct {
 	cluster *relayCluster
 	path    string
@@ -115,13 +115,14 @@
 
 func (a longSender) run() { a.got <- a.cluster.send(0, a.path, "X-Deadline-Ms", "14000") }
 
-// Guards against operators' requests that are read and dropped at the end of a stop.
+// Operators' requests that were read in part must be answered during a shutdown
+// and not dropped at its end.
 func TestRelayAnswersOperatorsDuringStop(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	c := s.connectTo(s.routers[0].OperatorsAddress())
 	text := "GET /metrics HTTP/1.1\r\nHost: router.example\r\n\r\n"
 	c.write(text[:10])
-	time.Sleep(20 * time.Millisecond) // the router has read it
+	time.Sleep(20 * time.Millisecond) // until the router has read it
 	left := make(chan int, 1)
 	go stopper{s.stops[0], left}.run()
 	s.awaitNoListenerAt(s.routers[0].OperatorsAddress())
@@ -132,7 +133,8 @@
 	assert.Equal(t, <-left, 0)
 }
 
-// connection is a caller's connection to a router, written by hand.
+// connection is a caller's connection to a router, on which requests are
+// written as raw text.
 type connection struct {
 	net.Conn
 	t testing.TB
@@ -151,7 +153,7 @@
 	return &connection{Conn: c, t: s.t, r: bufio.NewReader(c)}
 }
 
-// text returns a request as it is on the wire.
+// text returns a request in wire format.
 func (c *connection) text(path string) string {
 	body, prompt := "body of "+path, ""
 	if strings.HasPrefix(path, "/stream/") {
@@ -166,8 +168,8 @@
 	assert.NilError(c.t, err)
 }
 
-// beginStream asks for a stream, once the router knows an endpoint for it, and reads the
-// head of the answer, which keeps the connection.
+// beginStream starts a stream once the router knows an endpoint for it and
+// reads the head of the response, which keeps the connection open.
 func (s *relayCluster) beginStream(path string) (c *connection, resp *http.Response) {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		c = s.connect(0)
@@ -178,7 +180,7 @@
 		if resp.StatusCode == http.StatusOK {
 			return poll.Success()
 		}
-		return poll.Continue("the router knows no endpoint")
+		return poll.Continue("the router does not know the endpoint yet")
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(20*time.Millisecond))
 	assert.Assert(s.t, !resp.Close)
 	return c, resp
@@ -186,19 +188,19 @@
 
 func (c *connection) readResponse() *http.Response {
 	resp, err := http.ReadResponse(c.r, nil)
-	assert.NilError(c.t, err, "the connection ended without an answer")
+	assert.NilError(c.t, err, "the connection was closed without a response")
 	c.readBody(resp)
 	return resp
 }
 
-// readBody reads the rest of an answer.
+// readBody reads the rest of a response.
 func (c *connection) readBody(resp *http.Response) {
 	_, err := io.Copy(io.Discard, resp.Body)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, resp.Body.Close())
 }
 
-// awaitNoListener waits until a router takes no new connections of callers.
+// awaitNoListener waits until a router accepts no new connections of callers.
 func (s *relayCluster) awaitNoListener(router int) {
 	s.awaitNoListenerAt(s.routers[router].CallersAddress())
 }
@@ -210,6 +212,6 @@
 			return poll.Success()
 		}
 		_ = c.Close()
-		return poll.Continue("the router listens")
+		return poll.Continue("the router still accepts connections")
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 }
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// storeTimeout bounds a call to the platform's store, which answers in some
-// milliseconds; a slow one takes 60 times as long.
+// storeTimeout limits a call to the platform's store, which answers within a
+// few milliseconds; a slow store takes 60 times as long.
 const storeTimeout = time.Second
 
 func newStore(i do.Injector) (*platform.Store, error) {
@@ -26,12 +26,12 @@
 	return s, nil
 }
 
-// newMirror makes the router's copy of what the store holds, which the parts
-// that go by it observe.
+// newMirror creates the router's copy of the store's data. The parts that use
+// the data observe it.
 func newMirror(do.Injector) (*mirror.Mirror, error) { return mirror.New(), nil }
 
-// startFeed starts to startFeed the mirror, whose observers are set by then, from the
-// store and from other routers.
+// startFeed starts to feed the mirror from the store and from other routers.
+// All observers of the mirror have to be set before.
 func startFeed(i do.Injector, m *mirror.Mirror, callLog *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
 	reach := do.MustInvoke[*peer.Reach](i)
@@ -54,7 +54,7 @@
 	onStop(i, f.Start())
 }
 
-// storeLogger logs that the store is lost or back.
+// storeLogger logs that the store has become unavailable or available again.
 type storeLogger struct{ log event.Log }
 
 func (s storeLogger) logStatus(err error) {
@@ -65,7 +65,7 @@
 	s.log.Emit(event.PlatformLost, event.F("error", err.Error()))
 }
 
-// hintFailureLogger logs hints that could not be sent or followed.
+// hintFailureLogger logs hints that could not be sent or processed.
 type hintFailureLogger struct{ log event.Log }
 
 func (u hintFailureLogger) logFailure(id coordination.Instance, err error) {
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// A caller names a client account, and headers that only the fleet sets. The
-// endpoint must see the account that holds the caller's key.
+// A caller sets the headers for the client account and for cache transfers,
+// which only the fleet may set. The endpoint must see the account of the
+// caller's API key and no transfer header.
 func TestRelayReplacesInternalHeaders(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	assert.Equal(t, s.send(0, "/safe/1", "X-Tenant", "zeta", "Kv-Fetch", "10.0.0.1:1").status, 200)
@@ -44,17 +45,17 @@
 	assert.Equal(t, a.Fetch, "")
 }
 
-// An endpoint dies in the middle of an event of a stream that may go on
-// elsewhere. The caller gets every event once, and none in part.
+// An endpoint dies in the middle of an event of a resumable stream. The caller
+// must receive every event once, and none in part.
 func TestRelayResumesStreamAtAnotherEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{CutAfter: 2})
 	}
-	// The endpoint that goes on gets the id of the last whole event, and cuts
-	// nothing, since it sends the third event on.
+	// The endpoint that resumes the stream gets the id of the last complete
+	// event, and cuts it in the middle of the third event as well.
 	first := s.send(0, "/resumable/1")
-	assert.Assert(t, first.err != nil, "both endpoints cut: the stream must not look complete")
+	assert.Assert(t, first.err != nil, "both endpoints cut the stream: it must not look complete")
 	assert.Assert(t, strings.HasPrefix(events(1, 5), first.body), "%q", first.body)
 	s.replicas[1].Fail(replica.Faults{})
 	s.replicas[0].Fail(replica.Faults{CutAfter: 2})
@@ -65,8 +66,8 @@
 	}
 }
 
-// A stream that must not run twice breaks off. The caller sees that it is not
-// complete, and no other endpoint runs it.
+// A stream that must not run twice breaks off. The caller must see that it is
+// incomplete, and no other endpoint may run it.
 func TestRelayDoesNotRetryNonResumableStream(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
@@ -78,8 +79,8 @@
 	assert.Equal(t, s.runs("/stream/1"), 1)
 }
 
-// An endpoint runs an order and its answer is lost. Nobody can tell whether it
-// ran, so the caller must not be told that it did not, and it must not run
+// An endpoint runs an unsafe request and its answer is lost. Whether it ran is
+// unknown, so the caller must not be told that it did not, and it must not run
 // again.
 func TestRelayNeverRetriesUnsafeRequest(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
@@ -100,9 +101,9 @@
 	}
 }
 
-// The only endpoint of a pool fails requests now and then. A safe request is
-// tried there again, as it may be; if it fails for good, the caller gets the
-// endpoint's own answer and not one that the router makes up.
+// The only endpoint of a pool sometimes fails. A safe request is retried there.
+// If the retry fails as well, the caller must receive the endpoint's own
+// response and not one made by the router.
 func TestRelayRetriesAtOnlyEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	s.replicas[0].Fail(replica.Faults{Status: 500})
@@ -115,8 +116,8 @@
 	assert.Equal(t, s.send(0, "/unsafe/3").status, 200)
 }
 
-// The router that owns all endpoints of a pool is killed without a word. Until
-// the others do without it, they place by what they know themselves.
+// The router that owns the endpoints of a pool goes away. Until the other
+// router has taken over, it must place requests by its own knowledge.
 func TestRelayServesWhileAnOwnerIsDead(t *testing.T) {
 	s := newRelayCluster(t, 2, 3, 0)
 	go stopper{s.stops[1], make(chan int, 1)}.run()
@@ -126,8 +127,8 @@
 	}
 }
 
-// All endpoints are full. The caller is told at once that its order was not
-// run, and when to come back.
+// All endpoints are full. The caller must be told at once that its unsafe
+// request did not run and when to retry.
 func TestRelayRefusesAtOnceIfAllEndpointsAreFull(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
@@ -142,8 +143,8 @@
 	assert.Equal(t, s.runs("/unsafe/1"), 0)
 }
 
-// An endpoint is killed. Until its entry is gone, requests meet nobody at its
-// address; they have not run there and go elsewhere.
+// An endpoint is killed. Until its entry is removed, connections to its address
+// fail. Those requests have not run and must be sent to another endpoint.
 func TestRelayAvoidsDeadEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 2, 3, 0)
 	s.kill[1]()
@@ -153,8 +154,8 @@
 	assert.Equal(t, s.runs("/unsafe/1"), 12)
 }
 
-// The caller goes away in the middle of a stream. The endpoint must stop
-// within half a second: nobody reads what it makes, and somebody pays.
+// The caller disconnects during a stream. The endpoint must stop within 500 ms,
+// because the output is discarded and yet costs money.
 func TestRelayCancelsAttemptIfCallerDisconnects(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 1)
 	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Pause: 20 * time.Millisecond})
@@ -165,7 +166,7 @@
 		defer cancel()
 		resp, err := s.client.Do(s.request(ctx, 0, "/stream/1"))
 		if err != nil || resp.StatusCode != 200 {
-			return poll.Continue("not served yet")
+			return poll.Continue("the stream is not served yet")
 		}
 		_, _ = bufio.NewReader(resp.Body).ReadString('\n')
 		return poll.Success()
@@ -176,18 +177,18 @@
 				return poll.Success()
 			}
 		}
-		return poll.Continue("the endpoint is still at work")
+		return poll.Continue("the endpoint is still running")
 	}, poll.WithTimeout(500*time.Millisecond), poll.WithDelay(10*time.Millisecond))
 }
 
-// An operator takes a key away while the store turns one router away. A caller
-// that comes through that router must be refused like through all others.
+// An API key is revoked while the store delivers the change to no watch. Every
+// router must learn of it and refuse the key.
 func TestRelayLearnsOfRevokedKeyFromPeers(t *testing.T) {
 	s := newRelayCluster(t, 3, 1, 0)
 	for n := range s.routers {
 		assert.Equal(t, s.send(n, "/safe/1", "Authorization", "Bearer k2").status, 200)
 	}
-	s.store.Fail(hub.Faults{Mute: true}) // no watch hears of the change
+	s.store.Fail(hub.Faults{Mute: true}) // no watch receives the change
 	next := plainState()
 	next.tenants = next.tenants[:1]
 	s.put(next)
@@ -196,15 +197,15 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for n := range s.routers {
 			if s.send(n, "/safe/1", "Authorization", "Bearer k2").status != 401 {
-				return poll.Continue("router %d takes the key", n)
+				return poll.Continue("router %d still accepts the key", n)
 			}
 		}
 		return poll.Success()
 	}, poll.WithTimeout(4*time.Second))
 }
 
-// Something unreadable is written over the desired state, and foreign entries
-// beside those of the endpoints. The last good state stays in force.
+// The desired state is overwritten by an invalid value, and malformed entries
+// are added to those of the endpoints. The last valid state must stay in force.
 func TestRelayKeepsLastValidState(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	s.store.Put("op/config", []byte("{not json"))
@@ -214,13 +215,13 @@
 		if len(s.logs.lines("settings-invalid")) > 0 && len(s.logs.lines("endpoint-malformed")) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("no word of it in the log")
+		return poll.Continue("the log does not report both yet")
 	})
 	assert.Equal(t, s.send(0, "/safe/1").status, 200)
 }
 
-// The store goes away and the leases of all entries run out. The routers serve
-// on with what they know.
+// The store becomes unavailable and the leases of all entries expire. The
+// routers must go on serving with their last known state.
 func TestRelayServesWithoutTheStore(t *testing.T) {
 	s := newRelayCluster(t, 2, 2, 1)
 	s.store.Fail(hub.Faults{Down: true})
@@ -240,8 +241,8 @@
 	assert.NilError(t, s.send(0, "/stream/1").err)
 }
 
-// A router is stopped while it serves. What it has begun it finishes, and it
-// says at once that it takes no new callers.
+// A router is stopped while it serves a stream. It must become unready at once
+// and complete the stream.
 func TestRelayStopsGracefully(t *testing.T) {
 	s := newRelayCluster(t, 2, 1, 1)
 	done := make(chan relayResponse, 1)
@@ -250,7 +251,7 @@
 		if s.runs("/stream/long") > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("not begun")
+		return poll.Continue("the stream has not started")
 	}, poll.WithDelay(2*time.Millisecond))
 	left := make(chan int, 1)
 	go stopper{s.stops[0], left}.run()
@@ -258,7 +259,7 @@
 		if !s.ready(0) {
 			return poll.Success()
 		}
-		return poll.Continue("still ready")
+		return poll.Continue("the router is still ready")
 	}, poll.WithDelay(2*time.Millisecond))
 	got := <-done
 	assert.NilError(t, got.err)
@@ -280,8 +281,7 @@
 
 func (s stopper) run() { s.left <- s.stop() }
 
-// An endpoint announces that it stops. Requests that it has begun end there;
-// none begins.
+// An endpoint announces that it stops. It must receive no new requests.
 func TestRelayAvoidsDrainingEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 2, 2, 0)
 	s.replicas[0].Drain()
@@ -293,8 +293,8 @@
 	assert.Equal(t, len(s.replicas[0].Arrivals()), before)
 }
 
-// A route gives its answers half a second, and an endpoint takes longer. The
-// caller has a final answer in time, and the endpoint is let off.
+// An endpoint takes longer than the timeout of the route. The caller must get a
+// final response in time, and the endpoint's work must be cancelled.
 func TestRelayEnforcesRouteTimeout(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	next := plainState()
@@ -311,12 +311,12 @@
 		if a := slow.Arrivals(); len(a) == 1 && a[0].Left {
 			return poll.Success()
 		}
-		return poll.Continue("still at work")
+		return poll.Continue("the endpoint is still running")
 	})
 }
 
-// What a caller smuggles behind a request, or with two lengths, must not run
-// as somebody's request.
+// Text smuggled behind a request, or with conflicting lengths, must not run as
+// a request of its own.
 func TestRelayRefusesSmuggling(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
 	head := "POST /safe/smuggled HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: a\r\nAuthorization: Bearer k1\r\n"
@@ -337,15 +337,15 @@
 		_, _ = io.ReadAll(c)
 		_ = c.Close()
 		for _, a := range s.replicas[0].Arrivals() {
-			assert.Assert(t, a.Path != "/safe/evil" || a.Tenant == "", "%s: ran with somebody's account", name)
+			assert.Assert(t, a.Path != "/safe/evil" || a.Tenant == "", "%s: ran with a client account", name)
 		}
 	}
 	assert.Equal(t, s.runs("/safe/evil"), 0)
 }
 
-// A request crashes each endpoint that runs it, and its caller sends it again
-// and again, as soon as the routers can have heard of each other. It may take
-// two endpoints, not the whole pool.
+// A request crashes each endpoint that runs it, and its caller retries it as
+// soon as the routers can have learned of the crash. It may crash two endpoints
+// at most, not the whole pool.
 func TestRelayRefusesRequestThatCrashesEndpoints(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 5)
 	for _, r := range s.replicas {
@@ -361,8 +361,9 @@
 	}
 }
 
-// A router gets a few requests a second for a pool of ten endpoints. Sent to all of
-// them, each would need a new connection.
+// A router receives a few requests per second for a pool of ten endpoints. It
+// must use a small subset, because each request would need a new connection if
+// all endpoints were used.
 func TestRelayUsesFewEndpointsAtLowRate(t *testing.T) {
 	s := newRelayCluster(t, 1, 10, 0)
 	for n := range 24 {
@@ -375,5 +376,5 @@
 			met++
 		}
 	}
-	assert.Assert(t, met >= 2 && met <= 6, "%d endpoints were met", met)
+	assert.Assert(t, met >= 2 && met <= 6, "%d endpoints received requests", met)
 }
--- a/wisteriarouter/daemon/reload.go
+++ b/wisteriarouter/daemon/reload.go
@@ -8,9 +8,10 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Reload puts the settings of a file that was read again in force, as far as
-// that needs no restart: the level of the log, and what a relaying router goes
-// by. A file that cannot be read or has problems changes nothing.
+// Reload applies the settings of a configuration file that was read again, as
+// far as they take effect without a restart: the log level and the settings of
+// a relaying router. A file that could not be read or that has problems changes
+// nothing.
 func (d *Daemon) Reload(cfg *config.Config, problems []schema.Problem, err error) {
 	switch {
 	case err != nil:
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -16,20 +16,20 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// server is one bound listener with what it serves.
+// server serves HTTP on a bound listener.
 type server struct {
 	*downstream.Server
 	close  func()
 	onFail func(error)
 }
 
-// newServer serves h on l.
+// newServer creates a server for l. It calls onFail if the listener fails.
 func newServer(l net.Listener, h http.Handler, cfg downstream.Config, onFail func(error)) *server {
 	s, closeAll := downstream.NewServer(l, h, cfg)
 	return &server{Server: s, close: closeAll, onFail: onFail}
 }
 
-// newServerConfig returns the limits of all listeners.
+// newServerConfig returns the configuration shared by all listeners.
 func newServerConfig(i do.Injector) downstream.Config {
 	lim := settingsOf(i).Limits
 	return downstream.Config{
@@ -40,7 +40,8 @@
 	}
 }
 
-// dropObserver implements downstream.Observer.
+// dropObserver implements downstream.Observer. It counts and logs dropped
+// requests.
 type dropObserver struct {
 	log   event.Log
 	count prometheus.Counter
@@ -49,7 +50,7 @@
 func newDropObserver(i do.Injector) *dropObserver {
 	d := &dropObserver{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wisteria_requests_dropped_total",
-		Help: "Requests that were read, in part or whole, on connections that ended without an answer.",
+		Help: "Requests read in part or whole on connections that ended without an answer.",
 	})}
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(d.count)
 	return d
@@ -66,8 +67,8 @@
 		event.F("draining", each.Draining))
 }
 
-// listeners are bound before anything else is made, so that a port in use is
-// found first, and other routers are told the port that was bound.
+// listeners are bound before any other part is created, so that a port in use
+// is detected first, and other routers learn the port that was bound.
 type listeners struct {
 	callers   net.Listener
 	operators net.Listener
@@ -75,7 +76,7 @@
 	readiness net.Listener // nil unless the router relays
 }
 
-// listenTarget is a listener to be bound, and where it goes.
+// listenTarget is an address to listen on and where its listener is stored.
 type listenTarget struct {
 	address  string
 	listener *net.Listener
@@ -99,7 +100,7 @@
 	return ls, nil
 }
 
-// idleTimeout is how long a connection without a request stays open.
+// idleTimeout is how long a connection without a request is kept open.
 const idleTimeout = 90 * time.Second
 
 func (s *server) address() string { return s.Addr().String() }
@@ -110,7 +111,7 @@
 	}
 }
 
-// servers are the listeners of a router.
+// servers holds the servers of all listeners of a router.
 type servers struct {
 	callers   *server
 	operators *server
@@ -123,7 +124,7 @@
 	cause     error
 }
 
-// fail notes that a listener cannot go on.
+// fail records that a listener has failed. Only the first failure counts.
 func (s *servers) fail(err error) {
 	s.once.Do(func() {
 		s.cause = err
@@ -141,21 +142,23 @@
 	}
 }
 
-// leave tells callers and the other routers that this one takes no more requests.
+// leave tells callers and the other routers that this router accepts no more
+// requests.
 func (s *servers) leave(ctx context.Context) {
 	s.callers.Leave()
 	s.node.SetReady(false)
 	s.node.Leave(ctx)
 }
 
-// drain waits until no request is in flight and no connection of callers is left,
-// then closes the listeners. It returns how many requests were left when ctx ended.
+// drain waits until no request is in flight and no connection of callers is
+// open, then closes the listeners. It returns the number of requests left when
+// ctx ended.
 func (s *servers) drain(ctx context.Context) int {
 	left := s.callers.Drain(ctx)
 	return left + s.operators.Drain(ctx)
 }
 
-// close ends all connections at once.
+// close closes all connections at once.
 func (s *servers) close() {
 	for _, each := range s.all() {
 		each.close()
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -12,12 +12,12 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// placementSettings turns the settings in force into what placement goes by. Teams may
-// share a pool, and an endpoint has one load: of several values for it the
-// strictest counts.
+// placementSettings holds the settings of all teams in the form that placement
+// needs. Teams may share a pool, and an endpoint has one load, so the strictest
+// of several values applies.
 type placementSettings struct {
 	placement placement.Config
-	capacity  map[coordination.Pool]int // requests for each endpoint
+	capacity  map[coordination.Pool]int // maximum number of requests for each endpoint
 }
 
 func newPlacementSettings(snapshots []*settings.Snapshot) *placementSettings {
@@ -49,12 +49,12 @@
 	c.QueueLimit = min(c.QueueLimit, m.Queue)
 }
 
-// addCapacity notes a capacity, of which zero says nothing.
+// addCapacity applies a capacity to a pool; zero means no limit.
 func (t *placementSettings) addCapacity(p coordination.Pool, capacity int) {
 	t.capacity[p] = strictest(t.capacity[p], capacity)
 }
 
-// strictest returns the smaller of two limits, of which zero is none.
+// strictest returns the smaller of two limits; zero means no limit.
 func strictest(a, b int) int {
 	if a == 0 || b == 0 {
 		return cmp.Or(a, b)
@@ -62,14 +62,14 @@
 	return min(a, b)
 }
 
-// descriptor returns d with its pool's capacity.
+// descriptor returns d with the capacity limited to that of its pool.
 func (t *placementSettings) descriptor(d placement.Descriptor) placement.Descriptor {
 	d.Capacity = strictest(d.Capacity, t.capacity[d.Pool])
 	return d
 }
 
-// teamRetries holds a retry budget for each team, by its share in force. It
-// implements caller.Retries.
+// teamRetries holds a retry budget for each team, with the share from its
+// settings. It implements caller.Retries.
 type teamRetries struct {
 	replica *settings.Replica
 	mu      sync.Mutex
@@ -82,19 +82,19 @@
 // Take implements caller.Retries.
 func (r *teamRetries) Take(team coordination.Team) bool { return r.budget(team).Take() }
 
-// retryBurst is how many retries of a team may come at once: the streams that a
-// few endpoints run when they die in the same moment.
+// retryBurst is the number of retries that a team may make at once: the streams
+// that a few endpoints run when they fail at the same time.
 const retryBurst = 32
 
-// budget returns the team's budget, a new one if its share has changed. Only
-// teams with settings have requests, so that the map stays small.
+// budget returns the team's budget and replaces it if the share has changed.
+// Only teams with settings have requests, so the map stays small.
 func (r *teamRetries) budget(team coordination.Team) *retry.Budget {
 	share := retry.DefaultShare
 	if t, ok := r.replica.Team(team); ok {
 		share = t.RetryBudget()
 	}
 	if share == 0 {
-		share = -1 // none beyond the burst; zero would mean the default
+		share = -1 // no retries beyond the burst; zero would select the default share
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	return b
 }
 
-// applySettings puts the settings in force into effect.
+// applySettings applies the settings of all teams to placement.
 func (p *placer) applySettings(snapshots []*settings.Snapshot) {
 	t := newPlacementSettings(snapshots)
 	p.settings.Store(t)
--- a/wisteriarouter/daemon/tuning_test.go
+++ b/wisteriarouter/daemon/tuning_test.go
@@ -16,8 +16,9 @@
 	return &settings.Snapshot{Settings: team}
 }
 
-// Two teams share a pool and set different limits for it. An endpoint has one
-// load, so the looser limit would break the promise made to the other team.
+// Two teams share a pool and set different limits for it. The stricter one must
+// apply: an endpoint has one load, so the looser limit would break the stricter
+// one.
 func TestStrictestSettingApplies(t *testing.T) {
 	got := newPlacementSettings([]*settings.Snapshot{
 		snapshot(t, "[service \"order-desk\"]\ncapacity = 4\n[account \"label\"]\nweight = 3\n"),
