--- a/wisteriarouter/daemon/collector.go
+++ b/wisteriarouter/daemon/collector.go
@@ -61,7 +61,7 @@
 	peerCallsRefused = prometheus.NewDesc("wisteria_peer_calls_refused_total",
 		"Calls from other routers that were refused.", nil, nil)
 	rumorsShed = prometheus.NewDesc("wisteria_rumors_shed_total",
-		"Low-priority rumors dropped to stay within the byte budget.", nil, nil)
+		"Expiring rumors dropped to stay within the byte budget.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // fleet holds the list of reachable routers in the forms that placement needs.
-// They are computed once for each change of the membership, because their size
+// They are computed once for each change of the fleet, because their size
 // grows with the fleet and every call to another router reads them.
 type fleet struct {
 	reach    *peer.Reach
--- a/wisteriarouter/daemon/leave_test.go
+++ b/wisteriarouter/daemon/leave_test.go
@@ -79,8 +79,7 @@
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 	// An owner that learns late of a release sends a chat to another engine,
-	// which has nothing cached. On a busy machine that may happen to single
-	// chats.
+	// which has nothing cached. On a busy machine that may happen to a few chats.
 	first := 0
 	for n, c := range there {
 		engine, cached := w.sendTurn(n%3, c, 4)
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -12,9 +12,9 @@
 const leaveWithin = 3 * time.Second
 
 // An engine begins to stop while the platform's list still shows it as live,
-// and only one router reads the engine's load report. If the other routers did
-// not learn of it, they would send requests to the engine until it is gone,
-// which would be refused or cut off there.
+// and only one router reads the engine's load report. The other routers must
+// learn of it. Otherwise their requests would still reach the engine until it is
+// gone, and be refused or cut off there.
 func TestLeavingEngineReceivesNoNewRequests(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
 	done := make(chan struct{})
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -20,8 +20,8 @@
 
 // ownerDescriptors returns the endpoints as this router places requests there
 // as their owner. The instance list names the new incarnation of a restarted
-// engine before the engine serves. Requests sent to it by then would fail and
-// be suspected of having crashed it. So the owner keeps the old incarnation,
+// engine before the engine serves. Requests sent to it before that would fail
+// and be suspected of having crashed it. So the owner keeps the old incarnation,
 // which grants nothing to requests for the new one, until the engine itself has
 // reported the new one.
 func (p *placer) ownerDescriptors(all []endpoint.Known) []placement.Descriptor {
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -325,8 +325,8 @@
 }
 
 // keyOf returns the key by which a request is assigned to an endpoint: the
-// account and the chat, or the content's fingerprint for a request without a
-// chat.
+// client account and the chat, or the content's fingerprint for a request
+// without a chat.
 func keyOf(w caller.Want) placement.Key {
 	if w.Chat == "" {
 		return placement.Key(w.Fingerprint)
--- a/wisteriarouter/daemon/placing_test.go
+++ b/wisteriarouter/daemon/placing_test.go
@@ -43,8 +43,7 @@
 }
 
 // newTestPlacer returns the placer of a router that owns all endpoints. Its
-// placement still uses the list before; its directory has the newer one,
-// listed.
+// placement uses the list before; its directory already has the list listed.
 func newTestPlacer(before, listed []coordination.Endpoint) *placer {
 	routers := placement.NewRouters([]placement.Router{{ID: "self", Zone: "z"}}, 0)
 	var set []placement.Descriptor
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -37,7 +37,7 @@
 	tests := []struct {
 		name    string
 		faults  replica.Faults
-		lookups int // after which the endpoint has to be ejected
+		lookups int // safe requests after which the endpoint has to be known to fail
 		most    int // maximum failures of 30 unsafe requests
 	}{
 		{"all", replica.Faults{Status: 500}, 40, 1},
@@ -101,8 +101,8 @@
 }
 
 // One of three engines accepts requests and never answers. A resumable stream
-// must be retried at another engine while there is time, instead of waiting for
-// its deadline of 5 s and failing.
+// must be retried at another engine within 2 s, instead of waiting for its
+// deadline of 5 s and failing.
 func TestSilentResumableStreamIsRetried(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 3)
 	s.warmUp("/resumable/", 12)
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -53,7 +53,7 @@
 		r.Fail(replica.Faults{CutAfter: 2})
 	}
 	// The endpoint that resumes the stream gets the id of the last complete
-	// event, and cuts it in the middle of the third event as well.
+	// event. It also cuts the stream, in the middle of the third event.
 	first := s.send(0, "/resumable/1")
 	assert.Assert(t, first.err != nil, "both endpoints cut the stream: it must not look complete")
 	assert.Assert(t, strings.HasPrefix(events(1, 5), first.body), "%q", first.body)
@@ -155,7 +155,7 @@
 }
 
 // The caller disconnects during a stream. The endpoint must stop within 500 ms,
-// because the output is discarded and yet costs money.
+// because nobody reads its output and the work is still paid for.
 func TestRelayCancelsAttemptIfCallerDisconnects(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 1)
 	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Pause: 20 * time.Millisecond})
