--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -22,7 +22,7 @@
 const version = "0.1.0"
 
 func newCallers(i do.Injector) (*caller.Server, error) {
-	lim := settingsOf(i).Limits
+	lim := configOf(i).Limits
 	st := stateOf(i)
 	return &caller.Server{
 		Teams:    do.MustInvoke[*teams](i),
--- a/wisteriarouter/daemon/daemon_test.go
+++ b/wisteriarouter/daemon/daemon_test.go
@@ -73,8 +73,8 @@
 	return w
 }
 
-// restart is how long an engine is down after a crash.
-const restart = time.Second
+// engineRestart is how long an engine is down after a crash.
+const engineRestart = time.Second
 
 func engineID(n int) string { return fmt.Sprintf("e%d", n+1) }
 
@@ -86,7 +86,7 @@
 }
 
 func (w *testCluster) addEngine(id string) {
-	e, stop := standinengine.New(standinengine.Options{ID: id, Step: 5 * time.Millisecond, Restart: restart})
+	e, stop := standinengine.New(standinengine.Options{ID: id, Step: 5 * time.Millisecond, Restart: engineRestart})
 	w.t.Cleanup(stop)
 	w.engines = append(w.engines, e)
 	w.platform.Register(standinplatform.Instance{
--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -27,7 +27,7 @@
 }
 
 func newFleet(i do.Injector) (*fleet, error) {
-	return &fleet{reach: do.MustInvoke[*peer.Reach](i), ownerCap: settingsOf(i).Peers.OwnerCap}, nil
+	return &fleet{reach: do.MustInvoke[*peer.Reach](i), ownerCap: configOf(i).Peers.OwnerCap}, nil
 }
 
 // routers returns the routers that this one considers reachable. The caller
--- a/wisteriarouter/daemon/leave_test.go
+++ b/wisteriarouter/daemon/leave_test.go
@@ -63,25 +63,25 @@
 // the whole prompt again.
 func TestChatsStayCachedAfterPlannedLeave(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
-	there := make([]*conversation, 0)
+	moved := make([]*conversation, 0)
 	for n := range 24 {
 		c := &conversation{id: fmt.Sprintf("quote-%d", n)}
 		if engine, _ := w.sendTurn(n%3, c, 320); engine == engineID(0) {
-			there = append(there, c)
+			moved = append(moved, c)
 		}
 	}
-	assert.Assert(t, len(there) >= 3, "only %d chats were placed at the engine that leaves", len(there))
+	assert.Assert(t, len(moved) >= 3, "only %d chats were placed at the engine that leaves", len(moved))
 	w.engines[0].Leave()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if n := w.engines[1].Stats().Imports + w.engines[2].Stats().Imports; n < len(there) {
-			return poll.Continue("%d of %d chats were moved", n, len(there))
+		if n := w.engines[1].Stats().Imports + w.engines[2].Stats().Imports; n < len(moved) {
+			return poll.Continue("%d of %d chats were moved", n, len(moved))
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 	// An owner that learns late of a release sends a chat to another engine,
 	// which has nothing cached. On a busy machine that may happen to a few chats.
 	first := 0
-	for n, c := range there {
+	for n, c := range moved {
 		engine, cached := w.sendTurn(n%3, c, 4)
 		assert.Assert(t, engine != engineID(0))
 		if engine == firstOf(c, engineID(1), engineID(2)) {
@@ -89,7 +89,7 @@
 			assert.Assert(t, cached >= 320, "%s had %d tokens cached at %s", c.id, cached, engine)
 		}
 	}
-	assert.Assert(t, 2*first > len(there), "%d of %d chats were placed at their first candidate", first, len(there))
+	assert.Assert(t, 2*first > len(moved), "%d of %d chats were placed at their first candidate", first, len(moved))
 	assert.Equal(t, w.engines[0].Stats().ArrivalsLeaving, 0)
 }
 
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -44,7 +44,7 @@
 // reportedIncarnation returns the incarnation in an endpoint's last load
 // report, or 0 if there is none.
 func (p *placer) reportedIncarnation(id coordination.Endpoint) coordination.Incarnation {
-	if l, ok := p.reports.Load(id); ok {
+	if l, ok := p.lastReports.Load(id); ok {
 		return l.(engine.Load).Incarnation
 	}
 	return 0
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -51,9 +51,9 @@
 // to use.
 type outlierLogger struct{ log event.Log }
 
-func (l outlierLogger) logChange(j placement.OutlierChange) {
+func (l outlierLogger) logChange(change placement.OutlierChange) {
 	l.log.Emit(event.EndpointOutlier,
-		event.F("endpoint", j.Endpoint), event.F("incarnation", j.Incarnation), event.F("pool", j.Pool),
-		event.F("zone", j.Zone), event.F("standing", j.Standing.String()),
-		event.F("evidence", int(j.Score)), event.F("pause-ms", j.Pause.Milliseconds()))
+		event.F("endpoint", change.Endpoint), event.F("incarnation", change.Incarnation), event.F("pool", change.Pool),
+		event.F("zone", change.Zone), event.F("standing", change.Standing.String()),
+		event.F("evidence", int(change.Score)), event.F("pause-ms", change.Pause.Milliseconds()))
 }
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -26,7 +26,7 @@
 	store := budgetedStore{store: do.MustInvoke[*platform.Client](i), budget: do.MustInvoke[*budget.Budget](i)}
 	st := &status{
 		state:     stateOf(i),
-		zone:      settingsOf(i).Zone,
+		zone:      configOf(i).Zone,
 		teams:     t,
 		node:      node,
 		directory: do.MustInvoke[*endpoint.Directory](i),
@@ -102,7 +102,7 @@
 		Pool:     k.Pool,
 		Zone:     k.Zone,
 		State:    k.State.String(),
-		Running:  s.placing.running(k.ID),
+		Running:  s.placing.runningRequests(k.ID),
 		Capacity: k.Capacity,
 		Owner:    s.placing.routers.Load().Owner(k.ID, k.Zone),
 	}
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -48,7 +48,7 @@
 	do.Provide(i, newSuspects)
 }
 
-func settingsOf(i do.Injector) *config.Config { return do.MustInvoke[*config.Config](i) }
+func configOf(i do.Injector) *config.Config { return do.MustInvoke[*config.Config](i) }
 
 func logOf(i do.Injector) event.Log { return do.MustInvoke[event.Log](i) }
 
@@ -66,12 +66,12 @@
 }
 
 func newBudget(i do.Injector) (*budget.Budget, error) {
-	return budget.New(settingsOf(i).Platform.Calls), nil
+	return budget.New(configOf(i).Platform.Calls), nil
 }
 
 // newPlatform creates the client of the platform and the metrics of its calls.
 func newPlatform(i do.Injector) (*platform.Client, error) {
-	cfg := settingsOf(i).Platform
+	cfg := configOf(i).Platform
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_platform_calls_total",
 		Help: "Calls to the platform, by operation and result.",
@@ -83,7 +83,7 @@
 	}, []string{"op"})
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(calls, seconds)
 	c, cleanup, err := platform.New(platform.Config{
-		Endpoints:    urls(cfg.KV),
+		Endpoints:    httpURLs(cfg.KV),
 		InstancesURL: "http://" + cfg.Instances,
 		Timeout:      cfg.Timeout,
 		OnCall: func(op platform.Op, status kv.Status, d time.Duration) {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-func urls(addresses []string) []string {
+func httpURLs(addresses []string) []string {
 	all := make([]string, 0, len(addresses))
 	for _, a := range addresses {
 		all = append(all, "http://"+a)
@@ -108,7 +108,7 @@
 
 // newNode creates this router's membership in the fleet.
 func newNode(i do.Injector) (*peer.Node, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	st := stateOf(i)
 	advertise := cfg.Listen.Advertise
 	if advertise == "" {
@@ -140,7 +140,7 @@
 }
 
 func newEngines(i do.Injector) (*engine.Client, error) {
-	c, cleanup := engine.NewClient(engine.Options{Call: settingsOf(i).Limits.EngineCall})
+	c, cleanup := engine.NewClient(engine.Options{Call: configOf(i).Limits.EngineCall})
 	onStop(i, cleanup)
 	return c, nil
 }
@@ -161,7 +161,7 @@
 // router that learns that an endpoint is leaving tells the others by a rumor,
 // long before the platform's list shows it.
 func newDirectory(i do.Injector) (*endpoint.Directory, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	node := do.MustInvoke[*peer.Node](i)
 	d := &endpoint.Directory{OnLeaving: leavingTeller{node: node, log: logOf(i)}.tell}
 	node.OnRumor(topicLeaving, leavingListener{directory: d}.hear)
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -35,7 +35,7 @@
 	pollNow      chan struct{} // requests an immediate poll of the loads; nil if loads are not polled
 	routers      atomic.Pointer[placement.Routers]
 	settings     atomic.Pointer[placementSettings]
-	reports      sync.Map // the last load reported by each owned endpoint, by endpoint
+	lastReports  sync.Map // the last load reported by each owned endpoint, by endpoint
 	incarnations incarnationMap
 	recentLosses recentLosses
 	started      time.Time
@@ -44,12 +44,12 @@
 	updating  sync.Mutex       // held by update; guards the fields below
 	roster    placement.Roster // delays the return of endpoints that come and go
 	owned     map[coordination.Endpoint]bool
-	listed    []endpoint.Known // the list at the last update
+	lastList  []endpoint.Known // the list at the last update
 	observers []func(all []endpoint.Known)
 }
 
 func newPlacer(i do.Injector) (*placer, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	engines := do.MustInvoke[*engine.Client](i)
 	loads := loadReader{directory: do.MustInvoke[*endpoint.Directory](i), engines: engines}
 	p := buildPlacer(i, loads, placement.Config{})
@@ -64,7 +64,7 @@
 // buildPlacer creates a placer with the present lists. loads is nil if
 // endpoints are not asked for their loads.
 func buildPlacer(i do.Injector, loads placement.LoadReader, config placement.Config) *placer {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	st := stateOf(i)
 	p := &placer{
 		self:         cfg.Instance,
@@ -167,16 +167,16 @@
 	p.updating.Lock()
 	defer p.updating.Unlock()
 	p.observers = append(p.observers, fn)
-	fn(p.listed)
+	fn(p.lastList)
 }
 
 // notifyObservers calls the observers if the list differs from the last one.
 // The caller holds p.updating.
 func (p *placer) notifyObservers(all []endpoint.Known) {
-	if slices.Equal(all, p.listed) {
+	if slices.Equal(all, p.lastList) {
 		return
 	}
-	p.listed = all
+	p.lastList = all
 	for _, fn := range p.observers {
 		fn(all)
 	}
@@ -233,10 +233,10 @@
 	return p.routers.Load().Owner(k.ID, k.Zone) == p.self
 }
 
-// running returns the number of running requests in the last load report of an
+// runningRequests returns the number of runningRequests requests in the last load report of an
 // endpoint that this router owns.
-func (p *placer) running(id coordination.Endpoint) int {
-	if l, ok := p.reports.Load(id); ok {
+func (p *placer) runningRequests(id coordination.Endpoint) int {
+	if l, ok := p.lastReports.Load(id); ok {
 		return l.(engine.Load).Running
 	}
 	return 0
@@ -246,7 +246,7 @@
 	if p.reportedIncarnation(k.ID) != l.Incarnation {
 		p.signalChange()
 	}
-	p.reports.Store(k.ID, l)
+	p.lastReports.Store(k.ID, l)
 	p.owner.Report(reportOf(k.ID, l))
 }
 
--- a/wisteriarouter/daemon/placing_test.go
+++ b/wisteriarouter/daemon/placing_test.go
@@ -50,8 +50,8 @@
 	for _, id := range before {
 		set = append(set, placement.Descriptor{ID: id, Pool: "p", Zone: "z", Incarnation: 1})
 	}
-	p := &placer{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayConfig)}
-	p.entry = placement.NewEntry(placement.EntryID{Instance: "self", Incarnation: 1}, p.owner, nil, nil, relayConfig)
+	p := &placer{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayPlacementConfig)}
+	p.entry = placement.NewEntry(placement.EntryID{Instance: "self", Incarnation: 1}, p.owner, nil, nil, relayPlacementConfig)
 	p.owner.Update(placement.NewSet(set), routers)
 	p.entry.Update(placement.NewSet(set), routers)
 	var entries []platform.Entry
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -182,7 +182,7 @@
 	w.awaitArrivals(w.arrivals() + 20)
 	first := w.engines[0].Incarnation()
 	w.engines[0].Crash()
-	back := time.Now().Add(restart)
+	back := time.Now().Add(engineRestart)
 	go relister{w}.run(ctx)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if w.engines[0].Stats().LastArrival.After(back) {
--- a/wisteriarouter/daemon/process_test.go
+++ b/wisteriarouter/daemon/process_test.go
@@ -85,7 +85,7 @@
 	w := &testCluster{t: t, address: p.platform}
 	w.put(teamText)
 	for _, address := range p.callers {
-		poll.WaitOn(t, ready(address), poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
+		poll.WaitOn(t, checkReady(address), poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 	}
 	return p
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// ready checks that a router has settings and serves requests.
-func ready(address string) poll.Check {
+// checkReady checks that a router has settings and serves requests.
+func checkReady(address string) poll.Check {
 	return func(poll.LogT) poll.Result {
 		res, err := http.Get("http://" + address + "/readyz")
 		if err != nil {
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -76,10 +76,10 @@
 	return t, nil
 }
 
-// relaySuspicion configures suspicion for endpoints that crash and return
+// relaySuspicionConfig configures suspicion for endpoints that crash and return
 // within seconds: a suspect request waits no longer than a rumor takes to reach
 // the whole fleet, and the other requests of its pool are not delayed.
-var relaySuspicion = suspicion.Config{Hold: 200 * time.Millisecond, LossWindow: time.Millisecond}
+var relaySuspicionConfig = suspicion.Config{Hold: 200 * time.Millisecond, LossWindow: time.Millisecond}
 
 // newRelayServers starts the listeners of a relaying router.
 func newRelayServers(i do.Injector) (*servers, error) {
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -34,7 +34,7 @@
 		callLog: new(mirror.CallLog),
 		ready:   make(chan struct{}),
 	}
-	d.relay.Store(settingsOf(i).Relay)
+	d.relay.Store(configOf(i).Relay)
 	m := do.MustInvoke[*mirror.Mirror](i)
 	d.mirror = m
 	// Endpoints are read before the desired state: requests that wait for it
@@ -91,16 +91,16 @@
 		close(d.ready)
 		return
 	}
-	d.warnLate(s.Version, n)
+	d.logLate(s.Version, n)
 }
 
 // lateThreshold is the delay after the first router from which a change is
 // logged as late: a quarter of the 2 s within which it has to be in force.
 const lateThreshold = 500 * time.Millisecond
 
-// warnLate logs a version that reached this router late, with the routers that
+// logLate logs a version that reached this router late, with the routers that
 // it asked meanwhile.
-func (d *desired) warnLate(v route.Version, n mirror.Changes) {
+func (d *desired) logLate(v route.Version, n mirror.Changes) {
 	if n.Behind < lateThreshold {
 		return
 	}
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -35,10 +35,10 @@
 // hardly any unsafe request may reach that endpoint.
 func TestUnsafeRequestsAvoidFailingEndpoint(t *testing.T) {
 	tests := []struct {
-		name    string
-		faults  replica.Faults
-		lookups int // safe requests after which the endpoint has to be known to fail
-		most    int // maximum failures of 30 unsafe requests
+		name         string
+		faults       replica.Faults
+		safeRequests int // safe requests after which the endpoint has to be known to fail
+		maxFailed    int // maximum failures of 30 unsafe requests
 	}{
 		{"all", replica.Faults{Status: 500}, 40, 1},
 		{"by half", replica.Faults{Status: 500, Every: 2}, 60, 2},
@@ -49,7 +49,7 @@
 			s.warmUp("/safe/", 12)
 			s.warmUp("/unsafe/", 12)
 			s.replicas[0].Fail(test.faults)
-			for n := range test.lookups {
+			for n := range test.safeRequests {
 				assert.Equal(t, s.send(n%2, fmt.Sprintf("/safe/%d", n)).status, 200)
 			}
 			failed := 0
@@ -58,7 +58,7 @@
 					failed++
 				}
 			}
-			assert.Assert(t, failed <= test.most, "%d of 30 unsafe requests failed", failed)
+			assert.Assert(t, failed <= test.maxFailed, "%d of 30 unsafe requests failed", failed)
 		})
 	}
 }
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -28,16 +28,16 @@
 // endpoints: each call has a cost, and the owners' grants give the same
 // information.
 func newRelayBasePlacer(i do.Injector) (*placer, error) {
-	p := buildPlacer(i, nil, relayConfig)
+	p := buildPlacer(i, nil, relayPlacementConfig)
 	p.watchLists()
 	p.startLoop(i)
 	return p, nil
 }
 
-// relayConfig configures placement before the first desired state. A router
+// relayPlacementConfig configures placement before the first desired state. A router
 // that is killed restarts within seconds. The requests of its earlier
 // incarnation count at the owners until their lease has expired.
-var relayConfig = placement.Config{
+var relayPlacementConfig = placement.Config{
 	Grace:      250 * time.Millisecond,
 	EntryLease: 3 * time.Second,
 	// An endpoint that has died either returns within seconds or its entry is
@@ -52,7 +52,7 @@
 
 // applyBounds applies the load bounds of a desired state's pools.
 func (p *placer) applyBounds(s route.State, cfg *config.Relay) {
-	c := relayConfig
+	c := relayPlacementConfig
 	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineOvercommit
 	c.Pools = make(map[coordination.Pool]placement.PoolBound)
 	for name, pool := range s.Pools {
@@ -177,7 +177,7 @@
 }
 
 func newPoolRetries(i do.Injector) (*poolRetries, error) {
-	cfg := settingsOf(i).Relay
+	cfg := configOf(i).Relay
 	r := &poolRetries{share: cfg.RetryShare, burst: cfg.RetryBurst, log: logOf(i), routers: 1, budgets: make(map[coordination.Pool]*retry.Budget)}
 	do.MustInvoke[*peer.Node](i).OnChange(r.setMembers)
 	return r, nil
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -19,7 +19,7 @@
 const storeTimeout = time.Second
 
 func newStore(i do.Injector) (*platform.Store, error) {
-	cfg := settingsOf(i).Relay
+	cfg := configOf(i).Relay
 	observe := newStoreMetrics(do.MustInvoke[*prometheus.Registry](i))
 	s, cleanup := platform.NewStore(platform.StoreConfig{Address: cfg.Store, Timeout: storeTimeout, OnCall: observe})
 	onStop(i, cleanup)
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -31,7 +31,7 @@
 
 // newServerConfig returns the configuration shared by all listeners.
 func newServerConfig(i do.Injector) downstream.Config {
-	lim := settingsOf(i).Limits
+	lim := configOf(i).Limits
 	return downstream.Config{
 		HeaderWait:  lim.HeaderWait,
 		HeaderBytes: lim.HeaderBytes,
@@ -83,10 +83,10 @@
 }
 
 func newListeners(i do.Injector) (*listeners, error) {
-	cfg := settingsOf(i).Listen
+	cfg := configOf(i).Listen
 	ls := &listeners{}
 	wanted := []listenTarget{{cfg.Callers, &ls.callers}, {cfg.Operators, &ls.operators}, {cfg.Peers, &ls.peers}}
-	if r := settingsOf(i).Relay; r != nil {
+	if r := configOf(i).Relay; r != nil {
 		wanted = append(wanted, listenTarget{r.Readiness, &ls.readiness})
 	}
 	for _, each := range wanted {
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -42,8 +42,8 @@
 	st := stateOf(i)
 	node := do.MustInvoke[*peer.Node](i)
 	var cfg suspicion.Config
-	if settingsOf(i).Relay != nil {
-		cfg = relaySuspicion
+	if configOf(i).Relay != nil {
+		cfg = relaySuspicionConfig
 	}
 	table := suspicion.NewTable(cfg)
 	s := &suspects{
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -30,7 +30,7 @@
 }
 
 func newTeams(i do.Injector) (*teams, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	node := do.MustInvoke[*peer.Node](i)
 	place := do.MustInvoke[*placer](i)
 	t := &teams{replica: &settings.Replica{}, log: logOf(i)}
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -54,7 +54,7 @@
 func newTransfers(i do.Injector) (*transfers, error) {
 	metrics := newTransferMetrics()
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(metrics.results, metrics.bytes)
-	t, stop := startTransfers(transferConfig(settingsOf(i).Transfer), do.MustInvoke[*endpoint.Directory](i),
+	t, stop := startTransfers(transferConfig(configOf(i).Transfer), do.MustInvoke[*endpoint.Directory](i),
 		do.MustInvoke[*placer](i), do.MustInvoke[*engine.Client](i), metrics)
 	onStop(i, stop)
 	return t, nil
