--- a/wisteriarouter/daemon/collector.go
+++ b/wisteriarouter/daemon/collector.go
@@ -14,10 +14,10 @@
 
 var (
 	ownerDecisions = prometheus.NewDesc("wisteria_owner_decisions_total",
-		"Admission decisions of this router as the owner of endpoints, by decision and code.",
+		"Answers that this router gave as the owner of endpoints, by decision and code.",
 		[]string{"decision", "code"}, nil)
 	ownerLoad = prometheus.NewDesc("wisteria_owned_endpoint_load",
-		"Requests at endpoints owned by this router: counted, held by grants, queued.",
+		"Requests at endpoints that this router owns: counted, held by grants, queued.",
 		[]string{"endpoint", "pool", "kind"}, nil)
 )
 
@@ -47,21 +47,21 @@
 
 var (
 	peerBytes = prometheus.NewDesc("wisteria_peer_bytes_total",
-		"Bytes of control messages to and from other routers, by message type, topic and direction.",
+		"Control traffic with other routers by message type, topic and direction.",
 		[]string{"type", "topic", "direction"}, nil)
 	peerMessages = prometheus.NewDesc("wisteria_peer_messages_total",
-		"Control messages to and from other routers, by type, topic and direction.",
+		"Control messages with other routers by type, topic and direction.",
 		[]string{"type", "topic", "direction"}, nil)
 	peerMembers = prometheus.NewDesc("wisteria_members",
-		"Routers by state in this router's membership list.", []string{"state"}, nil)
+		"Routers by state, as this one sees them.", []string{"state"}, nil)
 	peerConns = prometheus.NewDesc("wisteria_peer_connections",
-		"Open connections to other routers.", nil, nil)
+		"Connections with other routers.", nil, nil)
 	peerDropped = prometheus.NewDesc("wisteria_peer_messages_dropped_total",
-		"Gossip messages dropped because the send queue of a slow peer was full.", nil, nil)
+		"Gossip messages that a slow peer's full queue did not take.", nil, nil)
 	peerCallsRefused = prometheus.NewDesc("wisteria_peer_calls_refused_total",
-		"Calls from other routers that were refused.", nil, nil)
+		"Calls of other routers that were turned away.", nil, nil)
 	rumorsShed = prometheus.NewDesc("wisteria_rumors_shed_total",
-		"Expiring rumors dropped to stay within the byte budget.", nil, nil)
+		"Soft rumours dropped to stay under the byte budget.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -74,7 +74,7 @@
 	cfg := configOf(i).Platform
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_platform_calls_total",
-		Help: "Calls to the platform, by operation and result.",
+		Help: "Calls to the platform by operation and result.",
 	}, []string{"op", "status"})
 	seconds := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "wisteria_platform_call_seconds",
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -22,11 +22,11 @@
 func newStoreMetrics(r *prometheus.Registry) func(platform.Op, kv.Status, time.Duration) {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_store_calls_total",
-		Help: "Calls to the platform's store, by operation and result.",
+		Help: "Calls to the platform's store by operation and result.",
 	}, []string{"op", "status"})
 	seconds := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "wisteria_store_call_seconds",
-		Help:    "Duration of calls to the platform's store. A watch lasts until a change.",
+		Help:    "Duration of calls to the platform's store; a watch waits for a change.",
 		Buckets: callBuckets,
 	}, []string{"op"})
 	r.MustRegister(calls, seconds)
@@ -45,7 +45,7 @@
 func newBehindMetric(r *prometheus.Registry) func(mirror.Changes) {
 	behind := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "wisteria_mirror_behind_seconds",
-		Help:    "Time from the delivery of a change to the first router until this router received it.",
+		Help:    "Time from when the store told the first router of a change until this one had it.",
 		Buckets: behindBuckets,
 	})
 	r.MustRegister(behind)
@@ -57,7 +57,7 @@
 func newDialMetrics(r *prometheus.Registry) func(string, error, time.Duration) {
 	dials := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_endpoint_dials_total",
-		Help: "New connections to endpoints, by result.",
+		Help: "New connections to endpoints by result.",
 	}, []string{"result"})
 	r.MustRegister(dials)
 	return func(_ string, err error, _ time.Duration) {
@@ -86,13 +86,13 @@
 
 var (
 	storeAge = prometheus.NewDesc("wisteria_store_age_seconds",
-		"Time since the store confirmed this router's copy of its data, directly or through other routers.", nil, nil)
+		"Time since the store confirmed what this router knows, itself or through others.", nil, nil)
 	stateVersion = prometheus.NewDesc("wisteria_desired_state_version",
 		"Version of the desired state in force.", nil, nil)
 	endpointStates = prometheus.NewDesc("wisteria_endpoints",
-		"Endpoints, by pool and state.", []string{"pool", "state"}, nil)
+		"Endpoints by pool and state.", []string{"pool", "state"}, nil)
 	retriesLeft = prometheus.NewDesc("wisteria_retries_left",
-		"Retries left in this router's budget, by pool.", []string{"pool"}, nil)
+		"Second attempts that this router could make now.", []string{"pool"}, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -50,7 +50,7 @@
 func newDropObserver(i do.Injector) *dropObserver {
 	d := &dropObserver{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wisteria_requests_dropped_total",
-		Help: "Requests read in part or whole on connections that ended without an answer.",
+		Help: "Requests that were read, in part or whole, on connections that ended without an answer.",
 	})}
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(d.count)
 	return d
