--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -22,11 +22,11 @@
 const version = "0.1.0"
 
 func newCallers(i do.Injector) (*caller.Server, error) {
-	lim := settingsOf(i).Limits
+	lim := configOf(i).Limits
 	st := stateOf(i)
 	return &caller.Server{
 		Teams:    do.MustInvoke[*teams](i),
-		Placer:   do.MustInvoke[*placing](i),
+		Placer:   do.MustInvoke[*placer](i),
 		Engines:  do.MustInvoke[*engine.Client](i),
 		Suspects: do.MustInvoke[*suspects](i),
 		Retries:  do.MustInvoke[*teamRetries](i),
--- a/wisteriarouter/daemon/leave_test.go
+++ b/wisteriarouter/daemon/leave_test.go
@@ -17,15 +17,16 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// conversation is a chat that goes on as its caller's application would.
+// conversation is a chat of several turns, with the state that the caller's
+// application keeps.
 type conversation struct {
 	id       string
 	hint     string
 	messages []standinengine.Message
 }
 
-// reply is what is read of an answer.
-type reply struct {
+// completion holds the fields of a chat answer that the tests read.
+type completion struct {
 	Choices []struct {
 		Message standinengine.Message `json:"message"`
 	} `json:"choices"`
@@ -36,9 +37,9 @@
 	} `json:"usage"`
 }
 
-// say has a conversation go on through a router, and returns the engine that
-// answered and how many tokens of the prompt it had cached.
-func (w *world) say(n int, c *conversation, words int) (engine string, cached int) {
+// sendTurn sends the next turn of a conversation through a router. It returns
+// the engine that answered and the number of prompt tokens that it had cached.
+func (w *testCluster) sendTurn(n int, c *conversation, words int) (engine string, cached int) {
 	w.t.Helper()
 	text := strings.Repeat(fmt.Sprintf("%s.%d ", c.id, len(c.messages)), words)
 	c.messages = append(c.messages, standinengine.Message{Role: "user", Content: standinengine.Content(text)})
@@ -47,7 +48,7 @@
 	a := w.post(w.t.Context(), n, "/v1/chat/completions", string(body), "X-Chat-Id", c.id, "X-Route-Hint", c.hint)
 	assert.NilError(w.t, a.err)
 	assert.Equal(w.t, a.status, http.StatusOK, a.body)
-	var r reply
+	var r completion
 	assert.NilError(w.t, json.Unmarshal([]byte(a.body), &r))
 	assert.Equal(w.t, string(r.Choices[0].Message.Content), standinengine.Answer(c.messages, 16))
 	c.messages = append(c.messages, r.Choices[0].Message)
@@ -56,42 +57,43 @@
 	return engine, r.Usage.Details.Cached
 }
 
-// An engine leaves as planned, and the chats that it has served return through
-// any router. Their users would wait for the first token, and their accounts
-// would be billed for the whole prompt again.
-func TestChatsStayWarmBehindPlannedLeave(t *testing.T) {
-	w := newWorld(t, 3, 3)
-	there := make([]*conversation, 0)
+// An engine leaves as planned, and the chats that it served continue through
+// any router. Their context must be cached at the next engine: otherwise
+// callers wait longer for the first token, and their accounts are billed for
+// the whole prompt again.
+func TestChatsStayCachedAfterPlannedLeave(t *testing.T) {
+	w := newTestCluster(t, 3, 3)
+	moved := make([]*conversation, 0)
 	for n := range 24 {
 		c := &conversation{id: fmt.Sprintf("quote-%d", n)}
-		if engine, _ := w.say(n%3, c, 320); engine == engineID(0) {
-			there = append(there, c)
+		if engine, _ := w.sendTurn(n%3, c, 320); engine == engineID(0) {
+			moved = append(moved, c)
 		}
 	}
-	assert.Assert(t, len(there) >= 3, "only %d chats went to the engine that leaves", len(there))
+	assert.Assert(t, len(moved) >= 3, "only %d chats were placed at the engine that leaves", len(moved))
 	w.engines[0].Leave()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if n := w.engines[1].Stats().Imports + w.engines[2].Stats().Imports; n < len(there) {
-			return poll.Continue("%d of %d chats have been moved", n, len(there))
+		if n := w.engines[1].Stats().Imports + w.engines[2].Stats().Imports; n < len(moved) {
+			return poll.Continue("%d of %d chats were moved", n, len(moved))
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
-	// An owner that learns late of a release sends a chat on to another engine,
-	// which is cold. On a busy machine that may happen to one now and then.
+	// An owner that learns late of a release sends a chat to another engine,
+	// which has nothing cached. On a busy machine that may happen to a few chats.
 	first := 0
-	for n, c := range there {
-		engine, cached := w.say(n%3, c, 4)
+	for n, c := range moved {
+		engine, cached := w.sendTurn(n%3, c, 4)
 		assert.Assert(t, engine != engineID(0))
 		if engine == firstOf(c, engineID(1), engineID(2)) {
 			first++
 			assert.Assert(t, cached >= 320, "%s had %d tokens cached at %s", c.id, cached, engine)
 		}
 	}
-	assert.Assert(t, 2*first > len(there), "%d of %d chats went to the first engine in line", first, len(there))
+	assert.Assert(t, 2*first > len(moved), "%d of %d chats were placed at their first candidate", first, len(moved))
 	assert.Equal(t, w.engines[0].Stats().ArrivalsLeaving, 0)
 }
 
-// firstOf returns the engine that a conversation goes to if none is busy.
+// firstOf returns the engine at which a conversation is placed if none is busy.
 func firstOf(c *conversation, engines ...string) string {
 	set := placement.NewSet(lo.Map(engines, func(id string, _ int) placement.Descriptor {
 		return placement.Descriptor{ID: coordination.Endpoint(id), Pool: "m@1"}
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -10,49 +10,50 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// observer implements relay.Observer: it weighs what one attempt shows by what
-// this router has seen elsewhere in the pool, and has the grant tell the
-// endpoint's owner.
+// observer implements relay.Observer. It scores the result of one attempt
+// against what this router has seen elsewhere in the pool, and has the grant
+// report the score to the endpoint's owner.
 type observer struct {
-	watch *outlier.Monitor
-	grant *placement.Grant
-	sight outlier.Request
-	told  atomic.Bool // that the answer is overdue; an attempt speaks once
+	monitor  *outlier.Monitor
+	grant    *placement.Grant
+	request  outlier.Request
+	reported atomic.Bool // whether a result is recorded; an attempt counts once
 }
 
 // RecordFirstByte implements relay.Observer.
 func (o *observer) RecordFirstByte(took time.Duration) {
-	o.watch.RecordFirstByte(time.Now(), o.sight, took)
+	o.monitor.RecordFirstByte(time.Now(), o.request, took)
 }
 
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
-	if o.told.Swap(true) {
+	if o.reported.Swap(true) {
 		return o.grant.ReportEvidence(ctx, 0)
 	}
-	return o.grant.ReportEvidence(ctx, o.watch.RecordFailure(time.Now(), o.sight))
+	return o.grant.ReportEvidence(ctx, o.monitor.RecordFailure(time.Now(), o.request))
 }
 
 // RecordSuccess implements relay.Observer.
 func (o *observer) RecordSuccess() {
-	if !o.told.Swap(true) {
-		o.grant.RecordEvidence(o.watch.RecordSuccess(time.Now(), o.sight))
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordSuccess(time.Now(), o.request))
 	}
 }
 
 // RecordFailure implements relay.Observer.
 func (o *observer) RecordFailure() {
-	if !o.told.Swap(true) {
-		o.grant.RecordEvidence(o.watch.RecordFailure(time.Now(), o.sight))
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordFailure(time.Now(), o.request))
 	}
 }
 
-// outlierLogger logs that an endpoint is taken out for its failures, or back.
+// outlierLogger logs that an endpoint is ejected for its failures or returned
+// to use.
 type outlierLogger struct{ log event.Log }
 
-func (l outlierLogger) tell(j placement.OutlierChange) {
+func (l outlierLogger) logChange(change placement.OutlierChange) {
 	l.log.Emit(event.EndpointOutlier,
-		event.F("endpoint", j.Endpoint), event.F("incarnation", j.Incarnation), event.F("pool", j.Pool),
-		event.F("zone", j.Zone), event.F("standing", j.Standing.String()),
-		event.F("evidence", int(j.Score)), event.F("pause-ms", j.Pause.Milliseconds()))
+		event.F("endpoint", change.Endpoint), event.F("incarnation", change.Incarnation), event.F("pool", change.Pool),
+		event.F("zone", change.Zone), event.F("standing", change.Standing.String()),
+		event.F("evidence", int(change.Score)), event.F("pause-ms", change.Pause.Milliseconds()))
 }
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -26,11 +26,11 @@
 	store := budgetedStore{store: do.MustInvoke[*platform.Client](i), budget: do.MustInvoke[*budget.Budget](i)}
 	st := &status{
 		state:     stateOf(i),
-		zone:      settingsOf(i).Zone,
+		zone:      configOf(i).Zone,
 		teams:     t,
 		node:      node,
 		directory: do.MustInvoke[*endpoint.Directory](i),
-		placing:   do.MustInvoke[*placing](i),
+		placing:   do.MustInvoke[*placer](i),
 	}
 	s := &operator.Server{
 		Self:    st.state.instance,
@@ -66,7 +66,7 @@
 	teams     *teams
 	node      *peer.Node
 	directory *endpoint.Directory
-	placing   *placing
+	placing   *placer
 }
 
 func (s *status) report() operator.Status {
@@ -102,8 +102,8 @@
 		Pool:     k.Pool,
 		Zone:     k.Zone,
 		State:    k.State.String(),
-		Running:  s.placing.running(k.ID),
+		Running:  s.placing.runningRequests(k.ID),
 		Capacity: k.Capacity,
-		Owner:    s.placing.view.Load().Owner(k.ID, k.Zone),
+		Owner:    s.placing.routers.Load().Owner(k.ID, k.Zone),
 	}
 }
--- a/wisteriarouter/daemon/placing_test.go
+++ b/wisteriarouter/daemon/placing_test.go
@@ -13,8 +13,9 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// Guards against requests that are refused since the endpoint of their grant has gone.
-func TestRequestGoesOnWhenTheEndpointOfItsGrantIsGone(t *testing.T) {
+// The endpoint of a grant may be gone from the directory. The request must get
+// another grant and not be refused while endpoints are left.
+func TestAcquireRetriesIfGrantedEndpointIsGone(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		listed []coordination.Endpoint
@@ -26,7 +27,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := placingOf([]coordination.Endpoint{"e0", "e1", "e2"}, tc.listed)
+				p := newTestPlacer([]coordination.Endpoint{"e0", "e1", "e2"}, tc.listed)
 				time.Sleep(2 * time.Second) // until the owner has settled
 				for key := range placement.Key(20) {
 					g, k, refusal := p.acquire(t.Context(), placement.Request{Pool: "p", Key: key}, time.Now().Add(time.Second))
@@ -41,16 +42,16 @@
 	}
 }
 
-// placingOf returns the placing of a router that owns all endpoints. What it places
-// by is a list behind the directory.
-func placingOf(before, listed []coordination.Endpoint) *placing {
+// newTestPlacer returns the placer of a router that owns all endpoints. Its
+// placement uses the list before; its directory already has the list listed.
+func newTestPlacer(before, listed []coordination.Endpoint) *placer {
 	routers := placement.NewRouters([]placement.Router{{ID: "self", Zone: "z"}}, 0)
 	var set []placement.Descriptor
 	for _, id := range before {
 		set = append(set, placement.Descriptor{ID: id, Pool: "p", Zone: "z", Incarnation: 1})
 	}
-	p := &placing{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayConfig)}
-	p.entry = placement.NewEntry(placement.EntryID{Instance: "self", Incarnation: 1}, p.owner, nil, nil, relayConfig)
+	p := &placer{self: "self", directory: &endpoint.Directory{}, owner: placement.NewOwner("self", relayPlacementConfig)}
+	p.entry = placement.NewEntry(placement.EntryID{Instance: "self", Incarnation: 1}, p.owner, nil, nil, relayPlacementConfig)
 	p.owner.Update(placement.NewSet(set), routers)
 	p.entry.Update(placement.NewSet(set), routers)
 	var entries []platform.Entry
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -14,10 +14,11 @@
 	"wisteriaspool/wisteriarouter/endpoint"
 )
 
-// callBuckets are for calls over a network, in seconds.
+// callBuckets are histogram buckets for network calls, in seconds.
 var callBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5}
 
-// newStoreMetrics returns what counts the calls to the store.
+// newStoreMetrics registers the metrics of calls to the store and returns the
+// function that records a call.
 func newStoreMetrics(r *prometheus.Registry) func(platform.Op, kv.Status, time.Duration) {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_store_calls_total",
@@ -35,12 +36,12 @@
 	}
 }
 
-// behindBuckets are for the time by which a change is later here than at the
-// first router, in seconds.
+// behindBuckets are histogram buckets for the delay of a change after the first
+// router, in seconds.
 var behindBuckets = []float64{.01, .03, .1, .3, .5, 1, 1.5, 2, 3}
 
-// newBehindMetric returns what counts how late changes of the store reach this
-// router.
+// newBehindMetric registers the metric of how late changes of the store reach
+// this router and returns the function that records them.
 func newBehindMetric(r *prometheus.Registry) func(mirror.Changes) {
 	behind := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "wisteria_mirror_behind_seconds",
@@ -51,7 +52,8 @@
 	return func(n mirror.Changes) { behind.Observe(n.Behind.Seconds()) }
 }
 
-// newDialMetrics returns what counts new connections to endpoints.
+// newDialMetrics registers the metric of new connections to endpoints and
+// returns the function that records a connection.
 func newDialMetrics(r *prometheus.Registry) func(string, error, time.Duration) {
 	dials := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_endpoint_dials_total",
@@ -75,7 +77,7 @@
 	return mux
 }
 
-// relayCollector exports what a relaying router knows, and how old it is.
+// relayCollector exports the state of a relaying router and its age as metrics.
 type relayCollector struct {
 	desired   *desired
 	directory *endpoint.Directory
@@ -118,7 +120,7 @@
 	for g, n := range states {
 		gauge(endpointStates, float64(n), g.pool, g.state)
 	}
-	for pool, n := range c.retries.left() {
+	for pool, n := range c.retries.remaining() {
 		gauge(retriesLeft, float64(n), string(pool))
 	}
 }
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -11,9 +11,9 @@
 	"wisteriaspool/standin/replica"
 )
 
-// warm sends requests to each router, so that it knows how a kind of request
-// usually fares.
-func (s *site) warm(path string, n int) {
+// warmUp sends requests to each router, so that it has a baseline of the
+// latency and failures of a kind of request.
+func (s *relayCluster) warmUp(path string, n int) {
 	s.t.Helper()
 	for router := range s.routers {
 		for i := range n {
@@ -23,33 +23,33 @@
 	}
 }
 
-// busiest returns the endpoint that has got most requests: the one that has
-// their prompts cached.
-func (s *site) busiest() *replica.Replica {
+// busiest returns the endpoint that received the most requests, which is the
+// one that has their prompts cached.
+func (s *relayCluster) busiest() *replica.Replica {
 	return lo.MaxBy(s.replicas, func(a, b *replica.Replica) bool { return len(a.Arrivals()) > len(b.Arrivals()) })
 }
 
-// One of three endpoints fails all that it gets, or every second request, while
-// its health check is good. A lookup that fails there is sent again; an order
-// cannot be, and its caller gets the failure. After some lookups hardly any order
-// may meet that endpoint any more.
-func TestOrdersKeepOffAFailingEndpoint(t *testing.T) {
+// One of three endpoints fails all its requests, or every second one, while its
+// health check passes. A failed safe request is retried. An unsafe one cannot
+// be, and its caller receives the failure. After a number of safe requests,
+// hardly any unsafe request may reach that endpoint.
+func TestUnsafeRequestsAvoidFailingEndpoint(t *testing.T) {
 	tests := []struct {
-		name    string
-		faults  replica.Faults
-		lookups int // after which it has to be known
-		most    int // of 30 orders that may fail
+		name         string
+		faults       replica.Faults
+		safeRequests int // safe requests after which the endpoint has to be known to fail
+		maxFailed    int // maximum failures of 30 unsafe requests
 	}{
 		{"all", replica.Faults{Status: 500}, 40, 1},
 		{"by half", replica.Faults{Status: 500, Every: 2}, 60, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := newSite(t, 2, 3, 0)
-			s.warm("/safe/", 12)
-			s.warm("/unsafe/", 12)
+			s := newRelayCluster(t, 2, 3, 0)
+			s.warmUp("/safe/", 12)
+			s.warmUp("/unsafe/", 12)
 			s.replicas[0].Fail(test.faults)
-			for n := range test.lookups {
+			for n := range test.safeRequests {
 				assert.Equal(t, s.send(n%2, fmt.Sprintf("/safe/%d", n)).status, 200)
 			}
 			failed := 0
@@ -58,16 +58,17 @@
 					failed++
 				}
 			}
-			assert.Assert(t, failed <= test.most, "%d of 30 orders failed", failed)
+			assert.Assert(t, failed <= test.maxFailed, "%d of 30 unsafe requests failed", failed)
 		})
 	}
 }
 
-// One of three endpoints takes forty times as long as the others. Lookups that
-// meet it are answered by another one, and soon hardly any meet it.
-func TestLookupsLeaveASlowEndpoint(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 20)
+// One of three endpoints takes 40 times as long as the others. Safe requests
+// sent to it are answered by another endpoint, and soon hardly any are sent to
+// it.
+func TestSafeRequestsAvoidSlowEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 20)
 	s.replicas[0].Fail(replica.Faults{Slow: 400 * time.Millisecond})
 	slow := 0
 	for n := range 40 {
@@ -77,14 +78,14 @@
 			slow++
 		}
 	}
-	assert.Assert(t, slow <= 4, "%d of 40 lookups were slow", slow)
+	assert.Assert(t, slow <= 4, "%d of 40 safe requests were slow", slow)
 }
 
-// The endpoint serves again. It gets its share back within seconds, by lookups
-// first.
-func TestFailingEndpointComesBack(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 12)
+// An ejected endpoint works again. It must receive its share of requests again
+// within seconds, safe requests first.
+func TestRecoveredEndpointReceivesRequests(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 12)
 	s.replicas[0].Fail(replica.Faults{Status: 500})
 	for n := range 20 {
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
@@ -99,12 +100,12 @@
 	}
 }
 
-// One of three engines takes requests and never answers. A stream that may go on
-// elsewhere waited for its deadline, 5 s away, and its caller got nothing. Now it
-// moves on while there is time.
-func TestSilentStreamMovesOn(t *testing.T) {
-	s := newSite(t, 2, 0, 3)
-	s.warm("/resumable/", 12)
+// One of three engines accepts requests and never answers. A resumable stream
+// must be retried at another engine within 2 s, instead of waiting for its
+// deadline of 5 s and failing.
+func TestSilentResumableStreamIsRetried(t *testing.T) {
+	s := newRelayCluster(t, 2, 0, 3)
+	s.warmUp("/resumable/", 12)
 	s.busiest().Fail(replica.Faults{Mute: true})
 	for n := range 12 {
 		start := time.Now()
@@ -115,11 +116,11 @@
 	}
 }
 
-// A stream that may run only once meets an engine that never answers. It must
-// not be sent to a second one, however long the silence lasts.
-func TestSilentStreamThatMayRunOnceStays(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
-	s.warm("/stream/", 12)
+// A stream that must not run twice reaches an engine that never answers. It
+// must not be sent to a second engine, however long the engine is silent.
+func TestSilentNonResumableStreamIsNotRetried(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
+	s.warmUp("/stream/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Mute: true, Only: "/stream/once"})
 	}
@@ -128,19 +129,19 @@
 	assert.Equal(t, s.runs("/stream/once"), 1)
 }
 
-// All engines are silent. Moving the requests to and fro would double the work
-// of a pool that is in trouble, so that an attempt is given up only for a place
-// at an engine that is not known to fail, and only within the budget.
-func TestSilenceOfAllEnginesIsNotAnsweredByMoves(t *testing.T) {
-	s := newSite(t, 1, 0, 3)
-	s.warm("/resumable/", 12)
+// All engines are silent. Retrying the requests would double the load of a
+// failing pool, so an attempt is abandoned only if an engine that is not known
+// to fail grants a place, and only within the retry budget.
+func TestRetriesAreBoundedIfAllEnginesAreSilent(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 3)
+	s.warmUp("/resumable/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Mute: true, Only: "/resumable/silent"})
 	}
 	const n = 12
 	done := make(chan int, n)
 	for i := range n {
-		go sender{site: s, path: fmt.Sprintf("/resumable/silent-%d", i), done: done}.run()
+		go sender{cluster: s, path: fmt.Sprintf("/resumable/silent-%d", i), done: done}.run()
 	}
 	for range n {
 		<-done
@@ -154,18 +155,18 @@
 
 // sender sends one request.
 type sender struct {
-	site *site
-	path string
-	done chan int
+	cluster *relayCluster
+	path    string
+	done    chan int
 }
 
-func (s sender) run() { s.done <- s.site.send(0, s.path).status }
+func (s sender) run() { s.done <- s.cluster.send(0, s.path).status }
 
-// One kind of request fails wherever it is sent. No endpoint is to blame, and
-// other requests find all of them in use.
-func TestKindThatFailsEverywhereBlamesNobody(t *testing.T) {
-	s := newSite(t, 1, 3, 0)
-	s.warm("/safe/", 12)
+// One kind of request fails at every endpoint. No endpoint may be ejected for
+// it, and other requests must still reach all of them.
+func TestKindThatFailsEverywhereEjectsNoEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 0)
+	s.warmUp("/safe/", 12)
 	for _, r := range s.replicas {
 		r.Fail(replica.Faults{Status: 500, Only: "/unsafe/"})
 	}
@@ -180,6 +181,6 @@
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
 	}
 	for i, r := range s.replicas {
-		assert.Assert(t, len(r.Arrivals()) > arrived[i], "endpoint %d gets nothing", i)
+		assert.Assert(t, len(r.Arrivals()) > arrived[i], "endpoint %d received no requests", i)
 	}
 }
--- a/wisteriarouter/daemon/relay_site_test.go
+++ b/wisteriarouter/daemon/relay_site_test.go
@@ -22,8 +22,9 @@
 	"wisteriaspool/wisteriarouter/daemon"
 )
 
-// site is a store, endpoints and relaying routers on loopback.
-type site struct {
+// relayCluster runs a store, endpoints and relaying routers on loopback
+// addresses.
+type relayCluster struct {
 	t        testing.TB
 	store    *hub.Store
 	address  string
@@ -36,7 +37,7 @@
 	client   *http.Client
 }
 
-// desiredState is what an operator writes; routes are by their prefix.
+// desiredState holds the parts of the desired state that tests change.
 type desiredState struct {
 	routes  []map[string]any
 	tenants []map[string]any
@@ -55,11 +56,11 @@
 	}
 }
 
-func newSite(t testing.TB, routers, desks, models int) *site {
-	s := &site{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+func newRelayCluster(t testing.TB, routers, desks, models int) *relayCluster {
+	s := &relayCluster{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // lets waiting watches go
+	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // ends pending watches
 	s.address = strings.TrimPrefix(srv.URL, "http://")
 	for n := range desks {
 		s.addReplica(replica.Options{ID: fmt.Sprintf("d%d", n), Service: "desk", Zone: "a", Pause: 10 * time.Millisecond})
@@ -71,7 +72,7 @@
 	for range routers {
 		s.addRouter()
 	}
-	t.Cleanup(s.client.CloseIdleConnections) // the routers' stops need not wait for them
+	t.Cleanup(s.client.CloseIdleConnections) // so that the routers need not wait for idle connections when they stop
 	for n := range routers {
 		s.awaitReady(n)
 		s.awaitMembers(n, routers)
@@ -79,8 +80,8 @@
 	return s
 }
 
-// awaitMembers waits until a router has met all others.
-func (s *site) awaitMembers(n, routers int) {
+// awaitMembers waits until a router has all others in its membership list.
+func (s *relayCluster) awaitMembers(n, routers int) {
 	want := fmt.Sprintf("wisteria_members{state=\"alive\"} %d\n", routers)
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		resp, err := http.Get("http://" + s.routers[n].OperatorsAddress() + "/metrics")
@@ -92,11 +93,11 @@
 		if err == nil && strings.Contains(string(text), want) {
 			return poll.Success()
 		}
-		return poll.Continue("router %d has not met all others", n)
+		return poll.Continue("router %d does not list all others as alive", n)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-func (s *site) addReplica(o replica.Options) *replica.Replica {
+func (s *relayCluster) addReplica(o replica.Options) *replica.Replica {
 	r, kill, err := replica.Start(s.store, o)
 	assert.NilError(s.t, err)
 	s.t.Cleanup(kill)
@@ -105,7 +106,7 @@
 }
 
 // put writes the next version of the desired state.
-func (s *site) put(d desiredState) {
+func (s *relayCluster) put(d desiredState) {
 	s.version++
 	for i, r := range d.routes {
 		r["name"], r["hostname"] = "r"+strconv.Itoa(i), "desk.example"
@@ -122,7 +123,7 @@
 	s.store.Put("op/config", value)
 }
 
-func (s *site) addRouter() {
+func (s *relayCluster) addRouter() {
 	n := len(s.routers)
 	var seeds string
 	if n > 0 {
@@ -154,7 +155,7 @@
 	s.routers, s.stops = append(s.routers, d), append(s.stops, once)
 }
 
-func (s *site) ready(n int) bool {
+func (s *relayCluster) ready(n int) bool {
 	resp, err := http.Get("http://" + s.routers[n].ReadinessAddress() + "/wisteriaspool/readyz")
 	if err != nil {
 		return false
@@ -163,21 +164,21 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (s *site) awaitReady(n int) {
+func (s *relayCluster) awaitReady(n int) {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		if s.ready(n) {
 			return poll.Success()
 		}
-		return poll.Continue("not ready")
+		return poll.Continue("the router is not ready")
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// gotReply is what a caller got.
-type gotReply struct {
+// relayResponse is the response that a caller received.
+type relayResponse struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // from reading the body
 }
 
 var (
@@ -192,7 +193,7 @@
 	return fmt.Sprintf("id%d", lastID)
 }
 
-func (s *site) request(ctx context.Context, router int, path string, header ...string) *http.Request {
+func (s *relayCluster) request(ctx context.Context, router int, path string, header ...string) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.routers[router].CallersAddress()+path, strings.NewReader("body of "+path))
 	assert.NilError(s.t, err)
 	req.Host = "desk.example"
@@ -209,18 +210,19 @@
 	return req
 }
 
-func (s *site) send(router int, path string, header ...string) gotReply {
+func (s *relayCluster) send(router int, path string, header ...string) relayResponse {
 	resp, err := s.client.Do(s.request(s.t.Context(), router, path, header...))
 	if err != nil {
-		return gotReply{err: err}
+		return relayResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return gotReply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return relayResponse{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// runs returns how many requests a path has had at all endpoints.
-func (s *site) runs(path string) (n int) {
+// runs returns the number of requests for a path that arrived at all endpoints
+// together.
+func (s *relayCluster) runs(path string) (n int) {
 	for _, r := range s.replicas {
 		for _, a := range r.Arrivals() {
 			if a.Path == path {
@@ -231,7 +233,7 @@
 	return n
 }
 
-// events returns the whole series of events of a stream.
+// events returns the events of a stream from one number to another, inclusive.
 func events(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
