--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -16,7 +16,7 @@
 // is made once for a change: they grow with the fleet, and are asked for with
 // each call to another router.
 type fleet struct {
-	reach    *peer.Reach
+	reach    *peer.FailureDetector
 	ownerCap int
 
 	mu        sync.Mutex
@@ -27,7 +27,7 @@
 }
 
 func newFleet(i do.Injector) (*fleet, error) {
-	return &fleet{reach: do.MustInvoke[*peer.Reach](i), ownerCap: settingsOf(i).Peers.OwnerCap}, nil
+	return &fleet{reach: do.MustInvoke[*peer.FailureDetector](i), ownerCap: settingsOf(i).Peers.OwnerCap}, nil
 }
 
 // routers returns the routers that answer, as far as this one knows. The slice
@@ -49,7 +49,7 @@
 
 // refresh takes in a change. The caller holds f.mu.
 func (f *fleet) refresh() {
-	members := f.reach.Answering()
+	members := f.reach.Responsive()
 	if f.snapshot != nil && membership.SameList(members, f.answering) {
 		return
 	}
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -173,8 +173,8 @@
 }
 
 // newReach makes what notices routers that do not answer.
-func newReach(i do.Injector) (*peer.Reach, error) {
-	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.told)
+func newReach(i do.Injector) (*peer.FailureDetector, error) {
+	r, cleanup := peer.NewFailureDetector(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.told)
 	onStop(i, cleanup)
 	return r, nil
 }
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -28,7 +28,7 @@
 	fleet     *fleet
 	directory *endpoint.Directory
 	node      *peer.Node
-	reach     *peer.Reach
+	reach     *peer.FailureDetector
 	owner     *placement.Owner
 	entry     *placement.Entry
 	changes   chan struct{} // a sign that lists have changed
@@ -71,7 +71,7 @@
 		fleet:     do.MustInvoke[*fleet](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 		node:      do.MustInvoke[*peer.Node](i),
-		reach:     do.MustInvoke[*peer.Reach](i),
+		reach:     do.MustInvoke[*peer.FailureDetector](i),
 		owner:     placement.NewOwner(cfg.Instance, tuned),
 		changes:   make(chan struct{}, 1),
 		lives:     lives{},
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -34,7 +34,7 @@
 // store and from other routers.
 func feed(i do.Injector, m *mirror.Mirror, asked *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
-	away := do.MustInvoke[*peer.Reach](i)
+	away := do.MustInvoke[*peer.FailureDetector](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
 		Self:          node.Self().Instance,
 		Prefix:        platform.Prefix,
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -33,10 +33,10 @@
 func newServerConfig(i do.Injector) downstream.Config {
 	lim := settingsOf(i).Limits
 	return downstream.Config{
-		HeaderWait:  lim.HeaderWait,
-		HeaderBytes: lim.HeaderBytes,
-		IdleTimeout: idleTimeout,
-		Observer:    newDrops(i),
+		HeaderTimeout:  lim.HeaderWait,
+		MaxHeaderBytes: lim.HeaderBytes,
+		IdleTimeout:    idleTimeout,
+		Observer:       newDrops(i),
 	}
 }
 
@@ -59,10 +59,10 @@
 func (d *drops) Dropped(each downstream.Drop) {
 	d.count.Inc()
 	d.log.Emit(event.RequestDropped,
-		event.F("bytes", each.Read),
-		event.F("waited-ms", each.Waited.Milliseconds()),
-		event.F("first", each.First),
-		event.F("gone", each.Gone),
+		event.F("bytes", each.BytesRead),
+		event.F("waited-ms", each.Elapsed.Milliseconds()),
+		event.F("first", each.FirstRequest),
+		event.F("gone", each.PeerClosed),
 		event.F("draining", each.Draining))
 }
 
@@ -143,7 +143,7 @@
 
 // leave tells callers and the other routers that this one takes no more requests.
 func (s *servers) leave(ctx context.Context) {
-	s.callers.Leave()
+	s.callers.DisableKeepAlives()
 	s.node.SetReady(false)
 	s.node.Leave(ctx)
 }
--- a/wisteriarouter/downstream/conn.go
+++ b/wisteriarouter/downstream/conn.go
@@ -14,74 +14,74 @@
 	net.Conn
 	server *Server
 
-	mu       sync.Mutex
-	drain    *drain    // nil before the server is drained
-	waiting  bool      // for the first byte of a request
-	since    time.Time // when the wait began
-	deadline time.Time // for reads, as the HTTP server has set it
+	mu        sync.Mutex
+	drain     *drainState // nil before the server is drained
+	waiting   bool        // for the first byte of a request
+	waitStart time.Time   // when the wait began
+	deadline  time.Time   // for reads, as the HTTP server has set it
 
-	ahead bool      // a byte of the next request was read while this one is handled
-	first bool      // no request has been answered yet
-	began time.Time // when the first byte of a request came that is not answered
-	read  int       // bytes of that request
-	gone  bool      // the other side has closed or broken off
+	ahead        bool      // a byte of the next request was read while this one is handled
+	firstRequest bool      // no request has been answered yet
+	requestStart time.Time // when the first byte of a request came that is not answered
+	bytesRead    int       // bytes of that request
+	peerClosed   bool      // the other side has closed or broken off
 }
 
-// lastLook is how long a read or an accept is tried once more whose deadline has
+// retryWindow is how long a read or an accept is tried once more whose deadline has
 // passed.
-const lastLook = time.Millisecond
+const retryWindow = time.Millisecond
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	ahead := c.readsAhead(len(b))
+	ahead := c.isReadAhead(len(b))
 	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.lookAgain() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.prepareRetry() {
 		n, err = c.Conn.Read(b)
 	}
-	c.note(n, err, ahead)
+	c.recordRead(n, err, ahead)
 	return n, err
 }
 
-// lookAgain reports whether a read that has met its deadline is to be tried once
+// prepareRetry reports whether a read that has met its deadline is to be tried once
 // more, and prepares it: on a machine that was busy until then, bytes may have been
 // there for a while.
-func (c *conn) lookAgain() bool {
+func (c *conn) prepareRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.waiting && c.Conn.SetReadDeadline(time.Now().Add(lastLook)) == nil
+	return c.waiting && c.Conn.SetReadDeadline(time.Now().Add(retryWindow)) == nil
 }
 
 // readAhead is the size of the reads by which the HTTP server looks whether the other
 // side is still there while a request is handled. They have no deadline.
 const readAhead = 1
 
-// readsAhead reports whether a read into size bytes is one of these.
-func (c *conn) readsAhead(size int) bool {
+// isReadAhead reports whether a read into size bytes is one of these.
+func (c *conn) isReadAhead(size int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return size == readAhead && c.deadline.IsZero()
 }
 
-// note records what a read has returned.
-func (c *conn) note(n int, err error, ahead bool) {
+// recordRead records what a read has returned.
+func (c *conn) recordRead(n int, err error, ahead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case n == 0:
 	case c.waiting:
-		c.begin()
+		c.startRequest()
 	case ahead:
 		c.ahead = true
 	}
-	c.read += n
+	c.bytesRead += n
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
-		c.gone = true
+		c.peerClosed = true
 	}
 }
 
-// begin records the first byte of a request.
-func (c *conn) begin() {
-	c.waiting, c.began, c.read = false, time.Now(), 0
+// startRequest records the first byte of a request.
+func (c *conn) startRequest() {
+	c.waiting, c.requestStart, c.bytesRead = false, time.Now(), 0
 	c.setDeadline()
 }
 
@@ -101,8 +101,8 @@
 	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// limit bounds the wait for a request, now and later, while the server is drained.
-func (c *conn) limit(d *drain) {
+// startDrain bounds the wait for a request, now and later, while the server is drained.
+func (c *conn) startDrain(d *drainState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drain = d
@@ -116,10 +116,10 @@
 	switch {
 	case c.drain == nil:
 	case c.waiting:
-		end = earlier(end, c.since.Add(quietWait))
-		end = earlier(end, c.drain.latest)
-	case !c.began.IsZero() && c.server.headerWait > 0:
-		end = earlier(end, c.began.Add(c.server.headerWait))
+		end = earlier(end, c.waitStart.Add(drainIdleTimeout))
+		end = earlier(end, c.drain.closeIdleBy)
+	case !c.requestStart.IsZero() && c.server.headerTimeout > 0:
+		end = earlier(end, c.requestStart.Add(c.server.headerTimeout))
 	}
 	return end
 }
@@ -132,60 +132,60 @@
 	return a
 }
 
-// next begins the wait for a further request, unless it has begun to come.
-func (c *conn) next() {
+// awaitRequest begins the wait for a further request, unless it has begun to come.
+func (c *conn) awaitRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.first = false
-	c.waiting, c.since = true, time.Now()
-	c.read, c.began = 0, time.Time{}
+	c.firstRequest = false
+	c.waiting, c.waitStart = true, time.Now()
+	c.bytesRead, c.requestStart = 0, time.Time{}
 	if c.ahead {
 		c.ahead = false
-		c.begin()
-		c.read = readAhead
+		c.startRequest()
+		c.bytesRead = readAhead
 	}
 }
 
-// answered records that what has been read is answered, or will be by a handler.
-func (c *conn) answered() {
+// markAnswered records that what has been read is markAnswered, or will be by a handler.
+func (c *conn) markAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting || !c.began.IsZero() {
-		c.waiting, c.read, c.began = false, 0, time.Time{}
+	if c.waiting || !c.requestStart.IsZero() {
+		c.waiting, c.bytesRead, c.requestStart = false, 0, time.Time{}
 		c.setDeadline()
 	}
 }
 
 // Write implements net.Conn. The HTTP server answers malformed requests itself.
 func (c *conn) Write(b []byte) (int, error) {
-	c.answered()
+	c.markAnswered()
 	return c.Conn.Write(b)
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	if d, ok := c.dropped(); ok && c.server.observer != nil {
+	if d, ok := c.takeDrop(); ok && c.server.observer != nil {
 		c.server.observer.Dropped(d)
 	}
 	return c.Conn.Close()
 }
 
-// dropped reports whether the connection ends with a request that is not answered,
+// takeDrop reports whether the connection ends with a request that is not answered,
 // and describes it, once.
-func (c *conn) dropped() (Drop, bool) {
+func (c *conn) takeDrop() (Drop, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.began.IsZero() || c.read == 0 {
+	if c.requestStart.IsZero() || c.bytesRead == 0 {
 		return Drop{}, false
 	}
 	d := Drop{
-		Read:     c.read,
-		Waited:   time.Since(c.began),
-		First:    c.first,
-		Gone:     c.gone,
-		Draining: c.drain != nil,
+		BytesRead:    c.bytesRead,
+		Elapsed:      time.Since(c.requestStart),
+		FirstRequest: c.firstRequest,
+		PeerClosed:   c.peerClosed,
+		Draining:     c.drain != nil,
 	}
-	c.read, c.began = 0, time.Time{}
+	c.bytesRead, c.requestStart = 0, time.Time{}
 	return d, true
 }
 
--- a/wisteriarouter/downstream/conn_test.go
+++ b/wisteriarouter/downstream/conn_test.go
@@ -54,7 +54,7 @@
 
 // Guards against drains that wait for a request which has not begun: the HTTP server
 // fills the last byte of its buffer by a read as short as those by which it looks ahead.
-func TestShortReadOfAHeadBeginsNoFurtherRequest(t *testing.T) {
+func TestOneByteHeaderReadIsNotReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		c := f.connect()
@@ -133,7 +133,7 @@
 				_, err := io.Copy(io.Discard, c.r) // on a first request the HTTP server answers 400
 				assert.NilError(t, err)
 				assert.Equal(t, <-left, 0)
-				assert.Equal(t, time.Since(start), headerWait)
+				assert.Equal(t, time.Since(start), headerTimeout)
 			})
 		})
 	}
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestDrainWithAnEndedContextTellsWhatItCutsOff(t *testing.T) {
+func TestDrainWithCancelledContextReportsDrops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		c := f.connect()
--- a/wisteriarouter/downstream/listener.go
+++ b/wisteriarouter/downstream/listener.go
@@ -37,7 +37,7 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	if err != nil && l.lookAgain() {
+	if err != nil && l.prepareRetry() {
 		c, err = l.Listener.Accept()
 	}
 	switch {
@@ -51,13 +51,13 @@
 	}
 }
 
-// lookAgain reports whether a wait for connections that has met its deadline is to
+// prepareRetry reports whether a wait for connections that has met its deadline is to
 // be tried once more, and prepares it: on a machine that was busy until then, some
 // may have been there for a while.
-func (l *listener) lookAgain() bool {
+func (l *listener) prepareRetry() bool {
 	d, ok := l.Listener.(deadliner)
 	limit := l.limit.Load()
-	return ok && limit != nil && time.Now().Before(*limit) && d.SetDeadline(time.Now().Add(lastLook)) == nil
+	return ok && limit != nil && time.Now().Before(*limit) && d.SetDeadline(time.Now().Add(retryWindow)) == nil
 }
 
 // stop has the listener accept what waits, and then closed.
--- a/wisteriarouter/downstream/listener_test.go
+++ b/wisteriarouter/downstream/listener_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against connections that were made before the drain and never accepted.
-func TestDrainAcceptsWhatWaits(t *testing.T) {
+func TestDrainAcceptsPendingConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		used, usedFar := net.Pipe()
 		unused, unusedFar := net.Pipe()
@@ -90,7 +90,7 @@
 }
 
 // Guards against drains that never end since connections keep coming.
-func TestDrainEndsThoughConnectionsKeepComing(t *testing.T) {
+func TestDrainEndsDespiteNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{t: t}
 		f.serve(newBacklog(func() net.Conn {
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -11,10 +11,10 @@
 
 // Config holds the limits of a server towards those who connect to it.
 type Config struct {
-	HeaderWait  time.Duration // longest time for the head of a request to arrive
-	HeaderBytes int           // largest head of a request
-	IdleTimeout time.Duration // longest time that a connection stays open without a request
-	Observer    Observer      // nil if nobody wants to know
+	HeaderTimeout  time.Duration // longest time for the head of a request to arrive
+	MaxHeaderBytes int           // largest head of a request
+	IdleTimeout    time.Duration // longest time that a connection stays open without a request
+	Observer       Observer      // nil if nobody wants to know
 }
 
 // Observer is told of what goes wrong on connections.
@@ -26,11 +26,11 @@
 
 // Drop describes a request that was read and not answered.
 type Drop struct {
-	Read     int           // bytes of the request that were read, at least one
-	Waited   time.Duration // since the first of them
-	First    bool          // it was the first request on its connection
-	Gone     bool          // the other side had closed the connection or broken it off
-	Draining bool          // the server was being drained
+	BytesRead    int           // bytes of the request that were read, at least one
+	Elapsed      time.Duration // since the first of them
+	FirstRequest bool          // it was the first request on its connection
+	PeerClosed   bool          // the other side had closed the connection or broken it off
+	Draining     bool          // the server was being drained
 }
 
 // Server serves HTTP/1.1 on one listener.
@@ -38,30 +38,30 @@
 	http     *http.Server
 	listener *listener
 	observer Observer
-	// headerWait is the longest time for the head of a request to arrive; zero for
+	// headerTimeout is the longest time for the head of a request to arrive; zero for
 	// no limit.
-	headerWait time.Duration
+	headerTimeout time.Duration
 
 	active  atomic.Int64
 	leaving atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	drain *drain // nil before Drain
+	drain *drainState // nil before Drain
 }
 
 // NewServer returns a server for l, and what closes it and all its connections at
 // once. Heads of requests have a limit in bytes and in time, so that a caller who
 // sends one very slowly holds nothing but one connection for a short while.
 func NewServer(l net.Listener, h http.Handler, cfg Config) (*Server, func()) {
-	s := &Server{observer: cfg.Observer, headerWait: cfg.HeaderWait, conns: make(map[*conn]struct{})}
+	s := &Server{observer: cfg.Observer, headerTimeout: cfg.HeaderTimeout, conns: make(map[*conn]struct{})}
 	s.listener = newListener(l, s)
 	s.http = &http.Server{
 		Handler:           s.handler(h),
-		ReadHeaderTimeout: cfg.HeaderWait,
-		MaxHeaderBytes:    cfg.HeaderBytes,
+		ReadHeaderTimeout: cfg.HeaderTimeout,
+		MaxHeaderBytes:    cfg.MaxHeaderBytes,
 		IdleTimeout:       cfg.IdleTimeout,
-		ConnState:         changed,
+		ConnState:         onConnState,
 		ConnContext:       withConn,
 	}
 	return s, s.close
@@ -80,16 +80,16 @@
 // Active returns how many requests are in flight.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Leave has the answer to each request that comes from now on end its connection.
+// DisableKeepAlives has the answer to each request that comes from now on end its connection.
 // All connections are served as before, new ones too.
-func (s *Server) Leave() { s.leaving.Store(true) }
+func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
 
 // handler counts the requests in flight, and ends their connections once the
 // server leaves.
 func (s *Server) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-			c.answered()
+			c.markAnswered()
 		}
 		s.active.Add(1)
 		defer s.active.Add(-1)
@@ -109,12 +109,12 @@
 
 // add registers a new connection.
 func (s *Server) add(inner net.Conn) *conn {
-	c := &conn{Conn: inner, server: s, first: true, waiting: true, since: time.Now()}
+	c := &conn{Conn: inner, server: s, firstRequest: true, waiting: true, waitStart: time.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
 	if s.drain != nil {
-		c.limit(s.drain)
+		c.startDrain(s.drain)
 	}
 	return c
 }
@@ -125,19 +125,19 @@
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	if s.drain != nil {
-		s.drain.note(len(s.conns))
+		s.drain.closeIfEmpty(len(s.conns))
 	}
 }
 
-// changed is called by the HTTP server when a connection has another state.
-func changed(c net.Conn, state http.ConnState) {
+// onConnState is called by the HTTP server when a connection has another state.
+func onConnState(c net.Conn, state http.ConnState) {
 	each, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		each.next()
+		each.awaitRequest()
 	case http.StateClosed, http.StateHijacked:
 		each.server.remove(each)
 	}
--- a/wisteriarouter/downstream/server_test.go
+++ b/wisteriarouter/downstream/server_test.go
@@ -88,11 +88,11 @@
 	return f
 }
 
-// headerWait is the longest time for the head of a request.
-const headerWait = 4 * time.Second
+// headerTimeout is the longest time for the head of a request.
+const headerTimeout = 4 * time.Second
 
 func (f *fixture) serve(l net.Listener, h http.Handler) {
-	cfg := downstream.Config{HeaderWait: headerWait, HeaderBytes: 64 << 10, IdleTimeout: time.Minute, Observer: f}
+	cfg := downstream.Config{HeaderTimeout: headerTimeout, MaxHeaderBytes: 64 << 10, IdleTimeout: time.Minute, Observer: f}
 	s, closeAll := downstream.NewServer(l, h, cfg)
 	f.Server, f.served = s, serving{s, make(chan error, 1)}
 	go f.served.run()
@@ -260,7 +260,7 @@
 
 // Guards against callers that are cut off behind an answer which promised them
 // another request on the same connection.
-func TestDrainServesTheRequestBehindALongAnswer(t *testing.T) {
+func TestDrainServesRequestAfterLongResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		c := f.connect()
@@ -316,13 +316,13 @@
 
 // Guards against connections that a server which has left still keeps for further
 // requests, and such that it no longer serves.
-func TestLeaveEndsConnectionsBehindTheirAnswers(t *testing.T) {
+func TestDisableKeepAlivesClosesAfterResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		kept := f.connect()
 		kept.write(text("/"))
 		assert.Assert(t, !kept.answer())
-		f.Leave()
+		f.DisableKeepAlives()
 		time.Sleep(10 * time.Second)
 		kept.write(text("/"))
 		assert.Assert(t, kept.answer())
@@ -334,7 +334,7 @@
 
 // Guards against requests that are lost and leave no line: a server that is closed
 // at once tells of what it has read.
-func TestCloseTellsOfWhatWasRead(t *testing.T) {
+func TestCloseReportsDroppedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipes()
 		f := &fixture{t: t, pipes: l}
@@ -345,7 +345,7 @@
 		time.Sleep(time.Second)
 		closeAll()
 		c.ended()
-		assert.DeepEqual(t, f.dropped(), []downstream.Drop{{Read: 20, Waited: time.Second, First: true}})
+		assert.DeepEqual(t, f.dropped(), []downstream.Drop{{BytesRead: 20, Elapsed: time.Second, FirstRequest: true}})
 	})
 }
 
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -36,7 +36,7 @@
 // OnRumor are called by one goroutine, one after the other.
 func (n *Node) OnChange(fn func(members []membership.Member)) {
 	n.topicMu.Lock()
-	n.watchers = append(n.watchers, fn)
+	n.memberWatchers = append(n.memberWatchers, fn)
 	n.replays = append(n.replays, replay{watcher: fn})
 	n.topicMu.Unlock()
 	n.notify()
@@ -47,7 +47,7 @@
 // the newest only. It does not see this node's own rumours.
 func (n *Node) OnRumor(topic string, fn func(key string, version uint64, payload []byte)) {
 	n.topicMu.Lock()
-	n.listeners[topic] = append(n.listeners[topic], fn)
+	n.rumorListeners[topic] = append(n.rumorListeners[topic], fn)
 	n.replays = append(n.replays, replay{topic: topic, listener: fn})
 	n.topicMu.Unlock()
 	n.notify()
@@ -66,13 +66,13 @@
 func (n *Node) Handle(topic string, fn Handler) {
 	n.topicMu.Lock()
 	defer n.topicMu.Unlock()
-	n.byTopic[topic] = fn
+	n.topicHandlers[topic] = fn
 }
 
 func (n *Node) handler(topic string) Handler {
 	n.topicMu.RLock()
 	defer n.topicMu.RUnlock()
-	return n.byTopic[topic]
+	return n.topicHandlers[topic]
 }
 
 // Call sends a request to a member and returns its answer. Its error is a
@@ -104,7 +104,7 @@
 func (n *Node) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	c, err := n.connTo(ctx, to)
 	if err == nil {
-		c.used.Set(time.Now())
+		c.lastUsed.Set(time.Now())
 		err = c.post(&message{Kind: kindNotice, Topic: topic, Payload: payload})
 		c.pingIfQuiet(time.Now())
 	}
@@ -129,7 +129,7 @@
 		n.machine.Leave(now)
 		return n.machine.Tick(now)
 	})
-	n.settle(ctx, func(c *conn) bool { return c.queued.Load() == 0 })
+	n.awaitConns(ctx, func(c *conn) bool { return c.queued.Load() == 0 })
 }
 
 // Stats returns the counts so far.
--- a/wisteriarouter/peer/bench_test.go
+++ b/wisteriarouter/peer/bench_test.go
@@ -112,7 +112,7 @@
 		r := start(b, listen(b), "r000", nil, nil)
 		before := memory()
 		for i := range conns {
-			raw(b, r, helloOf(fmt.Sprintf("x%03d", i)))
+			dialRaw(b, r, helloOf(fmt.Sprintf("x%03d", i)))
 		}
 		eventually(b, "all connections", func() bool { return r.Stats().Conns == conns })
 		b.ReportMetric(float64(memory()-before)/conns/1024, "KiB/conn")
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -16,29 +16,29 @@
 
 // conn is a connection to a peer after the hello.
 type conn struct {
-	node    *Node
-	ws      *websocket.Conn
-	peer    membership.Member
-	dialled bool // by this side
-	gossip  bool // made for the mesh
-	since   time.Time
+	node        *Node
+	ws          *websocket.Conn
+	peer        membership.Member
+	dialled     bool // by this side
+	gossip      bool // made for the mesh
+	connectedAt time.Time
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	queue   chan *frame
-	queued  atomic.Int64               // bytes
-	heard   coordination.MonotonicTime // of the last message
-	used    coordination.MonotonicTime // of the last call
-	asked   coordination.MonotonicTime // of the first message behind the last one heard that wants a sign of life
-	pinged  coordination.MonotonicTime // of the last ping
-	serving atomic.Int64               // calls being handled for the peer
-
-	mu       sync.Mutex
-	calls    map[uint64]*call
-	nextCall uint64
-	closed   bool
-	drained  time.Time // when draining began
+	queue              chan *frame
+	queued             atomic.Int64               // bytes
+	lastReceived       coordination.MonotonicTime // of the last message
+	lastUsed           coordination.MonotonicTime // of the last call
+	replyExpectedSince coordination.MonotonicTime // of the first message behind the last one heard that wants a sign of life
+	lastPing           coordination.MonotonicTime // of the last ping
+	serving            atomic.Int64               // calls being handled for the peer
+
+	mu            sync.Mutex
+	calls         map[uint64]*call
+	nextCall      uint64
+	closed        bool
+	drainingSince time.Time // when draining began
 }
 
 // frame is an encoded message in the queue.
@@ -68,19 +68,19 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	now := time.Now()
 	c := &conn{
-		node:    n,
-		ws:      ws,
-		peer:    peer.Member,
-		dialled: dialled,
-		gossip:  peer.Gossip,
-		since:   now,
-		ctx:     ctx,
-		cancel:  cancel,
-		queue:   make(chan *frame, queueFrames),
-		calls:   make(map[uint64]*call),
+		node:        n,
+		ws:          ws,
+		peer:        peer.Member,
+		dialled:     dialled,
+		gossip:      peer.Gossip,
+		connectedAt: now,
+		ctx:         ctx,
+		cancel:      cancel,
+		queue:       make(chan *frame, maxQueuedFrames),
+		calls:       make(map[uint64]*call),
 	}
-	c.heard.Set(now)
-	c.used.Set(now)
+	c.lastReceived.Set(now)
+	c.lastUsed.Set(now)
 	return c
 }
 
@@ -116,7 +116,7 @@
 }
 
 func (w writer) run() {
-	defer w.node.wait.Done()
+	defer w.node.wg.Done()
 	for {
 		select {
 		case <-w.ctx.Done():
@@ -167,7 +167,7 @@
 		if err != nil {
 			return c.readError(err)
 		}
-		c.heard.Set(time.Now())
+		c.lastReceived.Set(time.Now())
 		m, err := decode(data)
 		if err != nil {
 			c.node.malformed.Add(1)
@@ -195,10 +195,10 @@
 			c.node.gossip(c, *m.Gossip)
 		}
 	case kindRequest, kindNotice:
-		c.used.Set(time.Now())
+		c.lastUsed.Set(time.Now())
 		c.serve(m)
 	case kindAnswer:
-		c.answer(m)
+		c.deliverAnswer(m)
 	case kindPing:
 		_ = c.post(&message{Kind: kindPong})
 	case kindGoodbye:
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *conn) answer(m *message) {
+func (c *conn) deliverAnswer(m *message) {
 	c.mu.Lock()
 	waiting := c.calls[m.ID]
 	delete(c.calls, m.ID)
@@ -223,52 +223,54 @@
 	return len(c.calls) == 0 && c.serving.Load() == 0 && c.queued.Load() == 0
 }
 
-// ask notes that something has been sent that wants a sign of life.
-func (c *conn) ask(now time.Time) {
-	if !c.owes(now) {
-		c.asked.Set(now)
+// expectReply notes that something has been sent that wants a sign of life.
+func (c *conn) expectReply(now time.Time) {
+	if !c.awaitsReply(now) {
+		c.replyExpectedSince.Set(now)
 	}
 }
 
-// owes reports whether nothing has been heard since a sign of life was asked for.
-func (c *conn) owes(now time.Time) bool { return c.asked.Ago(now) < c.heard.Ago(now) }
+// awaitsReply reports whether nothing has been heard since a sign of life was asked for.
+func (c *conn) awaitsReply(now time.Time) bool {
+	return c.replyExpectedSince.Ago(now) < c.lastReceived.Ago(now)
+}
 
-// waits reports whether something is awaited from the peer.
-func (c *conn) waits(now time.Time) bool { return !c.idle() || c.owes(now) }
+// active reports whether something is awaited from the peer.
+func (c *conn) active(now time.Time) bool { return !c.idle() || c.awaitsReply(now) }
 
-// silence returns for how long the peer has owed a sign of life.
-func (c *conn) silence(now time.Time) time.Duration {
-	return min(c.heard.Ago(now), c.asked.Ago(now))
+// silentFor returns for how long the peer has owed a sign of life.
+func (c *conn) silentFor(now time.Time) time.Duration {
+	return min(c.lastReceived.Ago(now), c.replyExpectedSince.Ago(now))
 }
 
 // pingIfQuiet has the peer answer if nothing has been heard of it for long, as where a
 // message is posted that has no answer.
 func (c *conn) pingIfQuiet(now time.Time) {
-	if c.heard.Ago(now) > c.node.cfg.DeadAfter/3 && c.pingDue(now) {
-		c.ask(now)
+	if c.lastReceived.Ago(now) > c.node.cfg.DeadAfter/3 && c.pingDue(now) {
+		c.expectReply(now)
 		_ = c.post(&message{Kind: kindPing})
 	}
 }
 
 // call sends a request and waits for its answer.
 func (c *conn) call(ctx context.Context, topic string, payload []byte) ([]byte, Failure, error) {
-	c.used.Set(time.Now())
-	waiting, id, err := c.begin(ctx, topic, payload)
+	c.lastUsed.Set(time.Now())
+	waiting, id, err := c.startCall(ctx, topic, payload)
 	if err != nil {
 		return nil, NotConnected, err
 	}
 	select {
 	case m, ok := <-waiting.answer:
-		return c.finish(waiting, m, ok)
+		return c.callResult(waiting, m, ok)
 	case <-ctx.Done():
 		c.mu.Lock()
 		delete(c.calls, id)
 		c.mu.Unlock()
-		return nil, waiting.frame.giveUp(), ctx.Err()
+		return nil, waiting.frame.withdraw(), ctx.Err()
 	}
 }
 
-func (c *conn) begin(ctx context.Context, topic string, payload []byte) (*call, uint64, error) {
+func (c *conn) startCall(ctx context.Context, topic string, payload []byte) (*call, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -284,19 +286,19 @@
 	if err := c.enqueue(waiting.frame); err != nil {
 		return nil, 0, err
 	}
-	c.ask(time.Now())
+	c.expectReply(time.Now())
 	c.calls[id] = waiting
 	return waiting, id, nil
 }
 
-func (c *conn) finish(waiting *call, m *message, ok bool) ([]byte, Failure, error) {
+func (c *conn) callResult(waiting *call, m *message, ok bool) ([]byte, Failure, error) {
 	switch {
 	case !ok:
-		return nil, waiting.frame.giveUp(), fmt.Errorf("%w: %w", errClosed, context.Cause(c.ctx))
+		return nil, waiting.frame.withdraw(), fmt.Errorf("%w: %w", errClosed, context.Cause(c.ctx))
 	case m.Failure != 0:
 		failure := Failed
-		if m.Failure == TurnedAway {
-			failure = TurnedAway
+		if m.Failure == Rejected {
+			failure = Rejected
 		}
 		return nil, failure, errors.New(m.Error)
 	default:
@@ -304,9 +306,9 @@
 	}
 }
 
-// giveUp withdraws the frame if it is still in the queue, and tells how far
+// withdraw withdraws the frame if it is still in the queue, and tells how far
 // it came.
-func (f *frame) giveUp() Failure {
+func (f *frame) withdraw() Failure {
 	if f.state.CompareAndSwap(frameQueued, frameCancelled) {
 		return NotConnected
 	}
--- a/wisteriarouter/peer/dial.go
+++ b/wisteriarouter/peer/dial.go
@@ -12,42 +12,42 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// dialing is an attempt to connect to an address. Several callers may wait
+// dialAttempt is an attempt to connect to an address. Several callers may wait
 // for it.
-type dialing struct {
+type dialAttempt struct {
 	node    *Node
 	address string
 	gossip  bool
-	after   []membership.Message // to send when it stands
+	pending []membership.Message // to send when it stands
 	done    chan struct{}
 	conn    *conn // after done
 	err     error // after done
 }
 
 // dial starts an attempt to connect to address, or joins the running one.
-func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialing {
+func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialAttempt {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
 	if d := n.dialings[address]; d != nil {
-		d.after = append(d.after, after...)
+		d.pending = append(d.pending, after...)
 		return d
 	}
-	d := &dialing{node: n, address: address, gossip: gossip, after: after, done: make(chan struct{})}
+	d := &dialAttempt{node: n, address: address, gossip: gossip, pending: after, done: make(chan struct{})}
 	if n.stopped || len(n.conns)+len(n.dialings) >= n.cfg.MaxConns {
-		d.err = errTooMany
+		d.err = errTooManyConns
 		close(d.done)
 		return d
 	}
 	n.dialings[address] = d
-	n.wait.Add(1)
+	n.wg.Add(1)
 	go d.run()
 	return d
 }
 
 // run connects, and then reads from the connection until it ends.
-func (d *dialing) run() {
+func (d *dialAttempt) run() {
 	n := d.node
-	defer n.wait.Done()
+	defer n.wg.Done()
 	made, err := d.connect()
 	c := made
 	if err == nil {
@@ -56,7 +56,7 @@
 	n.connMu.Lock()
 	delete(n.dialings, d.address)
 	d.conn, d.err = c, err
-	after := d.after
+	after := d.pending
 	n.connMu.Unlock()
 	close(d.done)
 	if err != nil {
@@ -67,11 +67,11 @@
 		_ = c.post(&message{Kind: kindGossip, Gossip: &m})
 	}
 	if c == made {
-		n.finish(c)
+		n.serveConn(c)
 	}
 }
 
-func (d *dialing) connect() (*conn, error) {
+func (d *dialAttempt) connect() (*conn, error) {
 	n := d.node
 	ctx, cancel := context.WithTimeout(n.ctx, n.cfg.DialTimeout)
 	defer cancel()
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := d.greet(ctx, ws)
+	c, err := d.handshake(ctx, ws)
 	if err != nil {
 		ws.Close(websocket.StatusPolicyViolation, err.Error())
 		return nil, err
@@ -90,15 +90,15 @@
 	return c, nil
 }
 
-// greet exchanges hellos on a connection that this side made.
-func (d *dialing) greet(ctx context.Context, ws *websocket.Conn) (*conn, error) {
+// handshake exchanges hellos on a connection that this side made.
+func (d *dialAttempt) handshake(ctx context.Context, ws *websocket.Conn) (*conn, error) {
 	n := d.node
 	if err := n.sendHello(ctx, ws, d.gossip, true); err != nil {
 		return nil, err
 	}
 	h, err := n.readHello(ctx, ws, false)
 	if err != nil {
-		n.refused(h, d.address, err)
+		n.reportRefused(h, d.address, err)
 		return nil, err
 	}
 	h.Gossip = d.gossip
@@ -136,10 +136,10 @@
 	if m.Kind != kindHello || m.Hello == nil || m.Hello.Member.Instance == "" || m.Hello.Member.Address == "" {
 		return hello{}, errNotHello
 	}
-	return *m.Hello, n.check(*m.Hello)
+	return *m.Hello, n.checkHello(*m.Hello)
 }
 
-func (n *Node) check(h hello) error {
+func (n *Node) checkHello(h hello) error {
 	switch {
 	case h.Fleet != n.cfg.Fleet:
 		return errOtherFleet
@@ -152,7 +152,7 @@
 	}
 }
 
-func (n *Node) refused(h hello, address string, err error) {
+func (n *Node) reportRefused(h hello, address string, err error) {
 	if errors.Is(err, errSelf) {
 		return
 	}
@@ -162,11 +162,11 @@
 // ServeHTTP accepts a connection from another router and serves it until it
 // ends.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !n.admit() {
-		http.Error(w, errTooMany.Error(), http.StatusServiceUnavailable)
+	if !n.admitConn() {
+		http.Error(w, errTooManyConns.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	defer n.wait.Done()
+	defer n.wg.Done()
 	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return
@@ -176,7 +176,7 @@
 		err = n.sendHello(n.ctx, ws, false, false)
 	}
 	if err != nil {
-		n.refused(h, r.RemoteAddr, err)
+		n.reportRefused(h, r.RemoteAddr, err)
 		ws.Close(websocket.StatusPolicyViolation, err.Error())
 		return
 	}
@@ -185,17 +185,17 @@
 	if err != nil || kept != c {
 		return
 	}
-	n.finish(c)
+	n.serveConn(c)
 }
 
-// admit reserves a place for a connection that is being accepted.
-func (n *Node) admit() bool {
+// admitConn reserves a place for a connection that is being accepted.
+func (n *Node) admitConn() bool {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
 	if n.stopped || len(n.conns) >= n.cfg.MaxConns {
 		return false
 	}
-	n.wait.Add(1)
+	n.wg.Add(1)
 	return true
 }
 
@@ -223,7 +223,7 @@
 		n.draining[old] = struct{}{}
 		old.drain()
 	}
-	n.wait.Add(1)
+	n.wg.Add(1)
 	go writer{c}.run()
 	n.connMu.Unlock()
 	n.linkUp(c)
@@ -238,15 +238,15 @@
 // quiet reports whether nothing has been heard for longer than two sides may take
 // to connect at once.
 func (c *conn) quiet(now time.Time) bool {
-	return c.heard.Ago(now) > c.node.cfg.DialTimeout
+	return c.lastReceived.Ago(now) > c.node.cfg.DialTimeout
 }
 
 // drain marks c as one that takes no new calls.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drained.IsZero() {
-		c.drained = time.Now()
+	if c.drainingSince.IsZero() {
+		c.drainingSince = time.Now()
 	}
 }
 
@@ -269,8 +269,8 @@
 	}
 }
 
-// finish reads from c until it ends and then takes it out of use.
-func (n *Node) finish(c *conn) {
+// serveConn reads from c until it ends and then takes it out of use.
+func (n *Node) serveConn(c *conn) {
 	err := c.run()
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
--- a/wisteriarouter/peer/errors.go
+++ b/wisteriarouter/peer/errors.go
@@ -16,9 +16,9 @@
 	NotConnected Failure = iota + 1
 	// Lost means that the request may have been delivered, but no answer came.
 	Lost
-	// TurnedAway means that the peer did not handle the request: it has no
+	// Rejected means that the peer did not handle the request: it has no
 	// handler for the topic or too many calls.
-	TurnedAway
+	Rejected
 	// Failed means that the peer's handler returned an error.
 	Failed
 )
@@ -30,7 +30,7 @@
 		return "not-connected"
 	case Lost:
 		return "lost"
-	case TurnedAway:
+	case Rejected:
 		return "turned-away"
 	case Failed:
 		return "failed"
@@ -69,12 +69,12 @@
 	errTooLarge      = errors.New("message too large")
 	errSelf          = errors.New("this router itself")
 	errNoHandler     = errors.New("no handler for the topic")
-	errBusy          = errors.New("too many calls")
+	errTooManyCalls  = errors.New("too many calls")
 	errStopped       = errors.New("node stopped")
 	errOtherFleet    = errors.New("router of another fleet")
 	errOtherVersion  = errors.New("other major version of the protocol")
 	errNotHello      = errors.New("first message is not a hello")
-	errTooMany       = errors.New("too many connections")
-	errSilent        = errors.New("connection silent for too long")
+	errTooManyConns  = errors.New("too many connections")
+	errPeerTimeout   = errors.New("connection silent for too long")
 	errDuplicate     = errors.New("another connection is kept")
 )
--- a/wisteriarouter/peer/fault_test.go
+++ b/wisteriarouter/peer/fault_test.go
@@ -19,8 +19,8 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// raw dials a router and says hello as a router of the given name.
-func raw(t testing.TB, r *router, h hello) *websocket.Conn {
+// dialRaw dials a router and says hello as a router of the given name.
+func dialRaw(t testing.TB, r *router, h hello) *websocket.Conn {
 	t.Helper()
 	ctx := within(t, 10*time.Second)
 	ws, _, err := websocket.Dial(ctx, "ws://"+r.address+Path, nil)
@@ -73,7 +73,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			before := routers[0].events.count(test.kind)
-			ws := raw(t, routers[0], helloOf("x"+strings.ReplaceAll(test.name, " ", "-")))
+			ws := dialRaw(t, routers[0], helloOf("x"+strings.ReplaceAll(test.name, " ", "-")))
 			ctx := within(t, 10*time.Second)
 			assert.NilError(t, ws.Write(ctx, websocket.MessageBinary, test.data))
 			closed(t, ws)
@@ -87,18 +87,18 @@
 
 // A router of another fleet, or of a version that speaks another protocol, has
 // a wrong seed. Were it let in, the two fleets would place work on each other.
-func TestStrangersAreRefused(t *testing.T) {
+func TestIncompatibleRoutersAreRefused(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, nil)
 	otherFleet, otherMajor, nameless := helloOf("x"), helloOf("x"), helloOf("")
 	otherFleet.Fleet = "other"
 	otherMajor.Major = MajorVersion + 1
 	for name, h := range map[string]hello{"fleet": otherFleet, "version": otherMajor, "no name": nameless} {
-		err := closed(t, raw(t, r, h))
+		err := closed(t, dialRaw(t, r, h))
 		assert.Equal(t, websocket.CloseStatus(err), websocket.StatusPolicyViolation, name)
 	}
 	newer := helloOf("y")
 	newer.Minor = MinorVersion + 1
-	raw(t, r, newer)
+	dialRaw(t, r, newer)
 	eventually(t, "member with a newer minor version", func() bool { return len(r.Members()) == 2 })
 }
 
@@ -107,7 +107,7 @@
 func TestUnknownIsIgnored(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, nil)
 	r.Handle("echo", echo)
-	ws := raw(t, r, helloOf("x"))
+	ws := dialRaw(t, r, helloOf("x"))
 	ctx := within(t, 10*time.Second)
 	later := map[int]any{1: 99, 50: "a field of later times"}
 	unknown, err := encoding.Marshal(later)
@@ -163,7 +163,7 @@
 	eventually(t, "full membership", joined(routers))
 	victim := routers[2]
 	old := victim.Self()
-	abandon(victim)
+	kill(victim)
 	eventually(t, "broken connections", func() bool {
 		return routers[0].current("r02") == nil && routers[1].current("r02") == nil
 	})
@@ -191,7 +191,7 @@
 
 // A router stops as planned. The others must know before its connections end,
 // so that they hand over what it holds and do not suspect it.
-func TestLeaveIsNotDeath(t *testing.T) {
+func TestLeavingMemberIsNotReportedDead(t *testing.T) {
 	routers := fleet(t, 3, nil)
 	eventually(t, "full membership", joined(routers))
 	routers[2].Leave(within(t, 5*time.Second))
@@ -211,7 +211,7 @@
 // The peer dies after a request was written and before its answer. The caller
 // must not take that for a request that was not delivered, or it might run an
 // action twice.
-func TestLostAnswerIsToldAsLost(t *testing.T) {
+func TestLostAnswerIsReportedAsLost(t *testing.T) {
 	routers := fleet(t, 2, nil)
 	eventually(t, "full membership", joined(routers))
 	started := make(chan struct{})
@@ -222,7 +222,7 @@
 	})
 	go func() {
 		<-started
-		abandon(routers[1])
+		kill(routers[1])
 	}()
 	_, err := routers[0].Call(within(t, 20*time.Second), "r01", "hang", nil)
 	var failed *CallError
@@ -232,9 +232,9 @@
 
 // A peer stops reading. What waits for it must stay bounded and the calls to it
 // fail, while other peers are served.
-func TestSlowPeerCostsNoMemory(t *testing.T) {
+func TestQueueOfSlowPeerIsBounded(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.MaxQueue = 1 << 20 })
-	raw(t, r, helloOf("x"))
+	dialRaw(t, r, helloOf("x"))
 	eventually(t, "member", func() bool { return r.current("x") != nil })
 	payload := make([]byte, 64<<10)
 	var full int
@@ -271,7 +271,7 @@
 	_, err := routers[0].Call(within(t, 20*time.Second), "r01", "hold", nil)
 	var failed *CallError
 	assert.Assert(t, errors.As(err, &failed))
-	assert.Equal(t, failed.Failure, TurnedAway)
+	assert.Equal(t, failed.Failure, Rejected)
 	assert.Equal(t, routers[1].Stats().Busy, uint64(1))
 	close(release)
 	assert.NilError(t, <-ended)
--- a/wisteriarouter/peer/idle_test.go
+++ b/wisteriarouter/peer/idle_test.go
@@ -14,14 +14,14 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// polite answers the pings on a connection until it is muted.
-type polite struct {
+// pingResponder answers the pings on a connection until it is muted.
+type pingResponder struct {
 	ws     *websocket.Conn
 	pinged atomic.Bool
 	muted  atomic.Bool
 }
 
-func (p *polite) run(ctx context.Context) {
+func (p *pingResponder) run(ctx context.Context) {
 	for {
 		_, b, err := p.ws.Read(ctx)
 		if err != nil {
@@ -42,11 +42,11 @@
 	shortDeath = 600 * time.Millisecond
 )
 
-// crowd connects as many routers that answer pings.
-func crowd(t *testing.T, r *router) []*polite {
-	var all []*polite
+// connectMany connects as many routers that answer pings.
+func connectMany(t *testing.T, r *router) []*pingResponder {
+	var all []*pingResponder
 	for i := range manyPeers {
-		p := &polite{ws: raw(t, r, helloOf(fmt.Sprint("x", i)))}
+		p := &pingResponder{ws: dialRaw(t, r, helloOf(fmt.Sprint("x", i)))}
 		go p.run(t.Context())
 		all = append(all, p)
 	}
@@ -58,7 +58,7 @@
 // uses each. One that keeps all of them awake does little else.
 func TestIdleConnectionsAreNotPinged(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
-	all := crowd(t, r)
+	all := connectMany(t, r)
 	time.Sleep(3 * shortDeath)
 	pinged := 0
 	for _, p := range all {
@@ -72,7 +72,7 @@
 }
 
 // mute mutes a router that is no neighbour of r, and returns its name.
-func mute(t *testing.T, r *router, all []*polite) coordination.Instance {
+func mute(t *testing.T, r *router, all []*pingResponder) coordination.Instance {
 	for _, c := range r.connections() {
 		if r.isNeighbor(c) {
 			continue
@@ -89,7 +89,7 @@
 
 // A connection that has fallen silent without an end stays in use for good, and
 // each call on it is in vain, unless what is sent on it has the peer answer.
-func TestSilentConnectionIsFoundByItsUse(t *testing.T) {
+func TestSilentConnectionIsDetectedOnUse(t *testing.T) {
 	uses := map[string]func(ctx context.Context, r *router, to coordination.Instance){
 		"call":   func(ctx context.Context, r *router, to coordination.Instance) { _, _ = r.Call(ctx, to, "echo", nil) },
 		"notice": func(ctx context.Context, r *router, to coordination.Instance) { _ = r.Notify(ctx, to, "echo", nil) },
@@ -97,7 +97,7 @@
 	for name, use := range uses {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
-			to := mute(t, r, crowd(t, r))
+			to := mute(t, r, connectMany(t, r))
 			time.Sleep(shortDeath)
 			assert.Assert(t, r.current(to) != nil, "nothing is awaited")
 			used := time.Now()
@@ -110,7 +110,7 @@
 
 // While hundreds of routers start, each message brings a few of them. A router that
 // works out anew who owns what for each has no time left for callers.
-func TestQuickChangesAreToldTogether(t *testing.T) {
+func TestRapidMemberChangesAreCoalesced(t *testing.T) {
 	const work = 2 * time.Millisecond
 	r := start(t, listen(t), "r00", nil, nil)
 	var told, last atomic.Int64
@@ -120,7 +120,7 @@
 		last.Store(int64(len(members)))
 	})
 	begun := time.Now()
-	crowd(t, r)
+	connectMany(t, r)
 	eventually(t, "all members", func() bool { return last.Load() == manyPeers+1 })
 	most := int64(3 + time.Since(begun)/coordination.Cooldown(work))
 	assert.Assert(t, told.Load() <= most, "%d in %v", told.Load(), time.Since(begun))
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -19,7 +19,7 @@
 	client *http.Client
 	ctx    context.Context
 	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 
 	mu      sync.Mutex // guards machine
 	machine *membership.Machine
@@ -30,21 +30,21 @@
 	connMu   sync.Mutex
 	conns    map[coordination.Instance]*conn
 	draining map[*conn]struct{}
-	dialings map[string]*dialing
+	dialings map[string]*dialAttempt
 	stopped  bool
 
-	topicMu   sync.RWMutex
-	byTopic   map[string]Handler
-	listeners map[string][]rumorFunc
-	watchers  []func([]membership.Member)
-	replays   []replay
+	topicMu        sync.RWMutex
+	topicHandlers  map[string]Handler
+	rumorListeners map[string][]rumorFunc
+	memberWatchers []func([]membership.Member)
+	replays        []replay
 
-	handlers  chan struct{} // places for calls being handled
-	wake      chan struct{} // to the dispatcher
-	counts    traffic
-	dropped   atomic.Uint64
-	malformed atomic.Uint64
-	busy      atomic.Uint64
+	handlerSlots chan struct{} // places for calls being handled
+	wake         chan struct{} // to the dispatcher
+	counts       traffic
+	dropped      atomic.Uint64
+	malformed    atomic.Uint64
+	busy         atomic.Uint64
 }
 
 // New starts a node. The function that it returns tells the other routers
@@ -56,20 +56,20 @@
 	cfg = cfg.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
-		cfg:       cfg,
-		client:    newClient(cfg.DialTimeout),
-		ctx:       ctx,
-		cancel:    cancel,
-		machine:   membership.New(cfg.Membership, cfg.Self, time.Now()),
-		conns:     make(map[coordination.Instance]*conn),
-		draining:  make(map[*conn]struct{}),
-		dialings:  make(map[string]*dialing),
-		byTopic:   make(map[string]Handler),
-		listeners: make(map[string][]rumorFunc),
-		handlers:  make(chan struct{}, cfg.MaxHandlers),
-		wake:      make(chan struct{}, 1),
+		cfg:            cfg,
+		client:         newClient(cfg.DialTimeout),
+		ctx:            ctx,
+		cancel:         cancel,
+		machine:        membership.New(cfg.Membership, cfg.Self, time.Now()),
+		conns:          make(map[coordination.Instance]*conn),
+		draining:       make(map[*conn]struct{}),
+		dialings:       make(map[string]*dialAttempt),
+		topicHandlers:  make(map[string]Handler),
+		rumorListeners: make(map[string][]rumorFunc),
+		handlerSlots:   make(chan struct{}, cfg.MaxHandlers),
+		wake:           make(chan struct{}, 1),
 	}
-	n.wait.Add(2)
+	n.wg.Add(2)
 	go n.run()
 	d := &dispatcher{node: n}
 	go d.run()
@@ -84,8 +84,8 @@
 
 // run advances the membership protocol and looks after the connections.
 func (n *Node) run() {
-	defer n.wait.Done()
-	t := time.NewTicker(tick)
+	defer n.wg.Done()
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -93,7 +93,7 @@
 			return
 		case <-t.C:
 			n.step(func(now time.Time) membership.Output { return n.machine.Tick(now) })
-			n.tend(time.Now())
+			n.maintainConns(time.Now())
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	if err := c.post(&message{Kind: kindGossip, Gossip: &s.Message}); err != nil {
-		if dropped := n.dropped.Add(1); dropped%eventEvery == 1 {
+		if dropped := n.dropped.Add(1); dropped%lossesPerEvent == 1 {
 			n.event(Event{Kind: Overflow, Peer: s.To, Address: s.Address, Count: dropped, Err: err})
 		}
 		return
@@ -190,22 +190,22 @@
 	})
 }
 
-// tend pings quiet connections, ends broken ones, and retires those that were
+// maintainConns pings quiet connections, ends broken ones, and retires those that were
 // made for calls and are no longer used. Of these, only one on which something is
 // awaited is looked after: a router of a large fleet has one to nearly every
 // other, seldom uses each, and would send little but pings.
-func (n *Node) tend(now time.Time) {
+func (n *Node) maintainConns(now time.Time) {
 	var spare []*conn
 	for _, c := range n.connections() {
 		neighbor := n.isNeighbor(c)
 		switch {
-		case !neighbor && !c.waits(now):
-		case c.silence(now) > n.cfg.DeadAfter:
-			c.cancel(errSilent)
+		case !neighbor && !c.active(now):
+		case c.silentFor(now) > n.cfg.DeadAfter:
+			c.cancel(errPeerTimeout)
 		case c.queued.Load() == 0:
 			c.pingIfQuiet(now)
 		}
-		if !neighbor && now.Sub(c.since) > min(n.cfg.IdleTimeout, drainMost) && c.idle() {
+		if !neighbor && now.Sub(c.connectedAt) > min(n.cfg.IdleTimeout, maxDrain) && c.idle() {
 			spare = append(spare, c)
 		}
 	}
@@ -218,7 +218,7 @@
 func (n *Node) retireIdle(now time.Time, spare []*conn) {
 	sortByUse(spare)
 	for i, c := range spare {
-		unused := c.used.Ago(now)
+		unused := c.lastUsed.Ago(now)
 		if unused > n.cfg.IdleTimeout || len(spare)-i > n.cfg.MaxOnDemand {
 			n.retire(c, true)
 		}
@@ -230,7 +230,7 @@
 	defer n.connMu.Unlock()
 	for c := range n.draining {
 		age := c.drainedFor(now)
-		if age > drainMost || age > drainLeast && c.idle() {
+		if age > maxDrain || age > minDrain && c.idle() {
 			c.cancel(errDuplicate)
 		}
 	}
@@ -264,9 +264,9 @@
 		n.machine.Left(now)
 		return n.machine.Tick(now)
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), farewell)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	n.settle(ctx, func(c *conn) bool { return c.idle() })
+	n.awaitConns(ctx, func(c *conn) bool { return c.idle() })
 	n.connMu.Lock()
 	n.stopped = true
 	for _, c := range n.conns {
@@ -277,11 +277,11 @@
 	}
 	n.connMu.Unlock()
 	n.cancel()
-	n.wait.Wait()
+	n.wg.Wait()
 }
 
-// settle waits until all connections are settled or ctx ends.
-func (n *Node) settle(ctx context.Context, settled func(*conn) bool) {
+// awaitConns waits until all connections are settled or ctx ends.
+func (n *Node) awaitConns(ctx context.Context, settled func(*conn) bool) {
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
 	for {
--- a/wisteriarouter/peer/peer.go
+++ b/wisteriarouter/peer/peer.go
@@ -65,17 +65,17 @@
 }
 
 const (
-	tick         = 100 * time.Millisecond
-	queueFrames  = 1024 // messages that wait for one peer
-	helloTimeout = 5 * time.Second
-	helloLimit   = 4096 // bytes
-	writeTimeout = 10 * time.Second
-	drainLeast   = time.Second
-	drainMost    = 10 * time.Second
-	farewell     = 500 * time.Millisecond
-	// eventEvery is how many lost messages or refused calls make an event, so
+	tickInterval    = 100 * time.Millisecond
+	maxQueuedFrames = 1024 // messages that wait for one peer
+	helloTimeout    = 5 * time.Second
+	helloLimit      = 4096 // bytes
+	writeTimeout    = 10 * time.Second
+	minDrain        = time.Second
+	maxDrain        = 10 * time.Second
+	stopTimeout     = 500 * time.Millisecond
+	// lossesPerEvent is how many lost messages or refused calls make an event, so
 	// that an overload does not fill the log.
-	eventEvery = 1000
+	lossesPerEvent = 1000
 )
 
 func (c Config) withDefaults() Config {
--- a/wisteriarouter/peer/peer_test.go
+++ b/wisteriarouter/peer/peer_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// abandon ends all connections of r at once, as when its process is killed.
-func abandon(r *router) {
+// kill ends all connections of r at once, as when its process is killed.
+func kill(r *router) {
 	r.cancel()
 	r.connMu.Lock()
 	r.stopped = true
@@ -240,7 +240,7 @@
 	}{
 		{"r01", "fail", Failed, true},
 		{"r01", "hang", Lost, true},
-		{"r01", "none", TurnedAway, false},
+		{"r01", "none", Rejected, false},
 		{"r99", "fail", NotConnected, false},
 	}
 	for _, test := range tests {
--- a/wisteriarouter/peer/reach_test.go
+++ b/wisteriarouter/peer/reach_test.go
@@ -15,8 +15,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// oneRouter is a fleet with one other router, r2.
-type oneRouter struct {
+// fakeTransport is a fleet with one other router, r2.
+type fakeTransport struct {
 	mu     sync.Mutex
 	dead   bool // refuses connections
 	frozen bool // answers nothing
@@ -24,13 +24,13 @@
 	calls  int
 }
 
-func (f *oneRouter) set(change func(f *oneRouter)) {
+func (f *fakeTransport) set(change func(f *fakeTransport)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *oneRouter) Members() []membership.Member {
+func (f *fakeTransport) Members() []membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.gone {
@@ -39,7 +39,7 @@
 	return []membership.Member{{Instance: "r2", Owner: true}}
 }
 
-func (f *oneRouter) Call(ctx context.Context, to coordination.Instance, topic string, _ []byte) ([]byte, error) {
+func (f *fakeTransport) Call(ctx context.Context, to coordination.Instance, topic string, _ []byte) ([]byte, error) {
 	f.mu.Lock()
 	f.calls++
 	dead, frozen := f.dead, f.frozen
@@ -55,10 +55,10 @@
 }
 
 // Handle is not needed: nobody probes this router.
-func (f *oneRouter) Handle(string, Handler) {}
+func (f *fakeTransport) Handle(string, Handler) {}
 
 // Notify reaches a router that stands still, which reads it later.
-func (f *oneRouter) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
+func (f *fakeTransport) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	f.mu.Lock()
 	dead := f.dead
 	f.mu.Unlock()
@@ -70,14 +70,14 @@
 }
 
 // reachOf returns a Reach that ends with the test.
-func reachOf(t *testing.T, f *oneRouter) *Reach {
-	r, stop := NewReach(f, func(coordination.Instance, bool) {})
+func reachOf(t *testing.T, f *fakeTransport) *FailureDetector {
+	r, stop := NewFailureDetector(f, func(coordination.Instance, bool) {})
 	t.Cleanup(stop)
 	return r
 }
 
 // ask makes a call as placement does.
-func ask(r *Reach) {
+func ask(r *FailureDetector) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, _ = r.Call(ctx, "r2", "place-admit", nil)
@@ -87,28 +87,28 @@
 // seconds until the fleet holds it for dead its endpoints would take almost no
 // work, and first tokens come seconds late. It is done without after half a
 // second, and taken back when it answers.
-func TestSilentRouterIsDoneWithout(t *testing.T) {
-	for name, fail := range map[string]func(f *oneRouter){
-		"killed": func(f *oneRouter) { f.dead = true },
-		"frozen": func(f *oneRouter) { f.frozen = true },
+func TestUnresponsiveRouterIsDetected(t *testing.T) {
+	for name, fail := range map[string]func(f *fakeTransport){
+		"killed": func(f *fakeTransport) { f.dead = true },
+		"frozen": func(f *fakeTransport) { f.frozen = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &oneRouter{}
+				f := &fakeTransport{}
 				r := reachOf(t, f)
 				var changes atomic.Int32
 				r.Watch(func() { changes.Add(1) })
 				ask(r)
 				f.set(fail)
 				ask(r)
-				assert.Assert(t, !r.Away("r2"), "away after one call")
-				time.Sleep(2 * awayAfter)
-				assert.Assert(t, r.Away("r2"))
+				assert.Assert(t, !r.Unresponsive("r2"), "away after one call")
+				time.Sleep(2 * unresponsiveAfter)
+				assert.Assert(t, r.Unresponsive("r2"))
 				time.Sleep(5 * time.Second)
 				assert.Equal(t, changes.Load(), int32(1))
-				f.set(func(f *oneRouter) { f.dead, f.frozen = false, false })
+				f.set(func(f *fakeTransport) { f.dead, f.frozen = false, false })
 				time.Sleep(2 * time.Second)
-				assert.Assert(t, !r.Away("r2"))
+				assert.Assert(t, !r.Unresponsive("r2"))
 				assert.Equal(t, changes.Load(), int32(2))
 			})
 		})
@@ -120,49 +120,49 @@
 // owners and back again.
 func TestShortSilenceChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{frozen: true}
+		f := &fakeTransport{frozen: true}
 		r := reachOf(t, f)
 		r.Watch(func() { t.Error("taken for away") })
 		ask(r)
 		time.Sleep(150 * time.Millisecond)
-		f.set(func(f *oneRouter) { f.frozen = false })
+		f.set(func(f *fakeTransport) { f.frozen = false })
 		time.Sleep(time.Minute)
-		f.set(func(f *oneRouter) { assert.Assert(t, f.calls < 6, "%d calls: it is probed on", f.calls) })
+		f.set(func(f *fakeTransport) { assert.Assert(t, f.calls < 6, "%d calls: it is probed on", f.calls) })
 	})
 }
 
 // A dead router is at last held for dead by the fleet. It is probed no more,
 // or every router that ever died would cost the others bytes for ever.
-func TestDeadRouterIsProbedNoMore(t *testing.T) {
+func TestProbingStopsForRemovedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{dead: true}
+		f := &fakeTransport{dead: true}
 		r := reachOf(t, f)
 		ask(r)
 		time.Sleep(10 * time.Second)
-		f.set(func(f *oneRouter) { f.gone = true })
+		f.set(func(f *fakeTransport) { f.gone = true })
 		time.Sleep(time.Second)
 		calls := 0
-		f.set(func(f *oneRouter) { calls = f.calls })
+		f.set(func(f *fakeTransport) { calls = f.calls })
 		time.Sleep(time.Minute)
-		f.set(func(f *oneRouter) { assert.Equal(t, f.calls, calls) })
+		f.set(func(f *fakeTransport) { assert.Equal(t, f.calls, calls) })
 	})
 }
 
 // A list of routers that is not made again when one of them falls silent has
 // requests wait for it until it is declared dead.
-func TestAnsweringFollowsWhoIsAway(t *testing.T) {
+func TestResponsiveListIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{}
+		f := &fakeTransport{}
 		r := reachOf(t, f)
-		assert.Equal(t, len(r.Answering()), 1)
-		f.set(func(f *oneRouter) { f.dead = true })
+		assert.Equal(t, len(r.Responsive()), 1)
+		f.set(func(f *fakeTransport) { f.dead = true })
 		ask(r)
-		time.Sleep(awayAfter + 2*probePause)
-		assert.Equal(t, len(r.Answering()), 0)
-		f.set(func(f *oneRouter) { f.dead = false })
-		time.Sleep(2 * backAfter * probePause)
-		assert.Equal(t, len(r.Answering()), 1)
-		f.set(func(f *oneRouter) { f.gone = true })
-		assert.Equal(t, len(r.Answering()), 0)
+		time.Sleep(unresponsiveAfter + 2*probeInterval)
+		assert.Equal(t, len(r.Responsive()), 0)
+		f.set(func(f *fakeTransport) { f.dead = false })
+		time.Sleep(2 * recoveryProbes * probeInterval)
+		assert.Equal(t, len(r.Responsive()), 1)
+		f.set(func(f *fakeTransport) { f.gone = true })
+		assert.Equal(t, len(r.Responsive()), 0)
 	})
 }
--- a/wisteriarouter/peer/serve.go
+++ b/wisteriarouter/peer/serve.go
@@ -10,8 +10,8 @@
 // Handler answers the calls and notices of a topic.
 type Handler func(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error)
 
-// serving is a call that a peer has made.
-type serving struct {
+// incomingCall is a call that a peer has made.
+type incomingCall struct {
 	conn    *conn
 	request *message
 	handler Handler
@@ -21,30 +21,30 @@
 func (c *conn) serve(m *message) {
 	h := c.node.handler(m.Topic)
 	if h == nil {
-		c.turnAway(m, errNoHandler)
+		c.reject(m, errNoHandler)
 		return
 	}
 	select {
-	case c.node.handlers <- struct{}{}:
+	case c.node.handlerSlots <- struct{}{}:
 	default:
-		if n := c.node.busy.Add(1); n%eventEvery == 1 {
+		if n := c.node.busy.Add(1); n%lossesPerEvent == 1 {
 			c.node.event(Event{Kind: HandlersBusy, Peer: c.peer.Instance, Address: c.peer.Address, Count: n})
 		}
-		c.turnAway(m, errBusy)
+		c.reject(m, errTooManyCalls)
 		return
 	}
 	c.serving.Add(1)
-	s := serving{conn: c, request: m, handler: h}
+	s := incomingCall{conn: c, request: m, handler: h}
 	go s.run()
 }
 
-func (c *conn) turnAway(m *message, err error) {
+func (c *conn) reject(m *message, err error) {
 	if m.Kind == kindRequest {
-		_ = c.post(&message{Kind: kindAnswer, ID: m.ID, Topic: m.Topic, Failure: TurnedAway, Error: err.Error()})
+		_ = c.post(&message{Kind: kindAnswer, ID: m.ID, Topic: m.Topic, Failure: Rejected, Error: err.Error()})
 	}
 }
 
-func (s serving) run() {
+func (s incomingCall) run() {
 	defer s.release()
 	ctx, cancel := s.context()
 	defer cancel()
@@ -63,14 +63,14 @@
 	}
 }
 
-func (s serving) context() (context.Context, context.CancelFunc) {
+func (s incomingCall) context() (context.Context, context.CancelFunc) {
 	if s.request.Timeout == 0 {
 		return context.WithCancel(s.conn.ctx)
 	}
 	return context.WithTimeout(s.conn.ctx, time.Duration(s.request.Timeout)*time.Millisecond)
 }
 
-func (s serving) release() {
+func (s incomingCall) release() {
 	s.conn.serving.Add(-1)
-	<-s.conn.node.handlers
+	<-s.conn.node.handlerSlots
 }
