--- a/wisteriarouter/downstream/conn.go
+++ b/wisteriarouter/downstream/conn.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// conn is a connection whose wait for a request ends by a read that returns
-// nothing, never by a close from outside: what a read has returned is served.
+// conn is a connection whose wait for a request ends by a read that returns no
+// data, and never by a Close from another goroutine, so that everything that was
+// read is served.
 type conn struct {
 	net.Conn
 	server *Server
 
 	mu        sync.Mutex
-	drain     *drainState // nil before the server is drained
+	drain     *drainState // nil until the server is drained
 	waiting   bool        // for the first byte of a request
 	waitStart time.Time   // when the wait began
-	deadline  time.Time   // for reads, as the HTTP server has set it
+	deadline  time.Time   // for reads, as set by the HTTP server
 
-	ahead        bool      // a byte of the next request was read while this one is handled
+	ahead        bool      // a byte of the next request was read while the current one is handled
 	firstRequest bool      // no request has been answered yet
-	requestStart time.Time // when the first byte of a request came that is not answered
-	bytesRead    int       // bytes of that request
-	peerClosed   bool      // the other side has closed or broken off
+	requestStart time.Time // when the first byte of the unanswered request was read; zero if there is none
+	bytesRead    int       // bytes of the unanswered request
+	peerClosed   bool      // the peer has closed or reset the connection
 }
 
-// retryWindow is how long a read or an accept is tried once more whose deadline has
-// passed.
+// retryWindow is the time allowed for one retry of a read or an accept whose
+// deadline has passed.
 const retryWindow = time.Millisecond
 
 // Read implements net.Conn.
@@ -42,27 +43,27 @@
 	return n, err
 }
 
-// prepareRetry reports whether a read that has met its deadline is to be tried once
-// more, and prepares it: on a machine that was busy until then, bytes may have been
-// there for a while.
+// prepareRetry reports whether a read that exceeded its deadline is to be retried,
+// and extends the deadline for it. On an overloaded machine, data may have arrived
+// before the deadline without having been read.
 func (c *conn) prepareRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.waiting && c.Conn.SetReadDeadline(time.Now().Add(retryWindow)) == nil
 }
 
-// readAhead is the size of the reads by which the HTTP server looks whether the other
-// side is still there while a request is handled. They have no deadline.
+// readAhead is the size of the reads with which the HTTP server detects a closed
+// connection while a request is handled. These reads have no deadline.
 const readAhead = 1
 
-// isReadAhead reports whether a read into size bytes is one of these.
+// isReadAhead reports whether a read of size bytes is such a read.
 func (c *conn) isReadAhead(size int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return size == readAhead && c.deadline.IsZero()
 }
 
-// recordRead records what a read has returned.
+// recordRead records the result of a read.
 func (c *conn) recordRead(n int, err error, ahead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +86,8 @@
 	c.setDeadline()
 }
 
-// setDeadline sets the read deadline anew while the server is drained. If that fails
-// the next read shows it.
+// setDeadline updates the read deadline while the server is being drained. An error
+// is ignored, since the next read returns it.
 func (c *conn) setDeadline() {
 	if c.drain != nil {
 		_ = c.Conn.SetReadDeadline(c.readDeadline())
@@ -101,7 +102,7 @@
 	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// startDrain bounds the wait for a request, now and later, while the server is drained.
+// startDrain limits the current and all later waits for a request.
 func (c *conn) startDrain(d *drainState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +110,9 @@
 	c.setDeadline()
 }
 
-// readDeadline returns when a read ends: as the HTTP server has asked, or with the
-// wait for a request or for its head if that comes first.
+// readDeadline returns the deadline for reads: the one set by the HTTP server or,
+// during a drain, the end of the wait for a request or its header if that is
+// earlier.
 func (c *conn) readDeadline() time.Time {
 	end := c.deadline
 	switch {
@@ -124,7 +126,7 @@
 	return end
 }
 
-// earlier returns the earlier of two times; zero is never.
+// earlier returns the earlier of two times, where zero means no limit.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -132,7 +134,8 @@
 	return a
 }
 
-// awaitRequest begins the wait for a further request, unless it has begun to come.
+// awaitRequest begins the wait for the next request, unless its first byte was read
+// already.
 func (c *conn) awaitRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +149,8 @@
 	}
 }
 
-// markAnswered records that what has been read is markAnswered, or will be by a handler.
+// markAnswered records that the bytes read so far are answered or passed to a
+// handler.
 func (c *conn) markAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +160,8 @@
 	}
 }
 
-// Write implements net.Conn. The HTTP server answers malformed requests itself.
+// Write implements net.Conn. It marks the request as answered, since the HTTP
+// server answers malformed requests without calling a handler.
 func (c *conn) Write(b []byte) (int, error) {
 	c.markAnswered()
 	return c.Conn.Write(b)
@@ -170,8 +175,8 @@
 	return c.Conn.Close()
 }
 
-// takeDrop reports whether the connection ends with a request that is not answered,
-// and describes it, once.
+// takeDrop describes the unanswered request with which the connection ends, if
+// there is one. It reports each drop only once.
 func (c *conn) takeDrop() (Drop, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,9 +194,9 @@
 	return d, true
 }
 
-// CloseWrite tells the other side that no more comes, if the connection can. The
-// HTTP server calls it before it closes a connection behind an error, so that the
-// answer arrives.
+// CloseWrite closes the write side if the connection supports it. The HTTP server
+// calls it before it closes a connection after an error response, so that the
+// response reaches the client.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/wisteriarouter/downstream/conn_test.go
+++ b/wisteriarouter/downstream/conn_test.go
@@ -14,8 +14,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// Guards against a drain that cancels the handler of a request which came together
-// with the one before.
+// Guards against a drain that cancels the handler of a pipelined request.
 func TestDrainLeavesPipelinedRequestsAlone(t *testing.T) {
 	for name, together := range map[string]bool{"one segment": true, "two segments": false} {
 		t.Run(name, func(t *testing.T) {
@@ -52,8 +51,9 @@
 	}
 }
 
-// Guards against drains that wait for a request which has not begun: the HTTP server
-// fills the last byte of its buffer by a read as short as those by which it looks ahead.
+// Guards against drains that wait for a request that has not begun. The HTTP server
+// fills the last byte of its buffer with a one-byte read, like the reads with which
+// it detects a closed connection.
 func TestOneByteHeaderReadIsNotReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -71,7 +71,8 @@
 	})
 }
 
-// Guards against parts of a router that end under a handler whose caller has gone.
+// Guards against a drain that returns while a handler is running whose client has
+// disconnected.
 func TestDrainAwaitsHandlersOfBrokenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var done atomic.Bool
@@ -94,8 +95,9 @@
 	})
 }
 
-// Guards against answers to bodies that are too large which wait for the rest of them:
-// http.MaxBytesReader tells only the HTTP server's own writer to close the connection.
+// Guards against a response to a too large body that is delayed until the rest of
+// the body arrives. http.MaxBytesReader makes the server close the connection only
+// if it gets the HTTP server's own ResponseWriter.
 func TestHandlersHaveTheWriterOfTheHTTPServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixtureOf(t, func(w http.ResponseWriter, r *http.Request) {
@@ -111,11 +113,12 @@
 			assert.Equal(t, time.Since(start), time.Duration(0))
 			assert.NilError(t, c.Close())
 		}
-		time.Sleep(time.Second) // the server waits before it closes them
+		time.Sleep(time.Second) // the server delays closing the connections
 	})
 }
 
-// Guards against callers that hold a drain by a part of a head.
+// Guards against clients that block a drain by sending an incomplete request
+// header.
 func TestDrainBoundsHeads(t *testing.T) {
 	for name, kept := range map[string]bool{"first": false, "next": true} {
 		t.Run(name, func(t *testing.T) {
@@ -130,7 +133,7 @@
 				synctest.Wait()
 				start := time.Now()
 				left := f.beginDrain(2 * time.Minute)
-				_, err := io.Copy(io.Discard, c.r) // on a first request the HTTP server answers 400
+				_, err := io.Copy(io.Discard, c.r) // the HTTP server answers an incomplete first request with 400
 				assert.NilError(t, err)
 				assert.Equal(t, <-left, 0)
 				assert.Equal(t, time.Since(start), headerTimeout)
@@ -139,7 +142,8 @@
 	}
 }
 
-// Guards against requests whose first byte comes during a drain, and the rest late.
+// Guards against dropping a request whose first byte arrives during a drain and the
+// rest late.
 func TestDrainWaitsForAHeadThatHasBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -184,7 +188,7 @@
 	})
 }
 
-// Guards against unused connections that are still open when a drain ends.
+// Guards against unused connections that are still open when the drain ends.
 func TestDrainClosesUnusedConnectionsBeforeItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/wisteriarouter/downstream/drain.go
+++ b/wisteriarouter/downstream/drain.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// drainIdleTimeout is how long a connection must have been without a request before a
-// server that is being drained closes it. A packet that was lost twice in a row
-// arrives within this time.
+// drainIdleTimeout is how long a connection must have been without a request before
+// a draining server closes it. A packet that was lost twice in a row arrives within
+// this time.
 const drainIdleTimeout = time.Second
 
-// drainCloseMargin is how long before the end of a drain connections without a request
-// are closed at the latest.
+// drainCloseMargin is how long before the end of a drain connections without a
+// request are closed at the latest.
 const drainCloseMargin = 500 * time.Millisecond
 
-// drainState is the end of a server.
+// drainState is the state of a server that is being drained.
 type drainState struct {
-	closeIdleBy time.Time     // by when connections without a request are closed; zero for no limit
+	closeIdleBy time.Time     // deadline for closing connections without a request; zero for none
 	empty       chan struct{} // closed when no connection is left
-	noMoreConns bool          // no further connection comes; guarded by the server's mutex
+	noMoreConns bool          // no more connections are accepted; guarded by Server.mu
 }
 
-// closeIfEmpty closes empty once no connection is left. The caller holds the server's mutex.
+// closeIfEmpty closes d.empty once no connection is left. The caller holds
+// Server.mu.
 func (d *drainState) closeIfEmpty(conns int) {
 	if !d.noMoreConns || conns > 0 {
 		return
@@ -33,10 +34,10 @@
 	}
 }
 
-// Drain accepts the connections that wait for it, closes the listener, and waits
-// until all connections have ended: each behind an answer, or once it has been
-// without a request for a while. It returns how many requests were left when ctx
-// ended, and cuts them off.
+// Drain accepts the pending connections, closes the listener and waits until all
+// connections have ended, each after a response or after it has been without a
+// request for some time. When ctx ends, it closes the remaining connections and
+// returns the number of requests that were in flight.
 func (s *Server) Drain(ctx context.Context) (left int) {
 	s.DisableKeepAlives()
 	d := s.beginDrain(ctx)
@@ -51,7 +52,7 @@
 	return left
 }
 
-// beginDrain limits the wait of all connections for a request.
+// beginDrain limits how long each connection waits for a request.
 func (s *Server) beginDrain(ctx context.Context) *drainState {
 	d := &drainState{empty: make(chan struct{})}
 	if end, ok := ctx.Deadline(); ok {
@@ -66,7 +67,8 @@
 	return d
 }
 
-// awaitEmpty waits until no connection is left, once no further one comes.
+// awaitEmpty waits until no connection is left or ctx ends. The listener must have
+// been closed.
 func (s *Server) awaitEmpty(ctx context.Context, d *drainState) {
 	s.mu.Lock()
 	d.noMoreConns = true
--- a/wisteriarouter/downstream/listener_test.go
+++ b/wisteriarouter/downstream/listener_test.go
@@ -13,8 +13,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// backlog is a listener whose connections wait until its deadline has passed, as on a
-// machine that was busy until then.
+// backlog is a listener that accepts its pending connections only after a first
+// wait has exceeded the deadline, as on an overloaded machine.
 type backlog struct {
 	*pipes
 	wake chan struct{} // closed when the deadline is first set
@@ -22,8 +22,8 @@
 
 	mu     sync.Mutex
 	till   time.Time
-	passed bool            // a wait has met its deadline
-	each   func() net.Conn // the next connection; nil if there is none
+	passed bool            // a wait has exceeded its deadline
+	each   func() net.Conn // returns the next connection, or nil if there is none
 }
 
 func newBacklog(each func() net.Conn) *backlog {
@@ -89,7 +89,7 @@
 	})
 }
 
-// Guards against drains that never end since connections keep coming.
+// Guards against drains that never end because new connections keep arriving.
 func TestDrainEndsDespiteNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{t: t}
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Config holds the limits of a server towards those who connect to it.
+// Config holds the limits that a server enforces on its clients.
 type Config struct {
-	HeaderTimeout  time.Duration // longest time for the head of a request to arrive
-	MaxHeaderBytes int           // largest head of a request
-	IdleTimeout    time.Duration // longest time that a connection stays open without a request
-	Observer       Observer      // nil if nobody wants to know
+	HeaderTimeout  time.Duration // maximum time to read a request header
+	MaxHeaderBytes int           // maximum size of a request header
+	IdleTimeout    time.Duration // maximum time that a connection stays open without a request
+	Observer       Observer      // may be nil
 }
 
-// Observer is told of what goes wrong on connections.
+// Observer is notified of failures on connections.
 type Observer interface {
-	// Dropped tells of a connection that has ended though a part of a request,
-	// or all of it, had been read and nothing was answered.
+	// Dropped is called when a connection ends after part or all of a request was
+	// read, but nothing was sent in response.
 	Dropped(d Drop)
 }
 
-// Drop describes a request that was read and not answered.
+// Drop describes a request that was read but not answered.
 type Drop struct {
-	BytesRead    int           // bytes of the request that were read, at least one
-	Elapsed      time.Duration // since the first of them
+	BytesRead    int           // bytes of the request that were read, at least 1
+	Elapsed      time.Duration // since the first of these bytes was read
 	FirstRequest bool          // it was the first request on its connection
-	PeerClosed   bool          // the other side had closed the connection or broken it off
+	PeerClosed   bool          // the client had closed or reset the connection
 	Draining     bool          // the server was being drained
 }
 
@@ -38,8 +38,8 @@
 	http     *http.Server
 	listener *listener
 	observer Observer
-	// headerTimeout is the longest time for the head of a request to arrive; zero for
-	// no limit.
+	// headerTimeout is the maximum time to read a request header; zero for no
+	// limit.
 	headerTimeout time.Duration
 
 	active  atomic.Int64
@@ -47,12 +47,12 @@
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	drain *drainState // nil before Drain
+	drain *drainState // nil until Drain
 }
 
-// NewServer returns a server for l, and what closes it and all its connections at
-// once. Heads of requests have a limit in bytes and in time, so that a caller who
-// sends one very slowly holds nothing but one connection for a short while.
+// NewServer returns a server for l and a function that immediately closes it and
+// all its connections. Request headers are limited in size and time, so that a
+// client that sends one very slowly only occupies one connection for a short time.
 func NewServer(l net.Listener, h http.Handler, cfg Config) (*Server, func()) {
 	s := &Server{observer: cfg.Observer, headerTimeout: cfg.HeaderTimeout, conns: make(map[*conn]struct{})}
 	s.listener = newListener(l, s)
@@ -67,25 +67,25 @@
 	return s, s.close
 }
 
-// close closes the listener and all connections at once.
-func (s *Server) close() { _ = s.http.Close() } // there is nobody left to tell
+// close closes the listener and all connections immediately.
+func (s *Server) close() { _ = s.http.Close() } // the error is of no use here
 
-// Serve serves until the server is drained or closed. Its error is then
+// Serve serves connections until the server is drained or closed, and then returns
 // http.ErrServerClosed.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
-// Addr returns the address that the server listens on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Active returns how many requests are in flight.
+// Active returns the number of requests in flight.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// DisableKeepAlives has the answer to each request that comes from now on end its connection.
-// All connections are served as before, new ones too.
+// DisableKeepAlives makes every response to a request that arrives from now on
+// close its connection. Existing and new connections are still served.
 func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
 
-// handler counts the requests in flight, and ends their connections once the
-// server leaves.
+// handler counts the requests in flight and, once DisableKeepAlives was called,
+// closes connections after the response.
 func (s *Server) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
@@ -100,7 +100,7 @@
 	})
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
@@ -119,7 +119,7 @@
 	return c
 }
 
-// remove forgets a connection that has ended, with its handler.
+// remove unregisters a connection that has ended, including its handler.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// onConnState is called by the HTTP server when a connection has another state.
+// onConnState is called by the HTTP server when the state of a connection changes.
 func onConnState(c net.Conn, state http.ConnState) {
 	each, ok := c.(*conn)
 	if !ok {
--- a/wisteriarouter/downstream/server_test.go
+++ b/wisteriarouter/downstream/server_test.go
@@ -18,14 +18,14 @@
 	"wisteriaspool/wisteriarouter/downstream"
 )
 
-// What a drain goes by: how long connections have to be without a request before
-// they are closed, and how long they are looked at once more.
+// The timeouts of a drain: drainIdleTimeout and retryWindow.
 const (
 	quiet = time.Second
 	look  = time.Millisecond
 )
 
-// pipes is a listener whose connections are pipes, so that tests pause the clock.
+// pipes is a listener whose connections are in-memory pipes, as needed for the fake
+// clock.
 type pipes struct {
 	queue chan net.Conn
 	once  sync.Once
@@ -55,19 +55,20 @@
 // Addr implements net.Listener.
 func (l *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// fixture is a server under test and what it told its observer.
+// fixture is a server under test. It is also its handler and records the drops that
+// are reported to it.
 type fixture struct {
 	*downstream.Server
 	t       *testing.T
 	pipes   *pipes
 	served  serving
-	release chan struct{} // ends requests for /slow
+	release chan struct{} // ends the handlers of /slow
 
 	mu    sync.Mutex
 	drops []downstream.Drop
 }
 
-// serving runs a server.
+// serving runs a server and passes on the error of Serve.
 type serving struct {
 	server *downstream.Server
 	err    chan error
@@ -81,14 +82,14 @@
 	return f
 }
 
-// newFixtureOf returns a fixture with a handler of its own.
+// newFixtureOf returns a fixture with the given handler.
 func newFixtureOf(t *testing.T, h http.HandlerFunc) *fixture {
 	f := &fixture{t: t, pipes: newPipes()}
 	f.serve(f.pipes, h)
 	return f
 }
 
-// headerTimeout is the longest time for the head of a request.
+// headerWait is the maximum time to read a request header.
 const headerTimeout = 4 * time.Second
 
 func (f *fixture) serve(l net.Listener, h http.Handler) {
@@ -99,8 +100,8 @@
 	f.t.Cleanup(closeAll)
 }
 
-// ServeHTTP implements http.Handler. It answers /slow in two parts, the second when
-// the test lets it.
+// ServeHTTP implements http.Handler. It echoes the request body. For /slow it first
+// sends the response header and waits for the test to release it.
 func (f *fixture) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/slow" {
 		w.WriteHeader(http.StatusOK)
@@ -129,7 +130,7 @@
 	return append([]downstream.Drop(nil), f.drops...)
 }
 
-// draining drains a server.
+// draining drains a server and passes on the result.
 type draining struct {
 	server *downstream.Server
 	within time.Duration
@@ -142,7 +143,8 @@
 	d.left <- d.server.Drain(ctx)
 }
 
-// beginDrain drains the server, and returns once it takes no new connections.
+// beginDrain starts to drain the server and returns once it accepts no new
+// connections.
 func (f *fixture) beginDrain(within time.Duration) chan int {
 	d := draining{f.Server, within, make(chan int, 1)}
 	go d.run()
@@ -150,7 +152,7 @@
 	return d.left
 }
 
-// client is one connection to the server.
+// client is a connection to the server.
 type client struct {
 	net.Conn
 	t *testing.T
@@ -164,7 +166,7 @@
 	return &client{near, f.t, bufio.NewReader(near)}
 }
 
-// text is a request on the wire.
+// text returns a request in wire format.
 func text(path string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 4\r\n\r\nbody"
 }
@@ -174,14 +176,14 @@
 	assert.NilError(c.t, err)
 }
 
-// head reads the head of an answer.
+// head reads a response header.
 func (c *client) head() *http.Response {
 	resp, err := http.ReadResponse(c.r, nil)
 	assert.NilError(c.t, err, "the connection ended without an answer")
 	return resp
 }
 
-// answer reads an answer and reports whether it ends the connection.
+// answer reads a response and reports whether it closes the connection.
 func (c *client) answer() (last bool) {
 	resp := c.head()
 	body, err := io.ReadAll(resp.Body)
@@ -190,21 +192,21 @@
 	return resp.Close
 }
 
-// ended waits for the end of the connection.
+// ended waits until the server closes the connection.
 func (c *client) ended() {
 	_, err := c.r.ReadByte()
 	assert.Equal(c.t, err, io.EOF)
 }
 
-// Guards against requests that a server which is being drained reads and drops.
+// Guards against requests that a draining server reads and drops.
 func TestDrainAnswersWhatIsRead(t *testing.T) {
 	whole := text("/")
 	for _, tc := range []struct {
 		name   string
-		kept   bool          // the connection has had an answer before
+		kept   bool          // the connection has served a request before
 		before int           // bytes written before the drain
-		after  time.Duration // when the rest is written
-		keeps  bool          // the handler began before the drain, so that its answer keeps the connection
+		after  time.Duration // delay until the rest is written
+		keeps  bool          // the handler started before the drain, so its response keeps the connection open
 	}{
 		{name: "first request at once", after: 0},
 		{name: "first request at the last moment", after: quiet - time.Nanosecond},
@@ -237,7 +239,8 @@
 	}
 }
 
-// Guards against a request whose first byte came while the one before was handled.
+// Guards against dropping a request whose first byte arrived while the previous one
+// was handled.
 func TestDrainAnswersWhatWasReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -252,14 +255,14 @@
 		left := f.beginDrain(8 * time.Second)
 		time.Sleep(3 * time.Second)
 		c.write(text("/")[1:])
-		assert.Assert(t, c.answer(), "the answer keeps the connection")
+		assert.Assert(t, c.answer(), "the response keeps the connection open")
 		assert.Equal(t, <-left, 0)
 		assert.Equal(t, len(f.dropped()), 0)
 	})
 }
 
-// Guards against callers that are cut off behind an answer which promised them
-// another request on the same connection.
+// Guards against closing a connection after a response that announced that it stays
+// open.
 func TestDrainServesRequestAfterLongResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -274,7 +277,7 @@
 		assert.NilError(t, err)
 		time.Sleep(quiet / 2)
 		c.write(text("/"))
-		assert.Assert(t, c.answer(), "the answer keeps the connection")
+		assert.Assert(t, c.answer(), "the response keeps the connection open")
 		assert.Equal(t, <-left, 0)
 	})
 }
@@ -300,7 +303,7 @@
 	})
 }
 
-// Guards against drains that take longer than they may, and tell that nothing was
+// Guards against drains that exceed their time limit and report that no request was
 // cut off.
 func TestDrainEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -314,8 +317,8 @@
 	})
 }
 
-// Guards against connections that a server which has left still keeps for further
-// requests, and such that it no longer serves.
+// Guards against a server that keeps connections open after DisableKeepAlives, or
+// no longer serves them.
 func TestDisableKeepAlivesClosesAfterResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -332,8 +335,8 @@
 	})
 }
 
-// Guards against requests that are lost and leave no line: a server that is closed
-// at once tells of what it has read.
+// Guards against requests that are lost without a report. A server that is closed
+// immediately reports the requests that it has partly read.
 func TestCloseReportsDroppedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipes()
@@ -349,15 +352,15 @@
 	})
 }
 
-// late is a connection whose bytes are there when its read deadline has passed, and
-// not seen before, as on a machine that was busy until then.
+// late is a connection whose data becomes readable only after a read has exceeded
+// its deadline, as on an overloaded machine.
 type late struct {
 	net.Conn
 	text io.Reader
 
 	mu     sync.Mutex
 	till   time.Time
-	passed bool // a read has met its deadline
+	passed bool // a read has exceeded its deadline
 }
 
 func (c *late) Read(b []byte) (int, error) {
@@ -384,8 +387,8 @@
 	return nil
 }
 
-// Guards against requests that have arrived when the wait for them ends, and are
-// not read since the router had no processor until then.
+// Guards against dropping requests that have arrived when the wait for them ends,
+// but were not read because the process got no CPU time.
 func TestDrainReadsWhatHasArrivedWhenTheWaitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -9,16 +9,16 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// Self returns the node's own record.
+// Self returns the node's own membership record.
 func (n *Node) Self() membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.machine.Self()
 }
 
-// Members returns the live members, this one among them, in order of their
-// instances. Suspect and leaving ones are live. The slice is the same until the
-// members change, and must not be written to.
+// Members returns the live members including this node, sorted by instance. Suspect
+// and leaving members count as live. The same slice is returned until the
+// membership changes; callers must not modify it.
 func (n *Node) Members() []membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,9 +31,10 @@
 	return n.machine.Lookup(id)
 }
 
-// OnChange has fn called with the live members now and after each change.
-// Several quick changes may come as one. All functions given to OnChange and
-// OnRumor are called by one goroutine, one after the other.
+// OnChange registers fn, which is called with the live members once and again after
+// each change. Changes in quick succession may be reported by one call. All
+// functions passed to OnChange and OnRumor are called by one goroutine, one at a
+// time.
 func (n *Node) OnChange(fn func(members []membership.Member)) {
 	n.topicMu.Lock()
 	n.memberWatchers = append(n.memberWatchers, fn)
@@ -42,9 +43,9 @@
 	n.notify()
 }
 
-// OnRumor has fn called with the rumours of topic that are known and with
-// each new one. Of several versions that come in quick succession, it may see
-// the newest only. It does not see this node's own rumours.
+// OnRumor registers fn, which is called with each known rumour of topic and with
+// each new one. If several versions arrive in quick succession, fn may see only the
+// newest. Rumours of this node itself are not reported.
 func (n *Node) OnRumor(topic string, fn func(key string, version uint64, payload []byte)) {
 	n.topicMu.Lock()
 	n.rumorListeners[topic] = append(n.rumorListeners[topic], fn)
@@ -53,16 +54,16 @@
 	n.notify()
 }
 
-// Broadcast spreads a rumour to all members. A version that is no newer than
-// the known one, or a payload over membership.MaxPayload, is not taken; the
-// result tells.
+// Broadcast spreads a rumour to all members and reports whether it was accepted. It
+// rejects a version that is not newer than the known one and a payload larger than
+// membership.MaxPayload.
 func (n *Node) Broadcast(topic, key string, version uint64, payload []byte) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.machine.Broadcast(time.Now(), topic, key, version, payload)
 }
 
-// Handle sets the handler of the calls and notices of topic.
+// Handle sets the handler for requests and notices of topic.
 func (n *Node) Handle(topic string, fn Handler) {
 	n.topicMu.Lock()
 	defer n.topicMu.Unlock()
@@ -75,13 +76,13 @@
 	return n.topicHandlers[topic]
 }
 
-// Call sends a request to a member and returns its answer. Its error is a
+// Call sends a request to a member and returns its answer. The error is a
 // *CallError, which tells whether the request may have been delivered.
 func (n *Node) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
 	answer, failure, err := n.call(ctx, to, topic, payload)
 	if failure == NotConnected && errors.Is(err, errClosed) && ctx.Err() == nil {
-		// The connection ended before the request was written, as when the
-		// peer has closed an idle one or has restarted.
+		// The connection ended before the request was written, for example because
+		// the peer closed it as idle or restarted.
 		answer, failure, err = n.call(ctx, to, topic, payload)
 	}
 	if err != nil {
@@ -98,9 +99,9 @@
 	return c.call(ctx, topic, payload)
 }
 
-// Notify sends a notice to a member, without an answer. No error means only
-// that it will be written unless the connection breaks. If there is no
-// connection, one is made, for which Notify waits until ctx ends.
+// Notify sends a one-way message to a member. A nil error means only that the
+// message will be written unless the connection breaks. If there is no connection,
+// Notify dials one and waits for it until ctx ends. The error is a *CallError.
 func (n *Node) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	c, err := n.connTo(ctx, to)
 	if err == nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// SetReady tells all members whether this router takes work.
+// SetReady announces to all members whether this router accepts work.
 func (n *Node) SetReady(ready bool) {
 	n.step(func(now time.Time) membership.Output {
 		n.machine.SetReady(now, ready)
@@ -122,8 +123,8 @@
 	})
 }
 
-// Leave tells all members that this router is stopping, and returns when the
-// message to the neighbours is written or ctx ends. Calls go on working.
+// Leave announces to all members that this router is stopping. It returns once the
+// messages to the neighbours are written or ctx ends. Calls still work afterwards.
 func (n *Node) Leave(ctx context.Context) {
 	n.step(func(now time.Time) membership.Output {
 		n.machine.Leave(now)
@@ -132,7 +133,7 @@
 	n.awaitConns(ctx, func(c *conn) bool { return c.queued.Load() == 0 })
 }
 
-// Stats returns the counts so far.
+// Stats returns a snapshot of the node's counters.
 func (n *Node) Stats() Stats {
 	s := Stats{
 		Traffic:   n.counts.list(),
--- a/wisteriarouter/peer/bench_test.go
+++ b/wisteriarouter/peer/bench_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkFleet runs nodes in one process over loopback and reports what each
-// costs: bytes sent with WebSocket framing, messages sent, share of a core, and
-// memory in heap and stacks, over ten seconds. All nodes together gossip the
-// given number of rumours of 40 bytes a second.
+// BenchmarkFleet runs nodes in one process over loopback and reports per node, over
+// ten seconds: bytes sent including WebSocket framing, messages sent, CPU use as a
+// share of one core, and heap and stack memory. All nodes together broadcast the
+// given number of rumours of 40 bytes per second.
 func BenchmarkFleet(b *testing.B) {
 	for _, nodes := range []int{7, 15, 30, 60} {
 		for _, rate := range []int{0, 20} {
@@ -61,7 +61,8 @@
 	}
 }
 
-// sent sums up what the routers have sent. Rumours are a part of gossip.
+// sent returns the totals sent by the routers. Rumours are skipped, as they are
+// included in gossip.
 func sent(routers []*router) (bytes, messages uint64) {
 	for _, r := range routers {
 		for _, c := range r.Stats().Traffic {
@@ -81,7 +82,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory returns the bytes in use by heap objects and stacks.
+// memory returns the number of bytes in use by heap objects and stacks.
 func memory() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -89,7 +90,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkCall measures a call with a payload of 100 bytes and its answer.
+// BenchmarkCall measures a call with a payload of 100 bytes and an answer of the
+// same size.
 func BenchmarkCall(b *testing.B) {
 	routers := fleet(b, 2, nil)
 	eventually(b, "full membership", joined(routers))
@@ -104,8 +106,8 @@
 	}
 }
 
-// BenchmarkConnections measures the memory of a connection, both ends of it in
-// this process, when one node holds many.
+// BenchmarkConnections measures the memory per connection, with both ends in this
+// process, when one node holds many.
 func BenchmarkConnections(b *testing.B) {
 	const conns = 150
 	for range b.N {
--- a/wisteriarouter/peer/codec.go
+++ b/wisteriarouter/peer/codec.go
@@ -9,7 +9,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// kind tells messages apart.
+// kind is the type of a message.
 type kind uint8
 
 const (
@@ -26,7 +26,7 @@
 
 var kindNames = [kinds]string{"unknown", "hello", "gossip", "request", "answer", "notice", "ping", "pong", "goodbye"}
 
-// String returns the name of k as metrics show it.
+// String returns the name of k as used in metrics.
 func (k kind) String() string {
 	if k >= kinds {
 		return kindNames[0]
@@ -34,7 +34,7 @@
 	return kindNames[k]
 }
 
-// message is what one WebSocket message holds.
+// message is the content of one WebSocket message.
 type message struct {
 	Kind    kind                `cbor:"1,keyasint"`
 	ID      uint64              `cbor:"2,keyasint,omitempty"` // of a request and its answer
@@ -47,13 +47,13 @@
 	Gossip  *membership.Message `cbor:"9,keyasint,omitempty"`
 }
 
-// hello is the first message on a connection, in either direction.
+// hello is the first message that each side sends on a connection.
 type hello struct {
 	Major  uint32            `cbor:"1,keyasint"`
 	Minor  uint32            `cbor:"2,keyasint,omitempty"`
 	Fleet  string            `cbor:"3,keyasint"`
 	Member membership.Member `cbor:"4,keyasint"`
-	// Gossip means that the connection was made for the mesh.
+	// Gossip is set if the connection was made for the gossip mesh.
 	Gossip bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -70,8 +70,8 @@
 	return m
 }
 
-// mustDecoding bounds what a message may hold, so that a small message cannot
-// claim large structures.
+// mustDecoding limits the number of elements and the nesting of a message, so that
+// a small message cannot make the decoder allocate large structures.
 func mustDecoding() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -97,8 +97,8 @@
 
 var errKind = errors.New("message without kind")
 
-// decode returns the message in b. Unknown fields are ignored; kinds that are
-// not known are returned as they are, to be ignored.
+// decode returns the message in b. It ignores unknown fields and accepts unknown
+// kinds, which the caller has to ignore.
 func decode(b []byte) (*message, error) {
 	m := new(message)
 	if err := decoding.Unmarshal(b, m); err != nil {
--- a/wisteriarouter/peer/codec_test.go
+++ b/wisteriarouter/peer/codec_test.go
@@ -9,7 +9,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// samples are one message of each kind.
+// samples returns messages of every kind.
 func samples() []*message {
 	record := membership.Member{
 		Instance: "router-017", Incarnation: 1_800_000_000_000, Version: 3, State: membership.Alive,
@@ -44,8 +44,9 @@
 	}
 }
 
-// FuzzDecode feeds the decoder, and a membership machine behind it, what a
-// faulty peer might send. Neither may panic, nor hold more than it may.
+// FuzzDecode feeds arbitrary input to the decoder and decoded gossip to a
+// membership machine. Neither may panic, and the machine must respect its limit of
+// members.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples() {
 		f.Add(encode(m))
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -14,34 +14,34 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// conn is a connection to a peer after the hello.
+// conn is a connection to a peer on which hellos have been exchanged.
 type conn struct {
 	node        *Node
 	ws          *websocket.Conn
 	peer        membership.Member
-	dialled     bool // by this side
-	gossip      bool // made for the mesh
+	dialled     bool // this side dialled
+	gossip      bool // made for the gossip mesh
 	connectedAt time.Time
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
 	queue              chan *frame
-	queued             atomic.Int64               // bytes
-	lastReceived       coordination.MonotonicTime // of the last message
-	lastUsed           coordination.MonotonicTime // of the last call
-	replyExpectedSince coordination.MonotonicTime // of the first message behind the last one heard that wants a sign of life
-	lastPing           coordination.MonotonicTime // of the last ping
-	serving            atomic.Int64               // calls being handled for the peer
+	queued             atomic.Int64               // bytes in the queue
+	lastReceived       coordination.MonotonicTime // when the last message was received
+	lastUsed           coordination.MonotonicTime // when the last request or notice was sent or received
+	replyExpectedSince coordination.MonotonicTime // when the first message since lastReceived was sent that needs a reply
+	lastPing           coordination.MonotonicTime // when the last ping was sent
+	serving            atomic.Int64               // requests and notices of the peer being handled
 
 	mu            sync.Mutex
 	calls         map[uint64]*call
 	nextCall      uint64
 	closed        bool
-	drainingSince time.Time // when draining began
+	drainingSince time.Time // when draining began; zero if it has not
 }
 
-// frame is an encoded message in the queue.
+// frame is an encoded message in the send queue.
 type frame struct {
 	data  []byte
 	kind  kind
@@ -49,16 +49,16 @@
 	state atomic.Int32
 }
 
-// The states of a frame. Whoever changes it from queued decides whether the
-// frame is written, so that a call that gives up knows whether its request
-// can have been delivered.
+// The states of a frame. The transition away from frameQueued is atomic and decides
+// whether the frame is written, so that a cancelled call knows whether its request
+// may have been delivered.
 const (
 	frameQueued int32 = iota
 	frameStarted
 	frameCancelled
 )
 
-// call is a request that waits for its answer.
+// call is a pending request.
 type call struct {
 	frame  *frame
 	answer chan *message
@@ -84,7 +84,8 @@
 	return c
 }
 
-// enqueue gives a message to the writer. It never blocks.
+// enqueue adds f to the send queue. It never blocks; it returns errClosed,
+// errTooLarge or errQueueFull.
 func (c *conn) enqueue(f *frame) error {
 	if c.ctx.Err() != nil {
 		return errClosed
@@ -105,12 +106,13 @@
 	}
 }
 
-// post enqueues a message that may be lost.
+// post enqueues a message. The message is lost if the connection breaks before it
+// is written.
 func (c *conn) post(m *message) error {
 	return c.enqueue(&frame{data: encode(m), kind: m.Kind, topic: m.Topic})
 }
 
-// writer writes the queue of a conn.
+// writer writes the send queue of a conn to the WebSocket.
 type writer struct {
 	*conn
 }
@@ -141,8 +143,8 @@
 	return w.ws.Write(ctx, websocket.MessageBinary, f.data)
 }
 
-// run reads messages until the connection ends, and then ends what waits for
-// it. It returns what ended it.
+// run reads messages until the connection ends, then fails all pending calls. It
+// returns the reason for the end.
 func (c *conn) run() error {
 	err := c.read()
 	c.cancel(err)
@@ -187,7 +189,7 @@
 	return err
 }
 
-// handle acts on a message. Kinds that are not known are ignored.
+// handle processes a received message. It ignores unknown kinds.
 func (c *conn) handle(m *message) {
 	switch m.Kind {
 	case kindGossip:
@@ -216,35 +218,38 @@
 	}
 }
 
-// idle reports whether no call is under way in either direction.
+// idle reports whether no call is in progress in either direction and the send
+// queue is empty.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calls) == 0 && c.serving.Load() == 0 && c.queued.Load() == 0
 }
 
-// expectReply notes that something has been sent that wants a sign of life.
+// expectReply records that a message has been sent that the peer must react to.
 func (c *conn) expectReply(now time.Time) {
 	if !c.awaitsReply(now) {
 		c.replyExpectedSince.Set(now)
 	}
 }
 
-// awaitsReply reports whether nothing has been heard since a sign of life was asked for.
+// awaitsReply reports whether nothing has been received since a reply became due.
 func (c *conn) awaitsReply(now time.Time) bool {
 	return c.replyExpectedSince.Ago(now) < c.lastReceived.Ago(now)
 }
 
-// active reports whether something is awaited from the peer.
+// active reports whether a call is in progress, data is queued or a reply is due.
 func (c *conn) active(now time.Time) bool { return !c.idle() || c.awaitsReply(now) }
 
-// silentFor returns for how long the peer has owed a sign of life.
+// silentFor returns the time since the last message was received or, if later,
+// since a reply became due.
 func (c *conn) silentFor(now time.Time) time.Duration {
 	return min(c.lastReceived.Ago(now), c.replyExpectedSince.Ago(now))
 }
 
-// pingIfQuiet has the peer answer if nothing has been heard of it for long, as where a
-// message is posted that has no answer.
+// pingIfQuiet sends a ping if nothing has been received for a third of DeadAfter.
+// It makes a broken connection detectable when only messages without an answer are
+// sent.
 func (c *conn) pingIfQuiet(now time.Time) {
 	if c.lastReceived.Ago(now) > c.node.cfg.DeadAfter/3 && c.pingDue(now) {
 		c.expectReply(now)
@@ -306,8 +311,8 @@
 	}
 }
 
-// withdraw withdraws the frame if it is still in the queue, and tells how far
-// it came.
+// withdraw removes the frame from the queue if its write has not started. It
+// returns NotConnected if so, and Lost otherwise.
 func (f *frame) withdraw() Failure {
 	if f.state.CompareAndSwap(frameQueued, frameCancelled) {
 		return NotConnected
@@ -315,7 +320,8 @@
 	return Lost
 }
 
-// timeoutOf returns the time that ctx has left in milliseconds, or zero.
+// timeoutOf returns the time left until the deadline of ctx in milliseconds, at
+// least 1, or 0 if ctx has no deadline.
 func timeoutOf(ctx context.Context) uint32 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/wisteriarouter/peer/dial.go
+++ b/wisteriarouter/peer/dial.go
@@ -12,19 +12,19 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// dialAttempt is an attempt to connect to an address. Several callers may wait
-// for it.
+// dialAttempt is an attempt to connect to an address. Several callers may wait for
+// it.
 type dialAttempt struct {
 	node    *Node
 	address string
 	gossip  bool
-	pending []membership.Message // to send when it stands
+	pending []membership.Message // messages to send once connected
 	done    chan struct{}
-	conn    *conn // after done
-	err     error // after done
+	conn    *conn // valid once done is closed
+	err     error // valid once done is closed
 }
 
-// dial starts an attempt to connect to address, or joins the running one.
+// dial starts an attempt to connect to address, or joins the one in progress.
 func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialAttempt {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
@@ -44,7 +44,7 @@
 	return d
 }
 
-// run connects, and then reads from the connection until it ends.
+// run connects, then reads from the connection until it ends.
 func (d *dialAttempt) run() {
 	n := d.node
 	defer n.wg.Done()
@@ -90,7 +90,7 @@
 	return c, nil
 }
 
-// handshake exchanges hellos on a connection that this side made.
+// handshake exchanges hellos on a connection that this side dialled.
 func (d *dialAttempt) handshake(ctx context.Context, ws *websocket.Conn) (*conn, error) {
 	n := d.node
 	if err := n.sendHello(ctx, ws, d.gossip, true); err != nil {
@@ -117,7 +117,7 @@
 	return ws.Write(ctx, websocket.MessageBinary, b)
 }
 
-// readHello reads and checks the first message of a connection.
+// readHello reads and validates the first message of a connection.
 func (n *Node) readHello(ctx context.Context, ws *websocket.Conn, masked bool) (hello, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -159,8 +159,7 @@
 	n.event(Event{Kind: Refused, Peer: h.Member.Instance, Address: address, Err: err})
 }
 
-// ServeHTTP accepts a connection from another router and serves it until it
-// ends.
+// ServeHTTP accepts a connection from another router and serves it until it ends.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !n.admitConn() {
 		http.Error(w, errTooManyConns.Error(), http.StatusServiceUnavailable)
@@ -188,7 +187,8 @@
 	n.serveConn(c)
 }
 
-// admitConn reserves a place for a connection that is being accepted.
+// admitConn reports whether another connection may be accepted, and if so adds it
+// to the wait group.
 func (n *Node) admitConn() bool {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
@@ -199,11 +199,11 @@
 	return true
 }
 
-// register makes c the connection to its peer. If two stand, because both
-// sides dialled at once, both sides keep the one that the member with the
-// lower name dialled; register returns the one that is kept. An old one of which
-// nothing has been heard for a while may be broken, and known to be so by the
-// other side alone.
+// register makes c the connection to its peer and returns the connection that is
+// kept. If both sides dialled at once there are two; both sides then keep the one
+// that was dialled by the member with the lower instance name. An existing
+// connection on which nothing was received for longer than DialTimeout is replaced
+// in any case, since it may be broken with only the other side aware of it.
 func (n *Node) register(c *conn) (*conn, error) {
 	n.connMu.Lock()
 	if n.stopped {
@@ -230,18 +230,19 @@
 	return c, nil
 }
 
-// preferred reports whether the member with the lower name dialled c.
+// preferred reports whether c was dialled by the member with the lower instance
+// name.
 func (c *conn) preferred() bool {
 	return c.dialled == (c.node.cfg.Self.Instance < c.peer.Instance)
 }
 
-// quiet reports whether nothing has been heard for longer than two sides may take
-// to connect at once.
+// quiet reports whether nothing has been received for longer than DialTimeout,
+// which bounds simultaneous dials by both sides.
 func (c *conn) quiet(now time.Time) bool {
 	return c.lastReceived.Ago(now) > c.node.cfg.DialTimeout
 }
 
-// drain marks c as one that takes no new calls.
+// drain marks c as draining; it is not used for new calls.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,8 +251,9 @@
 	}
 }
 
-// retire takes c out of use. Calls under way may end; the peer is told, lest
-// it send a request while the connection closes.
+// retire takes c out of use. Calls in progress may complete. If tell is set, the
+// peer is sent a goodbye, so that it does not send a request while the connection
+// closes.
 func (n *Node) retire(c *conn, tell bool) {
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
@@ -269,7 +271,7 @@
 	}
 }
 
-// serveConn reads from c until it ends and then takes it out of use.
+// serveConn reads from c until it ends, then removes it.
 func (n *Node) serveConn(c *conn) {
 	err := c.run()
 	n.connMu.Lock()
@@ -285,7 +287,7 @@
 	n.event(Event{Kind: Disconnected, Peer: c.peer.Instance, Incarnation: c.peer.Incarnation, Address: c.peer.Address, Err: err})
 }
 
-// connTo returns the connection to a member, made for the occasion if need be.
+// connTo returns the connection to a member and dials one if there is none.
 func (n *Node) connTo(ctx context.Context, to coordination.Instance) (*conn, error) {
 	if c := n.current(to); c != nil {
 		return c, nil
--- a/wisteriarouter/peer/dispatch.go
+++ b/wisteriarouter/peer/dispatch.go
@@ -11,19 +11,20 @@
 
 type rumorFunc = func(key string, version uint64, payload []byte)
 
-// replay is a function that has to be told what is known already.
+// replay is a newly registered function that has to be called with the current
+// state.
 type replay struct {
 	watcher  func([]membership.Member)
 	topic    string
 	listener rumorFunc
 }
 
-// dispatcher calls the functions given to OnChange and OnRumor, so that none
-// of them can hold up the protocol.
+// dispatcher calls the functions passed to OnChange and OnRumor on its own
+// goroutine, so that a slow one cannot delay the membership protocol.
 type dispatcher struct {
 	node           *Node
-	lastMembers    []membership.Member // in order of their instances
-	nextChange     time.Time           // before which no change of members is told
+	lastMembers    []membership.Member // as last reported, sorted by instance
+	nextChange     time.Time           // earliest time of the next report of a membership change
 	reportedShed   uint64
 	lastShedEvent  time.Time
 	reincarnations uint64
@@ -70,7 +71,7 @@
 	return slices.Clone(n.rumorListeners[topic])
 }
 
-// replay tells new functions what is known already.
+// replay calls newly registered functions with the current state.
 func (d *dispatcher) replay() {
 	n := d.node
 	n.topicMu.Lock()
@@ -94,8 +95,9 @@
 	}
 }
 
-// notifyWatchers calls the watchers and reports an event for each member that changed. A
-// notifyWatchers that comes soon behind it is told with a later message or tick.
+// notifyWatchers calls the membership watchers and emits an event for each member
+// that changed. It starts a cooldown; changes during it are reported on a later
+// message or tick.
 func (d *dispatcher) notifyWatchers(members []membership.Member) {
 	n := d.node
 	n.topicMu.RLock()
@@ -111,8 +113,8 @@
 	d.nextChange = now.Add(coordination.Cooldown(now.Sub(begun)))
 }
 
-// reportChanges tells of what differs between two lists, both in order of their
-// instances.
+// reportChanges emits events for the differences between two lists of members, both
+// sorted by instance.
 func (d *dispatcher) reportChanges(old, now []membership.Member) {
 	for len(old) > 0 || len(now) > 0 {
 		switch {
@@ -129,7 +131,8 @@
 	}
 }
 
-// reportChange tells of what has changed of a member. Old is nil if it is new.
+// reportChange emits an event if the state of a member has changed. Old is nil for
+// a new member.
 func (d *dispatcher) reportChange(old *membership.Member, m membership.Member) {
 	if m.Instance == d.node.cfg.Self.Instance {
 		return
@@ -161,7 +164,7 @@
 	d.node.event(Event{Kind: k, Peer: m.Instance, Incarnation: m.Incarnation, Address: m.Address})
 }
 
-// reportCounters tells of what the protocol counted.
+// reportCounters emits events for protocol counters that have increased.
 func (d *dispatcher) reportCounters(s membership.Stats) {
 	if s.Reincarnations > d.reincarnations {
 		d.reincarnations = s.Reincarnations
@@ -178,7 +181,8 @@
 	slices.SortFunc(conns, func(a, b *conn) int { return cmp.Compare(a.lastUsed.Offset(), b.lastUsed.Offset()) })
 }
 
-// pingDue reports whether c may be pinged, and if so notes it.
+// pingDue reports whether the last ping is at least a third of DeadAfter ago, and
+// if so records a new one.
 func (c *conn) pingDue(now time.Time) bool {
 	if c.lastPing.Ago(now) < c.node.cfg.DeadAfter/3 {
 		return false
--- a/wisteriarouter/peer/errors.go
+++ b/wisteriarouter/peer/errors.go
@@ -7,23 +7,24 @@
 	"wisteriaspool/coordination"
 )
 
-// Failure tells how far a call came before it failed.
+// Failure classifies how far a call got before it failed.
 type Failure int
 
-// The ways in which a call fails.
+// The kinds of failure of a call.
 const (
-	// NotConnected means that the request was certainly not delivered.
+	// NotConnected means that the request was not delivered.
 	NotConnected Failure = iota + 1
-	// Lost means that the request may have been delivered, but no answer came.
+	// Lost means that the request may have been delivered, but no answer was
+	// received.
 	Lost
-	// Rejected means that the peer did not handle the request: it has no
-	// handler for the topic or too many calls.
+	// Rejected means that the peer did not handle the request, because it has no
+	// handler for the topic or is handling too many calls.
 	Rejected
 	// Failed means that the peer's handler returned an error.
 	Failed
 )
 
-// String returns the name of f as logs and metrics show it.
+// String returns the name of f as used in logs and metrics.
 func (f Failure) String() string {
 	switch f {
 	case NotConnected:
@@ -39,7 +40,7 @@
 	}
 }
 
-// CallError is the error of a Call or Notify.
+// CallError is the error returned by Node.Call and Node.Notify.
 type CallError struct {
 	Failure Failure
 	Peer    coordination.Instance
@@ -47,12 +48,12 @@
 	Err     error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("peer: call %s at %s: %s: %v", e.Topic, e.Peer, e.Failure, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *CallError) Unwrap() error {
 	return e.Err
 }
--- a/wisteriarouter/peer/fault_test.go
+++ b/wisteriarouter/peer/fault_test.go
@@ -19,7 +19,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// dialRaw dials a router and says hello as a router of the given name.
+// dialRaw connects to a router and sends the given hello.
 func dialRaw(t testing.TB, r *router, h hello) *websocket.Conn {
 	t.Helper()
 	ctx := within(t, 10*time.Second)
@@ -38,7 +38,8 @@
 	}}
 }
 
-// closed reports whether the router closes ws within ten seconds.
+// closed waits until the router closes ws, at most ten seconds, and returns the
+// error of the read.
 func closed(t *testing.T, ws *websocket.Conn) error {
 	t.Helper()
 	ctx := within(t, 10*time.Second)
@@ -54,8 +55,8 @@
 	return payload, nil
 }
 
-// A router with a fault sends a message that is no CBOR, or one that is too
-// large. Only its own connection may end over it, and an operator must see why.
+// A faulty router sends a message that is malformed or too large. Only its own
+// connection may be closed, and an event must tell the reason.
 func TestBadMessageClosesOnlyItsConnection(t *testing.T) {
 	tests := []struct {
 		name string
@@ -85,8 +86,8 @@
 	}
 }
 
-// A router of another fleet, or of a version that speaks another protocol, has
-// a wrong seed. Were it let in, the two fleets would place work on each other.
+// A router with a wrong seed may reach another fleet or a router with another major
+// version. If it were accepted, the two fleets would place work on each other.
 func TestIncompatibleRoutersAreRefused(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, nil)
 	otherFleet, otherMajor, nameless := helloOf("x"), helloOf("x"), helloOf("")
@@ -102,14 +103,14 @@
 	eventually(t, "member with a newer minor version", func() bool { return len(r.Members()) == 2 })
 }
 
-// A newer router sends kinds, fields and topics that this one does not know.
-// They must be passed over, or a rolling update would cut connections.
+// A newer router sends kinds, fields and topics that this one does not know. They
+// must be ignored, or a rolling update would break connections.
 func TestUnknownIsIgnored(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, nil)
 	r.Handle("echo", echo)
 	ws := dialRaw(t, r, helloOf("x"))
 	ctx := within(t, 10*time.Second)
-	later := map[int]any{1: 99, 50: "a field of later times"}
+	later := map[int]any{1: 99, 50: "a field of a later version"}
 	unknown, err := encoding.Marshal(later)
 	assert.NilError(t, err)
 	assert.NilError(t, ws.Write(ctx, websocket.MessageBinary, unknown))
@@ -129,8 +130,8 @@
 	}
 }
 
-// Two routers dial each other at the same moment. If each kept another
-// connection, calls would be cut when the two close one each.
+// Two routers dial each other at the same time. If they kept different connections,
+// calls would fail when each closes the other one.
 func TestSimultaneousDial(t *testing.T) {
 	for round := range 10 {
 		la, lb := listen(t), listen(t)
@@ -156,8 +157,8 @@
 	}
 }
 
-// A router is killed without a word and started again at its address. The
-// others must drop the old life at once and call the new one.
+// A router is killed without leaving and restarted at the same address. The others
+// must drop the old incarnation at once and call the new one.
 func TestKillAndRestart(t *testing.T) {
 	routers := fleet(t, 3, nil)
 	eventually(t, "full membership", joined(routers))
@@ -175,7 +176,7 @@
 	l := listenAt(t, victim.address)
 	again := start(t, l, "r02", []string{routers[0].address}, nil)
 	again.Handle("echo", echo)
-	eventually(t, "the new life", func() bool {
+	eventually(t, "member with the new incarnation", func() bool {
 		for _, r := range routers[:2] {
 			m, ok := r.lookup("r02")
 			if !ok || m.Incarnation <= old.Incarnation || m.State != membership.Alive {
@@ -189,18 +190,18 @@
 	assert.Equal(t, string(answer), "hi")
 }
 
-// A router stops as planned. The others must know before its connections end,
-// so that they hand over what it holds and do not suspect it.
+// A router shuts down as planned. The others must know before its connections end,
+// so that they take over its work and do not suspect it.
 func TestLeavingMemberIsNotReportedDead(t *testing.T) {
 	routers := fleet(t, 3, nil)
 	eventually(t, "full membership", joined(routers))
 	routers[2].Leave(within(t, 5*time.Second))
-	eventually(t, "word of the leaving", func() bool {
+	eventually(t, "leaving state at the other routers", func() bool {
 		m, _ := routers[0].lookup("r02")
 		return m.State == membership.Leaving
 	})
 	routers[2].stop()
-	eventually(t, "word of the end", func() bool {
+	eventually(t, "removal at the other routers", func() bool {
 		return len(routers[0].Members()) == 2 && len(routers[1].Members()) == 2
 	})
 	eventually(t, "event", func() bool { return routers[0].events.count(MemberLeft) == 1 })
@@ -208,9 +209,8 @@
 	assert.Equal(t, routers[0].events.count(MemberSuspect), 0)
 }
 
-// The peer dies after a request was written and before its answer. The caller
-// must not take that for a request that was not delivered, or it might run an
-// action twice.
+// The peer dies after a request was written and before it is answered. The caller
+// must not take the request for undelivered, or it might run an action twice.
 func TestLostAnswerIsReportedAsLost(t *testing.T) {
 	routers := fleet(t, 2, nil)
 	eventually(t, "full membership", joined(routers))
@@ -230,8 +230,8 @@
 	assert.Equal(t, failed.Failure, Lost)
 }
 
-// A peer stops reading. What waits for it must stay bounded and the calls to it
-// fail, while other peers are served.
+// A peer stops reading. The data queued for it must stay bounded, and sends to it
+// must fail.
 func TestQueueOfSlowPeerIsBounded(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.MaxQueue = 1 << 20 })
 	dialRaw(t, r, helloOf("x"))
@@ -244,12 +244,13 @@
 		}
 	}
 	assert.Assert(t, full > 0)
-	// Gossip that finds the queue full is counted for a moment before it is dropped.
+	// The size of a message is added to the counter before the limit is checked,
+	// and subtracted again when the message is dropped.
 	assert.Assert(t, r.current("x").queued.Load() <= 1<<20+64<<10)
 }
 
-// More calls come in than a router may handle at once. It must turn the rest
-// away at once and say that they were not handled.
+// More calls arrive than a router may handle at once. It must reject the excess at
+// once and report that it was not handled.
 func TestTooManyCalls(t *testing.T) {
 	routers := fleet(t, 2, func(cfg *Config) { cfg.MaxHandlers = 2 })
 	eventually(t, "full membership", joined(routers))
@@ -278,14 +279,14 @@
 	assert.NilError(t, <-ended)
 }
 
-// A connection made for calls is no longer used. If it stayed, a router would
-// in time hold one to each other router.
+// A connection made for calls is no longer used. If it stayed open, each router
+// would in time hold a connection to every other one.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	routers := fleet(t, 20, func(cfg *Config) { cfg.IdleTimeout = time.Second })
 	eventually(t, "full membership", joined(routers))
 	from := routers[1]
 	var to *router
-	eventually(t, "router that is no neighbour", func() bool {
+	eventually(t, "router without a connection", func() bool {
 		for _, r := range routers {
 			id := r.Self().Instance
 			if r != from && from.current(id) == nil {
@@ -308,8 +309,8 @@
 	assert.NilError(t, err)
 }
 
-// The rumours that a router knows must reach a function that asks for them
-// later, or what was said during its start would be lost to it.
+// A function registered with OnRumor must be called with the rumours that are
+// already known, or those received while the router starts would be lost to it.
 func TestRumorsAreReplayed(t *testing.T) {
 	routers := fleet(t, 2, nil)
 	eventually(t, "full membership", joined(routers))
@@ -326,7 +327,7 @@
 	assert.Equal(t, <-got, "team3text")
 }
 
-// An ordinary HTTP request at the peers' path must be answered and not hang.
+// An ordinary HTTP request to the peer path must get a response instead of hanging.
 func TestOrdinaryRequestIsAnswered(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, nil)
 	w := httptest.NewRecorder()
--- a/wisteriarouter/peer/freeze_test.go
+++ b/wisteriarouter/peer/freeze_test.go
@@ -17,10 +17,12 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// childEnv makes this test binary a router of its own: its seed's address.
+// childEnv holds the address of a seed. If it is set, the test binary runs as a
+// router.
 const childEnv = "PEER_TEST_SEED"
 
-// quick makes a fleet that notices a death within about six seconds.
+// quick configures short timeouts, so that the fleet detects a death within about
+// six seconds.
 func quick(cfg *Config) {
 	cfg.DeadAfter = 3 * time.Second
 	cfg.Membership = membership.Config{
@@ -32,7 +34,7 @@
 	}
 }
 
-// TestMain runs the tests, or the router that TestFrozenProcess freezes.
+// TestMain runs the tests, or the router process that TestFrozenProcess suspends.
 func TestMain(m *testing.M) {
 	if seed := os.Getenv(childEnv); seed != "" {
 		runChild(seed)
@@ -41,7 +43,7 @@
 	os.Exit(m.Run())
 }
 
-// runChild is a router that ends with its standard input.
+// runChild runs a router until its standard input is closed or a line is read.
 func runChild(seed string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,9 +65,9 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
 }
 
-// A router's process is frozen for longer than any suspicion lasts, and wakes
-// without knowing it. The others must have dropped it and take it back as a new
-// incarnation; it must not drop them for the silence that it slept through.
+// A router process is suspended for longer than the suspicion timeout and resumed.
+// The others must declare it dead and accept it again with a new incarnation. It
+// must not declare the others dead because of the time that it was suspended.
 func TestFrozenProcess(t *testing.T) {
 	routers := fleet(t, 3, quick)
 	eventually(t, "full membership", joined(routers))
@@ -80,7 +82,7 @@
 			return true
 		}
 	}
-	eventually(t, "the other process", all(4))
+	eventually(t, "member of the other process", all(4))
 	before, _ := routers[0].lookup("frozen")
 
 	assert.NilError(t, child.Signal(syscall.SIGSTOP))
@@ -94,7 +96,7 @@
 	assert.Equal(t, string(answer), "4 members, 0 deaths")
 }
 
-// startChild runs this test binary as a router that joins by seed.
+// startChild runs this test binary as a router that joins through seed.
 func startChild(t *testing.T, seed string) *os.Process {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
--- a/wisteriarouter/peer/idle_test.go
+++ b/wisteriarouter/peer/idle_test.go
@@ -42,7 +42,7 @@
 	shortDeath = 600 * time.Millisecond
 )
 
-// connectMany connects as many routers that answer pings.
+// connectMany connects manyPeers routers that answer pings.
 func connectMany(t *testing.T, r *router) []*pingResponder {
 	var all []*pingResponder
 	for i := range manyPeers {
@@ -54,8 +54,8 @@
 	return all
 }
 
-// A router of a large fleet has a connection to nearly every other one and seldom
-// uses each. One that keeps all of them awake does little else.
+// A router of a large fleet has a connection to nearly every other router and
+// rarely uses each. If it kept all of them alive, it would send little but pings.
 func TestIdleConnectionsAreNotPinged(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
 	all := connectMany(t, r)
@@ -68,10 +68,11 @@
 	}
 	const mostNeighbors = 8
 	assert.Assert(t, pinged <= mostNeighbors, "%d of %d", pinged, manyPeers)
-	assert.Equal(t, r.Stats().Conns, manyPeers, "idle connections stay")
+	assert.Equal(t, r.Stats().Conns, manyPeers, "idle connections were closed")
 }
 
-// mute mutes a router that is no neighbour of r, and returns its name.
+// mute makes a router that is not a neighbour of r stop answering pings, and
+// returns its instance.
 func mute(t *testing.T, r *router, all []*pingResponder) coordination.Instance {
 	for _, c := range r.connections() {
 		if r.isNeighbor(c) {
@@ -83,12 +84,13 @@
 		all[i].muted.Store(true)
 		return c.peer.Instance
 	}
-	t.Fatal("all are neighbours")
+	t.Fatal("all routers are neighbours")
 	return ""
 }
 
-// A connection that has fallen silent without an end stays in use for good, and
-// each call on it is in vain, unless what is sent on it has the peer answer.
+// A connection may stop delivering messages without being closed. Unless sending on
+// it requires a reply from the peer, the failure is never detected and each call on
+// it fails.
 func TestSilentConnectionIsDetectedOnUse(t *testing.T) {
 	uses := map[string]func(ctx context.Context, r *router, to coordination.Instance){
 		"call":   func(ctx context.Context, r *router, to coordination.Instance) { _, _ = r.Call(ctx, to, "echo", nil) },
@@ -99,7 +101,7 @@
 			r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
 			to := mute(t, r, connectMany(t, r))
 			time.Sleep(shortDeath)
-			assert.Assert(t, r.current(to) != nil, "nothing is awaited")
+			assert.Assert(t, r.current(to) != nil, "connection closed though no reply was pending")
 			used := time.Now()
 			use(within(t, shortDeath/2), r, to)
 			eventually(t, "end of the connection", func() bool { return r.current(to) == nil })
@@ -108,8 +110,8 @@
 	}
 }
 
-// While hundreds of routers start, each message brings a few of them. A router that
-// works out anew who owns what for each has no time left for callers.
+// While hundreds of routers start, each message adds a few members. A router that
+// recomputed the ownership for each of them would have no time left for requests.
 func TestRapidMemberChangesAreCoalesced(t *testing.T) {
 	const work = 2 * time.Millisecond
 	r := start(t, listen(t), "r00", nil, nil)
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -13,7 +13,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// Node is a router's part in the fleet.
+// Node connects one router with the other routers of the fleet.
 type Node struct {
 	cfg    Config
 	client *http.Client
@@ -24,8 +24,8 @@
 	mu      sync.Mutex // guards machine
 	machine *membership.Machine
 
-	// linkMu keeps what the machine is told of connections in the order in
-	// which they changed. It is taken before mu and connMu.
+	// linkMu keeps the calls of machine.LinkUp and LinkDown in the order in which
+	// connections changed. It is acquired before mu and connMu.
 	linkMu   sync.Mutex
 	connMu   sync.Mutex
 	conns    map[coordination.Instance]*conn
@@ -39,19 +39,20 @@
 	memberWatchers []func([]membership.Member)
 	replays        []replay
 
-	handlerSlots chan struct{} // places for calls being handled
-	wake         chan struct{} // to the dispatcher
+	handlerSlots chan struct{} // semaphore of calls being handled
+	wake         chan struct{} // wakes the dispatcher
 	counts       traffic
 	dropped      atomic.Uint64
 	malformed    atomic.Uint64
 	busy         atomic.Uint64
 }
 
-// New starts a node. The function that it returns tells the other routers
-// that this one has left, closes all connections and waits for their end.
+// New starts a node. The returned function announces to the other routers that this
+// one has left, closes all connections and waits for their goroutines. New fails if
+// Self lacks its instance, address or incarnation.
 func New(cfg Config) (*Node, func(), error) {
 	if cfg.Self.Instance == "" || cfg.Self.Address == "" || cfg.Self.Incarnation == 0 {
-		return nil, nil, fmt.Errorf("peer: config: self needs instance, address and incarnation")
+		return nil, nil, fmt.Errorf("peer: config: Self.Instance, Self.Address and Self.Incarnation are required")
 	}
 	cfg = cfg.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,13 +77,13 @@
 	return n, n.stop, nil
 }
 
-// newClient returns a client that dials peers straight, without a proxy.
+// newClient returns a client that connects to peers directly, without a proxy.
 func newClient(timeout time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: 30 * time.Second}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}
 }
 
-// run advances the membership protocol and looks after the connections.
+// run advances the membership protocol and maintains the connections.
 func (n *Node) run() {
 	defer n.wg.Done()
 	t := time.NewTicker(tickInterval)
@@ -98,7 +99,8 @@
 	}
 }
 
-// step runs f on the machine and does what it wants done.
+// step runs f on the state machine and performs the sends and dials that it
+// returns.
 func (n *Node) step(f func(now time.Time) membership.Output) {
 	n.mu.Lock()
 	out := f(time.Now())
@@ -148,7 +150,7 @@
 	})
 }
 
-// linkUp tells the machine of c, unless it has been replaced already.
+// linkUp reports c to the state machine unless c has been replaced already.
 func (n *Node) linkUp(c *conn) {
 	n.event(Event{Kind: Connected, Peer: c.peer.Instance, Incarnation: c.peer.Incarnation, Address: c.peer.Address})
 	n.linkMu.Lock()
@@ -162,8 +164,8 @@
 	})
 }
 
-// linkDown tells the machine that c has ended, unless another connection to
-// the peer stands by now.
+// linkDown reports to the state machine that c has ended, unless there is another
+// connection to the peer by now.
 func (n *Node) linkDown(c *conn) {
 	n.linkMu.Lock()
 	defer n.linkMu.Unlock()
@@ -190,10 +192,11 @@
 	})
 }
 
-// maintainConns pings quiet connections, ends broken ones, and retires those that were
-// made for calls and are no longer used. Of these, only one on which something is
-// awaited is looked after: a router of a large fleet has one to nearly every
-// other, seldom uses each, and would send little but pings.
+// maintainConns pings quiet connections, closes broken ones and retires connections
+// made for calls that are no longer used. Connections to members other than
+// neighbours are checked only while a reply or a call is pending: a router of a
+// large fleet has one to nearly every other router, rarely uses each, and would
+// otherwise send little but pings.
 func (n *Node) maintainConns(now time.Time) {
 	var spare []*conn
 	for _, c := range n.connections() {
@@ -213,8 +216,8 @@
 	n.closeDrained(now)
 }
 
-// retireIdle retires connections that were long unused, and if there are too
-// many, those that were unused for longest.
+// retireIdle retires the connections that were unused for longer than IdleTimeout
+// and, if more than MaxOnDemand remain, the least recently used ones.
 func (n *Node) retireIdle(now time.Time, spare []*conn) {
 	sortByUse(spare)
 	for i, c := range spare {
@@ -258,7 +261,7 @@
 	}
 }
 
-// stop is the function that New returns.
+// stop implements the function that New returns.
 func (n *Node) stop() {
 	n.step(func(now time.Time) membership.Output {
 		n.machine.Left(now)
@@ -280,7 +283,7 @@
 	n.wg.Wait()
 }
 
-// awaitConns waits until all connections are settled or ctx ends.
+// awaitConns waits until settled returns true for all connections or ctx ends.
 func (n *Node) awaitConns(ctx context.Context, settled func(*conn) bool) {
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
--- a/wisteriarouter/peer/peer.go
+++ b/wisteriarouter/peer/peer.go
@@ -1,12 +1,12 @@
-// Package peer connects a router with the other routers. It carries the
-// membership protocol, rumours, and calls from router to router in CBOR
-// messages over WebSocket connections.
+// Package peer connects a router with the other routers of its fleet. It carries
+// the membership protocol, rumours, and calls between routers as CBOR messages over
+// WebSocket connections.
 //
-// Each pair of routers shares one connection at most. A few connections stand
-// for the mesh of package membership; others are made for calls and closed
-// when they have been idle. A connection has one writer with a bounded queue:
-// a peer that reads slowly loses gossip, which the membership protocol
-// repairs, and does not cost memory.
+// Two routers share at most one connection. Some connections belong to the gossip
+// mesh of package membership; others are made for calls and closed when idle. Each
+// connection has one writer with a bounded queue: if a peer reads slowly, gossip to
+// it is dropped, which the membership protocol repairs, and memory use stays
+// bounded.
 package peer
 
 import (
@@ -16,65 +16,70 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// Path is the path at which routers reach each other.
+// Path is the URL path at which routers accept connections from each other.
 const Path = "/v1/peer"
 
-// Version is the version of the protocol. Routers with another major version
-// are refused; what a higher minor version adds is ignored.
+// The version of the protocol. Routers with another major version are refused;
+// additions of a higher minor version are ignored.
 const (
 	MajorVersion = 1
 	MinorVersion = 0
 )
 
-// Config describes a Node. The zero value of a limit stands for its default.
+// Config configures a Node. A limit that is zero is set to its default.
 type Config struct {
 	// Fleet is the name of the fleet; routers of other fleets are refused.
 	Fleet string
-	// Self is the node's own record. Instance, Address and Incarnation are
-	// required.
+	// Self is the node's own membership record. Instance, Address and Incarnation
+	// are required.
 	Self membership.Member
-	// Seeds are addresses, host and port, of routers to join by.
+	// Seeds are the addresses (host:port) of routers through which to join.
 	Seeds []string
-	// Membership tunes the protocol; its Seeds and Topics are set from here.
+	// Membership configures the membership protocol; its Seeds and Topics are
+	// overwritten by those below.
 	Membership membership.Config
-	// Topics tells how rumours spread.
+	// Topics configures how the rumours of each topic spread.
 	Topics map[string]membership.Topic
-	// OnEvent, if set, is told of what an operator may want to see. It is
-	// called from several goroutines and must not block.
+	// OnEvent, if not nil, is called with each Event. It is called from several
+	// goroutines and must not block.
 	OnEvent func(Event)
 
-	// MaxMessage is the largest message in bytes; 1,114,112, which holds the
-	// largest value of the platform's service.
+	// MaxMessage is the maximum size of a message in bytes. The default is
+	// 1,114,112, which fits the largest value of the platform's service.
 	MaxMessage int
-	// MaxQueue is the most bytes that wait for one peer; 4 MiB.
+	// MaxQueue is the maximum number of bytes queued for one peer. The default is 4
+	// MiB.
 	MaxQueue int
-	// MaxHandlers is the most calls that are handled at once; 512.
+	// MaxHandlers is the maximum number of calls handled concurrently. The default
+	// is 512.
 	MaxHandlers int
-	// MaxConns is the most connections accepted or made; 1024.
+	// MaxConns is the maximum number of connections, accepted and dialled. The
+	// default is 1024.
 	MaxConns int
-	// MaxOnDemand is the most connections kept for calls alone; 256.
+	// MaxOnDemand is the maximum number of connections kept for calls only. The
+	// default is 256.
 	MaxOnDemand int
-	// IdleTimeout is the time after which a connection made for calls is
-	// closed; 60 s.
+	// IdleTimeout is the time after which an unused connection made for calls is
+	// closed. The default is 60 s.
 	IdleTimeout time.Duration
-	// DialTimeout bounds the making of a connection; 3 s.
+	// DialTimeout limits the time to establish a connection. The default is 3 s.
 	DialTimeout time.Duration
-	// DeadAfter is the silence after which a connection is taken for broken;
-	// 10 s.
+	// DeadAfter is the time without a received message after which a connection is
+	// considered broken. The default is 10 s.
 	DeadAfter time.Duration
 }
 
 const (
 	tickInterval    = 100 * time.Millisecond
-	maxQueuedFrames = 1024 // messages that wait for one peer
+	maxQueuedFrames = 1024 // messages queued for one peer
 	helloTimeout    = 5 * time.Second
 	helloLimit      = 4096 // bytes
 	writeTimeout    = 10 * time.Second
 	minDrain        = time.Second
 	maxDrain        = 10 * time.Second
 	stopTimeout     = 500 * time.Millisecond
-	// lossesPerEvent is how many lost messages or refused calls make an event, so
-	// that an overload does not fill the log.
+	// lossesPerEvent is the number of dropped messages or rejected calls per event,
+	// so that an overload does not flood the log.
 	lossesPerEvent = 1000
 )
 
@@ -105,26 +110,26 @@
 	}
 }
 
-// EventKind tells events apart. Its numbers stay the same.
+// EventKind is the type of an Event. The numeric values must not change.
 type EventKind int
 
 // The kinds of events.
 const (
-	Connected     EventKind = iota + 1 // a connection to a peer stands
+	Connected     EventKind = iota + 1 // a connection to a peer was established
 	Disconnected                       // a connection to a peer has ended
-	Malformed                          // a message could not be decoded; the connection is closed
-	Oversized                          // a message was too large; the connection is closed
-	Refused                            // a router was refused, or refused this one
-	Overflow                           // a peer reads too slowly; gossip to it is lost
-	HandlersBusy                       // too many calls at once; one was turned away
-	MemberJoined                       // a member is new or back
-	MemberSuspect                      // a member does not answer
-	MemberCleared                      // a suspect member has answered
-	MemberLeaving                      // a member is stopping
-	MemberLeft                         // a member has stopped
-	MemberDead                         // a member is held for dead
-	Reincarnated                       // this router was held for dead and is back
-	Shedding                           // soft rumours are dropped for the byte budget
+	Malformed                          // a message could not be decoded; its connection is closed
+	Oversized                          // a message was too large; its connection is closed
+	Refused                            // this router refused a peer, or was refused by it
+	Overflow                           // the queue to a peer is full; gossip to it is dropped
+	HandlersBusy                       // too many concurrent calls; calls are rejected
+	MemberJoined                       // a member is new or has rejoined
+	MemberSuspect                      // a member does not respond
+	MemberCleared                      // a suspect member has responded
+	MemberLeaving                      // a member is shutting down
+	MemberLeft                         // a member has shut down
+	MemberDead                         // a member was declared dead
+	Reincarnated                       // this router was declared dead and has rejoined
+	Shedding                           // soft rumours are dropped to stay within the byte budget
 )
 
 var eventNames = map[EventKind]string{
@@ -145,7 +150,7 @@
 	Shedding:      "shedding",
 }
 
-// String returns the name of k as logs and metrics show it.
+// String returns the name of k as used in logs and metrics.
 func (k EventKind) String() string {
 	if name, ok := eventNames[k]; ok {
 		return name
@@ -153,12 +158,12 @@
 	return "unknown"
 }
 
-// Event is something that an operator may want to see.
+// Event is an occurrence that is of interest to an operator.
 type Event struct {
 	Kind        EventKind
 	Peer        coordination.Instance // if known
 	Incarnation coordination.Incarnation
 	Address     string // if known
-	Count       uint64 // of what Shedding dropped since the last such event, of what Overflow and HandlersBusy dropped in all
+	Count       uint64 // Shedding: rumours dropped since the last such event; Overflow, HandlersBusy: total so far
 	Err         error
 }
--- a/wisteriarouter/peer/peer_test.go
+++ b/wisteriarouter/peer/peer_test.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// router is a Node with its listener.
+// router is a Node with its HTTP server.
 type router struct {
 	*Node
 	address string
@@ -25,7 +25,7 @@
 	events  *eventLog
 }
 
-// eventLog keeps the events of a node.
+// eventLog records the events of a node.
 type eventLog struct {
 	mu  sync.Mutex
 	all []Event
@@ -49,7 +49,7 @@
 	return n
 }
 
-// listen returns a listener on loopback.
+// listen returns a listener on a free port of the loopback interface.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 	return l
 }
 
-// listenAt returns a listener at an address that has just become free.
+// listenAt returns a listener on an address, waiting until it is free.
 func listenAt(t testing.TB, address string) net.Listener {
 	t.Helper()
 	var l net.Listener
@@ -120,7 +120,7 @@
 	return r
 }
 
-// fleet starts n routers that know the first one as their seed.
+// fleet starts n routers that use the first one as their seed.
 func fleet(t testing.TB, n int, change func(*Config)) []*router {
 	t.Helper()
 	listeners := make([]net.Listener, n)
@@ -135,7 +135,7 @@
 	return routers
 }
 
-// eventually waits until ok returns true.
+// eventually waits up to 30 s until ok returns true.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
@@ -147,7 +147,7 @@
 	}
 }
 
-// kill ends all connections of r at once, as when its process is killed.
+// kill ends all connections of r at once, as if its process were killed.
 func kill(r *router) {
 	r.cancel()
 	r.connMu.Lock()
@@ -253,7 +253,8 @@
 		cancel()
 		var failed *CallError
 		assert.Assert(t, errors.As(err, &failed), test.topic)
-		// The peer's own deadline may end the hanging call first.
+		// The hanging handler's own deadline may expire first; the failure is then
+		// Failed.
 		if test.topic != "hang" {
 			assert.Equal(t, failed.Failure, test.failure, test.topic)
 		}
--- a/wisteriarouter/peer/reach.go
+++ b/wisteriarouter/peer/reach.go
@@ -13,25 +13,25 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// topicProbe asks a router for a sign of life.
+// topicProbe is the topic of probes, which any running router answers.
 const topicProbe = "probe"
 
 const (
-	// unresponsiveAfter is how long a router has to have left all calls without an
-	// answer until this one does without it.
+	// unresponsiveAfter is how long a router has to fail all probes before it is
+	// considered unresponsive.
 	unresponsiveAfter = 500 * time.Millisecond
 
-	// probeTimeout is how long a probe waits, and probePause the time between
-	// two of them.
+	// probeTimeout is the timeout of one probe, probeInterval the pause between
+	// probes.
 	probeTimeout  = 250 * time.Millisecond
 	probeInterval = 100 * time.Millisecond
 
-	// recoveryProbes is how many probes in a row a router has to answer to be
-	// taken back.
+	// recoveryProbes is the number of consecutive probes that an unresponsive
+	// router has to answer to be considered responsive again.
 	recoveryProbes = 3
 )
 
-// Transport is the part of a [Node] that a Reach needs.
+// Transport is the part of a [Node] that a FailureDetector needs.
 type Transport interface {
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
 	Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error
@@ -39,49 +39,52 @@
 	Handle(topic string, fn Handler)
 }
 
-// FailureDetector makes calls to other routers and remembers which of them do not answer.
+// FailureDetector makes calls to other routers and tracks which of them do not
+// respond.
 //
-// The members of the fleet are slow to be declared dead, so that a short pause
-// does not look like a death everywhere. For those ten seconds the endpoints of
-// a dead owner would take almost no work, and requests would wait for the few
-// others: their first tokens come seconds late. So this router by itself does
-// without a router that is away; each of the others soon finds out, too. If
-// only the way between two is broken, the owner that is asked instead declines,
-// and nothing is worse than before.
+// The fleet takes about ten seconds to declare a member dead, so that a short pause
+// is not taken for a failure everywhere. In that time the endpoints of a dead owner
+// would get almost no work, and requests would wait for the few others, which
+// delays their first token by seconds. Each router therefore detects unresponsive
+// routers by itself and stops using them. If only the link between two routers is
+// broken, the owner that is asked instead declines, and the result is no worse than
+// without the detection.
 type FailureDetector struct {
 	transport Transport
 	onChange  func(id coordination.Instance, away bool)
-	ctx       context.Context // ends with the router
+	ctx       context.Context // cancelled when the router stops
 
 	mu          sync.Mutex
 	outages     map[coordination.Instance]*outage
 	watchers    []func()
-	lastMembers []membership.Member // the members of which answering is a part
-	responsive  []membership.Member // nil if it has to be made again
+	lastMembers []membership.Member // the members from which responsive was computed
+	responsive  []membership.Member // nil if it must be recomputed
 }
 
-// outage is the time for which a router has not answered.
+// outage tracks a router that failed to respond.
 type outage struct {
 	since        time.Time
 	unresponsive bool
 }
 
-// NewFailureDetector returns a Reach that answers the probes of others, and a function
-// that ends its own. It calls onTurn when a router has gone away or is back.
+// NewFailureDetector returns a FailureDetector that answers the probes of other
+// routers, and a function that stops its own probes. It calls onChange when a
+// router becomes unresponsive or recovers.
 func NewFailureDetector(f Transport, onTurn func(id coordination.Instance, away bool)) (*FailureDetector, func()) {
 	f.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
 	ctx, cancel := context.WithCancel(context.Background())
 	return &FailureDetector{transport: f, onChange: onTurn, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
 }
 
-// Watch has fn called when a router has gone away or is back.
+// Watch registers fn, which is called when a router becomes unresponsive or
+// recovers.
 func (r *FailureDetector) Watch(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchers = append(r.watchers, fn)
 }
 
-// Unresponsive reports whether a router is known not to answer.
+// Unresponsive reports whether a router is known not to respond.
 func (r *FailureDetector) Unresponsive(id coordination.Instance) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,9 +92,9 @@
 	return s != nil && s.unresponsive
 }
 
-// Responsive returns the members that are not leaving and are not known to be
-// away, in order of their instances. The slice is the same until there is a
-// change, and must not be written to.
+// Responsive returns the members that are neither leaving nor unresponsive, sorted
+// by instance. The same slice is returned until there is a change; callers must not
+// modify it.
 func (r *FailureDetector) Responsive() []membership.Member {
 	members := r.transport.Members()
 	r.mu.Lock()
@@ -115,8 +118,8 @@
 	return answer, err
 }
 
-// Notify implements mirror.Transport. No error does not mean that the router
-// has been reached.
+// Notify implements mirror.Transport. A nil error does not mean that the message
+// was delivered.
 func (r *FailureDetector) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	err := r.transport.Notify(ctx, to, topic, payload)
 	if mayBeDown(err) && !errors.Is(ctx.Err(), context.Canceled) {
@@ -125,13 +128,13 @@
 	return err
 }
 
-// mayBeDown reports whether a call's error may mean that its router is dead.
+// mayBeDown reports whether the error of a call may mean that the router is down.
 func mayBeDown(err error) bool {
 	var failure *CallError
 	return errors.As(err, &failure) && (failure.Failure == NotConnected || failure.Failure == Lost)
 }
 
-// suspect begins to probe a router.
+// suspect starts to probe a router unless it is being probed already.
 func (r *FailureDetector) suspect(id coordination.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,13 +145,13 @@
 	go probe{FailureDetector: r, id: id}.run(r.ctx)
 }
 
-// probe watches one router that has not answered.
+// probe repeatedly probes one router that failed to respond.
 type probe struct {
 	*FailureDetector
 	id coordination.Instance
 }
 
-// run probes until the router is back, or is no member any more.
+// run probes until the router has recovered or is no longer a member.
 func (p probe) run(ctx context.Context) {
 	answers := 0
 	for p.isMember() {
@@ -181,7 +184,7 @@
 	return !mayBeDown(err)
 }
 
-// recordMiss notes that a probe was not answered.
+// recordMiss records a failed probe.
 func (p probe) recordMiss(now time.Time) {
 	p.mu.Lock()
 	s := p.outages[p.id]
@@ -196,7 +199,7 @@
 	}
 }
 
-// finish ends the watch.
+// finish ends the tracking of the router.
 func (p probe) finish() {
 	p.mu.Lock()
 	was := p.outages[p.id].unresponsive
--- a/wisteriarouter/peer/reach_test.go
+++ b/wisteriarouter/peer/reach_test.go
@@ -15,12 +15,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// fakeTransport is a fleet with one other router, r2.
+// fakeTransport is a Transport with one other router, r2.
 type fakeTransport struct {
-	mu     sync.Mutex
-	dead   bool // refuses connections
-	frozen bool // answers nothing
-	gone   bool // is no member any more
+	mu     sync.Mutex // refuses connections
+	dead   bool       // does not answer
+	frozen bool       // is no longer a member
+	gone   bool       // is no member any more
 	calls  int
 }
 
@@ -54,10 +54,10 @@
 	return nil, nil
 }
 
-// Handle is not needed: nobody probes this router.
+// Handle does nothing, as no router probes this one.
 func (f *fakeTransport) Handle(string, Handler) {}
 
-// Notify reaches a router that stands still, which reads it later.
+// Notify succeeds for a frozen router, which reads the message later.
 func (f *fakeTransport) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	f.mu.Lock()
 	dead := f.dead
@@ -69,24 +69,24 @@
 	return err
 }
 
-// reachOf returns a Reach that ends with the test.
+// reachOf returns a FailureDetector that is stopped when the test ends.
 func reachOf(t *testing.T, f *fakeTransport) *FailureDetector {
 	r, stop := NewFailureDetector(f, func(coordination.Instance, bool) {})
 	t.Cleanup(stop)
 	return r
 }
 
-// ask makes a call as placement does.
+// ask makes a call as package placement does.
 func ask(r *FailureDetector) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, _ = r.Call(ctx, "r2", "place-admit", nil)
 }
 
-// A router is killed or stands still for longer than a moment. For the ten
-// seconds until the fleet holds it for dead its endpoints would take almost no
-// work, and first tokens come seconds late. It is done without after half a
-// second, and taken back when it answers.
+// A router is killed, or suspended for more than a moment. In the ten seconds until
+// the fleet declares it dead, its endpoints would get almost no work, which delays
+// first tokens by seconds. It must be considered unresponsive after half a second,
+// and responsive again once it answers.
 func TestUnresponsiveRouterIsDetected(t *testing.T) {
 	for name, fail := range map[string]func(f *fakeTransport){
 		"killed": func(f *fakeTransport) { f.dead = true },
@@ -101,7 +101,7 @@
 				ask(r)
 				f.set(fail)
 				ask(r)
-				assert.Assert(t, !r.Unresponsive("r2"), "away after one call")
+				assert.Assert(t, !r.Unresponsive("r2"), "unresponsive after one call")
 				time.Sleep(2 * unresponsiveAfter)
 				assert.Assert(t, r.Unresponsive("r2"))
 				time.Sleep(5 * time.Second)
@@ -116,23 +116,23 @@
 }
 
 // One call is lost, as on a link that drops packets, or a router pauses for a
-// quarter of a second. To take it for away would move its endpoints to other
-// owners and back again.
+// quarter of a second. If the router were considered unresponsive, its endpoints
+// would move to other owners and back.
 func TestShortSilenceChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{frozen: true}
 		r := reachOf(t, f)
-		r.Watch(func() { t.Error("taken for away") })
+		r.Watch(func() { t.Error("router considered unresponsive") })
 		ask(r)
 		time.Sleep(150 * time.Millisecond)
 		f.set(func(f *fakeTransport) { f.frozen = false })
 		time.Sleep(time.Minute)
-		f.set(func(f *fakeTransport) { assert.Assert(t, f.calls < 6, "%d calls: it is probed on", f.calls) })
+		f.set(func(f *fakeTransport) { assert.Assert(t, f.calls < 6, "%d calls: probing went on", f.calls) })
 	})
 }
 
-// A dead router is at last held for dead by the fleet. It is probed no more,
-// or every router that ever died would cost the others bytes for ever.
+// Once the fleet has declared a router dead, probing must stop. Otherwise every
+// router that ever died would cause traffic for ever.
 func TestProbingStopsForRemovedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{dead: true}
@@ -148,8 +148,8 @@
 	})
 }
 
-// A list of routers that is not made again when one of them falls silent has
-// requests wait for it until it is declared dead.
+// If the list of responsive routers is not recomputed when one stops responding,
+// requests wait for that router until it is declared dead.
 func TestResponsiveListIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{}
--- a/wisteriarouter/peer/serve.go
+++ b/wisteriarouter/peer/serve.go
@@ -7,17 +7,19 @@
 	"wisteriaspool/coordination"
 )
 
-// Handler answers the calls and notices of a topic.
+// Handler handles the requests and notices of a topic. The payload it returns is
+// the answer to a request; an error is sent to the caller as text. Both are ignored
+// for a notice.
 type Handler func(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error)
 
-// incomingCall is a call that a peer has made.
+// incomingCall is a request or notice received from a peer.
 type incomingCall struct {
 	conn    *conn
 	request *message
 	handler Handler
 }
 
-// serve starts the handler of a request or turns it away.
+// serve runs the handler of m in a new goroutine, or rejects m.
 func (c *conn) serve(m *message) {
 	h := c.node.handler(m.Topic)
 	if h == nil {
@@ -58,7 +60,7 @@
 		m.Error = err.Error()
 	}
 	if err := s.conn.post(m); err != nil {
-		// Without an answer the caller would wait for its whole deadline.
+		// Without an answer the caller would wait until its deadline.
 		s.conn.cancel(err)
 	}
 }
--- a/wisteriarouter/peer/stats.go
+++ b/wisteriarouter/peer/stats.go
@@ -9,25 +9,25 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// Traffic counts the messages of one type and topic in one direction, with
-// the WebSocket framing but not that of TCP and IP.
+// Traffic counts the messages of one type and topic in one direction. Bytes
+// includes the WebSocket framing, but not TCP and IP headers.
 type Traffic struct {
 	Type     string // hello, gossip, request, answer, notice, ping, pong, goodbye, rumor
 	Topic    string // of requests, answers, notices and rumours
-	Sent     bool   // or else received
+	Sent     bool   // false if received
 	Messages uint64
 	Bytes    uint64
 }
 
-// Stats tells what a Node has done and holds.
+// Stats is a snapshot of the counters of a Node.
 type Stats struct {
-	Traffic    []Traffic // rumours are a part of gossip, by estimated size
+	Traffic    []Traffic // rumours are also included in gossip; their size is an estimate
 	Membership membership.Stats
 	Conns      int
 	Neighbors  int
-	Dropped    uint64 // gossip messages that a full queue did not take
+	Dropped    uint64 // gossip messages dropped because a queue was full
 	Malformed  uint64 // messages that could not be decoded
-	Busy       uint64 // calls that were turned away
+	Busy       uint64 // calls rejected because too many were being handled
 	Members    map[membership.State]int
 }
 
@@ -42,8 +42,8 @@
 	bytes    atomic.Uint64
 }
 
-// traffic holds the counters. Topics that nobody has registered share one,
-// so that a peer cannot make the table grow.
+// traffic holds the counters. All unregistered topics share one counter, so that a
+// peer cannot grow the map without bound.
 type traffic struct {
 	mu     sync.RWMutex
 	counts map[trafficKey]*trafficCount
@@ -102,7 +102,8 @@
 	}
 }
 
-// framed returns the size on the connection of a message of n bytes.
+// framed returns the size of a message of n bytes including its WebSocket frame
+// header.
 func framed(n int, masked bool) int {
 	switch {
 	case n > 65535:
