--- a/wisteriarouter/downstream/server_test.go
+++ b/wisteriarouter/downstream/server_test.go
@@ -89,7 +89,7 @@
 	return f
 }
 
-// headerWait is the maximum time to read a request header.
+// headerTimeout is the maximum time to read a request header.
 const headerTimeout = 4 * time.Second
 
 func (f *fixture) serve(l net.Listener, h http.Handler) {
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -45,7 +45,8 @@
 
 // OnRumor registers fn, which is called with each known rumour of topic and with
 // each new one. If several versions arrive in quick succession, fn may see only the
-// newest. Rumours of this node itself are not reported.
+// newest. Rumours that originate at this node are not
+// reported.
 func (n *Node) OnRumor(topic string, fn func(key string, version uint64, payload []byte)) {
 	n.topicMu.Lock()
 	n.rumorListeners[topic] = append(n.rumorListeners[topic], fn)
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -30,7 +30,7 @@
 	queued             atomic.Int64               // bytes in the queue
 	lastReceived       coordination.MonotonicTime // when the last message was received
 	lastUsed           coordination.MonotonicTime // when the last request or notice was sent or received
-	replyExpectedSince coordination.MonotonicTime // when the first message since lastReceived was sent that needs a reply
+	replyExpectedSince coordination.MonotonicTime // send time of the first message after lastReceived that needs a reply
 	lastPing           coordination.MonotonicTime // when the last ping was sent
 	serving            atomic.Int64               // requests and notices of the peer being handled
 
@@ -311,8 +311,8 @@
 	}
 }
 
-// withdraw removes the frame from the queue if its write has not started. It
-// returns NotConnected if so, and Lost otherwise.
+// withdraw cancels the write of the frame if it has not started. It returns
+// NotConnected if so, and Lost otherwise.
 func (f *frame) withdraw() Failure {
 	if f.state.CompareAndSwap(frameQueued, frameCancelled) {
 		return NotConnected
--- a/wisteriarouter/peer/fault_test.go
+++ b/wisteriarouter/peer/fault_test.go
@@ -230,8 +230,8 @@
 	assert.Equal(t, failed.Failure, Lost)
 }
 
-// A peer stops reading. The data queued for it must stay bounded, and sends to it
-// must fail.
+// A peer stops reading. The data queued for it must stay bounded and sends to it must
+// fail, while other peers are served.
 func TestQueueOfSlowPeerIsBounded(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.MaxQueue = 1 << 20 })
 	dialRaw(t, r, helloOf("x"))
--- a/wisteriarouter/peer/reach_test.go
+++ b/wisteriarouter/peer/reach_test.go
@@ -17,10 +17,10 @@
 
 // fakeTransport is a Transport with one other router, r2.
 type fakeTransport struct {
-	mu     sync.Mutex // refuses connections
-	dead   bool       // does not answer
-	frozen bool       // is no longer a member
-	gone   bool       // is no member any more
+	mu     sync.Mutex
+	dead   bool // refuses connections
+	frozen bool // does not answer
+	gone   bool // is no longer a member
 	calls  int
 }
 
