--- a/wisteriarouter/downstream/server_test.go
+++ b/wisteriarouter/downstream/server_test.go
@@ -18,7 +18,8 @@
 	"wisteriaspool/wisteriarouter/downstream"
 )
 
-// The timeouts of a drain: drainIdleTimeout and retryWindow.
+// The timeouts of a drain: how long a connection has to be without a request before
+// it is closed, and how long its last read may take.
 const (
 	quiet = time.Second
 	look  = time.Millisecond
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -58,7 +58,7 @@
 	frameCancelled
 )
 
-// call is a pending request.
+// call is a request that awaits its answer.
 type call struct {
 	frame  *frame
 	answer chan *message
