--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -176,8 +176,8 @@
 }
 
 // newReach creates the detector of routers that do not answer.
-func newReach(i do.Injector) (*peer.Reach, error) {
-	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
+func newReach(i do.Injector) (*peer.FailureDetector, error) {
+	r, cleanup := peer.NewFailureDetector(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
 	onStop(i, cleanup)
 	return r, nil
 }
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -28,7 +28,7 @@
 	fleet        *fleet
 	directory    *endpoint.Directory
 	node         *peer.Node
-	reach        *peer.Reach
+	reach        *peer.FailureDetector
 	owner        *placement.Owner
 	entry        *placement.Entry
 	changes      chan struct{} // signals that a list has changed
@@ -71,7 +71,7 @@
 		fleet:        do.MustInvoke[*fleet](i),
 		directory:    do.MustInvoke[*endpoint.Directory](i),
 		node:         do.MustInvoke[*peer.Node](i),
-		reach:        do.MustInvoke[*peer.Reach](i),
+		reach:        do.MustInvoke[*peer.FailureDetector](i),
 		owner:        placement.NewOwner(cfg.Instance, config),
 		changes:      make(chan struct{}, 1),
 		incarnations: incarnationMap{},
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -34,7 +34,7 @@
 // All observers of the mirror have to be set before.
 func startFeed(i do.Injector, m *mirror.Mirror, callLog *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
-	reach := do.MustInvoke[*peer.Reach](i)
+	reach := do.MustInvoke[*peer.FailureDetector](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
 		Self:          node.Self().Instance,
 		Prefix:        platform.Prefix,
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -33,10 +33,10 @@
 func newServerConfig(i do.Injector) downstream.Config {
 	lim := configOf(i).Limits
 	return downstream.Config{
-		HeaderWait:  lim.HeaderWait,
-		HeaderBytes: lim.HeaderBytes,
-		IdleTimeout: idleTimeout,
-		Observer:    newDropObserver(i),
+		HeaderTimeout:  lim.HeaderWait,
+		MaxHeaderBytes: lim.HeaderBytes,
+		IdleTimeout:    idleTimeout,
+		Observer:       newDropObserver(i),
 	}
 }
 
@@ -60,10 +60,10 @@
 func (d *dropObserver) Dropped(each downstream.Drop) {
 	d.count.Inc()
 	d.log.Emit(event.RequestDropped,
-		event.F("bytes", each.Read),
-		event.F("waited-ms", each.Waited.Milliseconds()),
-		event.F("first", each.First),
-		event.F("gone", each.Gone),
+		event.F("bytes", each.BytesRead),
+		event.F("waited-ms", each.Elapsed.Milliseconds()),
+		event.F("first", each.FirstRequest),
+		event.F("gone", each.PeerClosed),
 		event.F("draining", each.Draining))
 }
 
@@ -145,7 +145,7 @@
 // leave tells callers and the other routers that this router accepts no more
 // requests.
 func (s *servers) leave(ctx context.Context) {
-	s.callers.Leave()
+	s.callers.DisableKeepAlives()
 	s.node.SetReady(false)
 	s.node.Leave(ctx)
 }
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Config holds the limits of a server towards those who connect to it.
+// Config holds the limits that a server enforces on its clients.
 type Config struct {
-	HeaderWait  time.Duration // longest time for the head of a request to arrive
-	HeaderBytes int           // largest head of a request
-	IdleTimeout time.Duration // longest time that a connection stays open without a request
-	Observer    Observer      // nil if nobody wants to know
+	HeaderTimeout  time.Duration // maximum time to read a request header
+	MaxHeaderBytes int           // maximum size of a request header
+	IdleTimeout    time.Duration // maximum time that a connection stays open without a request
+	Observer       Observer      // may be nil
 }
 
-// Observer is told of what goes wrong on connections.
+// Observer is notified of failures on connections.
 type Observer interface {
-	// Dropped tells of a connection that has ended though a part of a request,
-	// or all of it, had been read and nothing was answered.
+	// Dropped is called when a connection ends after part or all of a request was
+	// read, but nothing was sent in response.
 	Dropped(d Drop)
 }
 
-// Drop describes a request that was read and not answered.
+// Drop describes a request that was read but not answered.
 type Drop struct {
-	Read     int           // bytes of the request that were read, at least one
-	Waited   time.Duration // since the first of them
-	First    bool          // it was the first request on its connection
-	Gone     bool          // the other side had closed the connection or broken it off
-	Draining bool          // the server was being drained
+	BytesRead    int           // bytes of the request that were read, at least 1
+	Elapsed      time.Duration // since the first of these bytes was read
+	FirstRequest bool          // it was the first request on its connection
+	PeerClosed   bool          // the client had closed or reset the connection
+	Draining     bool          // the server was being drained
 }
 
 // Server serves HTTP/1.1 on one listener.
@@ -38,58 +38,58 @@
 	http     *http.Server
 	listener *listener
 	observer Observer
-	// headerWait is the longest time for the head of a request to arrive; zero for
-	// no limit.
-	headerWait time.Duration
+	// headerTimeout is the maximum time to read a request header; zero for no
+	// limit.
+	headerTimeout time.Duration
 
 	active  atomic.Int64
 	leaving atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	drain *drain // nil before Drain
+	drain *drainState // nil until Drain
 }
 
-// NewServer returns a server for l, and what closes it and all its connections at
-// once. Heads of requests have a limit in bytes and in time, so that a caller who
-// sends one very slowly holds nothing but one connection for a short while.
+// NewServer returns a server for l and a function that immediately closes it and
+// all its connections. Request headers are limited in size and time, so that a
+// client that sends one very slowly only occupies one connection for a short time.
 func NewServer(l net.Listener, h http.Handler, cfg Config) (*Server, func()) {
-	s := &Server{observer: cfg.Observer, headerWait: cfg.HeaderWait, conns: make(map[*conn]struct{})}
+	s := &Server{observer: cfg.Observer, headerTimeout: cfg.HeaderTimeout, conns: make(map[*conn]struct{})}
 	s.listener = newListener(l, s)
 	s.http = &http.Server{
 		Handler:           s.handler(h),
-		ReadHeaderTimeout: cfg.HeaderWait,
-		MaxHeaderBytes:    cfg.HeaderBytes,
+		ReadHeaderTimeout: cfg.HeaderTimeout,
+		MaxHeaderBytes:    cfg.MaxHeaderBytes,
 		IdleTimeout:       cfg.IdleTimeout,
-		ConnState:         changed,
+		ConnState:         onConnState,
 		ConnContext:       withConn,
 	}
 	return s, s.close
 }
 
-// close closes the listener and all connections at once.
-func (s *Server) close() { _ = s.http.Close() } // there is nobody left to tell
+// close closes the listener and all connections immediately.
+func (s *Server) close() { _ = s.http.Close() } // the error is of no use here
 
-// Serve serves until the server is drained or closed. Its error is then
+// Serve serves connections until the server is drained or closed, and then returns
 // http.ErrServerClosed.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
-// Addr returns the address that the server listens on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Active returns how many requests are in flight.
+// Active returns the number of requests in flight.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Leave has the answer to each request that comes from now on end its connection.
-// All connections are served as before, new ones too.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// DisableKeepAlives makes every response to a request that arrives from now on
+// close its connection. Existing and new connections are still served.
+func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
 
-// handler counts the requests in flight, and ends their connections once the
-// server leaves.
+// handler counts the requests in flight and, once DisableKeepAlives was called,
+// closes connections after the response.
 func (s *Server) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-			c.answered()
+			c.markAnswered()
 		}
 		s.active.Add(1)
 		defer s.active.Add(-1)
@@ -100,7 +100,7 @@
 	})
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
@@ -109,35 +109,35 @@
 
 // add registers a new connection.
 func (s *Server) add(inner net.Conn) *conn {
-	c := &conn{Conn: inner, server: s, first: true, waiting: true, since: time.Now()}
+	c := &conn{Conn: inner, server: s, firstRequest: true, waiting: true, waitStart: time.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
 	if s.drain != nil {
-		c.limit(s.drain)
+		c.startDrain(s.drain)
 	}
 	return c
 }
 
-// remove forgets a connection that has ended, with its handler.
+// remove unregisters a connection that has ended, including its handler.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	if s.drain != nil {
-		s.drain.note(len(s.conns))
+		s.drain.closeIfEmpty(len(s.conns))
 	}
 }
 
-// changed is called by the HTTP server when a connection has another state.
-func changed(c net.Conn, state http.ConnState) {
+// onConnState is called by the HTTP server when the state of a connection changes.
+func onConnState(c net.Conn, state http.ConnState) {
 	each, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		each.next()
+		each.awaitRequest()
 	case http.StateClosed, http.StateHijacked:
 		each.server.remove(each)
 	}
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -14,34 +14,34 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// conn is a connection to a peer after the hello.
+// conn is a connection to a peer on which hellos have been exchanged.
 type conn struct {
-	node    *Node
-	ws      *websocket.Conn
-	peer    membership.Member
-	dialled bool // by this side
-	gossip  bool // made for the mesh
-	since   time.Time
+	node        *Node
+	ws          *websocket.Conn
+	peer        membership.Member
+	dialled     bool // this side dialled
+	gossip      bool // made for the gossip mesh
+	connectedAt time.Time
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	queue   chan *frame
-	queued  atomic.Int64               // bytes
-	heard   coordination.MonotonicTime // of the last message
-	used    coordination.MonotonicTime // of the last call
-	asked   coordination.MonotonicTime // of the first message behind the last one heard that wants a sign of life
-	pinged  coordination.MonotonicTime // of the last ping
-	serving atomic.Int64               // calls being handled for the peer
-
-	mu       sync.Mutex
-	calls    map[uint64]*call
-	nextCall uint64
-	closed   bool
-	drained  time.Time // when draining began
+	queue              chan *frame
+	queued             atomic.Int64               // bytes in the queue
+	lastReceived       coordination.MonotonicTime // when the last message was received
+	lastUsed           coordination.MonotonicTime // when the last request or notice was sent or received
+	replyExpectedSince coordination.MonotonicTime // send time of the first message after lastReceived that needs a reply
+	lastPing           coordination.MonotonicTime // when the last ping was sent
+	serving            atomic.Int64               // requests and notices of the peer being handled
+
+	mu            sync.Mutex
+	calls         map[uint64]*call
+	nextCall      uint64
+	closed        bool
+	drainingSince time.Time // when draining began; zero if it has not
 }
 
-// frame is an encoded message in the queue.
+// frame is an encoded message in the send queue.
 type frame struct {
 	data  []byte
 	kind  kind
@@ -49,16 +49,16 @@
 	state atomic.Int32
 }
 
-// The states of a frame. Whoever changes it from queued decides whether the
-// frame is written, so that a call that gives up knows whether its request
-// can have been delivered.
+// The states of a frame. The transition away from frameQueued is atomic and decides
+// whether the frame is written, so that a cancelled call knows whether its request
+// may have been delivered.
 const (
 	frameQueued int32 = iota
 	frameStarted
 	frameCancelled
 )
 
-// call is a request that waits for its answer.
+// call is a request that awaits its answer.
 type call struct {
 	frame  *frame
 	answer chan *message
@@ -68,23 +68,24 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	now := time.Now()
 	c := &conn{
-		node:    n,
-		ws:      ws,
-		peer:    peer.Member,
-		dialled: dialled,
-		gossip:  peer.Gossip,
-		since:   now,
-		ctx:     ctx,
-		cancel:  cancel,
-		queue:   make(chan *frame, queueFrames),
-		calls:   make(map[uint64]*call),
+		node:        n,
+		ws:          ws,
+		peer:        peer.Member,
+		dialled:     dialled,
+		gossip:      peer.Gossip,
+		connectedAt: now,
+		ctx:         ctx,
+		cancel:      cancel,
+		queue:       make(chan *frame, maxQueuedFrames),
+		calls:       make(map[uint64]*call),
 	}
-	c.heard.Set(now)
-	c.used.Set(now)
+	c.lastReceived.Set(now)
+	c.lastUsed.Set(now)
 	return c
 }
 
-// enqueue gives a message to the writer. It never blocks.
+// enqueue adds f to the send queue. It never blocks; it returns errClosed,
+// errTooLarge or errQueueFull.
 func (c *conn) enqueue(f *frame) error {
 	if c.ctx.Err() != nil {
 		return errClosed
@@ -105,18 +106,19 @@
 	}
 }
 
-// post enqueues a message that may be lost.
+// post enqueues a message. The message is lost if the connection breaks before it
+// is written.
 func (c *conn) post(m *message) error {
 	return c.enqueue(&frame{data: encode(m), kind: m.Kind, topic: m.Topic})
 }
 
-// writer writes the queue of a conn.
+// writer writes the send queue of a conn to the WebSocket.
 type writer struct {
 	*conn
 }
 
 func (w writer) run() {
-	defer w.node.wait.Done()
+	defer w.node.wg.Done()
 	for {
 		select {
 		case <-w.ctx.Done():
@@ -141,8 +143,8 @@
 	return w.ws.Write(ctx, websocket.MessageBinary, f.data)
 }
 
-// run reads messages until the connection ends, and then ends what waits for
-// it. It returns what ended it.
+// run reads messages until the connection ends, then fails all pending calls. It
+// returns the reason for the end.
 func (c *conn) run() error {
 	err := c.read()
 	c.cancel(err)
@@ -167,7 +169,7 @@
 		if err != nil {
 			return c.readError(err)
 		}
-		c.heard.Set(time.Now())
+		c.lastReceived.Set(time.Now())
 		m, err := decode(data)
 		if err != nil {
 			c.node.malformed.Add(1)
@@ -187,7 +189,7 @@
 	return err
 }
 
-// handle acts on a message. Kinds that are not known are ignored.
+// handle processes a received message. It ignores unknown kinds.
 func (c *conn) handle(m *message) {
 	switch m.Kind {
 	case kindGossip:
@@ -195,10 +197,10 @@
 			c.node.gossip(c, *m.Gossip)
 		}
 	case kindRequest, kindNotice:
-		c.used.Set(time.Now())
+		c.lastUsed.Set(time.Now())
 		c.serve(m)
 	case kindAnswer:
-		c.answer(m)
+		c.deliverAnswer(m)
 	case kindPing:
 		_ = c.post(&message{Kind: kindPong})
 	case kindGoodbye:
@@ -206,7 +208,7 @@
 	}
 }
 
-func (c *conn) answer(m *message) {
+func (c *conn) deliverAnswer(m *message) {
 	c.mu.Lock()
 	waiting := c.calls[m.ID]
 	delete(c.calls, m.ID)
@@ -216,59 +218,64 @@
 	}
 }
 
-// idle reports whether no call is under way in either direction.
+// idle reports whether no call is in progress in either direction and the send
+// queue is empty.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calls) == 0 && c.serving.Load() == 0 && c.queued.Load() == 0
 }
 
-// ask notes that something has been sent that wants a sign of life.
-func (c *conn) ask(now time.Time) {
-	if !c.owes(now) {
-		c.asked.Set(now)
+// expectReply records that a message has been sent that the peer must react to.
+func (c *conn) expectReply(now time.Time) {
+	if !c.awaitsReply(now) {
+		c.replyExpectedSince.Set(now)
 	}
 }
 
-// owes reports whether nothing has been heard since a sign of life was asked for.
-func (c *conn) owes(now time.Time) bool { return c.asked.Ago(now) < c.heard.Ago(now) }
+// awaitsReply reports whether nothing has been received since a reply became due.
+func (c *conn) awaitsReply(now time.Time) bool {
+	return c.replyExpectedSince.Ago(now) < c.lastReceived.Ago(now)
+}
 
-// waits reports whether something is awaited from the peer.
-func (c *conn) waits(now time.Time) bool { return !c.idle() || c.owes(now) }
+// active reports whether a call is in progress, data is queued or a reply is due.
+func (c *conn) active(now time.Time) bool { return !c.idle() || c.awaitsReply(now) }
 
-// silence returns for how long the peer has owed a sign of life.
-func (c *conn) silence(now time.Time) time.Duration {
-	return min(c.heard.Ago(now), c.asked.Ago(now))
+// silentFor returns the time since the last message was received or, if later,
+// since a reply became due.
+func (c *conn) silentFor(now time.Time) time.Duration {
+	return min(c.lastReceived.Ago(now), c.replyExpectedSince.Ago(now))
 }
 
-// pingIfQuiet has the peer answer if nothing has been heard of it for long, as where a
-// message is posted that has no answer.
+// pingIfQuiet sends a ping if nothing has been received for a third of DeadAfter.
+// It makes a broken connection detectable when only messages without an answer are
+// sent.
 func (c *conn) pingIfQuiet(now time.Time) {
-	if c.heard.Ago(now) > c.node.cfg.DeadAfter/3 && c.pingDue(now) {
-		c.ask(now)
+	if c.lastReceived.Ago(now) > c.node.cfg.DeadAfter/3 && c.pingDue(now) {
+		c.expectReply(now)
 		_ = c.post(&message{Kind: kindPing})
 	}
 }
 
 // call sends a request and waits for its answer.
 func (c *conn) call(ctx context.Context, topic string, payload []byte) ([]byte, Failure, error) {
-	c.used.Set(time.Now())
-	waiting, id, err := c.begin(ctx, topic, payload)
+	c.lastUsed.Set(time.Now())
+	waiting, id, err := c.startCall(ctx, topic, payload)
 	if err != nil {
 		return nil, NotConnected, err
 	}
 	select {
 	case m, ok := <-waiting.answer:
-		return c.finish(waiting, m, ok)
+		return c.callResult(waiting, m, ok)
 	case <-ctx.Done():
 		c.mu.Lock()
 		delete(c.calls, id)
 		c.mu.Unlock()
-		return nil, waiting.frame.giveUp(), ctx.Err()
+		return nil, waiting.frame.withdraw(), ctx.Err()
 	}
 }
 
-func (c *conn) begin(ctx context.Context, topic string, payload []byte) (*call, uint64, error) {
+func (c *conn) startCall(ctx context.Context, topic string, payload []byte) (*call, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -284,19 +291,19 @@
 	if err := c.enqueue(waiting.frame); err != nil {
 		return nil, 0, err
 	}
-	c.ask(time.Now())
+	c.expectReply(time.Now())
 	c.calls[id] = waiting
 	return waiting, id, nil
 }
 
-func (c *conn) finish(waiting *call, m *message, ok bool) ([]byte, Failure, error) {
+func (c *conn) callResult(waiting *call, m *message, ok bool) ([]byte, Failure, error) {
 	switch {
 	case !ok:
-		return nil, waiting.frame.giveUp(), fmt.Errorf("%w: %w", errClosed, context.Cause(c.ctx))
+		return nil, waiting.frame.withdraw(), fmt.Errorf("%w: %w", errClosed, context.Cause(c.ctx))
 	case m.Failure != 0:
 		failure := Failed
-		if m.Failure == TurnedAway {
-			failure = TurnedAway
+		if m.Failure == Rejected {
+			failure = Rejected
 		}
 		return nil, failure, errors.New(m.Error)
 	default:
@@ -304,16 +311,17 @@
 	}
 }
 
-// giveUp withdraws the frame if it is still in the queue, and tells how far
-// it came.
-func (f *frame) giveUp() Failure {
+// withdraw cancels the write of the frame if it has not started. It returns
+// NotConnected if so, and Lost otherwise.
+func (f *frame) withdraw() Failure {
 	if f.state.CompareAndSwap(frameQueued, frameCancelled) {
 		return NotConnected
 	}
 	return Lost
 }
 
-// timeoutOf returns the time that ctx has left in milliseconds, or zero.
+// timeoutOf returns the time left until the deadline of ctx in milliseconds, at
+// least 1, or 0 if ctx has no deadline.
 func timeoutOf(ctx context.Context) uint32 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/wisteriarouter/peer/dial.go
+++ b/wisteriarouter/peer/dial.go
@@ -12,42 +12,42 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// dialing is an attempt to connect to an address. Several callers may wait
-// for it.
-type dialing struct {
+// dialAttempt is an attempt to connect to an address. Several callers may wait for
+// it.
+type dialAttempt struct {
 	node    *Node
 	address string
 	gossip  bool
-	after   []membership.Message // to send when it stands
+	pending []membership.Message // messages to send once connected
 	done    chan struct{}
-	conn    *conn // after done
-	err     error // after done
+	conn    *conn // valid once done is closed
+	err     error // valid once done is closed
 }
 
-// dial starts an attempt to connect to address, or joins the running one.
-func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialing {
+// dial starts an attempt to connect to address, or joins the one in progress.
+func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialAttempt {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
 	if d := n.dialings[address]; d != nil {
-		d.after = append(d.after, after...)
+		d.pending = append(d.pending, after...)
 		return d
 	}
-	d := &dialing{node: n, address: address, gossip: gossip, after: after, done: make(chan struct{})}
+	d := &dialAttempt{node: n, address: address, gossip: gossip, pending: after, done: make(chan struct{})}
 	if n.stopped || len(n.conns)+len(n.dialings) >= n.cfg.MaxConns {
-		d.err = errTooMany
+		d.err = errTooManyConns
 		close(d.done)
 		return d
 	}
 	n.dialings[address] = d
-	n.wait.Add(1)
+	n.wg.Add(1)
 	go d.run()
 	return d
 }
 
-// run connects, and then reads from the connection until it ends.
-func (d *dialing) run() {
+// run connects, then reads from the connection until it ends.
+func (d *dialAttempt) run() {
 	n := d.node
-	defer n.wait.Done()
+	defer n.wg.Done()
 	made, err := d.connect()
 	c := made
 	if err == nil {
@@ -56,7 +56,7 @@
 	n.connMu.Lock()
 	delete(n.dialings, d.address)
 	d.conn, d.err = c, err
-	after := d.after
+	after := d.pending
 	n.connMu.Unlock()
 	close(d.done)
 	if err != nil {
@@ -67,11 +67,11 @@
 		_ = c.post(&message{Kind: kindGossip, Gossip: &m})
 	}
 	if c == made {
-		n.finish(c)
+		n.serveConn(c)
 	}
 }
 
-func (d *dialing) connect() (*conn, error) {
+func (d *dialAttempt) connect() (*conn, error) {
 	n := d.node
 	ctx, cancel := context.WithTimeout(n.ctx, n.cfg.DialTimeout)
 	defer cancel()
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := d.greet(ctx, ws)
+	c, err := d.handshake(ctx, ws)
 	if err != nil {
 		ws.Close(websocket.StatusPolicyViolation, err.Error())
 		return nil, err
@@ -90,15 +90,15 @@
 	return c, nil
 }
 
-// greet exchanges hellos on a connection that this side made.
-func (d *dialing) greet(ctx context.Context, ws *websocket.Conn) (*conn, error) {
+// handshake exchanges hellos on a connection that this side dialled.
+func (d *dialAttempt) handshake(ctx context.Context, ws *websocket.Conn) (*conn, error) {
 	n := d.node
 	if err := n.sendHello(ctx, ws, d.gossip, true); err != nil {
 		return nil, err
 	}
 	h, err := n.readHello(ctx, ws, false)
 	if err != nil {
-		n.refused(h, d.address, err)
+		n.reportRefused(h, d.address, err)
 		return nil, err
 	}
 	h.Gossip = d.gossip
@@ -117,7 +117,7 @@
 	return ws.Write(ctx, websocket.MessageBinary, b)
 }
 
-// readHello reads and checks the first message of a connection.
+// readHello reads and validates the first message of a connection.
 func (n *Node) readHello(ctx context.Context, ws *websocket.Conn, masked bool) (hello, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -136,10 +136,10 @@
 	if m.Kind != kindHello || m.Hello == nil || m.Hello.Member.Instance == "" || m.Hello.Member.Address == "" {
 		return hello{}, errNotHello
 	}
-	return *m.Hello, n.check(*m.Hello)
+	return *m.Hello, n.checkHello(*m.Hello)
 }
 
-func (n *Node) check(h hello) error {
+func (n *Node) checkHello(h hello) error {
 	switch {
 	case h.Fleet != n.cfg.Fleet:
 		return errOtherFleet
@@ -152,21 +152,20 @@
 	}
 }
 
-func (n *Node) refused(h hello, address string, err error) {
+func (n *Node) reportRefused(h hello, address string, err error) {
 	if errors.Is(err, errSelf) {
 		return
 	}
 	n.event(Event{Kind: Refused, Peer: h.Member.Instance, Address: address, Err: err})
 }
 
-// ServeHTTP accepts a connection from another router and serves it until it
-// ends.
+// ServeHTTP accepts a connection from another router and serves it until it ends.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !n.admit() {
-		http.Error(w, errTooMany.Error(), http.StatusServiceUnavailable)
+	if !n.admitConn() {
+		http.Error(w, errTooManyConns.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	defer n.wait.Done()
+	defer n.wg.Done()
 	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return
@@ -176,7 +175,7 @@
 		err = n.sendHello(n.ctx, ws, false, false)
 	}
 	if err != nil {
-		n.refused(h, r.RemoteAddr, err)
+		n.reportRefused(h, r.RemoteAddr, err)
 		ws.Close(websocket.StatusPolicyViolation, err.Error())
 		return
 	}
@@ -185,25 +184,26 @@
 	if err != nil || kept != c {
 		return
 	}
-	n.finish(c)
+	n.serveConn(c)
 }
 
-// admit reserves a place for a connection that is being accepted.
-func (n *Node) admit() bool {
+// admitConn reports whether another connection may be accepted, and if so adds it
+// to the wait group.
+func (n *Node) admitConn() bool {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
 	if n.stopped || len(n.conns) >= n.cfg.MaxConns {
 		return false
 	}
-	n.wait.Add(1)
+	n.wg.Add(1)
 	return true
 }
 
-// register makes c the connection to its peer. If two stand, because both
-// sides dialled at once, both sides keep the one that the member with the
-// lower name dialled; register returns the one that is kept. An old one of which
-// nothing has been heard for a while may be broken, and known to be so by the
-// other side alone.
+// register makes c the connection to its peer and returns the connection that is
+// kept. If both sides dialled at once there are two; both sides then keep the one
+// that was dialled by the member with the lower instance name. An existing
+// connection on which nothing was received for longer than DialTimeout is replaced
+// in any case, since it may be broken with only the other side aware of it.
 func (n *Node) register(c *conn) (*conn, error) {
 	n.connMu.Lock()
 	if n.stopped {
@@ -223,35 +223,37 @@
 		n.draining[old] = struct{}{}
 		old.drain()
 	}
-	n.wait.Add(1)
+	n.wg.Add(1)
 	go writer{c}.run()
 	n.connMu.Unlock()
 	n.linkUp(c)
 	return c, nil
 }
 
-// preferred reports whether the member with the lower name dialled c.
+// preferred reports whether c was dialled by the member with the lower instance
+// name.
 func (c *conn) preferred() bool {
 	return c.dialled == (c.node.cfg.Self.Instance < c.peer.Instance)
 }
 
-// quiet reports whether nothing has been heard for longer than two sides may take
-// to connect at once.
+// quiet reports whether nothing has been received for longer than DialTimeout,
+// which bounds simultaneous dials by both sides.
 func (c *conn) quiet(now time.Time) bool {
-	return c.heard.Ago(now) > c.node.cfg.DialTimeout
+	return c.lastReceived.Ago(now) > c.node.cfg.DialTimeout
 }
 
-// drain marks c as one that takes no new calls.
+// drain marks c as draining; it is not used for new calls.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drained.IsZero() {
-		c.drained = time.Now()
+	if c.drainingSince.IsZero() {
+		c.drainingSince = time.Now()
 	}
 }
 
-// retire takes c out of use. Calls under way may end; the peer is told, lest
-// it send a request while the connection closes.
+// retire takes c out of use. Calls in progress may complete. If tell is set, the
+// peer is sent a goodbye, so that it does not send a request while the connection
+// closes.
 func (n *Node) retire(c *conn, tell bool) {
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
@@ -269,8 +271,8 @@
 	}
 }
 
-// finish reads from c until it ends and then takes it out of use.
-func (n *Node) finish(c *conn) {
+// serveConn reads from c until it ends, then removes it.
+func (n *Node) serveConn(c *conn) {
 	err := c.run()
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
@@ -285,7 +287,7 @@
 	n.event(Event{Kind: Disconnected, Peer: c.peer.Instance, Incarnation: c.peer.Incarnation, Address: c.peer.Address, Err: err})
 }
 
-// connTo returns the connection to a member, made for the occasion if need be.
+// connTo returns the connection to a member and dials one if there is none.
 func (n *Node) connTo(ctx context.Context, to coordination.Instance) (*conn, error) {
 	if c := n.current(to); c != nil {
 		return c, nil
--- a/wisteriarouter/peer/serve.go
+++ b/wisteriarouter/peer/serve.go
@@ -7,44 +7,46 @@
 	"wisteriaspool/coordination"
 )
 
-// Handler answers the calls and notices of a topic.
+// Handler handles the requests and notices of a topic. The payload it returns is
+// the answer to a request; an error is sent to the caller as text. Both are ignored
+// for a notice.
 type Handler func(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error)
 
-// serving is a call that a peer has made.
-type serving struct {
+// incomingCall is a request or notice received from a peer.
+type incomingCall struct {
 	conn    *conn
 	request *message
 	handler Handler
 }
 
-// serve starts the handler of a request or turns it away.
+// serve runs the handler of m in a new goroutine, or rejects m.
 func (c *conn) serve(m *message) {
 	h := c.node.handler(m.Topic)
 	if h == nil {
-		c.turnAway(m, errNoHandler)
+		c.reject(m, errNoHandler)
 		return
 	}
 	select {
-	case c.node.handlers <- struct{}{}:
+	case c.node.handlerSlots <- struct{}{}:
 	default:
-		if n := c.node.busy.Add(1); n%eventEvery == 1 {
+		if n := c.node.busy.Add(1); n%lossesPerEvent == 1 {
 			c.node.event(Event{Kind: HandlersBusy, Peer: c.peer.Instance, Address: c.peer.Address, Count: n})
 		}
-		c.turnAway(m, errBusy)
+		c.reject(m, errTooManyCalls)
 		return
 	}
 	c.serving.Add(1)
-	s := serving{conn: c, request: m, handler: h}
+	s := incomingCall{conn: c, request: m, handler: h}
 	go s.run()
 }
 
-func (c *conn) turnAway(m *message, err error) {
+func (c *conn) reject(m *message, err error) {
 	if m.Kind == kindRequest {
-		_ = c.post(&message{Kind: kindAnswer, ID: m.ID, Topic: m.Topic, Failure: TurnedAway, Error: err.Error()})
+		_ = c.post(&message{Kind: kindAnswer, ID: m.ID, Topic: m.Topic, Failure: Rejected, Error: err.Error()})
 	}
 }
 
-func (s serving) run() {
+func (s incomingCall) run() {
 	defer s.release()
 	ctx, cancel := s.context()
 	defer cancel()
@@ -58,19 +60,19 @@
 		m.Error = err.Error()
 	}
 	if err := s.conn.post(m); err != nil {
-		// Without an answer the caller would wait for its whole deadline.
+		// Without an answer the caller would wait until its deadline.
 		s.conn.cancel(err)
 	}
 }
 
-func (s serving) context() (context.Context, context.CancelFunc) {
+func (s incomingCall) context() (context.Context, context.CancelFunc) {
 	if s.request.Timeout == 0 {
 		return context.WithCancel(s.conn.ctx)
 	}
 	return context.WithTimeout(s.conn.ctx, time.Duration(s.request.Timeout)*time.Millisecond)
 }
 
-func (s serving) release() {
+func (s incomingCall) release() {
 	s.conn.serving.Add(-1)
-	<-s.conn.node.handlers
+	<-s.conn.node.handlerSlots
 }
