--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -58,7 +58,7 @@
 	Prefix          string // begins and ends with a slash
 	Kind            Kind
 	Timeout         time.Duration // maximum time that a caller waits; zero for no limit
-	FirstByteTarget time.Duration // time to the first byte or event within which an answer has its full value
+	FirstTarget time.Duration // time to the first byte or event within which an answer has its full value
 	GapTarget       time.Duration // maximum pause between two events of a stream; zero for no target
 	Attempts        int           // maximum number of endpoints a request is sent to, at least 1
 	Priority        coordination.Priority
--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -264,7 +264,7 @@
 		first = x.stream.firstEventAt
 	}
 	switch {
-	case x.route.FirstByteTarget > 0 && first.Sub(x.arrived) > x.route.FirstByteTarget:
+	case x.route.FirstTarget > 0 && first.Sub(x.arrived) > x.route.FirstTarget:
 		return "first"
 	case x.route.GapTarget > 0 && x.stream.longestPause > x.route.GapTarget:
 		return "pause"
--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -263,7 +263,7 @@
 		Account:         x.account,
 		Priority:        x.priority,
 		StartBy:         x.deadline,
-		FirstByteTarget: x.route.FirstByteTarget,
+		FirstByteTarget: x.route.FirstTarget,
 		Arrived:         x.arrived,
 		Exclude:         slices.Clip(x.exclude),
 		PrefixCached:    x.route.Sticky,
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -51,7 +51,7 @@
 	s.retryable = x.policy().mayRetry(silent, x.sends+1, len(x.exclude)+1)
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
 	x.watch = s
-	s.overdueAfter = overdueDelay(p.FirstByteLimit, x.route.FirstByteTarget)
+	s.overdueAfter = overdueDelay(p.FirstByteLimit, x.route.FirstTarget)
 	if s.overdueAfter > 0 {
 		s.timer = time.AfterFunc(s.overdueAfter, s.run)
 	}
@@ -152,7 +152,7 @@
 	if s.place.FirstByteLimit == 0 {
 		return false
 	}
-	enough := max(s.place.FirstByteLimit, s.exchange.route.FirstByteTarget/targetDivisor)
+	enough := max(s.place.FirstByteLimit, s.exchange.route.FirstTarget/targetDivisor)
 	if s.request.PrefixCached {
 		enough = max(enough, cachedLimitFactor*s.place.FirstByteLimit)
 	}
