--- a/wisteriarouter/daemon/abuse_test.go
+++ b/wisteriarouter/daemon/abuse_test.go
@@ -19,15 +19,15 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// dripper sends the headers of a request a few bytes at a time and never ends
+// slowHeaderClient sends the headers of a request a few bytes at a time and never ends
 // them.
-type dripper struct {
+type slowHeaderClient struct {
 	conn net.Conn
 	held time.Duration // how long it held its connection
 	err  error         // what ended it
 }
 
-func (d *dripper) run() {
+func (d *slowHeaderClient) run() {
 	start := time.Now()
 	defer func() { d.held = time.Since(start) }()
 	defer d.conn.Close()
@@ -47,19 +47,19 @@
 // They are cut off, and ordinary callers notice nothing meanwhile.
 func TestSlowHeadersAreCutOff(t *testing.T) {
 	w := newWorld(t, 1, 1)
-	drippers := make([]*dripper, 100)
+	clients := make([]*slowHeaderClient, 100)
 	var wg sync.WaitGroup
-	for n := range drippers {
+	for n := range clients {
 		conn, err := net.Dial("tcp", w.routers[0].CallersAddress())
 		assert.NilError(t, err)
-		drippers[n] = &dripper{conn: conn}
-		wg.Go(drippers[n].run)
+		clients[n] = &slowHeaderClient{conn: conn}
+		wg.Go(clients[n].run)
 	}
 	a := w.chat(t.Context(), 0, "an ordinary question")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 	wg.Wait()
-	for _, d := range drippers {
+	for _, d := range clients {
 		assert.Assert(t, d.err != nil, "headers were taken for %v", d.held)
 	}
 }
@@ -98,12 +98,12 @@
 // Callers go away in the middle of their answers. Each attempt is cancelled at
 // the engine, and its place is free again: more callers go than there are
 // places, and the next one is served.
-func TestCallersThatGoAwayFreeTheirPlaces(t *testing.T) {
+func TestDisconnectedCallersFreeTheirPlaces(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.engines[0].SetFaults(standinengine.Faults{Slow: 20})
 	const gone = 20
 	for range gone {
-		w.goAway()
+		w.disconnectMidStream()
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		s := w.engines[0].Stats()
@@ -118,8 +118,8 @@
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 }
 
-// goAway asks for a stream and closes the connection once it has begun.
-func (w *world) goAway() {
+// disconnectMidStream asks for a stream and closes the connection once it has begun.
+func (w *world) disconnectMidStream() {
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a long answer please"}]}`
 	conn, err := net.Dial("tcp", w.routers[0].CallersAddress())
 	assert.NilError(w.t, err)
--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -44,7 +44,7 @@
 		closeLedger()
 	})
 	return &service.Runner{
-		Plans:   do.MustInvoke[*teams](i),
+		Plans:   do.MustInvoke[*teamSettings](i),
 		Placer:  do.MustInvoke[*placing](i),
 		Retries: do.MustInvoke[*teamRetries](i),
 		Client:  client,
@@ -53,26 +53,26 @@
 	}, nil
 }
 
-// drainWait is how long a router that stops waits for the records of actions
+// drainTimeout is how long a router that stops waits for the records of actions
 // that have ended. One left open would keep its key in progress, and its caller
 // without an answer, until it expires.
-const drainWait = 5 * time.Second
+const drainTimeout = 5 * time.Second
 
 func drain(l *execution.Ledger) {
-	ctx, cancel := context.WithTimeout(context.Background(), drainWait)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	l.Drain(ctx)
 }
 
 // PlanAction implements service.Plans.
-func (t *teams) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
+func (t *teamSettings) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
 	team, refusal := t.find(a.Team, a.Account)
 	if refusal != nil {
 		return service.Plan{}, refusal
 	}
 	s, ok := team.Service(a.Service)
 	if !ok {
-		return service.Plan{}, unknown(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
+		return service.Plan{}, unknownRefusal(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
 	}
 	rules := team.Actions()
 	return service.Plan{
--- a/wisteriarouter/daemon/bounded_test.go
+++ b/wisteriarouter/daemon/bounded_test.go
@@ -20,17 +20,17 @@
 	"wisteriaspool/coordination/suspicion"
 )
 
-// keys is how many different ids, accounts or keys each test below sends. CI
+// keyCount is how many different ids, accounts or keyCount each test below sends. CI
 // takes few, for the race detector makes a million last minutes; what is kept
 // for each shows with few, too.
-var keys = flag.Int("keys", 30_000, "different keys that the tests of bounded memory send")
+var keyCount = flag.Int("keys", 30_000, "different keys that the tests of bounded memory send")
 
-// leftBytes is the memory that the keys may leave behind together. One entry of
+// maxRetainedBytes is the memory that the keys may leave behind together. One entry of
 // a map for each would be several times as much.
-const leftBytes = 512 << 10
+const maxRetainedBytes = 512 << 10
 
-// heap returns the bytes of the live heap.
-func heap() int64 {
+// liveHeapBytes returns the bytes of the live liveHeapBytes.
+func liveHeapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -38,48 +38,48 @@
 	return int64(m.HeapAlloc)
 }
 
-// left runs fn once to make what it needs, then with keys numbers, and returns
+// retainedBytes runs fn once to make what it needs, then with keys numbers, and returns
 // the bytes that it leaves behind.
-func left(fn func(n int)) int64 {
+func retainedBytes(fn func(n int)) int64 {
 	fn(0)
-	before := heap()
-	for n := range *keys {
+	before := liveHeapBytes()
+	for n := range *keyCount {
 		fn(n + 1)
 	}
-	return heap() - before
+	return liveHeapBytes() - before
 }
 
 // checkBounded checks that fn leaves little behind for all keys together.
 func checkBounded(t *testing.T, fn func(n int)) {
 	t.Helper()
-	n := left(fn)
-	t.Logf("%d bytes left by %d keys", n, *keys)
-	assert.Assert(t, n < leftBytes, "%d bytes left by %d keys", n, *keys)
+	n := retainedBytes(fn)
+	t.Logf("%d bytes left by %d keys", n, *keyCount)
+	assert.Assert(t, n < maxRetainedBytes, "%d bytes left by %d keys", n, *keyCount)
 }
 
 // A part keeps one small entry for each key. The check has to see it, or its
 // silence means nothing.
-func TestCheckSeesAnEntryForEachKey(t *testing.T) {
+func TestBoundCheckDetectsEntryPerKey(t *testing.T) {
 	kept := make(map[int]bool)
-	n := left(func(n int) { kept[n] = true })
-	assert.Assert(t, n >= leftBytes, "%d bytes", n)
+	n := retainedBytes(func(n int) { kept[n] = true })
+	assert.Assert(t, n >= maxRetainedBytes, "%d bytes", n)
 	runtime.KeepAlive(kept)
 }
 
-// lonely is the transport of a router without others.
-type lonely struct{}
+// isolatedTransport is the transport of a router without others.
+type isolatedTransport struct{}
 
-var errLonely = errors.New("no other router")
+var errNoOtherRouter = errors.New("no other router")
 
-func (lonely) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
-	return nil, errLonely
+func (isolatedTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
+	return nil, errNoOtherRouter
 }
 
-// unread is a reader of loads that reads none.
-type unread struct{}
+// failingLoadReader is a reader of loads that reads none.
+type failingLoadReader struct{}
 
-func (unread) ReadLoad(context.Context, coordination.Endpoint) (placement.Report, error) {
-	return placement.Report{}, errLonely
+func (failingLoadReader) ReadLoad(context.Context, coordination.Endpoint) (placement.Report, error) {
+	return placement.Report{}, errNoOtherRouter
 }
 
 // A caller sends a new chat id, and names a new client account, with each of a
@@ -88,7 +88,7 @@
 func TestPlacementForgetsChatsAndAccounts(t *testing.T) {
 	self := placement.EntryID{Instance: "r1", Incarnation: 1}
 	owner := placement.NewOwner(self.Instance, placement.Config{})
-	entry := placement.NewEntry(self, owner, lonely{}, unread{}, placement.Config{})
+	entry := placement.NewEntry(self, owner, isolatedTransport{}, failingLoadReader{}, placement.Config{})
 	set := placement.NewSet([]placement.Descriptor{{ID: "e1", Pool: "m@1", Incarnation: 1, Capacity: 16}})
 	routers := placement.NewRouters([]placement.Router{{ID: self.Instance, Incarnation: 1}}, 0)
 	owner.Update(set, routers)
@@ -108,34 +108,34 @@
 	})
 }
 
-// agreeable is a platform that accepts and forgets everything.
-type agreeable struct {
+// acceptingStore is a platform that accepts and forgets everything.
+type acceptingStore struct {
 	revision kv.Revision
 }
 
-func (a *agreeable) CompareAndSwap(context.Context, string, []byte, kv.Revision, kv.Lease) kv.Result {
+func (a *acceptingStore) CompareAndSwap(context.Context, string, []byte, kv.Revision, kv.Lease) kv.Result {
 	a.revision++
 	return kv.Result{Status: kv.Applied, Revision: a.revision}
 }
 
-func (a *agreeable) Grant(context.Context, time.Duration) (kv.Lease, kv.Result) {
+func (a *acceptingStore) Grant(context.Context, time.Duration) (kv.Lease, kv.Result) {
 	return 1, kv.Result{Status: kv.Applied}
 }
 
-// done is an action that has run.
-type done struct{}
+// finishedAction is an action that has run.
+type finishedAction struct{}
 
-func (done) Send(context.Context) execution.Result {
+func (finishedAction) Send(context.Context) execution.Result {
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200}}
 }
 
 // A caller runs a million actions, each with a key of its own. Their records
 // live at the platform for a day; a router must keep nothing of them.
 func TestLedgerForgetsKeys(t *testing.T) {
-	ledger, cleanup := execution.New(execution.Config{Store: &agreeable{}, Holder: "r1"})
+	ledger, cleanup := execution.New(execution.Config{Store: &acceptingStore{}, Holder: "r1"})
 	defer cleanup()
 	checkBounded(t, func(n int) {
-		res := ledger.Run(t.Context(), execution.Request{Team: "demo", Key: execution.Key(fmt.Sprintf("key-%d", n)), IssuedAt: time.Now()}, done{})
+		res := ledger.Run(t.Context(), execution.Request{Team: "demo", Key: execution.Key(fmt.Sprintf("key-%d", n)), IssuedAt: time.Now()}, finishedAction{})
 		assert.Equal(t, res.Outcome, outcome.Ran, "%+v", res)
 	})
 }
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -25,10 +25,10 @@
 	lim := settingsOf(i).Limits
 	st := stateOf(i)
 	return &caller.Server{
-		Teams:    do.MustInvoke[*teams](i),
+		Teams:    do.MustInvoke[*teamSettings](i),
 		Placer:   do.MustInvoke[*placing](i),
 		Engines:  do.MustInvoke[*engine.Client](i),
-		Suspects: do.MustInvoke[*suspects](i),
+		Suspects: do.MustInvoke[*crashSuspicion](i),
 		Retries:  do.MustInvoke[*teamRetries](i),
 		Actions:  do.MustInvoke[*service.Runner](i),
 		Limits: caller.Limits{
@@ -51,7 +51,7 @@
 	s := &servers{node: node, log: logOf(i), failed: make(chan struct{})}
 	s.peers = newServer(bound.peers, peerHandler(node), cfg, s.fail)
 	s.operators = newServer(bound.operators, operatorHandler(i), cfg, s.fail)
-	s.callers = newServer(bound.callers, do.MustInvoke[*transfers](i).named(callerHandler(i)), cfg, s.fail)
+	s.callers = newServer(bound.callers, do.MustInvoke[*transfers](i).withAccount(callerHandler(i)), cfg, s.fail)
 	stateOf(i).inFlight = s.callers.Active
 	onStop(i, s.close)
 	for _, each := range []*server{s.peers, s.operators, s.callers} {
@@ -61,7 +61,7 @@
 	onStop(i, cancel)
 	go readiness{
 		state:    stateOf(i),
-		settings: do.MustInvoke[*teams](i).sync.Ready(),
+		settings: do.MustInvoke[*teamSettings](i).sync.Ready(),
 		node:     s.node,
 		log:      s.log,
 	}.run(ctx)
@@ -97,12 +97,12 @@
 func callerHandler(i do.Injector) http.Handler {
 	mux := http.NewServeMux()
 	do.MustInvoke[*caller.Server](i).Register(humago.New(mux, huma.DefaultConfig("wisteriaspool", version)))
-	addHealth(mux, stateOf(i))
+	addHealthChecks(mux, stateOf(i))
 	return mux
 }
 
-// addHealth adds the checks of the balancer and of the platform.
-func addHealth(mux *http.ServeMux, st *state) {
+// addHealthChecks adds the checks of the balancer and of the platform.
+func addHealthChecks(mux *http.ServeMux, st *state) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
 	})
@@ -119,7 +119,7 @@
 	mux := http.NewServeMux()
 	registry := do.MustInvoke[*prometheus.Registry](i)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	addHealth(mux, stateOf(i))
-	addOperators(i, humago.New(mux, huma.DefaultConfig("wisteriaspool operators", version)))
+	addHealthChecks(mux, stateOf(i))
+	addOperatorAPI(i, humago.New(mux, huma.DefaultConfig("wisteriaspool operators", version)))
 	return mux
 }
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -18,9 +18,9 @@
 	w := newWorld(t, 3, 3)
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*innocents, len(w.routers))
+	beside := make([]*ordinaryTraffic, len(w.routers))
 	for n := range beside {
-		beside[n] = &innocents{world: w, router: n, done: done}
+		beside[n] = &ordinaryTraffic{world: w, router: n, done: done}
 		others.Go(beside[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -19,12 +19,12 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// addOperators adds the operations for operators.
-func addOperators(i do.Injector, api huma.API) {
-	t := do.MustInvoke[*teams](i)
+// addOperatorAPI adds the operations for operators.
+func addOperatorAPI(i do.Injector, api huma.API) {
+	t := do.MustInvoke[*teamSettings](i)
 	node := do.MustInvoke[*peer.Node](i)
 	store := budgetedStore{store: do.MustInvoke[*platform.Client](i), budget: do.MustInvoke[*budget.Budget](i)}
-	st := &status{
+	st := &statusReporter{
 		state:     stateOf(i),
 		zone:      settingsOf(i).Zone,
 		teams:     t,
@@ -59,17 +59,17 @@
 	return s.store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// status gathers what operators see of this router.
-type status struct {
+// statusReporter gathers what operators see of this router.
+type statusReporter struct {
 	state     *state
 	zone      coordination.Zone
-	teams     *teams
+	teams     *teamSettings
 	node      *peer.Node
 	directory *endpoint.Directory
 	placing   *placing
 }
 
-func (s *status) report() operator.Status {
+func (s *statusReporter) report() operator.Status {
 	return operator.Status{
 		Instance:    s.state.instance,
 		Incarnation: s.state.incarnation,
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *status) platform() operator.PlatformStatus {
+func (s *statusReporter) platform() operator.PlatformStatus {
 	p := operator.PlatformStatus{Watching: s.teams.sync.Watching(), ConfirmedMsAgo: -1}
 	if age, ever := s.teams.sync.Fresh(); ever {
 		p.ConfirmedMsAgo = age.Round(time.Millisecond).Milliseconds()
@@ -96,7 +96,7 @@
 	return p
 }
 
-func (s *status) endpoint(k endpoint.Known) operator.EndpointStatus {
+func (s *statusReporter) endpoint(k endpoint.Known) operator.EndpointStatus {
 	return operator.EndpointStatus{
 		Endpoint: k.ID,
 		Pool:     k.Pool,
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -22,18 +22,18 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// orders tells what the engines of the pools should have loaded.
-type orders struct {
+// poolOrders tells what the engines of the pools should have loaded.
+type poolOrders struct {
 	self      coordination.Instance
-	teams     *teams
+	teams     *teamSettings
 	placing   *placing
 	directory *endpoint.Directory
 }
 
 func newOrders(i do.Injector) (*order.Giver, error) {
-	o := &orders{
+	o := &poolOrders{
 		self:      stateOf(i).instance,
-		teams:     do.MustInvoke[*teams](i),
+		teams:     do.MustInvoke[*teamSettings](i),
 		placing:   do.MustInvoke[*placing](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 	}
@@ -56,7 +56,7 @@
 }
 
 // models returns what the teams have set for the models of a pool.
-func (o *orders) models(p coordination.Pool) []settings.Model {
+func (o *poolOrders) models(p coordination.Pool) []settings.Model {
 	var all []settings.Model
 	for _, snapshot := range o.teams.replica.Snapshots() {
 		for _, m := range snapshot.Settings.Models() {
@@ -70,18 +70,18 @@
 
 // Duties implements order.Pools: the pools of which this router is the root and
 // for which some team has set anything to load.
-func (o *orders) Duties() []coordination.Pool {
+func (o *poolOrders) Duties() []coordination.Pool {
 	view := o.placing.view.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
-		return view.Root(p, nobody) == o.self && len(o.Plan(p)) > 0
+		return view.Root(p, noneSilent) == o.self && len(o.Plan(p)) > 0
 	})
 }
 
-// nobody is silent: the lease passes on by itself when a root has died.
-func nobody(coordination.Instance) bool { return false }
+// noneSilent is silent: the lease passes on by itself when a root has died.
+func noneSilent(coordination.Instance) bool { return false }
 
 // Targets implements order.Pools.
-func (o *orders) Targets(p coordination.Pool) []order.Target {
+func (o *poolOrders) Targets(p coordination.Pool) []order.Target {
 	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Known, _ int) (order.Target, bool) {
 		t := order.Target{Endpoint: k.ID, Incarnation: k.Incarnation, Address: k.Address}
 		return t, k.State != placement.Leaving && k.Kind == platform.Engine
@@ -89,7 +89,7 @@
 }
 
 // Plan implements order.Pools. Teams that share a pool get the adapters of all.
-func (o *orders) Plan(p coordination.Pool) order.Plan {
+func (o *poolOrders) Plan(p coordination.Pool) order.Plan {
 	var adapters []order.Order
 	for _, m := range o.models(p) {
 		for _, a := range m.Adapters {
@@ -101,7 +101,7 @@
 }
 
 // pace returns the longest time between two loads that a team has set.
-func (o *orders) pace(p coordination.Pool) time.Duration {
+func (o *poolOrders) pace(p coordination.Pool) time.Duration {
 	var pace time.Duration
 	for _, m := range o.models(p) {
 		pace = max(pace, m.LoadPace)
--- a/wisteriarouter/daemon/orders_test.go
+++ b/wisteriarouter/daemon/orders_test.go
@@ -11,8 +11,8 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// taken reports whether an engine has been told to load an adapter.
-func taken(e *standinengine.Engine, adapter string) bool {
+// hasLoadOrder reports whether an engine has been told to load an adapter.
+func hasLoadOrder(e *standinengine.Engine, adapter string) bool {
 	for _, o := range e.Orders() {
 		if o.Kind == "load-adapter" && o.Name == adapter {
 			return true
@@ -26,7 +26,7 @@
 	w.put(strings.Replace(teamText, "version = 1", "version = 1\nadapters = sleeve-labels\nload-pace = 0s", 1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for n, e := range w.engines {
-			if !taken(e, "sleeve-labels") {
+			if !hasLoadOrder(e, "sleeve-labels") {
 				return poll.Continue("engine %d has %v", n+1, e.Orders())
 			}
 		}
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -125,8 +125,8 @@
 		},
 		Seeds:      cfg.Peers.Seeds,
 		Membership: membership.Config{Budget: cfg.Peers.Bytes},
-		Topics:     topics,
-		OnEvent:    peerEvents{log: logOf(i)}.emit,
+		Topics:     rumorTopics,
+		OnEvent:    peerEventLogger{log: logOf(i)}.emit,
 	})
 	if err != nil {
 		return nil, err
@@ -160,8 +160,8 @@
 func newDirectory(i do.Injector) (*endpoint.Directory, error) {
 	cfg := settingsOf(i)
 	node := do.MustInvoke[*peer.Node](i)
-	d := &endpoint.Directory{OnLeaving: leavingTeller{node: node, log: logOf(i)}.tell}
-	node.OnRumor(topicLeaving, leavingListener{directory: d}.hear)
+	d := &endpoint.Directory{OnLeaving: leavingBroadcaster{node: node, log: logOf(i)}.broadcast}
+	node.OnRumor(topicLeaving, leavingReceiver{directory: d}.receive)
 	r := &endpoint.Refresher{
 		Directory: d,
 		Lister:    do.MustInvoke[*platform.Client](i),
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -15,13 +15,13 @@
 	standinplatform "wisteriaspool/standin/platform"
 )
 
-// relister keeps the platform's list at the engines' present incarnations, as
+// incarnationUpdater keeps the platform's list at the engines' present incarnations, as
 // the platform does when one restarts.
-type relister struct {
+type incarnationUpdater struct {
 	world *world
 }
 
-func (l relister) run(ctx context.Context) {
+func (l incarnationUpdater) run(ctx context.Context) {
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -31,12 +31,12 @@
 		case <-t.C:
 		}
 		for _, e := range l.world.platform.Instances() {
-			l.relist(e)
+			l.updateIncarnation(e)
 		}
 	}
 }
 
-func (l relister) relist(listed standinplatform.Instance) {
+func (l incarnationUpdater) updateIncarnation(listed standinplatform.Instance) {
 	for n, e := range l.world.engines {
 		if listed.ID == engineID(n) && listed.Incarnation != e.Incarnation() {
 			listed.Incarnation = e.Incarnation()
@@ -54,24 +54,24 @@
 	return n
 }
 
-// innocentsAtOnce bounds what is under way through one router. Three routers have
+// maxOrdinaryInFlight bounds what is under way through one router. Three routers have
 // less under way than two engines can run, so that nothing has to wait for a
 // place: on a busy machine, where a first token took 2 to 5 s, requests that
 // came at a fixed pace filled all engines, and some found no place in time.
-const innocentsAtOnce = 10
-
-// innocents asks one new thing after another through one router.
-type innocents struct {
-	world  *world
-	router int
-	done   <-chan struct{}
-	asked  []talk
+const maxOrdinaryInFlight = 10
+
+// ordinaryTraffic asks one new thing after another through one router.
+type ordinaryTraffic struct {
+	world    *world
+	router   int
+	done     <-chan struct{}
+	requests []talk
 }
 
-func (s *innocents) run() {
+func (s *ordinaryTraffic) run() {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	underWay := make(chan struct{}, innocentsAtOnce)
+	inFlight := make(chan struct{}, maxOrdinaryInFlight)
 	for n := 0; ; n++ {
 		select {
 		case <-s.done:
@@ -81,32 +81,32 @@
 		select {
 		case <-s.done:
 			return
-		case underWay <- struct{}{}:
+		case inFlight <- struct{}{}:
 		}
 		c := talk{
 			world: s.world, router: s.router, result: new(answer),
 			content: fmt.Sprintf("innocent %d through router %d", n, s.router+1),
 		}
-		s.asked = append(s.asked, c)
+		s.requests = append(s.requests, c)
 		wg.Go(func() {
-			defer func() { <-underWay }()
+			defer func() { <-inFlight }()
 			c.run()
 		})
 	}
 }
 
 // check fails the test unless each answer is whole.
-func (s *innocents) check() {
-	for _, c := range s.asked {
+func (s *ordinaryTraffic) check() {
+	for _, c := range s.requests {
 		assert.NilError(s.world.t, c.result.err)
 		assert.Equal(s.world.t, c.result.status, http.StatusOK, "%q: %s", c.content, c.result.body)
 		assert.Assert(s.world.t, strings.Contains(c.result.body, strings.TrimSpace(expected(c.content))), c.result.body)
 	}
 }
 
-// poisoner sends one crashing request again and again, each time through
+// poisonSender sends one crashing request again and again, each time through
 // another router.
-type poisoner struct {
+type poisonSender struct {
 	world   *world
 	first   int
 	content string
@@ -114,7 +114,7 @@
 	answers []answer
 }
 
-func (p *poisoner) run() {
+func (p *poisonSender) run() {
 	for n := range p.sends {
 		router := (p.first + n) % len(p.world.routers)
 		p.answers = append(p.answers, p.world.chat(p.world.t.Context(), router, p.content))
@@ -129,36 +129,36 @@
 	w := newWorld(t, 3, 6)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go relister{w}.run(ctx)
+	go incarnationUpdater{w}.run(ctx)
 
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*innocents, len(w.routers))
-	for n := range beside {
-		beside[n] = &innocents{world: w, router: n, done: done}
-		others.Go(beside[n].run)
+	traffic := make([]*ordinaryTraffic, len(w.routers))
+	for n := range traffic {
+		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		others.Go(traffic[n].run)
 	}
-	poisoners := make([]*poisoner, 2)
+	poison := make([]*poisonSender, 2)
 	var senders sync.WaitGroup
-	for n := range poisoners {
-		poisoners[n] = &poisoner{world: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
-		senders.Go(poisoners[n].run)
+	for n := range poison {
+		poison[n] = &poisonSender{world: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
+		senders.Go(poison[n].run)
 	}
 	senders.Wait()
 	close(done)
 	others.Wait()
 
-	for _, p := range poisoners {
+	for _, p := range poison {
 		for n, a := range p.answers {
 			assert.NilError(t, a.err)
 			assert.Assert(t, strings.Contains(a.body, `"code":"poison"`), "send %d of %q: status %d: %s", n+1, p.content, a.status, a.body)
 			assert.Assert(t, a.header.Get("Retry-After") != "")
 		}
 	}
-	for _, s := range beside {
+	for _, s := range traffic {
 		s.check()
 	}
-	assert.Assert(t, w.crashes() <= 2*len(poisoners), "%d poison requests took %d engines", len(poisoners), w.crashes())
+	assert.Assert(t, w.crashes() <= 2*len(poison), "%d poison requests took %d engines", len(poison), w.crashes())
 	for _, l := range w.logs.lines("peer-malformed") {
 		t.Errorf("a router closed the connection of another one: %s", l)
 	}
@@ -174,16 +174,16 @@
 	defer cancel()
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*innocents, len(w.routers))
-	for n := range beside {
-		beside[n] = &innocents{world: w, router: n, done: done}
-		others.Go(beside[n].run)
+	traffic := make([]*ordinaryTraffic, len(w.routers))
+	for n := range traffic {
+		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		others.Go(traffic[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
 	first := w.engines[0].Incarnation()
 	w.engines[0].Crash()
 	back := time.Now().Add(restart)
-	go relister{w}.run(ctx)
+	go incarnationUpdater{w}.run(ctx)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if w.engines[0].Stats().LastArrival.After(back) {
 			return poll.Success()
@@ -193,7 +193,7 @@
 	close(done)
 	others.Wait()
 
-	for _, s := range beside {
+	for _, s := range traffic {
 		s.check()
 	}
 	old := fmt.Sprintf(`"incarnation":%d`, first)
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -55,7 +55,7 @@
 		Placer:   do.MustInvoke[*relayPlacer](i),
 		Sender:   do.MustInvoke[*upstream.Client](i),
 		Retries:  do.MustInvoke[*poolRetries](i),
-		Suspects: relaySuspects{do.MustInvoke[*suspects](i)},
+		Suspects: relaySuspects{do.MustInvoke[*crashSuspicion](i)},
 		Log:      logOf(i),
 		Metrics:  relay.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
 		Stopping: stateOf(i).leaving.Load,
@@ -65,11 +65,11 @@
 }
 
 // relaySuspects implements relay.Suspects.
-type relaySuspects struct{ *suspects }
+type relaySuspects struct{ *crashSuspicion }
 
 // Follow implements relay.Suspects.
 func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.Trail, *outcome.Refusal) {
-	t, refusal := s.suspects.Follow(ctx, fingerprint, p)
+	t, refusal := s.crashSuspicion.Follow(ctx, fingerprint, p)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -71,7 +71,7 @@
 	mux := http.NewServeMux()
 	registry := do.MustInvoke[*prometheus.Registry](i)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	addHealth(mux, stateOf(i))
+	addHealthChecks(mux, stateOf(i))
 	return mux
 }
 
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -16,51 +16,51 @@
 // the endpoint, the version its incarnation.
 const topicLeaving = "endpoint-leaving"
 
-// leavingLife is how long a rumour of a leaving endpoint lives: longer than
+// leavingTTL is how long a rumour of a leaving endpoint lives: longer than
 // the platform's list lags.
-const leavingLife = 2 * time.Minute
+const leavingTTL = 2 * time.Minute
 
-// freshLife is how long a confirmation of the settings by the platform counts.
-const freshLife = 30 * time.Second
+// freshTTL is how long a confirmation of the settings by the platform counts.
+const freshTTL = 30 * time.Second
 
-// suspicionLife is how long a record of suspicion is spread: as long as a
+// suspicionTTL is how long a record of suspicion is spread: as long as a
 // conviction lasts.
-const suspicionLife = 15 * time.Minute
+const suspicionTTL = 15 * time.Minute
 
-// topics tells how the rumours of each topic spread.
-var topics = map[string]membership.Topic{
-	topicLeaving:          {TTL: leavingLife},
+// rumorTopics tells how the rumours of each topic spread.
+var rumorTopics = map[string]membership.Topic{
+	topicLeaving:          {TTL: leavingTTL},
 	settings.TopicChange:  {Keep: true},
-	settings.TopicFresh:   {TTL: freshLife},
-	suspicion.TopicRecord: {TTL: suspicionLife},
+	settings.TopicFresh:   {TTL: freshTTL},
+	suspicion.TopicRecord: {TTL: suspicionTTL},
 }
 
-// leavingTeller tells the other routers of a leaving endpoint.
-type leavingTeller struct {
+// leavingBroadcaster tells the other routers of a leaving endpoint.
+type leavingBroadcaster struct {
 	node *peer.Node
 	log  event.Log
 }
 
-func (t leavingTeller) tell(id coordination.Endpoint, n coordination.Incarnation) {
+func (t leavingBroadcaster) broadcast(id coordination.Endpoint, n coordination.Incarnation) {
 	t.node.Broadcast(topicLeaving, string(id), uint64(n), nil)
 	t.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
-// leavingListener takes in what the other routers tell.
-type leavingListener struct {
+// leavingReceiver takes in what the other routers tell.
+type leavingReceiver struct {
 	directory *endpoint.Directory
 }
 
-func (l leavingListener) hear(key string, version uint64, _ []byte) {
+func (l leavingReceiver) receive(key string, version uint64, _ []byte) {
 	l.directory.Leave(coordination.Endpoint(key), coordination.Incarnation(version))
 }
 
-// peerEvents turns what happens between routers into numbered events.
-type peerEvents struct {
+// peerEventLogger turns what happens between routers into numbered events.
+type peerEventLogger struct {
 	log event.Log
 }
 
-var peerKinds = map[peer.EventKind]event.Kind{
+var peerEventKinds = map[peer.EventKind]event.Kind{
 	peer.Connected:    event.PeerConnected,
 	peer.Disconnected: event.PeerDisconnected,
 	peer.Malformed:    event.PeerMalformed,
@@ -71,8 +71,8 @@
 	peer.HandlersBusy: event.PeerBusy,
 }
 
-func (p peerEvents) emit(e peer.Event) {
-	kind, ok := peerKinds[e.Kind]
+func (p peerEventLogger) emit(e peer.Event) {
+	kind, ok := peerEventKinds[e.Kind]
 	if !ok {
 		kind = event.MemberChanged
 	}
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -21,20 +21,20 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// teams answers from the settings in force.
-type teams struct {
-	replica *settings.Replica
-	sync    *settings.Sync
-	log     event.Log
-	applied []func() // told of each change that came into force
+// teamSettings answers from the settings in force.
+type teamSettings struct {
+	replica   *settings.Replica
+	sync      *settings.Sync
+	log       event.Log
+	onApplied []func() // told of each change that came into force
 }
 
-func newTeams(i do.Injector) (*teams, error) {
+func newTeams(i do.Injector) (*teamSettings, error) {
 	cfg := settingsOf(i)
 	node := do.MustInvoke[*peer.Node](i)
 	place := do.MustInvoke[*placing](i)
-	t := &teams{replica: &settings.Replica{}, log: logOf(i)}
-	t.applied = append(t.applied, func() { place.tune(t.replica.Snapshots()) })
+	t := &teamSettings{replica: &settings.Replica{}, log: logOf(i)}
+	t.onApplied = append(t.onApplied, func() { place.tune(t.replica.Snapshots()) })
 	t.replica.Observe(t.observe)
 	sync, stop := settings.NewSync(
 		settings.Config{Self: cfg.Instance, Zone: cfg.Zone},
@@ -48,12 +48,12 @@
 }
 
 // observe logs what becomes of the values that the replica is offered.
-func (t *teams) observe(o settings.Observation) {
+func (t *teamSettings) observe(o settings.Observation) {
 	fields := []event.Field{event.F("team", o.Team), event.F("revision", o.Revision)}
 	switch o.Verdict {
 	case settings.Applied:
 		t.log.Emit(event.SettingsApplied, fields...)
-		for _, fn := range t.applied {
+		for _, fn := range t.onApplied {
 			fn()
 		}
 	case settings.Invalid:
@@ -116,40 +116,40 @@
 	return s.store.Watch(ctx, prefix, from)
 }
 
-// retryAfterSettings is when a caller may come back whose team or model is not
+// settingsRetryAfter is when a caller may come back whose team or model is not
 // known: by then a change that was just accepted is in force everywhere.
-const retryAfterSettings = 4 * time.Second
+const settingsRetryAfter = 4 * time.Second
 
-func unknown(code outcome.Code, format string, args ...any) *outcome.Refusal {
+func unknownRefusal(code outcome.Code, format string, args ...any) *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       code,
 		Message:    fmt.Sprintf(format, args...),
 		Outcome:    outcome.NotRun,
-		RetryAfter: retryAfterSettings,
+		RetryAfter: settingsRetryAfter,
 	}
 }
 
 // find returns the settings of a team that serves the account.
-func (t *teams) find(name coordination.Team, account coordination.Account) (*settings.Team, *outcome.Refusal) {
+func (t *teamSettings) find(name coordination.Team, account coordination.Account) (*settings.Team, *outcome.Refusal) {
 	team, ok := t.replica.Team(name)
 	if !ok {
-		return nil, unknown(outcome.UnknownTeam, "team %q has no settings in force", name)
+		return nil, unknownRefusal(outcome.UnknownTeam, "team %q has no settings in force", name)
 	}
 	if _, allowed := team.Account(account); !allowed {
-		return nil, unknown(outcome.MissingAccount, "team %q does not list the client account %q", name, account)
+		return nil, unknownRefusal(outcome.MissingAccount, "team %q does not list the client account %q", name, account)
 	}
 	return team, nil
 }
 
 // PlanChat implements caller.Teams.
-func (t *teams) PlanChat(name coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
+func (t *teamSettings) PlanChat(name coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	team, refusal := t.find(name, account)
 	if refusal != nil {
 		return caller.Plan{}, refusal
 	}
 	m, ok := team.Model(model)
 	if !ok {
-		return caller.Plan{}, unknown(outcome.UnknownModel, "team %q has no model %q", name, model)
+		return caller.Plan{}, unknownRefusal(outcome.UnknownModel, "team %q has no model %q", name, model)
 	}
 	return caller.Plan{
 		Pool:        m.Pool(),
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -23,27 +23,27 @@
 type transfers struct {
 	cfg       transfer.Config
 	directory *endpoint.Directory
-	placed    placed
-	engines   kvEngines
+	placement placementInfo
+	engines   kvClient
 	metrics   *transferMetrics
 	changes   chan struct{} // a sign that the directory has changed
-	begun     map[coordination.Endpoint]coordination.Incarnation
+	started   map[coordination.Endpoint]coordination.Incarnation
 	running   sync.WaitGroup
 }
 
-// placed tells what placement goes by.
-type placed interface {
+// placementInfo tells what placement goes by.
+type placementInfo interface {
 	// owns reports whether this router owns an endpoint.
 	owns(k endpoint.Known) bool
-	// bound returns the load bound in force, or zero for the default.
-	bound() float64
+	// loadBound returns the load loadBound in force, or zero for the default.
+	loadBound() float64
 }
 
-// bound implements placed.
-func (p *placing) bound() float64 { return p.tuning.Load().placement.Bound }
+// loadBound implements placed.
+func (p *placing) loadBound() float64 { return p.tuning.Load().placement.Bound }
 
-// kvEngines are the calls to engines that moves need.
-type kvEngines interface {
+// kvClient are the calls to engines that moves need.
+type kvClient interface {
 	CacheEvents(ctx context.Context, address string, since transfer.Sequence) (engine.CacheEvents, error)
 	Export(ctx context.Context, address string, chat coordination.Chat) (engine.KV, error)
 	Import(ctx context.Context, address string, kv engine.KV) (int64, error)
@@ -62,19 +62,19 @@
 
 // startTransfers returns with the function that ends all moves.
 func startTransfers(
-	cfg transfer.Config, d *endpoint.Directory, p placed, engines kvEngines, m *transferMetrics,
+	cfg transfer.Config, d *endpoint.Directory, p placementInfo, engines kvClient, m *transferMetrics,
 ) (*transfers, func()) {
 	t := &transfers{
 		cfg:       cfg.WithDefaults(),
 		directory: d,
-		placed:    p,
+		placement: p,
 		engines:   engines,
 		metrics:   m,
 		changes:   make(chan struct{}, 1),
-		begun:     make(map[coordination.Endpoint]coordination.Incarnation),
+		started:   make(map[coordination.Endpoint]coordination.Incarnation),
 	}
-	d.Watch(t.changed)
-	t.changed()
+	d.Watch(t.notifyChange)
+	t.notifyChange()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.running.Go(func() { t.loop(ctx) })
 	return t, func() {
@@ -83,8 +83,8 @@
 	}
 }
 
-// changed notes that the directory has changed.
-func (t *transfers) changed() {
+// notifyChange notes that the directory has notifyChange.
+func (t *transfers) notifyChange() {
 	select {
 	case t.changes <- struct{}{}:
 	default:
@@ -97,45 +97,45 @@
 		case <-ctx.Done():
 			return
 		case <-t.changes:
-			t.begin(ctx)
+			t.startEvacuations(ctx)
 		}
 	}
 }
 
-// begin starts an evacuation of each engine that this router owns and that is
+// startEvacuations starts an evacuation of each engine that this router owns and that is
 // first seen to leave. If two routers take an engine for theirs, some chats are
 // moved twice. Nothing is asked of engines where computing beats moving.
-func (t *transfers) begin(ctx context.Context) {
+func (t *transfers) startEvacuations(ctx context.Context) {
 	if !t.cfg.Pays(unknownSize) {
 		return
 	}
 	for _, k := range t.directory.All() {
-		if k.Kind != platform.Engine || k.State != placement.Leaving || t.begun[k.ID] >= k.Incarnation || !t.placed.owns(k) {
+		if k.Kind != platform.Engine || k.State != placement.Leaving || t.started[k.ID] >= k.Incarnation || !t.placement.owns(k) {
 			continue
 		}
-		t.begun[k.ID] = k.Incarnation
+		t.started[k.ID] = k.Incarnation
 		e := newEvacuation(t, k)
 		t.running.Go(func() { e.run(ctx) })
 	}
-	t.forget()
+	t.pruneStarted()
 }
 
 // unknownSize is the size of any chat's KV cache before it is asked for.
 const unknownSize = -1
 
-// forget drops what is noted of engines that are no longer listed.
-func (t *transfers) forget() {
-	for id := range t.begun {
+// pruneStarted drops what is noted of engines that are no longer listed.
+func (t *transfers) pruneStarted() {
+	for id := range t.started {
 		if _, ok := t.directory.Find(id); !ok {
-			delete(t.begun, id)
+			delete(t.started, id)
 		}
 	}
 }
 
-// target returns the engine that the next request of a chat will go to first:
+// destination returns the engine that the next request of a chat will go to first:
 // the hint of its last answer names the engine that is leaving, which is no
 // candidate any more.
-func (t *transfers) target(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
+func (t *transfers) destination(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
 	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Known, _ int) placement.Descriptor {
 		return k.Descriptor
 	}))
@@ -146,17 +146,17 @@
 	return t.directory.Find(first[0].ID)
 }
 
-// named has each request carry its client account to the calls of engines, so
+// withAccount has each request carry its client account to the calls of engines, so
 // that they name its chat as keyOf does.
-func (t *transfers) named(h http.Handler) http.Handler {
+func (t *transfers) withAccount(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account := coordination.Account(r.Header.Get(headerAccount))
+		account := coordination.Account(r.Header.Get(accountHeader))
 		h.ServeHTTP(w, r.WithContext(engine.WithAccount(r.Context(), account)))
 	})
 }
 
-// headerAccount is the header in which callers name the client account.
-const headerAccount = "X-Client-Account"
+// accountHeader is the header in which callers name the client account.
+const accountHeader = "X-Client-Account"
 
 // transferMetrics count the moves.
 type transferMetrics struct {
--- a/wisteriarouter/daemon/transfer_bench_test.go
+++ b/wisteriarouter/daemon/transfer_bench_test.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	benchPool     = 12
-	benchLink     = 1.25e9           // bytes a second of an engine's link
-	benchEvery    = 20 * time.Second // one engine leaves and another joins
-	benchLeaves   = 4
-	benchRate     = 48 // requests a second
-	benchPrompt   = 1200
-	benchTurn     = 20 // words of each later message
-	benchAnswer   = 32
-	benchPerChats = 50 // chats for each engine
-	benchBlocks   = 8192
-	benchStep     = 50 * time.Millisecond // for about 8 requests at each engine
+	benchEngines        = 12
+	benchLink           = 1.25e9           // bytes a second of an engine's link
+	benchLeaveInterval  = 20 * time.Second // one engine leaves and another joins
+	benchLeaves         = 4
+	benchRate           = 48 // requests a second
+	benchPrompt         = 1200
+	benchTurn           = 20 // words of each later message
+	benchAnswer         = 32
+	benchChatsPerEngine = 50 // chats for each engine
+	benchBlocks         = 8192
+	benchStep           = 50 * time.Millisecond // for about 8 requests at each engine
 )
 
-// leaveSetup is one run of BenchmarkPlannedLeave.
-type leaveSetup struct {
-	off      bool
-	kv       int // bytes for each token
-	budget   float64
-	stay     time.Duration // least time from the announcement to the end
-	always   bool          // also where computing beats moving
-	perChats int
-	loss     float64       // of cache events
-	delay    time.Duration // of cache events
+// leaveScenario is one run of BenchmarkPlannedLeave.
+type leaveScenario struct {
+	disabled       bool
+	bytesPerToken  int // bytes for each token
+	budget         float64
+	stay           time.Duration // least time from the announcement to the end
+	always         bool          // also where computing beats moving
+	chatsPerEngine int
+	eventLoss      float64       // of cache events
+	eventDelay     time.Duration // of cache events
 }
 
 // BenchmarkPlannedLeave measures what moving chats is worth when one engine in
@@ -54,30 +54,30 @@
 //
 //	go test -run xxx -bench PlannedLeave -benchtime 1x ./daemon
 func BenchmarkPlannedLeave(b *testing.B) {
-	base := leaveSetup{kv: 128 << 10, budget: benchLink, stay: 10 * time.Second, perChats: benchPerChats}
-	with := func(change func(*leaveSetup)) leaveSetup {
+	base := leaveScenario{bytesPerToken: 128 << 10, budget: benchLink, stay: 10 * time.Second, chatsPerEngine: benchChatsPerEngine}
+	with := func(change func(*leaveScenario)) leaveScenario {
 		s := base
 		change(&s)
 		return s
 	}
 	type named struct {
 		name  string
-		setup leaveSetup
+		setup leaveScenario
 	}
 	runs := []named{
-		{"off", with(func(s *leaveSetup) { s.off = true })},
+		{"off", with(func(s *leaveScenario) { s.disabled = true })},
 		{"on", base},
-		{"stay=1s", with(func(s *leaveSetup) { s.stay = time.Second })},
-		{"stay=3s", with(func(s *leaveSetup) { s.stay = 3 * time.Second })},
-		{"events-late", with(func(s *leaveSetup) { s.delay, s.loss = 2*time.Second, 0.2 })},
-		{"crowded/off", with(func(s *leaveSetup) { s.off, s.perChats = true, 3*benchPerChats })},
-		{"crowded/on", with(func(s *leaveSetup) { s.perChats = 3 * benchPerChats })},
+		{"stay=1s", with(func(s *leaveScenario) { s.stay = time.Second })},
+		{"stay=3s", with(func(s *leaveScenario) { s.stay = 3 * time.Second })},
+		{"events-late", with(func(s *leaveScenario) { s.eventDelay, s.eventLoss = 2*time.Second, 0.2 })},
+		{"crowded/off", with(func(s *leaveScenario) { s.disabled, s.chatsPerEngine = true, 3*benchChatsPerEngine })},
+		{"crowded/on", with(func(s *leaveScenario) { s.chatsPerEngine = 3 * benchChatsPerEngine })},
 	}
 	for _, kib := range []int{64, 128, 256, 512, 1024} {
-		runs = append(runs, named{fmt.Sprintf("kv=%dKiB/always", kib), with(func(s *leaveSetup) { s.kv, s.always = kib<<10, true })})
+		runs = append(runs, named{fmt.Sprintf("kv=%dKiB/always", kib), with(func(s *leaveScenario) { s.bytesPerToken, s.always = kib<<10, true })})
 	}
 	for _, kib := range []int{8, 16, 64, 128} {
-		runs = append(runs, named{fmt.Sprintf("budget=125MB/kv=%dKiB/always", kib), with(func(s *leaveSetup) { s.kv, s.budget, s.always = kib<<10, 125e6, true })})
+		runs = append(runs, named{fmt.Sprintf("budget=125MB/kv=%dKiB/always", kib), with(func(s *leaveScenario) { s.bytesPerToken, s.budget, s.always = kib<<10, 125e6, true })})
 	}
 	for _, r := range runs {
 		b.Run(r.name, func(b *testing.B) {
@@ -91,10 +91,10 @@
 }
 
 // run plays the setup in the paused clock, which needs a test of its own.
-func (s leaveSetup) run() *leaveRun {
+func (s leaveScenario) run() *leaveRun {
 	var m *leaveRun
 	play := testing.InternalTest{Name: "paused", F: func(t *testing.T) {
-		m = &leaveRun{leaveSetup: s} // the flag count repeats tests, too
+		m = &leaveRun{leaveScenario: s} // the flag count repeats tests, too
 		synctest.Test(t, m.play)
 	}}
 	match := func(string, string) (bool, error) { return true, nil }
@@ -106,43 +106,43 @@
 
 // leaveRun is one run with what it measures.
 type leaveRun struct {
-	leaveSetup
+	leaveScenario
 	rng *rand.Rand
 
 	mu           sync.Mutex
-	left         map[coordination.Endpoint]bool
-	busy         map[*talker]bool
-	all, first   measured
+	departed     map[coordination.Endpoint]bool
+	busy         map[*conversation]bool
+	all, first   responseStats
 	refused      int
 	failed       int
 	moved, bytes float64
 	arrivals     int // at engines that were leaving
 }
 
-// measured sums up what requests got.
-type measured struct {
+// responseStats sums up what requests got.
+type responseStats struct {
 	prompt, cached int
 	warm           int
-	tokens         []time.Duration // until the first one
+	firstTokens    []time.Duration // until the first one
 }
 
-func (m *measured) add(h heard) {
+func (m *responseStats) add(h turnResult) {
 	m.prompt += int(h.usage.Prompt)
 	m.cached += int(h.usage.Cached)
 	if h.usage.Cached > 0 {
 		m.warm++
 	}
-	m.tokens = append(m.tokens, h.first)
+	m.firstTokens = append(m.firstTokens, h.firstToken)
 }
 
-func (m *measured) reuse() float64 { return float64(m.cached) / float64(max(m.prompt, 1)) }
+func (m *responseStats) reuse() float64 { return float64(m.cached) / float64(max(m.prompt, 1)) }
 
-func (m *measured) quantile(q float64) float64 {
-	slices.Sort(m.tokens)
-	if len(m.tokens) == 0 {
+func (m *responseStats) quantile(q float64) float64 {
+	slices.Sort(m.firstTokens)
+	if len(m.firstTokens) == 0 {
 		return 0
 	}
-	return float64(m.tokens[min(int(q*float64(len(m.tokens))), len(m.tokens)-1)].Microseconds()) / 1000
+	return float64(m.firstTokens[min(int(q*float64(len(m.firstTokens))), len(m.firstTokens)-1)].Microseconds()) / 1000
 }
 
 func (m *leaveRun) report(b *testing.B) {
@@ -153,7 +153,7 @@
 	b.ReportMetric(m.first.quantile(0.95), "first-ms-p95")
 	b.ReportMetric(m.all.quantile(0.5), "ms-p50")
 	b.ReportMetric(m.all.quantile(0.95), "ms-p95")
-	b.ReportMetric(float64(len(m.first.tokens)), "first-returns")
+	b.ReportMetric(float64(len(m.first.firstTokens)), "first-returns")
 	b.ReportMetric(float64(m.first.warm), "first-warm")
 	b.ReportMetric(m.moved/benchLeaves, "moved/leave")
 	b.ReportMetric(m.bytes/benchLeaves/1e6, "MB/leave")
@@ -164,31 +164,31 @@
 // play is the run itself.
 func (m *leaveRun) play(t *testing.T) {
 	m.rng = rand.New(rand.NewPCG(1, 7))
-	m.left = make(map[coordination.Endpoint]bool)
-	m.busy = make(map[*talker]bool)
-	w := newEvacuationWorld(t, standin.Options{
-		Step: benchStep, CacheBlocks: benchBlocks, KVBytesPerToken: m.kv, LinkBytesPerSec: benchLink,
-		EventLoss: m.loss, EventDelay: m.delay,
+	m.departed = make(map[coordination.Endpoint]bool)
+	m.busy = make(map[*conversation]bool)
+	w := newEvacuationEnv(t, standin.Options{
+		Step: benchStep, CacheBlocks: benchBlocks, KVBytesPerToken: m.bytesPerToken, LinkBytesPerSec: benchLink,
+		EventLoss: m.eventLoss, EventDelay: m.eventDelay,
 	}, nil)
 	defer w.close()
-	for range benchPool {
+	for range benchEngines {
 		w.join()
 	}
-	if !m.off {
-		cfg := transfer.Config{Budget: m.budget, BytesPerToken: m.kv}
+	if !m.disabled {
+		cfg := transfer.Config{Budget: m.budget, BytesPerToken: m.bytesPerToken}
 		if m.always {
 			cfg.Prefill = time.Hour
 		}
-		w.transfer(cfg, sizedEngines{Client: w.client, kv: m.kv})
+		w.transfer(cfg, sizedClient{Client: w.client, bytesPerToken: m.bytesPerToken})
 	}
-	chats := lo.Times(benchPool*m.perChats, newTalker)
+	chats := lo.Times(benchEngines*m.chatsPerEngine, newConversation)
 	var asking sync.WaitGroup
 	start := time.Now()
-	end := start.Add((benchLeaves + 2) * benchEvery)
+	end := start.Add((benchLeaves + 2) * benchLeaveInterval)
 	leaves := 0
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(m.rng.ExpFloat64() * float64(time.Second) / benchRate))
-		if leaves < benchLeaves && time.Since(start) > time.Duration(leaves+1)*benchEvery {
+		if leaves < benchLeaves && time.Since(start) > time.Duration(leaves+1)*benchLeaveInterval {
 			leaves++
 			m.leave(w, coordination.Endpoint(fmt.Sprintf("e%d", leaves)))
 		}
@@ -196,28 +196,28 @@
 		if c == nil {
 			continue
 		}
-		q := returning{run: m, world: w, chat: c, counts: leaves > 0}
-		asking.Go(q.ask)
+		q := benchRequest{run: m, env: w, chat: c, counts: leaves > 0}
+		asking.Go(q.send)
 	}
 	asking.Wait()
 	time.Sleep(m.stay + 5*time.Second)
 	m.moved = float64(w.result(transfer.Moved))
 	m.bytes = w.bytes()
-	for id := range m.left {
+	for id := range m.departed {
 		m.arrivals += w.engines[id].Stats().ArrivalsLeaving
 	}
 }
 
-func (m *leaveRun) leave(w *evacuationWorld, id coordination.Endpoint) {
+func (m *leaveRun) leave(w *evacuationEnv, id coordination.Endpoint) {
 	m.mu.Lock()
-	m.left[id] = true
+	m.departed[id] = true
 	m.mu.Unlock()
 	w.join()
 	w.leave(id, m.stay)
 }
 
 // pick returns a chat that is not being answered.
-func (m *leaveRun) pick(chats []*talker) *talker {
+func (m *leaveRun) pick(chats []*conversation) *conversation {
 	c := chats[m.rng.IntN(len(chats))]
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -228,24 +228,24 @@
 	return c
 }
 
-// returning is one request of a chat.
-type returning struct {
+// benchRequest is one request of a chat.
+type benchRequest struct {
 	run    *leaveRun
-	world  *evacuationWorld
-	chat   *talker
+	env    *evacuationEnv
+	chat   *conversation
 	counts bool
 }
 
-func (q returning) ask() {
-	from := q.chat.at
+func (q benchRequest) send() {
+	from := q.chat.lastEndpoint
 	words := benchTurn
 	if len(q.chat.messages) == 0 {
 		words = benchPrompt
 	}
-	h, err := q.world.say(q.chat, words, benchAnswer)
+	h, err := q.env.send(q.chat, words, benchAnswer)
 	for tries := 0; err != nil && tries < 3 && !errors.Is(err, errRefused); tries++ {
 		q.chat.messages = q.chat.messages[:len(q.chat.messages)-1]
-		h, err = q.world.say(q.chat, words, benchAnswer)
+		h, err = q.env.send(q.chat, words, benchAnswer)
 	}
 	m := q.run
 	m.mu.Lock()
@@ -262,16 +262,16 @@
 	if q.counts {
 		m.all.add(h)
 	}
-	if m.left[from] {
+	if m.departed[from] {
 		m.first.add(h)
 	}
 }
 
-// sizedEngines shows exports with the size that the stand-in takes the time of
+// sizedClient shows exports with the size that the stand-in takes the time of
 // rather than the few bytes that it sends.
-type sizedEngines struct {
+type sizedClient struct {
 	*engine.Client
-	kv int
+	bytesPerToken int
 }
 
 // standinBlock is what the stand-in sends for a block of 16 tokens.
@@ -280,7 +280,7 @@
 	standinBlockWords = 16
 )
 
-func (s sizedEngines) Export(ctx context.Context, address string, chat coordination.Chat) (engine.KV, error) {
+func (s sizedClient) Export(ctx context.Context, address string, chat coordination.Chat) (engine.KV, error) {
 	kv, err := s.Client.Export(ctx, address, chat)
 	if err != nil {
 		return kv, err
@@ -290,11 +290,11 @@
 	if err != nil {
 		return engine.KV{}, err
 	}
-	size := int64(len(data)/standinBlock) * standinBlockWords * int64(s.kv)
+	size := int64(len(data)/standinBlock) * standinBlockWords * int64(s.bytesPerToken)
 	return engine.KV{Body: io.NopCloser(bytes.NewReader(data)), Size: size}, nil
 }
 
-func (s sizedEngines) Import(ctx context.Context, address string, kv engine.KV) (int64, error) {
+func (s sizedClient) Import(ctx context.Context, address string, kv engine.KV) (int64, error) {
 	size := kv.Size
 	kv.Size = -1
 	_, err := s.Client.Import(ctx, address, kv)
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -16,18 +16,18 @@
 // evacuation moves the chats of one leaving engine for as long as it answers.
 type evacuation struct {
 	*transfers
-	from  endpoint.Known
-	plan  *transfer.Plan // used by run alone
-	since transfer.Sequence
-	read  time.Time // when the cache events were last read
-	ended chan moveEnd
+	from     endpoint.Known
+	plan     *transfer.Plan // used by run alone
+	since    transfer.Sequence
+	lastRead time.Time // when the cache events were last read
+	outcomes chan moveOutcome
 
 	mu    sync.Mutex
 	loads transfer.Loads
 }
 
-// moveEnd tells what became of a move.
-type moveEnd struct {
+// moveOutcome tells what became of a move.
+type moveOutcome struct {
 	chat   coordination.Chat
 	result transfer.Result
 	bytes  int64
@@ -38,7 +38,7 @@
 		transfers: t,
 		from:      k,
 		plan:      transfer.NewPlan(time.Now(), t.cfg),
-		ended:     make(chan moveEnd, t.cfg.Concurrent),
+		outcomes:  make(chan moveOutcome, t.cfg.Concurrent),
 	}
 }
 
@@ -47,8 +47,8 @@
 func (e *evacuation) run(ctx context.Context) {
 	var moves sync.WaitGroup
 	defer e.finish(&moves)
-	for ctx.Err() == nil && e.leaving() {
-		e.learn(ctx)
+	for ctx.Err() == nil && e.stillListed() {
+		e.readCacheEvents(ctx)
 		step := e.plan.Next(time.Now())
 		switch step.Action {
 		case transfer.Stop:
@@ -62,20 +62,20 @@
 	}
 }
 
-// leaving reports whether the same life of the engine is still listed. Another
+// stillListed reports whether the same life of the engine is still listed. Another
 // life under its address has other caches.
-func (e *evacuation) leaving() bool {
+func (e *evacuation) stillListed() bool {
 	k, ok := e.directory.Find(e.from.ID)
 	return ok && k.Incarnation == e.from.Incarnation
 }
 
-// learn reads the cache events if the last read is old enough. The engine's
+// readCacheEvents reads the cache events if the last read is old enough. The engine's
 // last answers end while it leaves, and theirs are the warmest chats of all.
-func (e *evacuation) learn(ctx context.Context) {
-	if time.Since(e.read) < e.cfg.Interval {
+func (e *evacuation) readCacheEvents(ctx context.Context) {
+	if time.Since(e.lastRead) < e.cfg.Interval {
 		return
 	}
-	e.read = time.Now()
+	e.lastRead = time.Now()
 	events, err := e.engines.CacheEvents(ctx, e.from.Address, e.since)
 	if err != nil {
 		e.plan.Fail()
@@ -91,20 +91,20 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case end := <-e.ended:
-		e.end(end)
+	case outcome := <-e.outcomes:
+		e.recordOutcome(outcome)
 	}
 }
 
 // finish waits for the moves under way.
 func (e *evacuation) finish(moves *sync.WaitGroup) {
 	moves.Wait()
-	for len(e.ended) > 0 {
-		e.end(<-e.ended)
+	for len(e.outcomes) > 0 {
+		e.recordOutcome(<-e.outcomes)
 	}
 }
 
-func (e *evacuation) end(m moveEnd) {
+func (e *evacuation) recordOutcome(m moveOutcome) {
 	e.plan.End(time.Now(), m.chat, m.result, m.bytes)
 	e.metrics.results.WithLabelValues(m.result.String()).Inc()
 	e.metrics.bytes.Add(float64(m.bytes))
@@ -119,17 +119,17 @@
 func (m move) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.Longest)
 	defer cancel()
-	result, n := m.do(ctx)
-	m.ended <- moveEnd{chat: m.chat, result: result, bytes: n}
+	result, n := m.execute(ctx)
+	m.outcomes <- moveOutcome{chat: m.chat, result: result, bytes: n}
 }
 
-// do makes the move and returns the bytes that it took from the engine.
-func (m move) do(ctx context.Context) (transfer.Result, int64) {
-	to, ok := m.target(m.from.Pool, m.chat)
+// execute makes the move and returns the bytes that it took from the engine.
+func (m move) execute(ctx context.Context) (transfer.Result, int64) {
+	to, ok := m.destination(m.from.Pool, m.chat)
 	if !ok {
 		return transfer.Skipped, 0
 	}
-	if !m.room(ctx, to) {
+	if !m.hasRoom(ctx, to) {
 		return transfer.Busy, 0
 	}
 	kv, err := m.engines.Export(ctx, m.from.Address, m.chat)
@@ -154,9 +154,9 @@
 	return transfer.Moved, n
 }
 
-// room reports whether an engine may receive a chat. It reads the engine's load
+// hasRoom reports whether an engine may receive a chat. It reads the engine's load
 // itself: the engine may have another owner.
-func (m move) room(ctx context.Context, to endpoint.Known) bool {
+func (m move) hasRoom(ctx context.Context, to endpoint.Known) bool {
 	m.mu.Lock()
 	fresh := m.loads.Fresh(time.Now(), to.ID)
 	m.mu.Unlock()
@@ -170,5 +170,5 @@
 	if !fresh && err == nil {
 		m.loads.Learn(to.ID, l.Room(time.Now()))
 	}
-	return err == nil && to.State == placement.Live && m.loads.Room(to.ID, m.cfg.Under(m.placed.bound()))
+	return err == nil && to.State == placement.Live && m.loads.Room(to.ID, m.cfg.Under(m.placement.loadBound()))
 }
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -23,39 +23,39 @@
 	testPrompt  = 320 // words
 )
 
-// returned is what the chats of an engine found when they came back after it
+// returnStats is what the chats of an engine found when they came back after it
 // had left.
-type returned struct {
+type returnStats struct {
 	chats, warm    int
 	prompt, cached coordination.Tokens
 }
 
-// trial has chats talk, one engine leave and that engine's chats return.
-type trial struct {
-	options standin.Options
-	wrap    func(http.Handler) http.Handler
-	off     bool
-	cfg     transfer.Config
-	during  func(w *evacuationWorld) // behind the announcement
+// transferScenario has chats talk, one engine leave and that engine's chats return.
+type transferScenario struct {
+	options  standin.Options
+	wrap     func(http.Handler) http.Handler
+	disabled bool
+	cfg      transfer.Config
+	during   func(w *evacuationEnv) // behind the announcement
 }
 
 const leavingEngine = coordination.Endpoint("e1")
 
-func (tr trial) run(t *testing.T, check func(w *evacuationWorld, r returned)) {
+func (tr transferScenario) run(t *testing.T, check func(w *evacuationEnv, r returnStats)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEvacuationWorld(t, tr.options, tr.wrap)
+		w := newEvacuationEnv(t, tr.options, tr.wrap)
 		defer w.close()
 		for range testEngines {
 			w.join()
 		}
-		if !tr.off {
+		if !tr.disabled {
 			w.transfer(tr.cfg, w.client)
 		}
-		chats := lo.Times(testChats, newTalker)
+		chats := lo.Times(testChats, newConversation)
 		for _, c := range chats {
-			w.mustSay(c, testPrompt, 16)
+			w.mustSend(c, testPrompt, 16)
 		}
-		there := lo.Filter(chats, func(c *talker, _ int) bool { return c.at == leavingEngine })
+		there := lo.Filter(chats, func(c *conversation, _ int) bool { return c.lastEndpoint == leavingEngine })
 		assert.Assert(t, len(there) > 5, "the engine that leaves has too few chats: %d", len(there))
 		e := w.engines[leavingEngine]
 		w.leave(leavingEngine, 5*time.Second)
@@ -63,10 +63,10 @@
 			tr.during(w)
 		}
 		time.Sleep(10 * time.Second)
-		var r returned
+		var r returnStats
 		for _, c := range there {
-			h := w.mustSay(c, 4, 16)
-			assert.Assert(t, c.at != leavingEngine)
+			h := w.mustSend(c, 4, 16)
+			assert.Assert(t, c.lastEndpoint != leavingEngine)
 			r.chats++
 			r.prompt += h.usage.Prompt
 			r.cached += h.usage.Cached
@@ -82,7 +82,7 @@
 // An engine leaves as planned and its chats return. The first token would come
 // late, and all of the prompt would be computed and billed again.
 func TestChatsFindTheirCacheBehindPlannedLeave(t *testing.T) {
-	trial{}.run(t, func(w *evacuationWorld, r returned) {
+	transferScenario{}.run(t, func(w *evacuationEnv, r returnStats) {
 		assert.Equal(t, r.warm, r.chats)
 		assert.Assert(t, float64(r.cached) > 0.9*float64(r.prompt), "%+v", r)
 		assert.Equal(t, w.result(transfer.Moved), r.chats)
@@ -91,7 +91,7 @@
 
 // The same without moving chats: the checks above would notice.
 func TestChatsAreColdWithoutTransfer(t *testing.T) {
-	trial{off: true}.run(t, func(_ *evacuationWorld, r returned) {
+	transferScenario{disabled: true}.run(t, func(_ *evacuationEnv, r returnStats) {
 		assert.Equal(t, r.warm, 0)
 	})
 }
@@ -101,40 +101,40 @@
 // first.
 func TestChatThatEndsWhileLeavingIsMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEvacuationWorld(t, standin.Options{Step: 20 * time.Millisecond}, nil)
+		w := newEvacuationEnv(t, standin.Options{Step: 20 * time.Millisecond}, nil)
 		defer w.close()
 		w.join()
 		w.transfer(transfer.Config{}, w.client)
 		time.Sleep(2 * time.Second) // until its owner has settled
-		late := newTalker(0)
-		l := lateTalk{world: w, chat: late, done: make(chan struct{})}
+		late := newConversation(0)
+		l := pendingAnswer{env: w, chat: late, done: make(chan struct{})}
 		go l.run()
 		time.Sleep(300 * time.Millisecond)
 		w.join()
 		w.leave(leavingEngine, 3*time.Second)
-		assert.Equal(t, late.at, leavingEngine)
+		assert.Equal(t, late.lastEndpoint, leavingEngine)
 		<-l.done
 		time.Sleep(5 * time.Second)
-		h := w.mustSay(late, 4, 16)
-		assert.Equal(t, late.at, coordination.Endpoint("e2"))
+		h := w.mustSend(late, 4, 16)
+		assert.Equal(t, late.lastEndpoint, coordination.Endpoint("e2"))
 		assert.Assert(t, h.usage.Cached > testPrompt, "the answer itself is cached, too: %+v", h.usage)
 	})
 }
 
-// lateTalk is one answer on its way.
-type lateTalk struct {
-	world *evacuationWorld
-	chat  *talker
-	done  chan struct{}
+// pendingAnswer is one answer on its way.
+type pendingAnswer struct {
+	env  *evacuationEnv
+	chat *conversation
+	done chan struct{}
 }
 
-func (l lateTalk) run() {
+func (l pendingAnswer) run() {
 	defer close(l.done)
-	l.world.mustSay(l.chat, testPrompt, 64)
+	l.env.mustSend(l.chat, testPrompt, 64)
 }
 
-// only answers calls to a path with a status instead of the engine.
-func only(path string, status int) func(http.Handler) http.Handler {
+// respondWith answers calls to a path with a status instead of the engine.
+func respondWith(path string, status int) func(http.Handler) http.Handler {
 	return func(h http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasPrefix(r.URL.Path, path) {
@@ -162,36 +162,36 @@
 // answers all the same, and nothing but the chats' caches may be lost.
 func TestFailedTransferCostsOnlyTheCache(t *testing.T) {
 	cases := []struct {
-		name  string
-		trial trial
-		check func(t *testing.T, w *evacuationWorld)
+		name     string
+		scenario transferScenario
+		check    func(t *testing.T, w *evacuationEnv)
 	}{
-		{"events are missing", trial{wrap: only("/v1/cache-events", http.StatusNotFound)}, func(t *testing.T, w *evacuationWorld) {
+		{"events are missing", transferScenario{wrap: respondWith("/v1/cache-events", http.StatusNotFound)}, func(t *testing.T, w *evacuationEnv) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 		}},
-		{"all events are lost", trial{options: standin.Options{EventLoss: 1}}, func(t *testing.T, w *evacuationWorld) {
+		{"all events are lost", transferScenario{options: standin.Options{EventLoss: 1}}, func(t *testing.T, w *evacuationEnv) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 		}},
-		{"the link is slow", trial{cfg: transfer.Config{Budget: 125e6}}, func(t *testing.T, w *evacuationWorld) {
+		{"the link is slow", transferScenario{cfg: transfer.Config{Budget: 125e6}}, func(t *testing.T, w *evacuationEnv) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 		}},
-		{"export fails", trial{wrap: only("/v1/kv/export", http.StatusInternalServerError)}, func(t *testing.T, w *evacuationWorld) {
+		{"export fails", transferScenario{wrap: respondWith("/v1/kv/export", http.StatusInternalServerError)}, func(t *testing.T, w *evacuationEnv) {
 			assert.Assert(t, w.result(transfer.Lost) >= 3)
 		}},
-		{"export breaks off", trial{wrap: cutExports}, func(t *testing.T, w *evacuationWorld) {
+		{"export breaks off", transferScenario{wrap: cutExports}, func(t *testing.T, w *evacuationEnv) {
 			assert.Assert(t, w.result(transfer.Lost) >= 3)
 		}},
-		{"import is refused", trial{wrap: only("/v1/kv/import", http.StatusInsufficientStorage)}, func(t *testing.T, w *evacuationWorld) {
+		{"import is refused", transferScenario{wrap: respondWith("/v1/kv/import", http.StatusInsufficientStorage)}, func(t *testing.T, w *evacuationEnv) {
 			assert.Assert(t, w.result(transfer.Refused) > 5)
 		}},
-		{"the others are near their bound", trial{wrap: only("/v1/load", http.StatusServiceUnavailable)}, func(t *testing.T, w *evacuationWorld) {
+		{"the others are near their bound", transferScenario{wrap: respondWith("/v1/load", http.StatusServiceUnavailable)}, func(t *testing.T, w *evacuationEnv) {
 			assert.Equal(t, w.engines[leavingEngine].Stats().Exports, 0)
 			assert.Assert(t, w.result(transfer.Busy) > 5)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.trial.run(t, func(w *evacuationWorld, r returned) {
+			c.scenario.run(t, func(w *evacuationEnv, r returnStats) {
 				assert.Equal(t, r.warm, 0)
 				assert.Equal(t, w.result(transfer.Moved), 0)
 				c.check(t, w)
@@ -203,44 +203,44 @@
 // The engine dies while its chats are being moved over a slow link. Those that
 // had been moved are warm; the others cost their caches only.
 func TestEngineGoneInMidTransfer(t *testing.T) {
-	tr := trial{
+	tr := transferScenario{
 		options: standin.Options{LinkBytesPerSec: 100e6},
-		during: func(w *evacuationWorld) {
+		during: func(w *evacuationEnv) {
 			time.Sleep(1500 * time.Millisecond)
-			w.gone(leavingEngine)
+			w.kill(leavingEngine)
 		},
 	}
-	tr.run(t, func(w *evacuationWorld, r returned) {
+	tr.run(t, func(w *evacuationEnv, r returnStats) {
 		moved := w.result(transfer.Moved)
 		assert.Assert(t, moved > 0 && moved < r.chats, "%d of %d moved", moved, r.chats)
 		assert.Equal(t, r.warm, moved)
 	})
 }
 
-// process is an engine's process, which on its planned stop waits for the
+// engineProcess is an engine's engineProcess, which on its planned stop waits for the
 // connections that are in use.
-type process struct {
+type engineProcess struct {
 	server   *http.Server
 	listener *pipe.Listener
 }
 
-func (p process) run() { _ = p.server.Serve(p.listener) }
+func (p engineProcess) run() { _ = p.server.Serve(p.listener) }
 
 // The process of an engine waits for its open connections before it ends. Moves
 // that were begun one after the other would keep it from ending for as long as
 // there are chats to move, and the platform would kill it at last.
 func TestMovesDoNotHoldUpShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEvacuationWorld(t, standin.Options{LinkBytesPerSec: 100e6}, nil)
+		w := newEvacuationEnv(t, standin.Options{LinkBytesPerSec: 100e6}, nil)
 		defer w.close()
 		w.join()
-		chats := lo.Times(30, newTalker)
+		chats := lo.Times(30, newConversation)
 		for _, c := range chats {
-			w.mustSay(c, testPrompt, 16)
+			w.mustSend(c, testPrompt, 16)
 		}
 		w.closes[leavingEngine]() // all is answered; from here on a server that can wait
 		e := w.engines[leavingEngine]
-		p := process{server: &http.Server{Handler: e}, listener: w.network.Listen("e1:80")}
+		p := engineProcess{server: &http.Server{Handler: e}, listener: w.network.Listen("e1:80")}
 		go p.run()
 		w.closes[leavingEngine] = func() { _ = p.server.Close() }
 		w.join()
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -31,9 +31,9 @@
 	transferAccount = coordination.Account("label")
 )
 
-// evacuationWorld is one router's placement and transfers before engines on a
+// evacuationEnv is one router's placement and transfers before engines on a
 // network of pipes, in the paused clock.
-type evacuationWorld struct {
+type evacuationEnv struct {
 	t         testing.TB
 	network   pipe.Network
 	options   standin.Options
@@ -51,8 +51,8 @@
 	stops     []func()
 }
 
-func newEvacuationWorld(t testing.TB, options standin.Options, wrap func(http.Handler) http.Handler) *evacuationWorld {
-	w := &evacuationWorld{
+func newEvacuationEnv(t testing.TB, options standin.Options, wrap func(http.Handler) http.Handler) *evacuationEnv {
+	w := &evacuationEnv{
 		t: t, options: options, wrap: wrap,
 		engines:   make(map[coordination.Endpoint]*standin.Engine),
 		closes:    make(map[coordination.Endpoint]func()),
@@ -68,7 +68,7 @@
 	return w
 }
 
-func (w *evacuationWorld) close() {
+func (w *evacuationEnv) close() {
 	for i := len(w.stops) - 1; i >= 0; i-- {
 		w.stops[i]()
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (w *evacuationWorld) update() {
+func (w *evacuationEnv) update() {
 	set := placement.NewSet(lo.Map(w.directory.All(), func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
 	routers := placement.NewRouters([]placement.Router{{ID: "r1", Incarnation: 1}}, 0)
 	w.owner.Update(set, routers)
@@ -85,7 +85,7 @@
 }
 
 // transfer starts moving chats.
-func (w *evacuationWorld) transfer(cfg transfer.Config, engines kvEngines) {
+func (w *evacuationEnv) transfer(cfg transfer.Config, engines kvClient) {
 	_, stop := startTransfers(cfg, w.directory, ownsAll{}, engines, w.metrics)
 	w.stops = append(w.stops, stop)
 }
@@ -94,9 +94,9 @@
 type ownsAll struct{}
 
 func (ownsAll) owns(endpoint.Known) bool { return true }
-func (ownsAll) bound() float64           { return 0 }
+func (ownsAll) loadBound() float64       { return 0 }
 
-func (w *evacuationWorld) join() {
+func (w *evacuationEnv) join() {
 	w.next++
 	id := coordination.Endpoint(fmt.Sprintf("e%d", w.next))
 	options := w.options
@@ -125,29 +125,29 @@
 
 // leave has an engine announce its stop. It ends once it is idle, at stay at
 // the earliest.
-func (w *evacuationWorld) leave(id coordination.Endpoint, stay time.Duration) {
+func (w *evacuationEnv) leave(id coordination.Endpoint, stay time.Duration) {
 	e := w.engines[id]
 	e.Leave()
 	w.directory.Leave(id, coordination.Incarnation(e.Incarnation()))
-	l := leaver{world: w, id: id, stay: stay}
+	l := engineStopper{env: w, id: id, stay: stay}
 	go l.run()
 }
 
-// leaver ends an engine's process.
-type leaver struct {
-	world *evacuationWorld
-	id    coordination.Endpoint
-	stay  time.Duration
+// engineStopper ends an engine's process.
+type engineStopper struct {
+	env  *evacuationEnv
+	id   coordination.Endpoint
+	stay time.Duration
 }
 
-func (l leaver) run() {
+func (l engineStopper) run() {
 	time.Sleep(l.stay)
-	_ = l.world.engines[l.id].Drain(context.Background())
-	l.world.gone(l.id)
+	_ = l.env.engines[l.id].Drain(context.Background())
+	l.env.kill(l.id)
 }
 
-// gone ends an engine at once.
-func (w *evacuationWorld) gone(id coordination.Endpoint) {
+// kill ends an engine at once.
+func (w *evacuationEnv) kill(id coordination.Endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closes[id]()
@@ -158,55 +158,55 @@
 	}
 }
 
-// talker is one chat that returns, with all that was said.
-type talker struct {
-	chat     coordination.Chat
-	hint     placement.Hint
-	at       coordination.Endpoint
-	messages []standin.Message
-	turns    int
+// conversation is one chat that returns, with all that was said.
+type conversation struct {
+	chat         coordination.Chat
+	hint         placement.Hint
+	lastEndpoint coordination.Endpoint
+	messages     []standin.Message
+	turns        int
 }
 
-func newTalker(n int) *talker {
-	return &talker{chat: coordination.Chat(fmt.Sprintf("chat-%d", n))}
+func newConversation(n int) *conversation {
+	return &conversation{chat: coordination.Chat(fmt.Sprintf("chat-%d", n))}
 }
 
-// heard is what one turn of a chat got.
-type heard struct {
-	usage engine.Usage
-	first time.Duration // until the first token
+// turnResult is what one turn of a chat got.
+type turnResult struct {
+	usage      engine.Usage
+	firstToken time.Duration // until the first token
 }
 
 var errRefused = errors.New("refused")
 
-// say has the chat ask once more, with so many new words.
-func (w *evacuationWorld) say(c *talker, words, limit int) (heard, error) {
+// send has the chat ask once more, with so many new words.
+func (w *evacuationEnv) send(c *conversation, words, limit int) (turnResult, error) {
 	start := time.Now()
 	g, refusal := w.entry.Acquire(context.Background(), placement.Request{
 		Pool: transferPool, Key: placement.KeyOf(engine.ChatOf(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
 	})
 	if g == nil {
-		return heard{}, fmt.Errorf("%w: %s", errRefused, refusal.Code)
+		return turnResult{}, fmt.Errorf("%w: %s", errRefused, refusal.Code)
 	}
 	defer g.Release()
 	c.turns++
 	c.messages = append(c.messages, standin.Message{Role: "user", Content: c.words(words)})
 	body, err := json.Marshal(standin.Request{Model: "m", Messages: c.messages, Stream: true, MaxTokens: limit})
 	if err != nil {
-		return heard{}, err
+		return turnResult{}, err
 	}
 	s, err := w.client.Start(engine.WithAccount(context.Background(), transferAccount), string(g.Endpoint.ID)+":80", engine.Request{
 		Attempt: engine.NewAttempt(g.Endpoint.ID, "f0"), Chat: c.chat, Body: body,
 	})
 	if err != nil {
-		return heard{}, err
+		return turnResult{}, err
 	}
 	defer s.Close()
-	c.at, c.hint = g.Endpoint.ID, g.Hint()
-	return c.listen(s, start)
+	c.lastEndpoint, c.hint = g.Endpoint.ID, g.Hint()
+	return c.readAnswer(s, start)
 }
 
-func (c *talker) words(n int) standin.Content {
+func (c *conversation) words(n int) standin.Content {
 	var text strings.Builder
 	for i := range n {
 		fmt.Fprintf(&text, "%s-%d-%d ", c.chat, c.turns, i)
@@ -214,9 +214,9 @@
 	return standin.Content(text.String())
 }
 
-// listen reads an answer to its end and checks that it is the right one.
-func (c *talker) listen(s *engine.Stream, start time.Time) (heard, error) {
-	var h heard
+// readAnswer reads an answer to its end and checks that it is the right one.
+func (c *conversation) readAnswer(s *engine.Stream, start time.Time) (turnResult, error) {
+	var h turnResult
 	var text strings.Builder
 	for {
 		chunk, err := s.Next()
@@ -226,8 +226,8 @@
 		if err != nil {
 			return h, err
 		}
-		if h.first == 0 {
-			h.first = time.Since(start)
+		if h.firstToken == 0 {
+			h.firstToken = time.Since(start)
 		}
 		text.WriteString(chunk.Text)
 		if chunk.Usage != nil {
@@ -242,16 +242,16 @@
 }
 
 // result returns how many moves have had a result.
-func (w *evacuationWorld) result(r transfer.Result) int {
+func (w *evacuationEnv) result(r transfer.Result) int {
 	return int(testutil.ToFloat64(w.metrics.results.WithLabelValues(r.String())))
 }
 
 // bytes returns how many bytes have been taken from leaving engines.
-func (w *evacuationWorld) bytes() float64 { return testutil.ToFloat64(w.metrics.bytes) }
+func (w *evacuationEnv) bytes() float64 { return testutil.ToFloat64(w.metrics.bytes) }
 
-func (w *evacuationWorld) mustSay(c *talker, words, limit int) heard {
+func (w *evacuationEnv) mustSend(c *conversation, words, limit int) turnResult {
 	w.t.Helper()
-	h, err := w.say(c, words, limit)
+	h, err := w.send(c, words, limit)
 	assert.NilError(w.t, err)
 	return h
 }
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -117,7 +117,7 @@
 
 func newTeamRetries(i do.Injector) (*teamRetries, error) {
 	return &teamRetries{
-		replica: do.MustInvoke[*teams](i).replica,
+		replica: do.MustInvoke[*teamSettings](i).replica,
 		budgets: make(map[coordination.Team]*retry.Budget),
 	}, nil
 }
