--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -16,9 +16,9 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// The bounds of what teams may set, on all routers alike: a record made under a
-// shorter bound could vanish while another router still accepts its key. The
-// table of settings allows no more.
+// The upper limits of the retention and clock skew that a team may set. They are
+// the same on all routers: a record made under a shorter limit could expire while
+// another router still accepts its key. The settings schema allows no more.
 const (
 	maxRetention = 24 * time.Hour
 	maxSkew      = time.Minute
@@ -53,9 +53,9 @@
 	}, nil
 }
 
-// drainTimeout is how long a router that stops waits for the records of actions
-// that have ended. One left open would keep its key in progress, and its caller
-// without an answer, until it expires.
+// drainTimeout limits how long a stopping router waits for the records of
+// finished actions to be written. A record left open would keep its key in
+// progress, and its caller without an answer, until the record expires.
 const drainTimeout = 5 * time.Second
 
 func drain(l *execution.Ledger) {
@@ -64,7 +64,7 @@
 	l.Drain(ctx)
 }
 
-// PlanAction implements service.Plans.
+// PlanAction implements [service.Plans].
 func (t *teamSettings) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
 	team, refusal := t.find(a.Team, a.Account)
 	if refusal != nil {
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -18,7 +18,7 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// version is shown on the OpenAPI pages.
+// version is the API version in the OpenAPI documents.
 const version = "0.1.0"
 
 func newCallers(i do.Injector) (*caller.Server, error) {
@@ -42,7 +42,8 @@
 	}, nil
 }
 
-// newServers serves on the three listeners when all that they serve stands.
+// newServers starts the servers for peers, operators and callers once all the
+// components that they serve have been created.
 func newServers(i do.Injector) (*servers, error) {
 	cfg := newServerConfig(i)
 	bound := do.MustInvoke[*listeners](i)
@@ -68,8 +69,8 @@
 	return s, nil
 }
 
-// readiness declares the router ready once it has settings: before, it would
-// refuse every team as unknown.
+// readiness marks the router ready once it has loaded the settings. Before that,
+// it would refuse every team as unknown.
 type readiness struct {
 	state    *state
 	settings <-chan struct{}
@@ -101,7 +102,8 @@
 	return mux
 }
 
-// addHealthChecks adds the checks of the balancer and of the platform.
+// addHealthChecks adds the health and readiness endpoints that the load balancer
+// and the platform query.
 func addHealthChecks(mux *http.ServeMux, st *state) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -19,7 +19,7 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// addOperatorAPI adds the operations for operators.
+// addOperatorAPI registers the operator API.
 func addOperatorAPI(i do.Injector, api huma.API) {
 	t := do.MustInvoke[*teamSettings](i)
 	node := do.MustInvoke[*peer.Node](i)
@@ -43,7 +43,7 @@
 	s.Register(api)
 }
 
-// Get implements settings.EditorStore.
+// Get implements [settings.EditorStore].
 func (s budgetedStore) Get(ctx context.Context, key string) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -51,7 +51,7 @@
 	return s.store.Get(ctx, key)
 }
 
-// CompareAndSwap implements settings.EditorStore.
+// CompareAndSwap implements [settings.EditorStore].
 func (s budgetedStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -59,7 +59,7 @@
 	return s.store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// statusReporter gathers what operators see of this router.
+// statusReporter assembles the status of this router for the operator API.
 type statusReporter struct {
 	state     *state
 	zone      coordination.Zone
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -22,7 +22,8 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// poolOrders tells what the engines of the pools should have loaded.
+// poolOrders derives from the settings in force what the engines of each pool
+// should have loaded. It implements [order.Pools].
 type poolOrders struct {
 	self      coordination.Instance
 	teams     *teamSettings
@@ -55,7 +56,7 @@
 	return g, nil
 }
 
-// models returns what the teams have set for the models of a pool.
+// models returns the model settings of all teams that use a pool.
 func (o *poolOrders) models(p coordination.Pool) []settings.Model {
 	var all []settings.Model
 	for _, snapshot := range o.teams.replica.Snapshots() {
@@ -68,8 +69,8 @@
 	return all
 }
 
-// Duties implements order.Pools: the pools of which this router is the root and
-// for which some team has set anything to load.
+// Duties implements [order.Pools]. It returns the pools of which this router is
+// the root and for which at least one team has set something to load.
 func (o *poolOrders) Duties() []coordination.Pool {
 	view := o.placing.view.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
@@ -77,10 +78,11 @@
 	})
 }
 
-// noneSilent is silent: the lease passes on by itself when a root has died.
+// noneSilent reports no router as silent: when a root dies, its lease expires and
+// passes to another router without that information.
 func noneSilent(coordination.Instance) bool { return false }
 
-// Targets implements order.Pools.
+// Targets implements [order.Pools].
 func (o *poolOrders) Targets(p coordination.Pool) []order.Target {
 	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Known, _ int) (order.Target, bool) {
 		t := order.Target{Endpoint: k.ID, Incarnation: k.Incarnation, Address: k.Address}
@@ -88,7 +90,8 @@
 	})
 }
 
-// Plan implements order.Pools. Teams that share a pool get the adapters of all.
+// Plan implements [order.Pools]. The engines of a pool that several teams share
+// load the adapters of all of them.
 func (o *poolOrders) Plan(p coordination.Pool) order.Plan {
 	var adapters []order.Order
 	for _, m := range o.models(p) {
@@ -100,7 +103,8 @@
 	return slices.Compact(adapters)
 }
 
-// pace returns the longest time between two loads that a team has set.
+// pace returns the least time between two loads in a pool: the longest that any
+// of its teams has set.
 func (o *poolOrders) pace(p coordination.Pool) time.Duration {
 	var pace time.Duration
 	for _, m := range o.models(p) {
@@ -109,12 +113,12 @@
 	return pace
 }
 
-// orderStore spends this router's share of calls on the leases of orders.
+// orderStore charges lease calls for orders to this router's platform call budget.
 type orderStore struct {
 	budgetedStore
 }
 
-// Grant implements order.Store.
+// Grant implements [order.Store].
 func (s orderStore) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	if res, ok := s.spend(); !ok {
 		return 0, res
@@ -122,7 +126,7 @@
 	return s.store.Grant(ctx, ttl)
 }
 
-// KeepAlive implements order.Store.
+// KeepAlive implements [order.Store].
 func (s orderStore) KeepAlive(ctx context.Context, id kv.Lease) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -12,22 +12,22 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// topicLeaving carries which incarnations of endpoints are leaving. The key is
-// the endpoint, the version its incarnation.
+// topicLeaving announces endpoints that are leaving. The key is the endpoint, the
+// version is the incarnation that leaves.
 const topicLeaving = "endpoint-leaving"
 
-// leavingTTL is how long a rumour of a leaving endpoint lives: longer than
-// the platform's list lags.
+// leavingTTL is how long the announcement of a leaving endpoint is kept: longer
+// than the platform's list lags.
 const leavingTTL = 2 * time.Minute
 
-// freshTTL is how long a confirmation of the settings by the platform counts.
+// freshTTL is how long a confirmation that the settings are up to date is kept.
 const freshTTL = 30 * time.Second
 
-// suspicionTTL is how long a record of suspicion is spread: as long as a
+// suspicionTTL is how long a suspicion record is gossiped: as long as a
 // conviction lasts.
 const suspicionTTL = 15 * time.Minute
 
-// rumorTopics tells how the rumours of each topic spread.
+// rumorTopics holds the retention of the gossip on each topic.
 var rumorTopics = map[string]membership.Topic{
 	topicLeaving:          {TTL: leavingTTL},
 	settings.TopicChange:  {Keep: true},
@@ -35,7 +35,7 @@
 	suspicion.TopicRecord: {TTL: suspicionTTL},
 }
 
-// leavingBroadcaster tells the other routers of a leaving endpoint.
+// leavingBroadcaster announces leaving endpoints to the other routers.
 type leavingBroadcaster struct {
 	node *peer.Node
 	log  event.Log
@@ -46,7 +46,7 @@
 	t.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
-// leavingReceiver takes in what the other routers tell.
+// leavingReceiver applies the announcements of other routers to the directory.
 type leavingReceiver struct {
 	directory *endpoint.Directory
 }
@@ -55,7 +55,7 @@
 	l.directory.Leave(coordination.Endpoint(key), coordination.Incarnation(version))
 }
 
-// peerEventLogger turns what happens between routers into numbered events.
+// peerEventLogger logs the events of the peer node under their catalogue numbers.
 type peerEventLogger struct {
 	log event.Log
 }
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -21,11 +21,13 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// claimRenewInterval is the time between two renewals of the claims on suspects
-// that run here; twice in the least time after which a claim lapses.
+// claimRenewInterval is the time between two renewals of the claims on suspected
+// requests that run on this router. It fits twice into the shortest time after
+// which a claim expires.
 const claimRenewInterval = 25 * time.Second
 
-// crashSuspicion joins the decisions on crashing requests with the other routers.
+// crashSuspicion connects the detection of requests that crash endpoints with the
+// other routers. It implements [caller.Suspects].
 type crashSuspicion struct {
 	node        *peer.Node
 	gate        *suspicion.Gate
@@ -69,23 +71,23 @@
 	return s, nil
 }
 
-// recordSpreader spreads records as rumours.
+// recordSpreader gossips suspicion records.
 type recordSpreader struct {
 	node *peer.Node
 }
 
-// Spread implements suspicion.Spreader. Records merge by union, so that each
-// may be a rumour of its own; the key is the record's digest. It is written in
-// hexadecimal: keys are text, and a router that is sent one which is not UTF-8
-// takes the message for malformed and closes the connection, so that verdicts
-// reach nobody and calls between routers fail beside them.
+// Spread implements [suspicion.Spreader]. Records merge by union, so each can be
+// gossiped under a key of its own, the digest of the record. The digest is written
+// in hexadecimal because keys are text: a router that receives a key which is not
+// valid UTF-8 treats the message as malformed and closes the connection, so that
+// no verdict arrives and other calls on the connection fail as well.
 func (s recordSpreader) Spread(topic string, payload []byte) {
 	s.node.Broadcast(topic, strconv.FormatUint(xxhash.Sum64(payload), 16), 1, payload)
 }
 
 func (s *crashSuspicion) handleRecord(_ string, _ uint64, payload []byte) {
-	// A record that cannot be read is dropped: it is soft state, and the
-	// transport has already reported what it could not decode.
+	// A record that cannot be decoded is dropped: records are soft state, and
+	// the transport has already reported the message.
 	if isNew, err := s.guard.HandleRecord(context.Background(), payload); err == nil && isNew {
 		if r, err := suspicion.DecodeRecord(payload); err == nil {
 			s.log.Emit(event.RequestSuspected, event.F("fingerprint", r.Fingerprint.String()), event.F("crashes", len(r.Crashes)))
@@ -93,9 +95,9 @@
 	}
 }
 
-// endpointsChanged tells of endpoints that have gone from the list or restarted without
-// having said so. A router that has dropped an endpoint before any request of
-// its own met it there would otherwise not know that something took it.
+// endpointsChanged records the loss of endpoints that have left the list or
+// restarted without announcing it. Otherwise a router that dropped an endpoint
+// before any request of its own reached it would not know that it had crashed.
 func (s *crashSuspicion) endpointsChanged(all []endpoint.Known) {
 	next := placement.NewSet(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
 	s.mu.Lock()
@@ -108,8 +110,8 @@
 	}
 }
 
-// membersChanged tells the gate of routers that have gone, and that it may have got
-// fingerprints of another one.
+// membersChanged reports routers that have died to the gate. This router may also
+// have become the gate for fingerprints of another one.
 func (s *crashSuspicion) membersChanged(members []membership.Member) {
 	now := time.Now()
 	live := make(map[coordination.Instance]bool, len(members))
@@ -141,7 +143,7 @@
 	}
 }
 
-// Follow implements caller.Suspects.
+// Follow implements [caller.Suspects].
 func (s *crashSuspicion) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (caller.Trail, *outcome.Refusal) {
 	f, refusal := s.guard.Begin(ctx, suspicion.Fingerprint(fingerprint), p)
 	if f == nil {
@@ -150,7 +152,8 @@
 	return &requestTracker{crashSuspicion: s, tracked: f, pool: p, fingerprint: fingerprint}, nil
 }
 
-// newRefusal words a refusal for callers.
+// newRefusal converts a refusal of the guard into one for callers and logs
+// convictions.
 func (s *crashSuspicion) newRefusal(r suspicion.Refusal, fingerprint uint64) *outcome.Refusal {
 	if !r.Poison {
 		return &outcome.Refusal{
@@ -169,7 +172,7 @@
 	}
 }
 
-// requestTracker implements caller.Trail.
+// requestTracker implements [caller.Trail].
 type requestTracker struct {
 	*crashSuspicion
 	tracked     *suspicion.TrackedRequest
@@ -188,7 +191,8 @@
 	return t.toRefusal(t.tracked.EndpointFoundDead(ctx, t.pool, e))
 }
 
-// toRefusal turns the guard's word into a refusal, or nil if the request may go on.
+// toRefusal converts the guard's decision into a refusal, or nil if the request
+// may proceed.
 func (t *requestTracker) toRefusal(r suspicion.Refusal, proceed bool) *outcome.Refusal {
 	if proceed {
 		return nil
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -21,12 +21,12 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// teamSettings answers from the settings in force.
+// teamSettings serves the settings in force of all teams.
 type teamSettings struct {
 	replica   *settings.Replica
 	sync      *settings.Sync
 	log       event.Log
-	onApplied []func() // told of each change that came into force
+	onApplied []func() // called after each change that came into force
 }
 
 func newTeams(i do.Injector) (*teamSettings, error) {
@@ -47,7 +47,8 @@
 	return t, nil
 }
 
-// observe logs what becomes of the values that the replica is offered.
+// observe logs the verdict on each value that the replica is offered, and calls
+// the onApplied functions when one has been applied.
 func (t *teamSettings) observe(o settings.Observation) {
 	fields := []event.Field{event.F("team", o.Team), event.F("revision", o.Revision)}
 	switch o.Verdict {
@@ -63,35 +64,36 @@
 	}
 }
 
-// settingsPeers is the node as settings sees it.
+// settingsPeers adapts the peer node to [settings.Peers].
 type settingsPeers struct {
 	*peer.Node
 }
 
-// Members implements settings.Peers.
+// Members implements [settings.Peers].
 func (p settingsPeers) Members() []settings.Member {
 	return lo.Map(p.Node.Members(), func(m membership.Member, _ int) settings.Member {
 		return settings.Member{Instance: m.Instance, Zone: m.Zone}
 	})
 }
 
-// Broadcast implements settings.Peers.
+// Broadcast implements [settings.Peers].
 func (p settingsPeers) Broadcast(topic, key string, version uint64, payload []byte) {
 	p.Node.Broadcast(topic, key, version, payload)
 }
 
-// Handle implements settings.Peers.
+// Handle implements [settings.Peers].
 func (p settingsPeers) Handle(topic string, fn func(context.Context, coordination.Instance, []byte) ([]byte, error)) {
 	p.Node.Handle(topic, fn)
 }
 
-// budgetedStore spends this router's share of the fleet's calls on settings.
+// budgetedStore charges the calls for settings to this router's share of the
+// fleet's platform call budget. Calls beyond it fail with status Throttled.
 type budgetedStore struct {
 	store  *platform.Client
 	budget *budget.Budget
 }
 
-var errBudget = errors.New("daemon: no call left in the platform budget")
+var errBudget = errors.New("daemon: platform call budget exhausted")
 
 func (s budgetedStore) spend() (kv.Result, bool) {
 	if ok, _ := s.budget.Allow(budget.Settings); !ok {
@@ -100,7 +102,7 @@
 	return kv.Result{}, true
 }
 
-// List implements settings.SyncStore.
+// List implements [settings.SyncStore].
 func (s budgetedStore) List(ctx context.Context, prefix string) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -108,7 +110,7 @@
 	return s.store.List(ctx, prefix)
 }
 
-// Watch implements settings.SyncStore.
+// Watch implements [settings.SyncStore].
 func (s budgetedStore) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	if res, ok := s.spend(); !ok {
 		return nil, res
@@ -116,8 +118,9 @@
 	return s.store.Watch(ctx, prefix, from)
 }
 
-// settingsRetryAfter is when a caller may come back whose team or model is not
-// known: by then a change that was just accepted is in force everywhere.
+// settingsRetryAfter is the Retry-After of a request with an unknown team, account,
+// model or service: by then a change that was just accepted is in force on every
+// router.
 const settingsRetryAfter = 4 * time.Second
 
 func unknownRefusal(code outcome.Code, format string, args ...any) *outcome.Refusal {
@@ -129,7 +132,8 @@
 	}
 }
 
-// find returns the settings of a team that serves the account.
+// find returns the settings of a team, or a refusal if the team is unknown or does
+// not list the account.
 func (t *teamSettings) find(name coordination.Team, account coordination.Account) (*settings.Team, *outcome.Refusal) {
 	team, ok := t.replica.Team(name)
 	if !ok {
@@ -141,7 +145,7 @@
 	return team, nil
 }
 
-// PlanChat implements caller.Teams.
+// PlanChat implements [caller.Teams].
 func (t *teamSettings) PlanChat(name coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	team, refusal := t.find(name, account)
 	if refusal != nil {
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -18,20 +18,20 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// transfers moves the KV caches of chats away from engines that are leaving.
-// Whatever fails here costs chats their caches and nothing else.
+// transfers moves the KV caches of chats away from engines that are leaving. A
+// failure loses the caches of the chats and nothing else.
 type transfers struct {
 	cfg       transfer.Config
 	directory *endpoint.Directory
 	placement placementInfo
 	engines   kvClient
 	metrics   *transferMetrics
-	changes   chan struct{} // a sign that the directory has changed
+	changes   chan struct{} // signals that the directory has changed; capacity 1
 	started   map[coordination.Endpoint]coordination.Incarnation
 	running   sync.WaitGroup
 }
 
-// placementInfo tells what placement goes by.
+// placementInfo is what transfers needs to know of placement.
 type placementInfo interface {
 	// owns reports whether this router owns an endpoint.
 	owns(k endpoint.Known) bool
@@ -42,7 +42,7 @@
 // loadBound implements placed.
 func (p *placing) loadBound() float64 { return p.tuning.Load().placement.Bound }
 
-// kvClient are the calls to engines that moves need.
+// kvClient makes the calls to engines that moves need.
 type kvClient interface {
 	CacheEvents(ctx context.Context, address string, since transfer.Sequence) (engine.CacheEvents, error)
 	Export(ctx context.Context, address string, chat coordination.Chat) (engine.KV, error)
@@ -50,7 +50,7 @@
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// newTransfers starts moving the chats of the engines that this router owns.
+// newTransfers starts moving the chats of leaving engines that this router owns.
 func newTransfers(i do.Injector) (*transfers, error) {
 	metrics := newTransferMetrics()
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(metrics.results, metrics.bytes)
@@ -60,7 +60,8 @@
 	return t, nil
 }
 
-// startTransfers returns with the function that ends all moves.
+// startTransfers starts transfers. The returned function ends all moves and waits
+// for them.
 func startTransfers(
 	cfg transfer.Config, d *endpoint.Directory, p placementInfo, engines kvClient, m *transferMetrics,
 ) (*transfers, func()) {
@@ -102,9 +103,10 @@
 	}
 }
 
-// startEvacuations starts an evacuation of each engine that this router owns and that is
-// first seen to leave. If two routers take an engine for theirs, some chats are
-// moved twice. Nothing is asked of engines where computing beats moving.
+// startEvacuations starts the evacuation of each engine that this router owns and
+// that has newly begun to leave. If two routers both consider themselves the owner
+// of an engine, some chats are moved twice. Where recomputing a cache is cheaper
+// than moving it, engines are not called at all.
 func (t *transfers) startEvacuations(ctx context.Context) {
 	if !t.cfg.Pays(unknownSize) {
 		return
@@ -120,10 +122,10 @@
 	t.pruneStarted()
 }
 
-// unknownSize is the size of any chat's KV cache before it is asked for.
+// unknownSize stands for the size of a KV cache that has not been requested yet.
 const unknownSize = -1
 
-// pruneStarted drops what is noted of engines that are no longer listed.
+// pruneStarted removes engines that are no longer listed from started.
 func (t *transfers) pruneStarted() {
 	for id := range t.started {
 		if _, ok := t.directory.Find(id); !ok {
@@ -132,9 +134,9 @@
 	}
 }
 
-// destination returns the engine that the next request of a chat will go to first:
-// the hint of its last answer names the engine that is leaving, which is no
-// candidate any more.
+// destination returns the engine that the next request of a chat will try first.
+// The hint of its last answer is ignored: it names the leaving engine, which is no
+// longer a candidate.
 func (t *transfers) destination(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
 	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Known, _ int) placement.Descriptor {
 		return k.Descriptor
@@ -146,8 +148,8 @@
 	return t.directory.Find(first[0].ID)
 }
 
-// withAccount has each request carry its client account to the calls of engines, so
-// that they name its chat as keyOf does.
+// withAccount adds the client account of each request to its context, so that
+// calls to engines name the chat by the same key as placement does.
 func (t *transfers) withAccount(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		account := coordination.Account(r.Header.Get(accountHeader))
@@ -155,10 +157,10 @@
 	})
 }
 
-// accountHeader is the header in which callers name the client account.
+// accountHeader is the request header with the client account.
 const accountHeader = "X-Client-Account"
 
-// transferMetrics count the moves.
+// transferMetrics counts moves by result and the bytes they took.
 type transferMetrics struct {
 	results *prometheus.CounterVec
 	bytes   prometheus.Counter
@@ -177,7 +179,7 @@
 	}
 }
 
-// transferConfig returns the settings of this router for transfers.
+// transferConfig converts the router's configuration of transfers.
 func transferConfig(c config.Transfer) transfer.Config {
 	return transfer.Config{
 		Budget:        float64(c.Link),
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -13,11 +13,12 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// evacuation moves the chats of one leaving engine for as long as it answers.
+// evacuation moves the chats of one leaving engine for as long as the engine
+// responds.
 type evacuation struct {
 	*transfers
 	from     endpoint.Known
-	plan     *transfer.Plan // used by run alone
+	plan     *transfer.Plan // used only by run
 	since    transfer.Sequence
 	lastRead time.Time // when the cache events were last read
 	outcomes chan moveOutcome
@@ -26,7 +27,7 @@
 	loads transfer.Loads
 }
 
-// moveOutcome tells what became of a move.
+// moveOutcome is the result of a move and the bytes that it took from the engine.
 type moveOutcome struct {
 	chat   coordination.Chat
 	result transfer.Result
@@ -42,8 +43,8 @@
 	}
 }
 
-// run does one step after another until the plan or ctx ends, or the engine
-// has gone. Moves under way come to their own end.
+// run executes the steps of the plan until the plan or ctx ends, or the engine is
+// no longer listed. It then waits for the moves in progress.
 func (e *evacuation) run(ctx context.Context) {
 	var moves sync.WaitGroup
 	defer e.finish(&moves)
@@ -62,15 +63,16 @@
 	}
 }
 
-// stillListed reports whether the same life of the engine is still listed. Another
-// life under its address has other caches.
+// stillListed reports whether the same incarnation of the engine is still listed.
+// Another incarnation at its address has other caches.
 func (e *evacuation) stillListed() bool {
 	k, ok := e.directory.Find(e.from.ID)
 	return ok && k.Incarnation == e.from.Incarnation
 }
 
-// readCacheEvents reads the cache events if the last read is old enough. The engine's
-// last answers end while it leaves, and theirs are the warmest chats of all.
+// readCacheEvents reads the cache events again once the last read is older than
+// the configured interval. Answers that end while the engine leaves add chats,
+// which are the most recently used of all.
 func (e *evacuation) readCacheEvents(ctx context.Context) {
 	if time.Since(e.lastRead) < e.cfg.Interval {
 		return
@@ -96,7 +98,7 @@
 	}
 }
 
-// finish waits for the moves under way.
+// finish waits for the moves in progress and records their outcomes.
 func (e *evacuation) finish(moves *sync.WaitGroup) {
 	moves.Wait()
 	for len(e.outcomes) > 0 {
@@ -110,7 +112,7 @@
 	e.metrics.bytes.Add(float64(m.bytes))
 }
 
-// move is the move of one chat.
+// move transfers the KV cache of one chat.
 type move struct {
 	*evacuation
 	chat coordination.Chat
@@ -123,7 +125,8 @@
 	m.outcomes <- moveOutcome{chat: m.chat, result: result, bytes: n}
 }
 
-// execute makes the move and returns the bytes that it took from the engine.
+// execute makes the move and returns its result and the bytes taken from the
+// leaving engine.
 func (m move) execute(ctx context.Context) (transfer.Result, int64) {
 	to, ok := m.destination(m.from.Pool, m.chat)
 	if !ok {
@@ -154,8 +157,8 @@
 	return transfer.Moved, n
 }
 
-// hasRoom reports whether an engine may receive a chat. It reads the engine's load
-// itself: the engine may have another owner.
+// hasRoom reports whether an engine can receive a chat. It reads the load from the
+// engine, because another router may own the engine.
 func (m move) hasRoom(ctx context.Context, to endpoint.Known) bool {
 	m.mu.Lock()
 	fresh := m.loads.Fresh(time.Now(), to.ID)
