--- a/wisteriarouter/daemon/abuse_test.go
+++ b/wisteriarouter/daemon/abuse_test.go
@@ -19,8 +19,8 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// slowHeaderClient sends the headers of a request a few bytes at a time and never ends
-// them.
+// slowHeaderClient sends the headers of a request a few bytes at a time and never
+// completes them.
 type slowHeaderClient struct {
 	conn net.Conn
 	held time.Duration // how long it held its connection
@@ -42,9 +42,9 @@
 	}
 }
 
-// Many connections send headers very slowly and never end them. Without a limit
-// each would hold memory for ever, and enough of them would lock others out.
-// They are cut off, and ordinary callers notice nothing meanwhile.
+// Guards against slow-header attacks: connections that never complete their
+// headers must be closed, or each would hold memory indefinitely and enough of them
+// would lock out other callers. Ordinary callers are served meanwhile.
 func TestSlowHeadersAreCutOff(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	clients := make([]*slowHeaderClient, 100)
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkRefused checks that an answer is a typed refusal that claims no run.
+// checkRefused checks that a response is a typed refusal with the outcome not-run.
 func (a answer) checkRefused(t *testing.T, status int, code outcome.Code) {
 	t.Helper()
 	assert.NilError(t, a.err)
@@ -77,8 +77,7 @@
 	assert.Equal(t, e.Error.Outcome, outcome.NotRun)
 }
 
-// A caller sends bodies and headers that no router should take in. It is told
-// so, and no endpoint sees any of it.
+// Oversized and malformed requests get a typed refusal and reach no endpoint.
 func TestOversizedAndMalformedRequests(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	before := w.arrivals()
@@ -88,16 +87,16 @@
 	w.post(t.Context(), 0, "/v1/chat/completions", `{"model":`).checkRefused(t, http.StatusBadRequest, outcome.Malformed)
 	w.post(t.Context(), 0, "/v1/chat/completions", `{"model":"n","messages":[{"role":"user"}]}`).checkRefused(t, http.StatusNotFound, outcome.UnknownModel)
 
-	// net/http answers this one itself, before any code of a router runs.
+	// net/http rejects oversized headers itself, before any router code runs.
 	a := w.post(t.Context(), 0, "/v1/chat/completions", `{}`, "X-Chat-Id", strings.Repeat("x", 64<<10))
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusRequestHeaderFieldsTooLarge, a.body)
 	assert.Equal(t, w.arrivals(), before)
 }
 
-// Callers go away in the middle of their answers. Each attempt is cancelled at
-// the engine, and its place is free again: more callers go than there are
-// places, and the next one is served.
+// Callers disconnect in the middle of their responses. Each attempt must be
+// cancelled at the engine and its place freed: more callers disconnect than there
+// are places, and the next request must still be served.
 func TestDisconnectedCallersFreeTheirPlaces(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.engines[0].SetFaults(standinengine.Faults{Slow: 20})
@@ -118,7 +117,8 @@
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 }
 
-// disconnectMidStream asks for a stream and closes the connection once it has begun.
+// disconnectMidStream requests a stream and closes the connection once the response
+// has begun.
 func (w *world) disconnectMidStream() {
 	const body = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a long answer please"}]}`
 	conn, err := net.Dial("tcp", w.routers[0].CallersAddress())
--- a/wisteriarouter/daemon/bounded_test.go
+++ b/wisteriarouter/daemon/bounded_test.go
@@ -25,8 +25,8 @@
 // for each shows with few, too.
 var keyCount = flag.Int("keys", 30_000, "different keys that the tests of bounded memory send")
 
-// maxRetainedBytes is the memory that the keys may leave behind together. One entry of
-// a map for each would be several times as much.
+// maxRetainedBytes is the memory that all keys together may leave allocated. A map
+// entry for each key would take several times as much.
 const maxRetainedBytes = 512 << 10
 
 // liveHeapBytes returns the bytes of the live liveHeapBytes.
@@ -38,8 +38,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// retainedBytes runs fn once to make what it needs, then with keys numbers, and returns
-// the bytes that it leaves behind.
+// retainedBytes runs fn once as a warm-up and then keyCount times with different
+// numbers, and returns by how many bytes the live heap has grown.
 func retainedBytes(fn func(n int)) int64 {
 	fn(0)
 	before := liveHeapBytes()
@@ -49,7 +49,8 @@
 	return liveHeapBytes() - before
 }
 
-// checkBounded checks that fn leaves little behind for all keys together.
+// checkBounded checks that fn retains less than maxRetainedBytes for all keys
+// together.
 func checkBounded(t *testing.T, fn func(n int)) {
 	t.Helper()
 	n := retainedBytes(fn)
@@ -57,8 +58,7 @@
 	assert.Assert(t, n < maxRetainedBytes, "%d bytes left by %d keys", n, *keyCount)
 }
 
-// A part keeps one small entry for each key. The check has to see it, or its
-// silence means nothing.
+// Verifies the check itself: one small map entry for each key must exceed the bound.
 func TestBoundCheckDetectsEntryPerKey(t *testing.T) {
 	kept := make(map[int]bool)
 	n := retainedBytes(func(n int) { kept[n] = true })
@@ -66,7 +66,7 @@
 	runtime.KeepAlive(kept)
 }
 
-// isolatedTransport is the transport of a router without others.
+// isolatedTransport is the transport of a router that has no peers.
 type isolatedTransport struct{}
 
 var errNoOtherRouter = errors.New("no other router")
@@ -75,16 +75,16 @@
 	return nil, errNoOtherRouter
 }
 
-// failingLoadReader is a reader of loads that reads none.
+// failingLoadReader fails to read any load.
 type failingLoadReader struct{}
 
 func (failingLoadReader) ReadLoad(context.Context, coordination.Endpoint) (placement.Report, error) {
 	return placement.Report{}, errNoOtherRouter
 }
 
-// A caller sends a new chat id, and names a new client account, with each of a
-// million requests. Were any state kept for each, the router would run out of
-// memory some days later.
+// A caller uses a new chat id and a new client account with each of a million
+// requests. If placement kept state for each, the router would run out of memory
+// within days.
 func TestPlacementForgetsChatsAndAccounts(t *testing.T) {
 	self := placement.EntryID{Instance: "r1", Incarnation: 1}
 	owner := placement.NewOwner(self.Instance, placement.Config{})
@@ -108,7 +108,7 @@
 	})
 }
 
-// acceptingStore is a platform that accepts and forgets everything.
+// acceptingStore is a platform store that accepts every write and keeps nothing.
 type acceptingStore struct {
 	revision kv.Revision
 }
@@ -122,15 +122,15 @@
 	return 1, kv.Result{Status: kv.Applied}
 }
 
-// finishedAction is an action that has run.
+// finishedAction is an action that runs at once with status 200.
 type finishedAction struct{}
 
 func (finishedAction) Send(context.Context) execution.Result {
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200}}
 }
 
-// A caller runs a million actions, each with a key of its own. Their records
-// live at the platform for a day; a router must keep nothing of them.
+// A caller runs a million actions, each with its own key. Their records stay in the
+// platform store for a day; the router must retain nothing of them.
 func TestLedgerForgetsKeys(t *testing.T) {
 	ledger, cleanup := execution.New(execution.Config{Store: &acceptingStore{}, Holder: "r1"})
 	defer cleanup()
@@ -140,8 +140,8 @@
 	})
 }
 
-// A caller names a million teams that do not exist, and sends a million
-// conversations that nobody suspects. Looking them up must not enter them.
+// A caller names a million unknown teams and sends a million conversations that are
+// under no suspicion. Looking them up must not create entries.
 func TestLookupsEnterNothing(t *testing.T) {
 	replica := &settings.Replica{}
 	table := suspicion.NewTable(suspicion.Config{})
--- a/wisteriarouter/daemon/orders_test.go
+++ b/wisteriarouter/daemon/orders_test.go
@@ -11,7 +11,7 @@
 	standinengine "wisteriaspool/standin/engine"
 )
 
-// hasLoadOrder reports whether an engine has been told to load an adapter.
+// hasLoadOrder reports whether an engine has been ordered to load an adapter.
 func hasLoadOrder(e *standinengine.Engine, adapter string) bool {
 	for _, o := range e.Orders() {
 		if o.Kind == "load-adapter" && o.Name == adapter {
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -15,8 +15,8 @@
 	standinplatform "wisteriaspool/standin/platform"
 )
 
-// incarnationUpdater keeps the platform's list at the engines' present incarnations, as
-// the platform does when one restarts.
+// incarnationUpdater keeps the incarnations in the platform's list current, as the
+// platform does when an engine restarts.
 type incarnationUpdater struct {
 	world *world
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// crashes returns how often engines crashed.
+// crashes returns the number of crashes of all engines.
 func (w *world) crashes() int {
 	n := 0
 	for _, e := range w.engines {
@@ -54,13 +54,13 @@
 	return n
 }
 
-// maxOrdinaryInFlight bounds what is under way through one router. Three routers have
-// less under way than two engines can run, so that nothing has to wait for a
-// place: on a busy machine, where a first token took 2 to 5 s, requests that
-// came at a fixed pace filled all engines, and some found no place in time.
+// maxOrdinaryInFlight limits the requests in flight through one router. Three
+// routers have fewer in flight than two engines can run, so that none has to wait
+// for a place: on a busy machine, where a first token took 2 to 5 s, requests sent
+// at a fixed rate filled all engines, and some found no place in time.
 const maxOrdinaryInFlight = 10
 
-// ordinaryTraffic asks one new thing after another through one router.
+// ordinaryTraffic sends harmless requests through one router, each with new content.
 type ordinaryTraffic struct {
 	world    *world
 	router   int
@@ -95,7 +95,7 @@
 	}
 }
 
-// check fails the test unless each answer is whole.
+// check fails the test unless each response is complete.
 func (s *ordinaryTraffic) check() {
 	for _, c := range s.requests {
 		assert.NilError(s.world.t, c.result.err)
@@ -104,8 +104,8 @@
 	}
 }
 
-// poisonSender sends one crashing request again and again, each time through
-// another router.
+// poisonSender sends one crashing request repeatedly, each time through another
+// router.
 type poisonSender struct {
 	world   *world
 	first   int
@@ -121,10 +121,9 @@
 	}
 }
 
-// Some requests crash each engine that runs them. Their callers send them
-// again at once, each time through another router, while others ask for
-// ordinary things. Without a verdict that all routers share, every engine falls
-// again and again, and ordinary answers are lost with them.
+// Some requests crash each engine that runs them, and their callers retry at once
+// through another router. Without a verdict that all routers share, they would
+// crash every engine repeatedly and ordinary responses would be lost.
 func TestPoisonRequests(t *testing.T) {
 	w := newWorld(t, 3, 6)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -164,10 +163,10 @@
 	}
 }
 
-// An engine crashes, and the platform lists its next incarnation while it is
-// still starting. Requests sent there meet a dead engine; their callers wait
-// for a second endpoint, and the requests are suspected of a crash that none
-// of them caused.
+// An engine crashes, and the platform lists its next incarnation while that is
+// still starting. Requests sent there would fail: their callers would wait for a
+// second endpoint, and the requests would be suspected of a crash that none of them
+// caused.
 func TestRestartingEngineGetsNothing(t *testing.T) {
 	w := newWorld(t, 3, 3)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/wisteriarouter/daemon/transfer_bench_test.go
+++ b/wisteriarouter/daemon/transfer_bench_test.go
@@ -23,34 +23,34 @@
 
 const (
 	benchEngines        = 12
-	benchLink           = 1.25e9           // bytes a second of an engine's link
+	benchLink           = 1.25e9           // bandwidth of an engine's link, in bytes per second
 	benchLeaveInterval  = 20 * time.Second // one engine leaves and another joins
 	benchLeaves         = 4
-	benchRate           = 48 // requests a second
+	benchRate           = 48 // requests per second
 	benchPrompt         = 1200
-	benchTurn           = 20 // words of each later message
+	benchTurn           = 20 // words of each message after the first
 	benchAnswer         = 32
-	benchChatsPerEngine = 50 // chats for each engine
+	benchChatsPerEngine = 50 // chats per engine
 	benchBlocks         = 8192
-	benchStep           = 50 * time.Millisecond // for about 8 requests at each engine
+	benchStep           = 50 * time.Millisecond // gives about 8 running requests per engine
 )
 
-// leaveScenario is one run of BenchmarkPlannedLeave.
+// leaveScenario holds the parameters of one run of BenchmarkPlannedLeave.
 type leaveScenario struct {
 	disabled       bool
-	bytesPerToken  int // bytes for each token
+	bytesPerToken  int // size of the KV cache
 	budget         float64
-	stay           time.Duration // least time from the announcement to the end
-	always         bool          // also where computing beats moving
+	stay           time.Duration // least time from the announcement to the engine's end
+	always         bool          // move even where recomputing is cheaper
 	chatsPerEngine int
-	eventLoss      float64       // of cache events
+	eventLoss      float64       // fraction of cache events lost
 	eventDelay     time.Duration // of cache events
 }
 
-// BenchmarkPlannedLeave measures what moving chats is worth when one engine in
-// twelve leaves as planned every 20 s and another joins: the decisions
-// themselves before stand-in engines, in the paused clock, seeded. "First" are
-// the first returns of chats whose engine has left.
+// BenchmarkPlannedLeave measures the benefit of moving chats when one engine in
+// twelve leaves as planned every 20 s and another joins. It runs the real transfer
+// decisions against stand-in engines, seeded and under a fake clock. Metrics named
+// "first" cover the first returns of chats whose engine has left.
 //
 //	go test -run xxx -bench PlannedLeave -benchtime 1x ./daemon
 func BenchmarkPlannedLeave(b *testing.B) {
@@ -90,11 +90,12 @@
 	}
 }
 
-// run plays the setup in the paused clock, which needs a test of its own.
+// run simulates the scenario under the fake clock of synctest, which needs a
+// *testing.T.
 func (s leaveScenario) run() *leaveRun {
 	var m *leaveRun
 	play := testing.InternalTest{Name: "paused", F: func(t *testing.T) {
-		m = &leaveRun{leaveScenario: s} // the flag count repeats tests, too
+		m = &leaveRun{leaveScenario: s} // reset, because the flag -count repeats this test too
 		synctest.Test(t, m.play)
 	}}
 	match := func(string, string) (bool, error) { return true, nil }
@@ -104,7 +105,7 @@
 	return m
 }
 
-// leaveRun is one run with what it measures.
+// leaveRun is the state and the measurements of one run.
 type leaveRun struct {
 	leaveScenario
 	rng *rand.Rand
@@ -116,14 +117,14 @@
 	refused      int
 	failed       int
 	moved, bytes float64
-	arrivals     int // at engines that were leaving
+	arrivals     int // requests that arrived at leaving engines
 }
 
-// responseStats sums up what requests got.
+// responseStats sums up the token usage and latency of responses.
 type responseStats struct {
 	prompt, cached int
 	warm           int
-	firstTokens    []time.Duration // until the first one
+	firstTokens    []time.Duration // latency of each first token
 }
 
 func (m *responseStats) add(h turnResult) {
@@ -161,7 +162,7 @@
 	b.ReportMetric(float64(m.arrivals), "arrivals-leaving")
 }
 
-// play is the run itself.
+// play runs the simulation.
 func (m *leaveRun) play(t *testing.T) {
 	m.rng = rand.New(rand.NewPCG(1, 7))
 	m.departed = make(map[coordination.Endpoint]bool)
@@ -216,7 +217,7 @@
 	w.leave(id, m.stay)
 }
 
-// pick returns a chat that is not being answered.
+// pick returns a random chat, or nil if that chat has a request in progress.
 func (m *leaveRun) pick(chats []*conversation) *conversation {
 	c := chats[m.rng.IntN(len(chats))]
 	m.mu.Lock()
@@ -228,7 +229,7 @@
 	return c
 }
 
-// benchRequest is one request of a chat.
+// benchRequest is one request of a chat; counts includes it in the overall figures.
 type benchRequest struct {
 	run    *leaveRun
 	env    *evacuationEnv
@@ -267,14 +268,15 @@
 	}
 }
 
-// sizedClient shows exports with the size that the stand-in takes the time of
-// rather than the few bytes that it sends.
+// sizedClient reports exports with the size whose transfer time the stand-in
+// simulates, instead of the few bytes that it sends.
 type sizedClient struct {
 	*engine.Client
 	bytesPerToken int
 }
 
-// standinBlock is what the stand-in sends for a block of 16 tokens.
+// standinBlock is the number of bytes that the stand-in sends for a block of
+// standinBlockWords tokens.
 const (
 	standinBlock      = 8 + 1024
 	standinBlockWords = 16
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -23,20 +23,21 @@
 	testPrompt  = 320 // words
 )
 
-// returnStats is what the chats of an engine found when they came back after it
-// had left.
+// returnStats sums up the cache hits of an engine's chats when they return after
+// the engine has left.
 type returnStats struct {
 	chats, warm    int
 	prompt, cached coordination.Tokens
 }
 
-// transferScenario has chats talk, one engine leave and that engine's chats return.
+// transferScenario runs chats, lets one engine leave and has that engine's chats
+// return.
 type transferScenario struct {
 	options  standin.Options
 	wrap     func(http.Handler) http.Handler
 	disabled bool
 	cfg      transfer.Config
-	during   func(w *evacuationEnv) // behind the announcement
+	during   func(w *evacuationEnv) // called after the engine has announced its stop
 }
 
 const leavingEngine = coordination.Endpoint("e1")
@@ -79,8 +80,8 @@
 	})
 }
 
-// An engine leaves as planned and its chats return. The first token would come
-// late, and all of the prompt would be computed and billed again.
+// An engine leaves as planned and its chats return. Without their caches, the first
+// token would come late, and the whole prompt would be computed and billed again.
 func TestChatsFindTheirCacheBehindPlannedLeave(t *testing.T) {
 	transferScenario{}.run(t, func(w *evacuationEnv, r returnStats) {
 		assert.Equal(t, r.warm, r.chats)
@@ -89,23 +90,22 @@
 	})
 }
 
-// The same without moving chats: the checks above would notice.
+// Verifies the check above: without transfer, no returning chat finds its cache.
 func TestChatsAreColdWithoutTransfer(t *testing.T) {
 	transferScenario{disabled: true}.run(t, func(_ *evacuationEnv, r returnStats) {
 		assert.Equal(t, r.warm, 0)
 	})
 }
 
-// An answer is still being given when its engine announces its stop. Its chat
-// is stored when it ends, and that is the chat which its user comes back to
-// first.
+// A response is still being streamed when its engine announces its stop. Its cache
+// is stored when it ends and must be moved then: that chat is the first to return.
 func TestChatThatEndsWhileLeavingIsMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newEvacuationEnv(t, standin.Options{Step: 20 * time.Millisecond}, nil)
 		defer w.close()
 		w.join()
 		w.transfer(transfer.Config{}, w.client)
-		time.Sleep(2 * time.Second) // until its owner has settled
+		time.Sleep(2 * time.Second) // until placement has settled on its owner
 		late := newConversation(0)
 		l := pendingAnswer{env: w, chat: late, done: make(chan struct{})}
 		go l.run()
@@ -121,7 +121,7 @@
 	})
 }
 
-// pendingAnswer is one answer on its way.
+// pendingAnswer is a response in progress; done is closed when it has ended.
 type pendingAnswer struct {
 	env  *evacuationEnv
 	chat *conversation
@@ -133,7 +133,7 @@
 	l.env.mustSend(l.chat, testPrompt, 64)
 }
 
-// respondWith answers calls to a path with a status instead of the engine.
+// respondWith answers calls to a path with a status in place of the engine.
 func respondWith(path string, status int) func(http.Handler) http.Handler {
 	return func(h http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// cutExports breaks off each export in the middle.
+// cutExports aborts each export in the middle of its body.
 func cutExports(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/kv/export" {
@@ -158,8 +158,8 @@
 	})
 }
 
-// Moving a chat fails in one way or another. Callers must get their whole
-// answers all the same, and nothing but the chats' caches may be lost.
+// Whichever way a transfer fails, callers must get complete responses, and nothing
+// but the caches of the chats may be lost.
 func TestFailedTransferCostsOnlyTheCache(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -200,8 +200,8 @@
 	}
 }
 
-// The engine dies while its chats are being moved over a slow link. Those that
-// had been moved are warm; the others cost their caches only.
+// The engine dies while its chats are being moved over a slow link. Chats already
+// moved find their caches; the others lose theirs and nothing else.
 func TestEngineGoneInMidTransfer(t *testing.T) {
 	tr := transferScenario{
 		options: standin.Options{LinkBytesPerSec: 100e6},
@@ -226,9 +226,9 @@
 
 func (p engineProcess) run() { _ = p.server.Serve(p.listener) }
 
-// The process of an engine waits for its open connections before it ends. Moves
-// that were begun one after the other would keep it from ending for as long as
-// there are chats to move, and the platform would kill it at last.
+// An engine's process waits for its open connections before it ends. Moves that
+// kept starting one after the other would delay its end for as long as there are
+// chats to move, until the platform killed it.
 func TestMovesDoNotHoldUpShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newEvacuationEnv(t, standin.Options{LinkBytesPerSec: 100e6}, nil)
@@ -238,7 +238,7 @@
 		for _, c := range chats {
 			w.mustSend(c, testPrompt, 16)
 		}
-		w.closes[leavingEngine]() // all is answered; from here on a server that can wait
+		w.closes[leavingEngine]() // all requests are answered; replaced by a server with Shutdown
 		e := w.engines[leavingEngine]
 		p := engineProcess{server: &http.Server{Handler: e}, listener: w.network.Listen("e1:80")}
 		go p.run()
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -31,13 +31,13 @@
 	transferAccount = coordination.Account("label")
 )
 
-// evacuationEnv is one router's placement and transfers before engines on a
-// network of pipes, in the paused clock.
+// evacuationEnv is the placement and transfers of one router with stand-in engines
+// on an in-memory network, under the fake clock of synctest.
 type evacuationEnv struct {
 	t         testing.TB
 	network   pipe.Network
 	options   standin.Options
-	wrap      func(http.Handler) http.Handler // of each engine
+	wrap      func(http.Handler) http.Handler // wraps the handler of each engine; may be nil
 	engines   map[coordination.Endpoint]*standin.Engine
 	mu        sync.Mutex // guards closes and listed
 	closes    map[coordination.Endpoint]func()
@@ -84,13 +84,13 @@
 	w.entry.Update(set, routers)
 }
 
-// transfer starts moving chats.
+// transfer starts moving chats away from leaving engines.
 func (w *evacuationEnv) transfer(cfg transfer.Config, engines kvClient) {
 	_, stop := startTransfers(cfg, w.directory, ownsAll{}, engines, w.metrics)
 	w.stops = append(w.stops, stop)
 }
 
-// ownsAll is the only router.
+// ownsAll is the placement of the only router, with the default load bound.
 type ownsAll struct{}
 
 func (ownsAll) owns(endpoint.Known) bool { return true }
@@ -123,8 +123,8 @@
 	w.directory.Update(w.listed)
 }
 
-// leave has an engine announce its stop. It ends once it is idle, at stay at
-// the earliest.
+// leave has an engine announce its stop. The engine ends once it is idle, but not
+// before stay has passed.
 func (w *evacuationEnv) leave(id coordination.Endpoint, stay time.Duration) {
 	e := w.engines[id]
 	e.Leave()
@@ -133,7 +133,7 @@
 	go l.run()
 }
 
-// engineStopper ends an engine's process.
+// engineStopper drains an engine after stay and then ends it.
 type engineStopper struct {
 	env  *evacuationEnv
 	id   coordination.Endpoint
@@ -146,19 +146,19 @@
 	l.env.kill(l.id)
 }
 
-// kill ends an engine at once.
+// kill ends an engine at once and removes it from the list.
 func (w *evacuationEnv) kill(id coordination.Endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closes[id]()
 	w.closes[id] = func() {}
 	w.listed = lo.Reject(w.listed, func(l platform.Entry, _ int) bool { return l.ID == id })
-	for range 2 { // the directory waits for a second list
+	for range 2 { // the directory removes an entry only after a second list without it
 		w.directory.Update(w.listed)
 	}
 }
 
-// conversation is one chat that returns, with all that was said.
+// conversation is a chat of several turns with its messages so far.
 type conversation struct {
 	chat         coordination.Chat
 	hint         placement.Hint
@@ -171,15 +171,16 @@
 	return &conversation{chat: coordination.Chat(fmt.Sprintf("chat-%d", n))}
 }
 
-// turnResult is what one turn of a chat got.
+// turnResult is the token usage and first-token latency of one turn.
 type turnResult struct {
 	usage      engine.Usage
-	firstToken time.Duration // until the first token
+	firstToken time.Duration // from sending to the first token
 }
 
 var errRefused = errors.New("refused")
 
-// send has the chat ask once more, with so many new words.
+// send sends the next message of a chat with the given number of new words, and
+// reads the response of at most limit tokens.
 func (w *evacuationEnv) send(c *conversation, words, limit int) (turnResult, error) {
 	start := time.Now()
 	g, refusal := w.entry.Acquire(context.Background(), placement.Request{
@@ -214,7 +215,8 @@
 	return standin.Content(text.String())
 }
 
-// readAnswer reads an answer to its end and checks that it is the right one.
+// readAnswer reads a response to its end and checks that its text is the expected
+// one.
 func (c *conversation) readAnswer(s *engine.Stream, start time.Time) (turnResult, error) {
 	var h turnResult
 	var text strings.Builder
@@ -241,7 +243,7 @@
 	return h, nil
 }
 
-// result returns how many moves have had a result.
+// result returns the number of moves with a result.
 func (w *evacuationEnv) result(r transfer.Result) int {
 	return int(testutil.ToFloat64(w.metrics.results.WithLabelValues(r.String())))
 }
