--- a/wisteriarouter/daemon/abuse_test.go
+++ b/wisteriarouter/daemon/abuse_test.go
@@ -60,7 +60,7 @@
 	assert.Equal(t, a.status, http.StatusOK, a.body)
 	wg.Wait()
 	for _, d := range clients {
-		assert.Assert(t, d.err != nil, "headers were taken for %v", d.held)
+		assert.Assert(t, d.err != nil, "headers were accepted for %v", d.held)
 	}
 }
 
--- a/wisteriarouter/daemon/bounded_test.go
+++ b/wisteriarouter/daemon/bounded_test.go
@@ -20,16 +20,16 @@
 	"wisteriaspool/coordination/suspicion"
 )
 
-// keyCount is how many different ids, accounts or keyCount each test below sends. CI
-// takes few, for the race detector makes a million last minutes; what is kept
-// for each shows with few, too.
-var keyCount = flag.Int("keys", 30_000, "different keys that the tests of bounded memory send")
+// keyCount is how many different ids, accounts or keys each test below sends. CI
+// uses few, because a million take minutes with the race detector; state kept for
+// each key shows with few as well.
+var keyCount = flag.Int("keys", 30_000, "number of different keys sent by the tests of bounded memory")
 
 // maxRetainedBytes is the memory that all keys together may leave allocated. A map
 // entry for each key would take several times as much.
 const maxRetainedBytes = 512 << 10
 
-// liveHeapBytes returns the bytes of the live liveHeapBytes.
+// liveHeapBytes returns the size of the live heap after garbage collection.
 func liveHeapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -54,8 +54,8 @@
 func checkBounded(t *testing.T, fn func(n int)) {
 	t.Helper()
 	n := retainedBytes(fn)
-	t.Logf("%d bytes left by %d keys", n, *keyCount)
-	assert.Assert(t, n < maxRetainedBytes, "%d bytes left by %d keys", n, *keyCount)
+	t.Logf("%d bytes retained for %d keys", n, *keyCount)
+	assert.Assert(t, n < maxRetainedBytes, "%d bytes retained for %d keys", n, *keyCount)
 }
 
 // Verifies the check itself: one small map entry for each key must exceed the bound.
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -157,7 +157,7 @@
 	for _, s := range traffic {
 		s.check()
 	}
-	assert.Assert(t, w.crashes() <= 2*len(poison), "%d poison requests took %d engines", len(poison), w.crashes())
+	assert.Assert(t, w.crashes() <= 2*len(poison), "%d poison requests crashed engines %d times", len(poison), w.crashes())
 	for _, l := range w.logs.lines("peer-malformed") {
 		t.Errorf("a router closed the connection of another one: %s", l)
 	}
@@ -187,7 +187,7 @@
 		if w.engines[0].Stats().LastArrival.After(back) {
 			return poll.Success()
 		}
-		return poll.Continue("the engine is back and has got no work")
+		return poll.Continue("the engine has restarted and received no request yet")
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 	close(done)
 	others.Wait()
@@ -197,6 +197,6 @@
 	}
 	old := fmt.Sprintf(`"incarnation":%d`, first)
 	for _, l := range w.logs.lines("endpoint-lost") {
-		assert.Assert(t, strings.Contains(l, old), "a request went to the engine before it was back: %s", l)
+		assert.Assert(t, strings.Contains(l, old), "a request reached the engine before it had restarted: %s", l)
 	}
 }
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -20,7 +20,7 @@
 // than the platform's list lags.
 const leavingTTL = 2 * time.Minute
 
-// freshTTL is how long a confirmation that the settings are up to date is kept.
+// freshTTL is how long a confirmation of the settings by the platform stays valid.
 const freshTTL = 30 * time.Second
 
 // suspicionTTL is how long a suspicion record is gossiped: as long as a
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -36,7 +36,7 @@
 	log         event.Log
 	liveRouters map[coordination.Instance]bool
 	table       *suspicion.Table
-	mu          sync.Mutex // guards set
+	mu          sync.Mutex // guards endpoints
 	endpoints   *placement.Set
 }
 
@@ -127,7 +127,7 @@
 	s.updateGates()
 }
 
-// updateGates tells the guard that gates may have updateGates to other routers.
+// updateGates informs the guard that gates may have moved to other routers.
 func (s *crashSuspicion) updateGates() { s.guard.Update(context.Background(), s.place.fleet.owners()) }
 
 func (s *crashSuspicion) loop(ctx context.Context) {
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -35,11 +35,11 @@
 type placementInfo interface {
 	// owns reports whether this router owns an endpoint.
 	owns(k endpoint.Known) bool
-	// loadBound returns the load loadBound in force, or zero for the default.
+	// loadBound returns the load bound in force, or zero if the default applies.
 	loadBound() float64
 }
 
-// loadBound implements placed.
+// loadBound implements [placementInfo].
 func (p *placing) loadBound() float64 { return p.tuning.Load().placement.Bound }
 
 // kvClient makes the calls to engines that moves need.
@@ -84,7 +84,7 @@
 	}
 }
 
-// notifyChange notes that the directory has notifyChange.
+// notifyChange signals loop that the directory has changed. It never blocks.
 func (t *transfers) notifyChange() {
 	select {
 	case t.changes <- struct{}{}:
--- a/wisteriarouter/daemon/transfer_bench_test.go
+++ b/wisteriarouter/daemon/transfer_bench_test.go
@@ -100,7 +100,7 @@
 	}}
 	match := func(string, string) (bool, error) { return true, nil }
 	if !testing.RunTests(match, []testing.InternalTest{play}) {
-		panic("the run has failed")
+		panic("the simulation failed")
 	}
 	return m
 }
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -117,7 +117,7 @@
 		time.Sleep(5 * time.Second)
 		h := w.mustSend(late, 4, 16)
 		assert.Equal(t, late.lastEndpoint, coordination.Endpoint("e2"))
-		assert.Assert(t, h.usage.Cached > testPrompt, "the answer itself is cached, too: %+v", h.usage)
+		assert.Assert(t, h.usage.Cached > testPrompt, "the response itself must be cached too: %+v", h.usage)
 	})
 }
 
@@ -217,8 +217,8 @@
 	})
 }
 
-// engineProcess is an engine's engineProcess, which on its planned stop waits for the
-// connections that are in use.
+// engineProcess is an engine's server process. On a planned stop it waits for the
+// connections in use.
 type engineProcess struct {
 	server   *http.Server
 	listener *pipe.Listener
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -237,7 +237,7 @@
 		}
 	}
 	if want := standin.Answer(c.messages, int(h.usage.Completion)); text.String() != want {
-		return h, fmt.Errorf("the answer is %q instead of %q", text.String(), want)
+		return h, fmt.Errorf("answer %q, want %q", text.String(), want)
 	}
 	c.messages = append(c.messages, standin.Message{Role: "assistant", Content: standin.Content(text.String())})
 	return h, nil
