--- a/wisteriarouter/daemon/transfer_bench_test.go
+++ b/wisteriarouter/daemon/transfer_bench_test.go
@@ -112,7 +112,7 @@
 
 	mu           sync.Mutex
 	departed     map[coordination.Endpoint]bool
-	busy         map[*conversation]bool
+	busy         map[*chatSession]bool
 	all, first   responseStats
 	refused      int
 	failed       int
@@ -166,7 +166,7 @@
 func (m *leaveRun) play(t *testing.T) {
 	m.rng = rand.New(rand.NewPCG(1, 7))
 	m.departed = make(map[coordination.Endpoint]bool)
-	m.busy = make(map[*conversation]bool)
+	m.busy = make(map[*chatSession]bool)
 	w := newEvacuationEnv(t, standin.Options{
 		Step: benchStep, CacheBlocks: benchBlocks, KVBytesPerToken: m.bytesPerToken, LinkBytesPerSec: benchLink,
 		EventLoss: m.eventLoss, EventDelay: m.eventDelay,
@@ -182,7 +182,7 @@
 		}
 		w.transfer(cfg, sizedClient{Client: w.client, bytesPerToken: m.bytesPerToken})
 	}
-	chats := lo.Times(benchEngines*m.chatsPerEngine, newConversation)
+	chats := lo.Times(benchEngines*m.chatsPerEngine, newChatSession)
 	var asking sync.WaitGroup
 	start := time.Now()
 	end := start.Add((benchLeaves + 2) * benchLeaveInterval)
@@ -218,7 +218,7 @@
 }
 
 // pick returns a random chat, or nil if that chat has a request in progress.
-func (m *leaveRun) pick(chats []*conversation) *conversation {
+func (m *leaveRun) pick(chats []*chatSession) *chatSession {
 	c := chats[m.rng.IntN(len(chats))]
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -233,7 +233,7 @@
 type benchRequest struct {
 	run    *leaveRun
 	env    *evacuationEnv
-	chat   *conversation
+	chat   *chatSession
 	counts bool
 }
 
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -52,11 +52,11 @@
 		if !tr.disabled {
 			w.transfer(tr.cfg, w.client)
 		}
-		chats := lo.Times(testChats, newConversation)
+		chats := lo.Times(testChats, newChatSession)
 		for _, c := range chats {
 			w.mustSend(c, testPrompt, 16)
 		}
-		there := lo.Filter(chats, func(c *conversation, _ int) bool { return c.lastEndpoint == leavingEngine })
+		there := lo.Filter(chats, func(c *chatSession, _ int) bool { return c.lastEndpoint == leavingEngine })
 		assert.Assert(t, len(there) > 5, "the engine that leaves has too few chats: %d", len(there))
 		e := w.engines[leavingEngine]
 		w.leave(leavingEngine, 5*time.Second)
@@ -106,7 +106,7 @@
 		w.join()
 		w.transfer(transfer.Config{}, w.client)
 		time.Sleep(2 * time.Second) // until placement has settled on its owner
-		late := newConversation(0)
+		late := newChatSession(0)
 		l := pendingAnswer{env: w, chat: late, done: make(chan struct{})}
 		go l.run()
 		time.Sleep(300 * time.Millisecond)
@@ -124,7 +124,7 @@
 // pendingAnswer is a response in progress; done is closed when it has ended.
 type pendingAnswer struct {
 	env  *evacuationEnv
-	chat *conversation
+	chat *chatSession
 	done chan struct{}
 }
 
@@ -234,7 +234,7 @@
 		w := newEvacuationEnv(t, standin.Options{LinkBytesPerSec: 100e6}, nil)
 		defer w.close()
 		w.join()
-		chats := lo.Times(30, newConversation)
+		chats := lo.Times(30, newChatSession)
 		for _, c := range chats {
 			w.mustSend(c, testPrompt, 16)
 		}
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// conversation is a chat of several turns with its messages so far.
-type conversation struct {
+// chatSession is a chat of several turns with its messages so far.
+type chatSession struct {
 	chat         coordination.Chat
 	hint         placement.Hint
 	lastEndpoint coordination.Endpoint
@@ -167,8 +167,8 @@
 	turns        int
 }
 
-func newConversation(n int) *conversation {
-	return &conversation{chat: coordination.Chat(fmt.Sprintf("chat-%d", n))}
+func newChatSession(n int) *chatSession {
+	return &chatSession{chat: coordination.Chat(fmt.Sprintf("chat-%d", n))}
 }
 
 // turnResult is the token usage and first-token latency of one turn.
@@ -181,7 +181,7 @@
 
 // send sends the next message of a chat with the given number of new words, and
 // reads the response of at most limit tokens.
-func (w *evacuationEnv) send(c *conversation, words, limit int) (turnResult, error) {
+func (w *evacuationEnv) send(c *chatSession, words, limit int) (turnResult, error) {
 	start := time.Now()
 	g, refusal := w.entry.Acquire(context.Background(), placement.Request{
 		Pool: transferPool, Key: placement.KeyOf(engine.ChatOf(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
@@ -207,7 +207,7 @@
 	return c.readAnswer(s, start)
 }
 
-func (c *conversation) words(n int) standin.Content {
+func (c *chatSession) words(n int) standin.Content {
 	var text strings.Builder
 	for i := range n {
 		fmt.Fprintf(&text, "%s-%d-%d ", c.chat, c.turns, i)
@@ -217,7 +217,7 @@
 
 // readAnswer reads a response to its end and checks that its text is the expected
 // one.
-func (c *conversation) readAnswer(s *engine.Stream, start time.Time) (turnResult, error) {
+func (c *chatSession) readAnswer(s *engine.Stream, start time.Time) (turnResult, error) {
 	var h turnResult
 	var text strings.Builder
 	for {
@@ -251,7 +251,7 @@
 // bytes returns how many bytes have been taken from leaving engines.
 func (w *evacuationEnv) bytes() float64 { return testutil.ToFloat64(w.metrics.bytes) }
 
-func (w *evacuationEnv) mustSend(c *conversation, words, limit int) turnResult {
+func (w *evacuationEnv) mustSend(c *chatSession, words, limit int) turnResult {
 	w.t.Helper()
 	h, err := w.send(c, words, limit)
 	assert.NilError(w.t, err)
