--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -16,9 +16,9 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// The bounds of what teams may set, on all routers alike: a record made under a
-// shorter bound could vanish while another router still accepts its key. The
-// table of settings allows no more.
+// The upper limits of the retention and clock skew that a team may set. They are
+// the same on all routers: a record made under a shorter limit could expire while
+// another router still accepts its key. The settings schema allows no more.
 const (
 	maxRetention = 24 * time.Hour
 	maxSkew      = time.Minute
@@ -44,7 +44,7 @@
 		closeLedger()
 	})
 	return &service.Runner{
-		Plans:   do.MustInvoke[*teams](i),
+		Plans:   do.MustInvoke[*teamSettings](i),
 		Placer:  do.MustInvoke[*placer](i),
 		Retries: do.MustInvoke[*teamRetries](i),
 		Client:  client,
@@ -53,26 +53,26 @@
 	}, nil
 }
 
-// drainWait is how long a router that stops waits for the records of actions
-// that have ended. One left open would keep its key in progress, and its caller
-// without an answer, until it expires.
-const drainWait = 5 * time.Second
+// drainTimeout limits how long a stopping router waits for the records of
+// finished actions to be written. A record left open would keep its key in
+// progress, and its caller without an answer, until the record expires.
+const drainTimeout = 5 * time.Second
 
 func drain(l *execution.Ledger) {
-	ctx, cancel := context.WithTimeout(context.Background(), drainWait)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	l.Drain(ctx)
 }
 
-// PlanAction implements service.Plans.
-func (t *teams) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
+// PlanAction implements [service.Plans].
+func (t *teamSettings) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
 	team, refusal := t.find(a.Team, a.Account)
 	if refusal != nil {
 		return service.Plan{}, refusal
 	}
 	s, ok := team.Service(a.Service)
 	if !ok {
-		return service.Plan{}, unknown(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
+		return service.Plan{}, unknownRefusal(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
 	}
 	rules := team.Actions()
 	return service.Plan{
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -19,12 +19,12 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// addOperators adds the operations for operators.
-func addOperators(i do.Injector, api huma.API) {
-	t := do.MustInvoke[*teams](i)
+// addOperatorAPI registers the operator API.
+func addOperatorAPI(i do.Injector, api huma.API) {
+	t := do.MustInvoke[*teamSettings](i)
 	node := do.MustInvoke[*peer.Node](i)
 	store := budgetedStore{store: do.MustInvoke[*platform.Client](i), budget: do.MustInvoke[*budget.Budget](i)}
-	st := &status{
+	st := &statusReporter{
 		state:     stateOf(i),
 		zone:      configOf(i).Zone,
 		teams:     t,
@@ -43,7 +43,7 @@
 	s.Register(api)
 }
 
-// Get implements settings.EditorStore.
+// Get implements [settings.EditorStore].
 func (s budgetedStore) Get(ctx context.Context, key string) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -51,7 +51,7 @@
 	return s.store.Get(ctx, key)
 }
 
-// CompareAndSwap implements settings.EditorStore.
+// CompareAndSwap implements [settings.EditorStore].
 func (s budgetedStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -59,17 +59,17 @@
 	return s.store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// status gathers what operators see of this router.
-type status struct {
+// statusReporter assembles the status of this router for the operator API.
+type statusReporter struct {
 	state     *state
 	zone      coordination.Zone
-	teams     *teams
+	teams     *teamSettings
 	node      *peer.Node
 	directory *endpoint.Directory
 	placing   *placer
 }
 
-func (s *status) report() operator.Status {
+func (s *statusReporter) report() operator.Status {
 	return operator.Status{
 		Instance:    s.state.instance,
 		Incarnation: s.state.incarnation,
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *status) platform() operator.PlatformStatus {
+func (s *statusReporter) platform() operator.PlatformStatus {
 	p := operator.PlatformStatus{Watching: s.teams.sync.Watching(), ConfirmedMsAgo: -1}
 	if age, ever := s.teams.sync.ConfirmationAge(); ever {
 		p.ConfirmedMsAgo = age.Round(time.Millisecond).Milliseconds()
@@ -96,7 +96,7 @@
 	return p
 }
 
-func (s *status) endpoint(k endpoint.Known) operator.EndpointStatus {
+func (s *statusReporter) endpoint(k endpoint.Known) operator.EndpointStatus {
 	return operator.EndpointStatus{
 		Endpoint: k.ID,
 		Pool:     k.Pool,
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -15,13 +15,13 @@
 	standinplatform "wisteriaspool/standin/platform"
 )
 
-// relister keeps the platform's list at the engines' present incarnations, as
-// the platform does when one restarts.
-type relister struct {
+// incarnationUpdater keeps the incarnations in the platform's list current, as the
+// platform does when an engine restarts.
+type incarnationUpdater struct {
 	world *testCluster
 }
 
-func (l relister) run(ctx context.Context) {
+func (l incarnationUpdater) run(ctx context.Context) {
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -31,12 +31,12 @@
 		case <-t.C:
 		}
 		for _, e := range l.world.platform.Instances() {
-			l.relist(e)
+			l.updateIncarnation(e)
 		}
 	}
 }
 
-func (l relister) relist(listed standinplatform.Instance) {
+func (l incarnationUpdater) updateIncarnation(listed standinplatform.Instance) {
 	for n, e := range l.world.engines {
 		if listed.ID == engineID(n) && listed.Incarnation != e.Incarnation() {
 			listed.Incarnation = e.Incarnation()
@@ -45,7 +45,7 @@
 	}
 }
 
-// crashes returns how often engines crashed.
+// crashes returns the number of crashes of all engines.
 func (w *testCluster) crashes() int {
 	n := 0
 	for _, e := range w.engines {
@@ -54,24 +54,24 @@
 	return n
 }
 
-// innocentsAtOnce bounds what is under way through one router. Three routers have
-// less under way than two engines can run, so that nothing has to wait for a
-// place: on a busy machine, where a first token took 2 to 5 s, requests that
-// came at a fixed pace filled all engines, and some found no place in time.
-const innocentsAtOnce = 10
-
-// innocents asks one new thing after another through one router.
-type innocents struct {
-	world  *testCluster
-	router int
-	done   <-chan struct{}
-	asked  []retryingChat
+// maxOrdinaryInFlight limits the requests in flight through one router. Three
+// routers have fewer in flight than two engines can run, so that none has to wait
+// for a place: on a busy machine, where a first token took 2 to 5 s, requests sent
+// at a fixed rate filled all engines, and some found no place in time.
+const maxOrdinaryInFlight = 10
+
+// ordinaryTraffic sends harmless requests through one router, each with new content.
+type ordinaryTraffic struct {
+	world    *testCluster
+	router   int
+	done     <-chan struct{}
+	requests []retryingChat
 }
 
-func (s *innocents) run() {
+func (s *ordinaryTraffic) run() {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	underWay := make(chan struct{}, innocentsAtOnce)
+	inFlight := make(chan struct{}, maxOrdinaryInFlight)
 	for n := 0; ; n++ {
 		select {
 		case <-s.done:
@@ -81,32 +81,32 @@
 		select {
 		case <-s.done:
 			return
-		case underWay <- struct{}{}:
+		case inFlight <- struct{}{}:
 		}
 		c := retryingChat{
 			cluster: s.world, router: s.router, result: new(response),
 			content: fmt.Sprintf("innocent %d through router %d", n, s.router+1),
 		}
-		s.asked = append(s.asked, c)
+		s.requests = append(s.requests, c)
 		wg.Go(func() {
-			defer func() { <-underWay }()
+			defer func() { <-inFlight }()
 			c.run()
 		})
 	}
 }
 
-// check fails the test unless each answer is whole.
-func (s *innocents) check() {
-	for _, c := range s.asked {
+// check fails the test unless each response is complete.
+func (s *ordinaryTraffic) check() {
+	for _, c := range s.requests {
 		assert.NilError(s.world.t, c.result.err)
 		assert.Equal(s.world.t, c.result.status, http.StatusOK, "%q: %s", c.content, c.result.body)
 		assert.Assert(s.world.t, strings.Contains(c.result.body, strings.TrimSpace(expectedAnswer(c.content))), c.result.body)
 	}
 }
 
-// poisoner sends one crashing request again and again, each time through
-// another router.
-type poisoner struct {
+// poisonSender sends one crashing request repeatedly, each time through another
+// router.
+type poisonSender struct {
 	world   *testCluster
 	first   int
 	content string
@@ -114,90 +114,89 @@
 	answers []response
 }
 
-func (p *poisoner) run() {
+func (p *poisonSender) run() {
 	for n := range p.sends {
 		router := (p.first + n) % len(p.world.routers)
 		p.answers = append(p.answers, p.world.chat(p.world.t.Context(), router, p.content))
 	}
 }
 
-// Some requests crash each engine that runs them. Their callers send them
-// again at once, each time through another router, while others ask for
-// ordinary things. Without a verdict that all routers share, every engine falls
-// again and again, and ordinary answers are lost with them.
+// Some requests crash each engine that runs them, and their callers retry at once
+// through another router. Without a verdict that all routers share, they would
+// crash every engine repeatedly and ordinary responses would be lost.
 func TestPoisonRequests(t *testing.T) {
 	w := newTestCluster(t, 3, 6)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go relister{w}.run(ctx)
+	go incarnationUpdater{w}.run(ctx)
 
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*innocents, len(w.routers))
-	for n := range beside {
-		beside[n] = &innocents{world: w, router: n, done: done}
-		others.Go(beside[n].run)
+	traffic := make([]*ordinaryTraffic, len(w.routers))
+	for n := range traffic {
+		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		others.Go(traffic[n].run)
 	}
-	poisoners := make([]*poisoner, 2)
+	poison := make([]*poisonSender, 2)
 	var senders sync.WaitGroup
-	for n := range poisoners {
-		poisoners[n] = &poisoner{world: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
-		senders.Go(poisoners[n].run)
+	for n := range poison {
+		poison[n] = &poisonSender{world: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
+		senders.Go(poison[n].run)
 	}
 	senders.Wait()
 	close(done)
 	others.Wait()
 
-	for _, p := range poisoners {
+	for _, p := range poison {
 		for n, a := range p.answers {
 			assert.NilError(t, a.err)
 			assert.Assert(t, strings.Contains(a.body, `"code":"poison"`), "send %d of %q: status %d: %s", n+1, p.content, a.status, a.body)
 			assert.Assert(t, a.header.Get("Retry-After") != "")
 		}
 	}
-	for _, s := range beside {
+	for _, s := range traffic {
 		s.check()
 	}
-	assert.Assert(t, w.crashes() <= 2*len(poisoners), "%d poison requests took %d engines", len(poisoners), w.crashes())
+	assert.Assert(t, w.crashes() <= 2*len(poison), "%d poison requests crashed engines %d times", len(poison), w.crashes())
 	for _, l := range w.logs.lines("peer-malformed") {
 		t.Errorf("a router closed the connection of another one: %s", l)
 	}
 }
 
-// An engine crashes, and the platform lists its next incarnation while it is
-// still starting. Requests sent there meet a dead engine; their callers wait
-// for a second endpoint, and the requests are suspected of a crash that none
-// of them caused.
+// An engine crashes, and the platform lists its next incarnation while that is
+// still starting. Requests sent there would fail: their callers would wait for a
+// second endpoint, and the requests would be suspected of a crash that none of them
+// caused.
 func TestRestartingEngineGetsNothing(t *testing.T) {
 	w := newTestCluster(t, 3, 3)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*innocents, len(w.routers))
-	for n := range beside {
-		beside[n] = &innocents{world: w, router: n, done: done}
-		others.Go(beside[n].run)
+	traffic := make([]*ordinaryTraffic, len(w.routers))
+	for n := range traffic {
+		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		others.Go(traffic[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
 	first := w.engines[0].Incarnation()
 	w.engines[0].Crash()
 	back := time.Now().Add(engineRestart)
-	go relister{w}.run(ctx)
+	go incarnationUpdater{w}.run(ctx)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if w.engines[0].Stats().LastArrival.After(back) {
 			return poll.Success()
 		}
-		return poll.Continue("the engine is back and has got no work")
+		return poll.Continue("the engine has restarted and received no request yet")
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 	close(done)
 	others.Wait()
 
-	for _, s := range beside {
+	for _, s := range traffic {
 		s.check()
 	}
 	old := fmt.Sprintf(`"incarnation":%d`, first)
 	for _, l := range w.logs.lines("endpoint-lost") {
-		assert.Assert(t, strings.Contains(l, old), "a request went to the engine before it was back: %s", l)
+		assert.Assert(t, strings.Contains(l, old), "a request reached the engine before it had restarted: %s", l)
 	}
 }
