--- a/wisteriarouter/caller/abuse_test.go
+++ b/wisteriarouter/caller/abuse_test.go
@@ -63,9 +63,9 @@
 // newHandler returns a router's handler before engines that refuse everything.
 func newHandler(e caller.Engines) http.Handler {
 	s := &caller.Server{
-		Teams: oneTeam{}, Placer: onePlace("e1:80"), Engines: e, Suspects: noSuspects{},
-		Retries: endlessRetries{}, Actions: noActions{},
-		Limits:  caller.Limits{BodyBytes: 1 << 12, WriteTimeout: 5 * time.Second, CancelFor: time.Second},
+		Planner: oneTeam{}, Placer: onePlace("e1:80"), Engines: e, Suspects: noSuspects{},
+		Retries: unlimitedRetries{}, Actions: noActions{},
+		Limits:  caller.Limits{MaxBodyBytes: 1 << 12, WriteTimeout: 5 * time.Second, CancelTimeout: time.Second},
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
 	}
 	mux := http.NewServeMux()
@@ -177,8 +177,8 @@
 func TestLongStreamIsNotCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := pacedRouter(t, plainEngine{tokens: 60, pace: 500 * time.Millisecond})
-		h := f.ask(t.Context(), 0, 1, heard{})
-		assert.Assert(t, h.whole, "%+v", h)
+		h := f.ask(t.Context(), 0, 1, received{})
+		assert.Assert(t, h.complete, "%+v", h)
 		assert.Equal(t, h.offset, 60)
 	})
 }
@@ -236,7 +236,7 @@
 		f := newFleet(t, 1, 1)
 		f.engines["e1"].SetFaults(standin.Faults{Slow: 200})
 		c := f.dial(t)
-		body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"` + words(1) + `"}]}`
+		body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"` + prompt(1) + `"}]}`
 		c.send(t, len(body), body)
 		_, err := c.r.ReadString('\n')
 		assert.NilError(t, err)
@@ -260,13 +260,13 @@
 	})
 }
 
-// keeping keeps the bodies of actions, as a connection that still sends one
+// bodyRecorder keeps the bodies of actions, as a connection that still sends one
 // does when its answer has come early.
-type keeping struct {
+type bodyRecorder struct {
 	bodies [][]byte
 }
 
-func (k *keeping) Run(_ context.Context, a caller.Action) (caller.Answer, *outcome.Refusal) {
+func (k *bodyRecorder) Run(_ context.Context, a caller.Action) (caller.Answer, *outcome.Refusal) {
 	k.bodies = append(k.bodies, a.Body)
 	return caller.Answer{Status: http.StatusOK, Outcome: outcome.Ran}, nil
 }
@@ -275,8 +275,8 @@
 // sent. The space of the body must not serve the next request meanwhile, or
 // the service gets another caller's bytes.
 func TestBodyOfActionIsNotReused(t *testing.T) {
-	k := &keeping{}
-	s := &caller.Server{Actions: k, Limits: caller.Limits{BodyBytes: 1 << 12, WriteTimeout: time.Second}, Metrics: caller.NewMetrics(prometheus.NewRegistry())}
+	k := &bodyRecorder{}
+	s := &caller.Server{Actions: k, Limits: caller.Limits{MaxBodyBytes: 1 << 12, WriteTimeout: time.Second}, Metrics: caller.NewMetrics(prometheus.NewRegistry())}
 	mux := http.NewServeMux()
 	s.Register(humago.New(mux, huma.DefaultConfig("test", "0")))
 	for n := range 50 {
--- a/wisteriarouter/caller/acquire.go
+++ b/wisteriarouter/caller/acquire.go
@@ -9,9 +9,9 @@
 
 // Limits of the wait for a place to go on at.
 const (
-	continueWithin = 5 * time.Second
-	leastWait      = 50 * time.Millisecond
-	longestWait    = 500 * time.Millisecond
+	maxPlacementWait  = 5 * time.Second
+	minPlacementDelay = 50 * time.Millisecond
+	maxPlacementDelay = 500 * time.Millisecond
 )
 
 // acquire asks for a place for the next attempt. When an endpoint dies, all
@@ -20,19 +20,19 @@
 // may send it again. One that has reached an endpoint cannot be told that it
 // was not run, so it waits for its place instead; its caller would be left
 // with a part of an answer, or not know whether it was run.
-func (a *answer) acquire(ctx context.Context) (Place, *outcome.Refusal) {
-	want := a.chat.want(a.exclude)
-	want.Alone = a.trail.Alone()
+func (a *chatRun) acquire(ctx context.Context) (Placement, *outcome.Refusal) {
+	want := a.chat.placementRequest(a.exclude)
+	want.Alone = a.tracked.Alone()
 	if a.offset > 0 {
 		want.Deadline = time.Time{} // it is that of the start, which has been met
 	}
-	until := time.Now().Add(continueWithin)
+	until := time.Now().Add(maxPlacementWait)
 	for {
 		place, refusal := a.Placer.Place(ctx, want)
 		if refusal == nil || refusal.Code != outcome.Overloaded || a.evidence.Outcome() == outcome.NotRun {
 			return place, refusal
 		}
-		wait := min(max(refusal.RetryAfter, leastWait), longestWait)
+		wait := min(max(refusal.RetryAfter, minPlacementDelay), maxPlacementDelay)
 		if time.Now().Add(wait).After(until) {
 			return place, refusal
 		}
--- a/wisteriarouter/caller/action.go
+++ b/wisteriarouter/caller/action.go
@@ -14,25 +14,25 @@
 
 // Action is one call of a plain service.
 type Action struct {
-	Team     coordination.Team
-	Account  coordination.Account
-	Service  coordination.Service
-	Action   coordination.Action
-	Key      string // Idempotency-Key, empty if the caller sent none
-	IssuedAt string // X-Issued-At as the caller wrote it
-	Priority coordination.Priority
-	Deadline time.Time // latest start; zero for none
-	Body     []byte
-	Type     string // Content-Type of the body
+	Team        coordination.Team
+	Account     coordination.Account
+	Service     coordination.Service
+	Action      coordination.Action
+	Key         string // Idempotency-Key, empty if the caller sent none
+	IssuedAt    string // X-Issued-At as the caller wrote it
+	Priority    coordination.Priority
+	Deadline    time.Time // latest start; zero for none
+	Body        []byte
+	ContentType string // Content-Type of the body
 }
 
 // Answer is what a plain service answered.
 type Answer struct {
-	Status  int
-	Type    string // Content-Type of the body
-	Body    []byte
-	Outcome outcome.Outcome
-	Repeat  bool // the answer of an earlier run with the same key
+	Status      int
+	ContentType string // Content-Type of the body
+	Body        []byte
+	Outcome     outcome.Outcome
+	Replayed    bool // the answer of an earlier run with the same key
 }
 
 // Actions runs actions.
@@ -41,8 +41,8 @@
 	Run(ctx context.Context, a Action) (Answer, *outcome.Refusal)
 }
 
-// headerRepeat marks the answer of an earlier run with the same key.
-const headerRepeat = "X-Idempotent-Replay"
+// headerReplay marks the answer of an earlier run with the same key.
+const headerReplay = "X-Idempotent-Replay"
 
 // actionInput is a request for an action as huma reads it.
 type actionInput struct {
@@ -70,8 +70,8 @@
 		// A copy, because huma gives the space to another request when the
 		// handler returns, and a service that has answered early may still be
 		// sent the rest of it.
-		Body: bytes.Clone(in.RawBody),
-		Type: in.Type,
+		Body:        bytes.Clone(in.RawBody),
+		ContentType: in.Type,
 	}
 	if in.DeadlineMs > 0 {
 		a.Deadline = time.Now().Add(time.Duration(in.DeadlineMs) * time.Millisecond)
@@ -100,18 +100,18 @@
 	defer s.Metrics.inFlight.Dec()
 	ans, refusal := s.Actions.Run(ctx, a)
 	if refusal != nil {
-		s.Metrics.ended("action", refusal.Outcome, string(refusal.Code))
+		s.Metrics.requestEnded("action", refusal.Outcome, string(refusal.Code))
 		w.refuse(refusal)
 		return
 	}
-	s.Metrics.ended("action", ans.Outcome, "")
+	s.Metrics.requestEnded("action", ans.Outcome, "")
 	h := w.w.Header()
 	h.Set(outcome.Header, ans.Outcome.String())
-	if ans.Type != "" {
-		h.Set("Content-Type", ans.Type)
+	if ans.ContentType != "" {
+		h.Set("Content-Type", ans.ContentType)
 	}
-	if ans.Repeat {
-		h.Set(headerRepeat, "true")
+	if ans.Replayed {
+		h.Set(headerReplay, "true")
 	}
 	w.w.WriteHeader(ans.Status)
 	_ = w.write(ans.Body)
--- a/wisteriarouter/caller/api.go
+++ b/wisteriarouter/caller/api.go
@@ -32,8 +32,8 @@
 		Summary:      "Answer a chat",
 		Description:  "OpenAI-compatible. The answer carries its outcome and a route hint; see docs/PROTOCOLS.md.",
 		Tags:         []string{"callers"},
-		MaxBodyBytes: s.Limits.BodyBytes,
-		Middlewares:  huma.Middlewares{s.limitWriting},
+		MaxBodyBytes: s.Limits.MaxBodyBytes,
+		Middlewares:  huma.Middlewares{s.limitWriteTime},
 	}, s.createChat)
 	huma.Register(api, huma.Operation{
 		OperationID:  "run-action",
@@ -42,20 +42,20 @@
 		Summary:      "Run an action of a plain service",
 		Description:  "An action that the settings mark as non-idempotent needs an Idempotency-Key and runs at most once.",
 		Tags:         []string{"callers"},
-		MaxBodyBytes: s.Limits.BodyBytes,
-		Middlewares:  huma.Middlewares{s.limitWriting},
+		MaxBodyBytes: s.Limits.MaxBodyBytes,
+		Middlewares:  huma.Middlewares{s.limitWriteTime},
 	}, s.runAction)
 }
 
-// bodyWait is how long huma waits for a body.
-const bodyWait = 5 * time.Second
+// bodyReadTimeout is how long huma waits for a body.
+const bodyReadTimeout = 5 * time.Second
 
-// limitWriting limits the time in which a caller has to take a refusal by huma.
+// limitWriteTime limits the time in which a caller has to take a refusal by huma.
 // A caller that sends one bad request after the other and never reads would
 // otherwise hold its connection for ever.
-func (s *Server) limitWriting(ctx huma.Context, next func(huma.Context)) {
+func (s *Server) limitWriteTime(ctx huma.Context, next func(huma.Context)) {
 	_, w := humago.Unwrap(ctx)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(bodyWait + s.Limits.WriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(bodyReadTimeout + s.Limits.WriteTimeout))
 	next(ctx)
 }
 
@@ -72,13 +72,13 @@
 	}
 	return &huma.StreamResponse{Body: func(ctx huma.Context) {
 		_, w := humago.Unwrap(ctx)
-		w.Header().Set(headerRequest, c.request)
+		w.Header().Set(headerRequest, c.requestID)
 		out := newWriter(w, s.Limits.WriteTimeout)
 		if c.stream {
 			s.serve(ctx.Context(), c, &streamSink{writer: out})
 			return
 		}
-		s.serve(ctx.Context(), c, &wholeSink{writer: out, model: in.Body.Model})
+		s.serve(ctx.Context(), c, &jsonSink{writer: out, model: in.Body.Model})
 	}}, nil
 }
 
@@ -99,40 +99,40 @@
 
 // refused answers a request that never went anywhere.
 func (s *Server) refused(kind string, r *outcome.Refusal) *huma.StreamResponse {
-	s.Metrics.ended(kind, r.Outcome, string(r.Code))
+	s.Metrics.requestEnded(kind, r.Outcome, string(r.Code))
 	return &huma.StreamResponse{Body: func(ctx huma.Context) {
 		_, w := humago.Unwrap(ctx)
 		newWriter(w, s.Limits.WriteTimeout).refuse(r)
 	}}
 }
 
-// Fault is the error of a request that the HTTP layer refused before any
+// RefusalError is the error of a request that the HTTP layer refused before any
 // handler saw it, in the form of every other refusal.
-type Fault struct {
+type RefusalError struct {
 	refusal outcome.Refusal
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.refusal.Error() }
+func (f *RefusalError) Error() string { return f.refusal.Error() }
 
 // GetStatus implements huma.StatusError.
-func (f *Fault) GetStatus() int { return f.refusal.Code.HTTPStatus() }
+func (f *RefusalError) GetStatus() int { return f.refusal.Code.HTTPStatus() }
 
 // MarshalJSON implements json.Marshaler.
-func (f *Fault) MarshalJSON() ([]byte, error) { return json.Marshal(f.refusal.Envelope()) }
+func (f *RefusalError) MarshalJSON() ([]byte, error) { return json.Marshal(f.refusal.Envelope()) }
 
 // Schema implements huma.SchemaProvider. It also keeps huma from sending a copy
 // of the exported fields, of which a Fault has none, with a link to the schema
 // in place of the fault: the caller would be told nothing at all.
-func (f *Fault) Schema(r huma.Registry) *huma.Schema {
+func (f *RefusalError) Schema(r huma.Registry) *huma.Schema {
 	return huma.SchemaFromType(r, reflect.TypeFor[outcome.Envelope]())
 }
 
 // ContentType implements huma.ContentTypeFilter.
-func (f *Fault) ContentType(string) string { return "application/json" }
+func (f *RefusalError) ContentType(string) string { return "application/json" }
 
 // GetHeaders implements huma.HeadersError.
-func (f *Fault) GetHeaders() http.Header {
+func (f *RefusalError) GetHeaders() http.Header {
 	h := http.Header{}
 	h.Set(outcome.Header, f.refusal.Outcome.String())
 	h.Set(headerRetryAfter, "5")
@@ -141,14 +141,14 @@
 
 // Errors of huma have the form of a router's refusals in the whole process.
 func init() {
-	huma.NewError = NewFault
-	huma.NewErrorWithContext = newFaultIn
+	huma.NewError = NewRefusalError
+	huma.NewErrorWithContext = newRefusalErrorWithContext
 }
 
-// newFaultIn is NewFault with the headers set, too: huma itself sets those of
+// newRefusalErrorWithContext is NewFault with the headers set, too: huma itself sets those of
 // an error only when a handler returns it.
-func newFaultIn(ctx huma.Context, status int, message string, errs ...error) huma.StatusError {
-	f := NewFault(status, message, errs...)
+func newRefusalErrorWithContext(ctx huma.Context, status int, message string, errs ...error) huma.StatusError {
+	f := NewRefusalError(status, message, errs...)
 	if h, ok := f.(huma.HeadersError); ok && ctx != nil {
 		for name, values := range h.GetHeaders() {
 			ctx.SetHeader(name, values[0])
@@ -157,9 +157,9 @@
 	return f
 }
 
-// NewFault makes the error of a request that huma refuses. It is meant for
+// NewRefusalError makes the error of a request that huma refuses. It is meant for
 // huma.NewError.
-func NewFault(status int, message string, errs ...error) huma.StatusError {
+func NewRefusalError(status int, message string, errs ...error) huma.StatusError {
 	code := outcome.Malformed
 	if status == http.StatusRequestEntityTooLarge {
 		code = outcome.TooLarge
@@ -167,5 +167,5 @@
 	for _, err := range errs {
 		message += "; " + err.Error()
 	}
-	return &Fault{refusal: *refuse(code, message)}
+	return &RefusalError{refusal: *refuse(code, message)}
 }
--- a/wisteriarouter/caller/caller.go
+++ b/wisteriarouter/caller/caller.go
@@ -14,21 +14,21 @@
 
 // Plan is what the settings in force say about one chat request.
 type Plan struct {
-	Pool        coordination.Pool
-	Priority    coordination.Priority
-	StartWithin time.Duration // limit for the start of the answer; zero for none
-	Stall       time.Duration // silence of an endpoint after which an attempt is lost
-	MaxTokens   coordination.Tokens
+	Pool         coordination.Pool
+	Priority     coordination.Priority
+	StartTimeout time.Duration // limit for the start of the answer; zero for none
+	StallTimeout time.Duration // silence of an endpoint after which an attempt is lost
+	MaxTokens    coordination.Tokens
 }
 
-// Teams tells what the settings in force say.
-type Teams interface {
+// ChatPlanner tells what the settings in force say.
+type ChatPlanner interface {
 	// PlanChat returns the plan for a chat request, or a refusal.
 	PlanChat(team coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (Plan, *outcome.Refusal)
 }
 
-// Want describes the place that an attempt needs.
-type Want struct {
+// PlacementRequest describes the place that an attempt needs.
+type PlacementRequest struct {
 	Team        coordination.Team
 	Account     coordination.Account
 	Pool        coordination.Pool
@@ -41,23 +41,23 @@
 	Alone       bool   // the request is suspected of crashing endpoints
 }
 
-// Place is a granted place at an endpoint. Release gives it back and may be
+// Placement is a granted place at an endpoint. Release gives it back and may be
 // called again.
-type Place struct {
-	Endpoint    coordination.Endpoint
-	Incarnation coordination.Incarnation
-	Address     string
-	Hint        string // leads the chat's next request back here
-	Release     func()
-	Lost        []coordination.Endpoint // found dead on the way
+type Placement struct {
+	Endpoint      coordination.Endpoint
+	Incarnation   coordination.Incarnation
+	Address       string
+	Hint          string // leads the chat's next request back here
+	Release       func()
+	DeadEndpoints []coordination.Endpoint // found dead on the way
 }
 
 // Placer grants places.
 type Placer interface {
 	// Place returns a place for an attempt, or the final refusal.
-	Place(ctx context.Context, w Want) (Place, *outcome.Refusal)
+	Place(ctx context.Context, w PlacementRequest) (Placement, *outcome.Refusal)
 	// Adopt returns the place of an attempt that already runs at e.
-	Adopt(e coordination.Endpoint) (Place, bool)
+	Adopt(e coordination.Endpoint) (Placement, bool)
 	// Dead takes in that an endpoint cannot be reached or has restarted.
 	Dead(e coordination.Endpoint, n coordination.Incarnation)
 	// Leaving takes in that an endpoint has said that it is stopping.
@@ -72,15 +72,15 @@
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// Suspects keeps requests that crash endpoints from taking one after another.
-type Suspects interface {
-	// Follow begins to follow a request, or refuses it. It may wait until
+// SuspectTracker keeps requests that crash endpoints from taking one after another.
+type SuspectTracker interface {
+	// Track begins to follow a request, or refuses it. It may wait until
 	// another copy of a suspect has ended.
-	Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (Trail, *outcome.Refusal)
+	Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (TrackedRequest, *outcome.Refusal)
 }
 
-// Trail follows one request. End is called once, at the end.
-type Trail interface {
+// TrackedRequest follows one request. End is called once, at the end.
+type TrackedRequest interface {
 	// Alone reports whether the next attempt must run apart from suspects.
 	Alone() bool
 	// Crashed tells that the endpoint which ran the request has died. It
@@ -92,28 +92,28 @@
 	End(finished bool)
 }
 
-// Retries limits second attempts to a share of each team's requests.
-type Retries interface {
-	// Request counts a first attempt.
-	Request(team coordination.Team)
+// RetryBudget limits second attempts to a share of each team's requests.
+type RetryBudget interface {
+	// RecordRequest counts a first attempt.
+	RecordRequest(team coordination.Team)
 	// Take reports whether one more attempt may be made, and counts it.
 	Take(team coordination.Team) bool
 }
 
 // Limits are the limits of one router towards callers and endpoints.
 type Limits struct {
-	BodyBytes    int64         // largest body of a request
-	WriteTimeout time.Duration // longest wait for a caller to take an event
-	CancelFor    time.Duration // how long a cancel is tried
+	MaxBodyBytes  int64         // largest body of a request
+	WriteTimeout  time.Duration // longest wait for a caller to take an event
+	CancelTimeout time.Duration // how long a cancel is tried
 }
 
 // Server answers callers.
 type Server struct {
-	Teams    Teams
+	Planner  ChatPlanner
 	Placer   Placer
 	Engines  Engines
-	Suspects Suspects
-	Retries  Retries
+	Suspects SuspectTracker
+	Retries  RetryBudget
 	Actions  Actions
 	Limits   Limits
 	Log      event.Log
--- a/wisteriarouter/caller/caller_test.go
+++ b/wisteriarouter/caller/caller_test.go
@@ -32,10 +32,10 @@
 	stops   []func()
 }
 
-// plant changes a router before it serves, to plant a fault.
-type plant func(*caller.Server)
+// faultInjector changes a router before it serves, to faultInjector a fault.
+type faultInjector func(*caller.Server)
 
-func newFleet(t *testing.T, routers, engines int, plants ...plant) *fleet {
+func newFleet(t *testing.T, routers, engines int, injectors ...faultInjector) *fleet {
 	f := &fleet{t: t, engines: make(map[coordination.Endpoint]*standin.Engine)}
 	f.placer = &roundRobin{fleet: f}
 	for n := range engines {
@@ -47,7 +47,7 @@
 	}
 	for n := range routers {
 		s := f.newServer()
-		for _, p := range plants {
+		for _, p := range injectors {
 			p(s)
 		}
 		mux := http.NewServeMux()
@@ -63,13 +63,13 @@
 	client, closeClient := engine.NewClient(engine.Options{DialContext: f.network.DialContext})
 	f.stops = append(f.stops, closeClient)
 	return &caller.Server{
-		Teams:    oneTeam{},
+		Planner:  oneTeam{},
 		Placer:   f.placer,
 		Engines:  client,
 		Suspects: noSuspects{},
-		Retries:  endlessRetries{},
+		Retries:  unlimitedRetries{},
 		Actions:  noActions{},
-		Limits:   caller.Limits{BodyBytes: 1 << 16, WriteTimeout: 5 * time.Second, CancelFor: 15 * time.Second},
+		Limits:   caller.Limits{MaxBodyBytes: 1 << 16, WriteTimeout: 5 * time.Second, CancelTimeout: 15 * time.Second},
 		Metrics:  caller.NewMetrics(prometheus.NewRegistry()),
 	}
 }
@@ -93,7 +93,7 @@
 	next  int
 }
 
-func (p *roundRobin) Place(_ context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (p *roundRobin) Place(_ context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range p.ids {
@@ -106,8 +106,8 @@
 	return p.place(p.ids[p.next%len(p.ids)]), nil
 }
 
-func (p *roundRobin) place(id coordination.Endpoint) caller.Place {
-	return caller.Place{
+func (p *roundRobin) place(id coordination.Endpoint) caller.Placement {
+	return caller.Placement{
 		Endpoint:    id,
 		Incarnation: coordination.Incarnation(p.fleet.engines[id].Incarnation()),
 		Address:     address(id),
@@ -116,7 +116,9 @@
 	}
 }
 
-func (p *roundRobin) Adopt(id coordination.Endpoint) (caller.Place, bool) { return p.place(id), true }
+func (p *roundRobin) Adopt(id coordination.Endpoint) (caller.Placement, bool) {
+	return p.place(id), true
+}
 
 func (p *roundRobin) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
@@ -140,7 +142,7 @@
 	if model != "m" {
 		return caller.Plan{}, unknown(outcome.UnknownModel)
 	}
-	return caller.Plan{Pool: "m", Stall: time.Second, MaxTokens: 4096}, nil
+	return caller.Plan{Pool: "m", StallTimeout: time.Second, MaxTokens: 4096}, nil
 }
 
 func unknown(code outcome.Code) *outcome.Refusal {
@@ -149,7 +151,7 @@
 
 type noSuspects struct{}
 
-func (noSuspects) Follow(context.Context, uint64, coordination.Pool) (caller.Trail, *outcome.Refusal) {
+func (noSuspects) Track(context.Context, uint64, coordination.Pool) (caller.TrackedRequest, *outcome.Refusal) {
 	return noSuspects{}, nil
 }
 
@@ -165,10 +167,10 @@
 
 func (noSuspects) End(bool) {}
 
-type endlessRetries struct{}
+type unlimitedRetries struct{}
 
-func (endlessRetries) Request(coordination.Team)   {}
-func (endlessRetries) Take(coordination.Team) bool { return true }
+func (unlimitedRetries) RecordRequest(coordination.Team) {}
+func (unlimitedRetries) Take(coordination.Team) bool     { return true }
 
 type noActions struct{}
 
@@ -176,28 +178,28 @@
 	return caller.Answer{}, unknown(outcome.UnknownService)
 }
 
-// heard is what a caller heard of one request.
-type heard struct {
-	text    string
-	offset  int
-	lastID  string
-	whole   bool
-	outcome string
-	status  int
-	header  http.Header
-	body    string
+// received is what a caller received of one request.
+type received struct {
+	text     string
+	offset   int
+	lastID   string
+	complete bool
+	outcome  string
+	status   int
+	header   http.Header
+	body     string
 }
 
-// words returns a message that no other chat sends.
-func words(n int) string { return fmt.Sprintf("chat %d asks for %d copies of side %d", n, n*7, n%2) }
+// prompt returns a message that no other chat sends.
+func prompt(n int) string { return fmt.Sprintf("chat %d asks for %d copies of side %d", n, n*7, n%2) }
 
-func want(n int) string {
-	return standin.Answer([]standin.Message{{Role: "user", Content: standin.Content(words(n))}}, 0)
+func expectedAnswer(n int) string {
+	return standin.Answer([]standin.Message{{Role: "user", Content: standin.Content(prompt(n))}}, 0)
 }
 
 // ask sends chat n through a router, going on behind what was heard before.
-func (f *fleet) ask(ctx context.Context, router, n int, before heard) heard {
-	body := fmt.Sprintf(`{"model":"m","stream":true,"partial":%q,"messages":[{"role":"user","content":%q}]}`, before.text, words(n))
+func (f *fleet) ask(ctx context.Context, router, n int, before received) received {
+	body := fmt.Sprintf(`{"model":"m","stream":true,"partial":%q,"messages":[{"role":"user","content":%q}]}`, before.text, prompt(n))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+routerAddress(router)+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		f.t.Error(err)
@@ -221,7 +223,7 @@
 }
 
 // read takes in the events of a stream for as long as they come.
-func (h heard) read(res *http.Response) heard {
+func (h received) read(res *http.Response) received {
 	for e, err := range sse.Read(res.Body, nil) {
 		if err != nil {
 			break
@@ -232,15 +234,15 @@
 		case e.Type == "error":
 			h.body = e.Data
 		case e.Data == "[DONE]":
-			h.whole = true
+			h.complete = true
 		default:
-			h.take(e)
+			h.addEvent(e)
 		}
 	}
 	return h
 }
 
-func (h *heard) take(e sse.Event) {
+func (h *received) addEvent(e sse.Event) {
 	id, err := engine.ParseEventID(e.LastEventID)
 	if err != nil {
 		h.body = err.Error()
@@ -255,10 +257,10 @@
 }
 
 // problem tells what is wrong with the answer to chat n, or nothing.
-func (h heard) problem(n int) string {
-	expected := want(n)
+func (h received) problem(n int) string {
+	expected := expectedAnswer(n)
 	switch {
-	case !h.whole:
+	case !h.complete:
 		return fmt.Sprintf("chat %d: not whole: status %d, outcome %q, error %q, %d tokens", n, h.status, h.outcome, h.body, h.offset)
 	case h.text != expected:
 		return fmt.Sprintf("chat %d: got %q, want %q", n, h.text, expected)
--- a/wisteriarouter/caller/cancel.go
+++ b/wisteriarouter/caller/cancel.go
@@ -12,8 +12,8 @@
 
 // cancel stops an attempt that nobody reads. It goes on beside the request,
 // for an endpoint that is frozen may answer only later.
-func (a *answer) cancel(ctx context.Context, at *attempt) {
-	c := &cancellation{Server: a.Server, id: at.id, address: at.place.Address, delivered: a.offset}
+func (a *chatRun) cancel(ctx context.Context, at *attempt) {
+	c := &cancellation{Server: a.Server, id: at.id, address: at.placement.Address, delivered: a.offset}
 	go c.run(context.WithoutCancel(ctx))
 }
 
@@ -25,11 +25,11 @@
 	delivered int
 }
 
-// cancelPause is the wait between tries.
-const cancelPause = 500 * time.Millisecond
+// cancelRetryDelay is the wait between tries.
+const cancelRetryDelay = 500 * time.Millisecond
 
 func (c *cancellation) run(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, c.Limits.CancelFor)
+	ctx, stop := context.WithTimeout(ctx, c.Limits.CancelTimeout)
 	defer stop()
 	for {
 		generated, err := c.Engines.Cancel(ctx, c.address, c.id)
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			c.Log.Emit(event.CancelFailed, event.F("attempt", c.id), event.F("error", err))
 			return
-		case <-time.After(cancelPause):
+		case <-time.After(cancelRetryDelay):
 		}
 	}
 }
--- a/wisteriarouter/caller/chat.go
+++ b/wisteriarouter/caller/chat.go
@@ -48,7 +48,7 @@
 
 // chat is one checked chat request.
 type chat struct {
-	request     string // its id in logs
+	requestID   string // its id in logs
 	team        coordination.Team
 	account     coordination.Account
 	id          coordination.Chat
@@ -57,8 +57,8 @@
 	deadline    time.Time
 	stream      bool
 	partial     string
-	limit       int // tokens of the whole answer
-	resume      *engine.EventID
+	maxTokens   int // tokens of the whole answer
+	resumeFrom  *engine.EventID
 	body        body
 	binding     engine.Fingerprint
 	fingerprint uint64
@@ -74,7 +74,7 @@
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return nil, fmt.Errorf("caller: body: %w", err)
 	}
-	if err := b.checkNames(); err != nil {
+	if err := b.checkFieldNames(); err != nil {
 		return nil, err
 	}
 	delete(b, fieldPartial)
@@ -83,23 +83,23 @@
 
 // Names of the fields of a body that a router reads or sets.
 const (
-	fieldModel         = "model"
-	fieldPartial       = "partial"
-	fieldStream        = "stream"
-	fieldStreamOptions = "stream_options"
-	fieldMessages      = "messages"
-	fieldContinue      = "continue_final_message"
-	fieldPrompt        = "add_generation_prompt"
+	fieldModel                = "model"
+	fieldPartial              = "partial"
+	fieldStream               = "stream"
+	fieldStreamOptions        = "stream_options"
+	fieldMessages             = "messages"
+	fieldContinueFinalMessage = "continue_final_message"
+	fieldAddGenerationPrompt  = "add_generation_prompt"
 )
 
 // limitFields are the fields in which a caller may limit the new tokens.
 var limitFields = []string{"max_completion_tokens", "max_tokens"}
 
-// checkNames refuses names that differ from those of fields that a router reads
+// checkFieldNames refuses names that differ from those of fields that a router reads
 // only in their case. Go's decoder takes them for the same field and engines
 // do not: a caller could have the router check one model or one text, and the
 // engine run another.
-func (b body) checkNames() error {
+func (b body) checkFieldNames() error {
 	if err := b.checkCase(fieldModel, fieldMessages, fieldStream, fieldPartial); err != nil {
 		return err
 	}
@@ -144,15 +144,15 @@
 			return nil, err
 		}
 		out[fieldMessages] = messages
-		out[fieldContinue] = json.RawMessage("true")
-		out[fieldPrompt] = json.RawMessage("false")
+		out[fieldContinueFinalMessage] = json.RawMessage("true")
+		out[fieldAddGenerationPrompt] = json.RawMessage("false")
 	}
 	return json.Marshal(out)
 }
 
-// limit returns the most tokens of the whole answer: what the caller asks for,
+// maxTokens returns the most tokens of the whole answer: what the caller asks for,
 // and never more than most.
-func (b body) limit(most int) int {
+func (b body) maxTokens(most int) int {
 	for _, f := range limitFields {
 		var n int
 		if err := json.Unmarshal(b[f], &n); err == nil && n > 0 {
@@ -189,22 +189,22 @@
 		return nil, refuse(outcome.Malformed, err.Error())
 	}
 	c := &chat{
-		request: h.RequestID,
-		team:    coordination.Team(h.Team),
-		account: coordination.Account(h.Account),
-		id:      coordination.Chat(h.Chat),
-		hint:    h.Hint,
-		stream:  in.Stream,
-		partial: in.Partial,
-		body:    b,
-		arrived: time.Now(),
+		requestID: h.RequestID,
+		team:      coordination.Team(h.Team),
+		account:   coordination.Account(h.Account),
+		id:        coordination.Chat(h.Chat),
+		hint:      h.Hint,
+		stream:    in.Stream,
+		partial:   in.Partial,
+		body:      b,
+		arrived:   time.Now(),
 	}
 	var refusal *outcome.Refusal
-	c.plan, refusal = s.Teams.PlanChat(c.team, c.account, coordination.Model(in.Model), coordination.Priority(h.Priority))
+	c.plan, refusal = s.Planner.PlanChat(c.team, c.account, coordination.Model(in.Model), coordination.Priority(h.Priority))
 	if refusal != nil {
 		return nil, refusal
 	}
-	c.limit = b.limit(int(c.plan.MaxTokens))
+	c.maxTokens = b.maxTokens(int(c.plan.MaxTokens))
 	c.setDeadline(h.DeadlineMs)
 	c.bind(in.Model)
 	c.fingerprint = fingerprintOf(in.Messages)
@@ -216,7 +216,7 @@
 const maxDeadlineMs = 24 * 60 * 60 * 1000
 
 func (c *chat) setDeadline(ms int) {
-	within := c.plan.StartWithin
+	within := c.plan.StartTimeout
 	if asked := time.Duration(min(ms, maxDeadlineMs)) * time.Millisecond; asked > 0 && (within == 0 || asked < within) {
 		within = asked
 	}
@@ -264,12 +264,12 @@
 	if err != nil || binding != c.binding {
 		return refuse(outcome.Malformed, "Last-Event-ID belongs to another request; send the same body, team and account")
 	}
-	c.resume = &id
+	c.resumeFrom = &id
 	return nil
 }
 
-func (c *chat) want(exclude []coordination.Endpoint) Want {
-	return Want{
+func (c *chat) placementRequest(exclude []coordination.Endpoint) PlacementRequest {
+	return PlacementRequest{
 		Team:        c.team,
 		Account:     c.account,
 		Pool:        c.plan.Pool,
@@ -285,18 +285,18 @@
 // refuse returns the refusal of a request that was never sent anywhere and
 // that makes no sense to repeat soon as it is.
 func refuse(code outcome.Code, message string) *outcome.Refusal {
-	return &outcome.Refusal{Code: code, Message: message, Outcome: outcome.NotRun, RetryAfter: retryAfterFault}
+	return &outcome.Refusal{Code: code, Message: message, Outcome: outcome.NotRun, RetryAfter: retryAfterBadRequest}
 }
 
-// retryAfterFault is when a caller whose request is at fault may come back:
+// retryAfterBadRequest is when a caller whose request is at fault may come back:
 // after settings may have changed.
-const retryAfterFault = 5 * time.Second
+const retryAfterBadRequest = 5 * time.Second
 
 // serve follows one chat request to its end and writes it to sink.
-func (s *Server) serve(ctx context.Context, c *chat, sink sink) {
+func (s *Server) serve(ctx context.Context, c *chat, sink responseSink) {
 	s.Metrics.inFlight.Inc()
 	defer s.Metrics.inFlight.Dec()
-	s.Retries.Request(c.team)
-	a := &answer{Server: s, chat: c, sink: sink}
+	s.Retries.RecordRequest(c.team)
+	a := &chatRun{Server: s, chat: c, sink: sink}
 	a.run(ctx)
 }
--- a/wisteriarouter/caller/frozen_test.go
+++ b/wisteriarouter/caller/frozen_test.go
@@ -19,7 +19,7 @@
 
 func (longStall) PlanChat(team coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	plan, refusal := oneTeam{}.PlanChat(team, account, model, want)
-	plan.Stall = 10 * time.Second
+	plan.StallTimeout = 10 * time.Second
 	return plan, refusal
 }
 
@@ -28,16 +28,16 @@
 // each try to resume, makes that half a minute.
 func TestFrozenEngineIsLeftEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Teams = longStall{} })
+		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
 		begun := time.Now()
-		whole := make(chan heard, 1)
+		whole := make(chan received, 1)
 		go asker{f, whole}.run(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		f.engines["e1"].SetFaults(standin.Faults{FreezeMillis: 60000})
 		h := <-whole
 		assert.Equal(t, h.problem(1), "")
 		assert.Assert(t, time.Since(begun) < 4*time.Second, "the answer took %v", time.Since(begun))
-		f.settle()
+		f.waitForCancels()
 	})
 }
 
@@ -45,20 +45,20 @@
 // so when it is asked. It is waited for: to go elsewhere would pay twice.
 func TestBusyEngineIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Teams = longStall{} })
+		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
 		f.engines["e1"].SetFaults(standin.Faults{Slow: 200})
-		h := f.ask(t.Context(), 0, 1, heard{})
+		h := f.ask(t.Context(), 0, 1, received{})
 		assert.Equal(t, h.problem(1), "")
 		assert.Equal(t, f.engines["e2"].Stats().Arrivals, 0)
 		assert.Equal(t, f.engines["e1"].Stats().Resumed, 0)
-		f.settle()
+		f.waitForCancels()
 	})
 }
 
 // asker asks for one answer.
 type asker struct {
 	fleet *fleet
-	whole chan<- heard
+	whole chan<- received
 }
 
-func (a asker) run(ctx context.Context) { a.whole <- a.fleet.ask(ctx, 0, 1, heard{}) }
+func (a asker) run(ctx context.Context) { a.whole <- a.fleet.ask(ctx, 0, 1, received{}) }
--- a/wisteriarouter/caller/fuzz_test.go
+++ b/wisteriarouter/caller/fuzz_test.go
@@ -24,14 +24,14 @@
 	"{\"model\":\"m\",\"messages\":[{\"role\":\"\xff\",\"content\":\"\\ud800\"}]}",
 }
 
-// sent keeps the body of the attempt that reached an engine.
-type sent struct {
+// bodyCapturer keeps the body of the attempt that reached an engine.
+type bodyCapturer struct {
 	noEngines
 	body []byte
 }
 
 // Start implements caller.Engines.
-func (s *sent) Start(_ context.Context, _ string, req engine.Request) (*engine.Stream, error) {
+func (s *bodyCapturer) Start(_ context.Context, _ string, req engine.Request) (*engine.Stream, error) {
 	s.count()
 	s.body = req.Body
 	return nil, &engine.StartError{NotRun: true, Status: http.StatusServiceUnavailable, Err: errNoEngine}
@@ -51,7 +51,7 @@
 		f.Add([]byte(body), "e1-00112233445566778899aabbccddeeff-f0.3")
 	}
 	f.Fuzz(func(t *testing.T, body []byte, lastID string) {
-		engines := &sent{}
+		engines := &bodyCapturer{}
 		w := httptest.NewRecorder()
 		r := request{body: string(body), header: map[string]string{"Last-Event-ID": lastID}}
 		newHandler(engines).ServeHTTP(w, r.http())
--- a/wisteriarouter/caller/log.go
+++ b/wisteriarouter/caller/log.go
@@ -7,22 +7,22 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// endNames name the ends of attempts in logs.
-var endNames = [...]string{
-	standing: "standing", finished: "delivered", callerGone: "caller-gone", limited: "delivered",
-	declined: "declined", lost: "broken", died: "endpoint-died", foundDead: "unsent", malformed: "malformed",
+// attemptResultNames name the ends of attempts in logs.
+var attemptResultNames = [...]string{
+	streamOpen: "standing", finished: "delivered", callerGone: "caller-gone", limitReached: "delivered",
+	declined: "declined", streamLost: "broken", endpointDied: "endpoint-died", endpointUnreachable: "unsent", streamMalformed: "malformed",
 }
 
 // emit logs an event of the request.
-func (a *answer) emit(k event.Kind, fields ...event.Field) {
-	a.Log.Emit(k, append(fields, event.F("request", a.chat.request))...)
+func (a *chatRun) emit(k event.Kind, fields ...event.Field) {
+	a.Log.Emit(k, append(fields, event.F("request", a.chat.requestID))...)
 }
 
-// placed logs where an attempt is sent and what decided it.
-func (a *answer) placed(at *attempt, took time.Duration) {
+// logPlacement logs where an attempt is sent and what decided it.
+func (a *chatRun) logPlacement(at *attempt, took time.Duration) {
 	fields := []event.Field{
 		event.F("attempt", a.evidence.Attempts()+1),
-		event.F("endpoint", at.place.Endpoint),
+		event.F("endpoint", at.placement.Endpoint),
 		event.F("team", a.chat.team),
 		event.F("account", a.chat.account),
 		event.F("pool", a.chat.plan.Pool),
@@ -36,15 +36,15 @@
 	a.emit(event.ChatPlaced, fields...)
 }
 
-// ended logs how an attempt ended.
-func (a *answer) ended(at *attempt, how end) {
+// logAttemptEnd logs how an attempt logAttemptEnd.
+func (a *chatRun) logAttemptEnd(at *attempt, result attemptResult) {
 	a.emit(event.ChatAttempt,
 		event.F("attempt", a.evidence.Attempts()),
 		event.F("attempt-id", at.id),
-		event.F("endpoint", at.place.Endpoint),
-		event.F("ended", endNames[how]),
+		event.F("endpoint", at.placement.Endpoint),
+		event.F("ended", attemptResultNames[result]),
 		event.F("offset", a.offset),
-		event.F("ms", time.Since(at.begun).Milliseconds()),
+		event.F("ms", time.Since(at.startedAt).Milliseconds()),
 	)
 }
 
--- a/wisteriarouter/caller/log_test.go
+++ b/wisteriarouter/caller/log_test.go
@@ -17,29 +17,29 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// journal keeps the lines of a router's log.
-type journal struct {
+// logBuffer keeps the lines of a router's log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (j *journal) Write(p []byte) (int, error) {
+func (j *logBuffer) Write(p []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.text.Write(p)
 }
 
 // attach has a router log here.
-func (j *journal) attach(s *caller.Server) {
+func (j *logBuffer) attach(s *caller.Server) {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{})
 	logger.SetOutput(j)
 	s.Log = event.NewLog(logger)
 }
 
-// of returns the lines that name a request, as their kinds with some fields.
-func (j *journal) of(t *testing.T, request string) []string {
+// linesOf returns the lines that name a request, as their kinds with some fields.
+func (j *logBuffer) linesOf(t *testing.T, request string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var all []string
@@ -64,13 +64,13 @@
 // went on.
 func TestLogsTellWhatBecameOfAChat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var j journal
+		var j logBuffer
 		f := newFleet(t, 1, 2, j.attach)
 		crash := time.AfterFunc(100*time.Millisecond, f.engines["e1"].Crash)
 		defer crash.Stop()
-		h := f.ask(t.Context(), 0, 1, heard{})
+		h := f.ask(t.Context(), 0, 1, received{})
 		assert.Equal(t, h.problem(1), "")
-		assert.DeepEqual(t, j.of(t, h.header.Get("X-Request-Id")), []string{
+		assert.DeepEqual(t, j.linesOf(t, h.header.Get("X-Request-Id")), []string{
 			"chat-placed e1", "chat-attempt e1 endpoint-died", "endpoint-lost e1", "stream-continued e1",
 			"chat-placed e2", "chat-attempt e2 delivered",
 		})
@@ -84,7 +84,7 @@
 // it gave itself leads to the reason.
 func TestLogsTellOfARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var j journal
+		var j logBuffer
 		f := newFleet(t, 1, 1, j.attach)
 		body := strings.NewReader(`{"model":"m","messages":[{"role":"user","content":"x"}]}`)
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+routerAddress(0)+"/v1/chat/completions", body)
@@ -98,7 +98,7 @@
 		assert.NilError(t, err)
 		_ = res.Body.Close()
 		assert.Equal(t, res.Header.Get("X-Request-Id"), "mine-1")
-		assert.DeepEqual(t, j.of(t, "mine-1"), []string{"request-refused unknown-team"})
+		assert.DeepEqual(t, j.linesOf(t, "mine-1"), []string{"request-refused unknown-team"})
 		tr.CloseIdleConnections()
 		f.close()
 		f.stops = nil
--- a/wisteriarouter/caller/metrics.go
+++ b/wisteriarouter/caller/metrics.go
@@ -56,11 +56,11 @@
 	return m
 }
 
-func (m *Metrics) ended(kind string, o outcome.Outcome, code string) {
+func (m *Metrics) requestEnded(kind string, o outcome.Outcome, code string) {
 	m.requests.WithLabelValues(kind, o.String(), code).Inc()
 }
 
-func (m *Metrics) used(u *engine.Usage) {
+func (m *Metrics) addUsage(u *engine.Usage) {
 	if u == nil {
 		return
 	}
--- a/wisteriarouter/caller/path_bench_test.go
+++ b/wisteriarouter/caller/path_bench_test.go
@@ -41,7 +41,7 @@
 	f := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	n := 0
-	for e.goesOn(n) {
+	for e.waitNext(n) {
 		n++
 		fmt.Fprintf(w, "id: %s.%d\ndata: {\"id\":\"c\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word \"},\"finish_reason\":null}]}\n\n", id, n, time.Now().UnixNano())
 		_ = f.Flush()
@@ -49,8 +49,8 @@
 	fmt.Fprintf(w, "id: %s.%d\ndata: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id, n)
 }
 
-// goesOn reports whether another token follows the first n, when it is due.
-func (e plainEngine) goesOn(n int) bool {
+// waitNext reports whether another token follows the first n, when it is due.
+func (e plainEngine) waitNext(n int) bool {
 	if n == 0 {
 		return true
 	}
@@ -78,7 +78,7 @@
 
 func (t patientTeam) PlanChat(team coordination.Team, a coordination.Account, m coordination.Model, p coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	plan, refusal := t.oneTeam.PlanChat(team, a, m, p)
-	plan.Stall = time.Hour
+	plan.StallTimeout = time.Hour
 	plan.MaxTokens = 1 << 20
 	return plan, refusal
 }
@@ -86,40 +86,42 @@
 // onePlace places everything at one address.
 type onePlace string
 
-func (p onePlace) Place(context.Context, caller.Want) (caller.Place, *outcome.Refusal) {
-	return caller.Place{Endpoint: "e1", Address: string(p), Release: func() {}}, nil
+func (p onePlace) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+	return caller.Placement{Endpoint: "e1", Address: string(p), Release: func() {}}, nil
 }
 
-func (p onePlace) Adopt(coordination.Endpoint) (caller.Place, bool) { return caller.Place{}, false }
+func (p onePlace) Adopt(coordination.Endpoint) (caller.Placement, bool) {
+	return caller.Placement{}, false
+}
 
 func (p onePlace) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
 func (p onePlace) Leaving(coordination.Endpoint, coordination.Incarnation) {}
 
-// way is one way to an engine.
-type way struct {
+// route is one route to an engine.
+type route struct {
 	name    string
 	address string
 }
 
-// newWays returns the ways to an engine: without and with a router.
-func newWays(tb testing.TB, e plainEngine) []way {
+// newRoutes returns the ways to an engine: without and with a router.
+func newRoutes(tb testing.TB, e plainEngine) []route {
 	backend := httptest.NewServer(e)
 	tb.Cleanup(backend.Close)
 	direct := strings.TrimPrefix(backend.URL, "http://")
 	client, closeClient := engine.NewClient(engine.Options{})
 	tb.Cleanup(closeClient)
 	s := &caller.Server{
-		Teams: patientTeam{}, Placer: onePlace(direct), Engines: client, Suspects: noSuspects{},
-		Retries: endlessRetries{}, Actions: noActions{},
-		Limits:  caller.Limits{BodyBytes: 1 << 20, WriteTimeout: time.Minute, CancelFor: time.Second},
+		Planner: patientTeam{}, Placer: onePlace(direct), Engines: client, Suspects: noSuspects{},
+		Retries: unlimitedRetries{}, Actions: noActions{},
+		Limits:  caller.Limits{MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute, CancelTimeout: time.Second},
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
 	}
 	mux := http.NewServeMux()
 	s.Register(humago.New(mux, huma.DefaultConfig("bench", "0")))
 	front := httptest.NewServer(mux)
 	tb.Cleanup(front.Close)
-	return []way{{"direct", direct}, {"routed", strings.TrimPrefix(front.URL, "http://")}}
+	return []route{{"direct", direct}, {"routed", strings.TrimPrefix(front.URL, "http://")}}
 }
 
 const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a quote for 300 copies"}]}`
@@ -128,7 +130,7 @@
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 
 // open asks for one answer.
-func (w way) open() (io.ReadCloser, error) {
+func (w route) open() (io.ReadCloser, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.address+"/v1/chat/completions", strings.NewReader(benchBody))
 	if err != nil {
 		return nil, err
@@ -153,7 +155,7 @@
 // Answers of one token show what a request costs, long ones what a token costs.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 300} {
-		for _, w := range newWays(b, plainEngine{tokens: tokens}) {
+		for _, w := range newRoutes(b, plainEngine{tokens: tokens}) {
 			b.Run(fmt.Sprintf("tokens=%d/%s", tokens, w.name), func(b *testing.B) {
 				b.ReportAllocs()
 				before := processorTime()
@@ -171,16 +173,16 @@
 	}
 }
 
-// reading is one open stream of a benchmark.
-type reading struct {
-	tb     testing.TB
-	way    way
-	begun  *sync.WaitGroup
-	first  time.Duration   // from the request to the first token
-	behind []time.Duration // of each token, from the engine to the caller
+// streamReader is one open stream of a benchmark.
+type streamReader struct {
+	tb    testing.TB
+	way   route
+	begun *sync.WaitGroup
+	first time.Duration   // from the request to the first token
+	lags  []time.Duration // of each token, from the engine to the caller
 }
 
-func (r *reading) run() {
+func (r *streamReader) run() {
 	start := time.Now()
 	body, err := r.way.open()
 	if err != nil {
@@ -197,26 +199,26 @@
 		}
 		text, _, _ := strings.Cut(rest, ",")
 		sent, _ := strconv.ParseInt(text, 10, 64)
-		r.behind = append(r.behind, time.Since(time.Unix(0, sent)))
-		if len(r.behind) == 1 {
+		r.lags = append(r.lags, time.Since(time.Unix(0, sent)))
+		if len(r.lags) == 1 {
 			r.first = time.Since(start)
 			r.begun.Done()
 		}
 	}
 }
 
-// readings are streams that run at once.
-type readings struct {
-	all   []*reading
+// streamReaders are streams that run at once.
+type streamReaders struct {
+	all   []*streamReader
 	begun sync.WaitGroup // all have their first token
 	ended sync.WaitGroup
 }
 
-func newReadings(tb testing.TB, w way, n int) *readings {
-	rs := &readings{}
+func newStreamReaders(tb testing.TB, w route, n int) *streamReaders {
+	rs := &streamReaders{}
 	rs.begun.Add(n)
 	for range n {
-		r := &reading{tb: tb, way: w, begun: &rs.begun}
+		r := &streamReader{tb: tb, way: w, begun: &rs.begun}
 		rs.all = append(rs.all, r)
 		rs.ended.Go(r.run)
 	}
@@ -234,16 +236,16 @@
 // behind the engine, and the processor time of all sides for each token.
 func BenchmarkPaced(b *testing.B) {
 	const streams, tokens = 200, 80
-	for _, w := range newWays(b, plainEngine{tokens: tokens, pace: 25 * time.Millisecond}) {
+	for _, w := range newRoutes(b, plainEngine{tokens: tokens, pace: 25 * time.Millisecond}) {
 		b.Run(w.name, func(b *testing.B) {
 			var first, behind []time.Duration
 			before := processorTime()
 			for b.Loop() {
-				rs := newReadings(b, w, streams)
+				rs := newStreamReaders(b, w, streams)
 				rs.ended.Wait()
 				for _, r := range rs.all {
 					first = append(first, r.first)
-					behind = append(behind, r.behind...)
+					behind = append(behind, r.lags...)
 				}
 			}
 			used := processorTime() - before
@@ -266,12 +268,12 @@
 		pace time.Duration
 	}{{name: "idle"}, {name: "active", pace: 25 * time.Millisecond}} {
 		hold := make(chan struct{})
-		var opened []*readings
-		for _, w := range newWays(b, plainEngine{hold: hold, pace: kind.pace}) {
+		var opened []*streamReaders
+		for _, w := range newRoutes(b, plainEngine{hold: hold, pace: kind.pace}) {
 			b.Run(kind.name+"/"+w.name, func(b *testing.B) {
 				for b.Loop() {
 					before := memory()
-					rs := newReadings(b, w, open)
+					rs := newStreamReaders(b, w, open)
 					opened = append(opened, rs)
 					rs.begun.Wait()
 					time.Sleep(time.Second)
--- a/wisteriarouter/caller/settle.go
+++ b/wisteriarouter/caller/settle.go
@@ -8,84 +8,84 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// settle draws the consequences of an attempt's end and reports whether the
+// concludeAttempt draws the consequences of an attempt's end and reports whether the
 // request is over.
-func (a *answer) settle(ctx context.Context, at *attempt, how end) bool {
-	defer at.place.Release()
-	if how == lost && a.isDead(ctx, at) {
-		how = died
+func (a *chatRun) concludeAttempt(ctx context.Context, at *attempt, result attemptResult) bool {
+	defer at.placement.Release()
+	if result == streamLost && a.isDead(ctx, at) {
+		result = endpointDied
 	}
-	a.ended(at, how)
-	switch how {
+	a.logAttemptEnd(at, result)
+	switch result {
 	case finished:
 		a.evidence.Answered(at.id)
 		a.finish()
 		return true
-	case limited:
+	case limitReached:
 		a.cancel(ctx, at)
 		a.evidence.Answered(at.id)
 		a.finish()
 		return true
 	case callerGone:
 		a.cancel(ctx, at)
-		a.Metrics.ended("chat", a.evidence.Outcome(), "caller-gone")
+		a.Metrics.requestEnded("chat", a.evidence.Outcome(), "caller-gone")
 		a.emit(event.ConnectionDropped, event.F("attempt", at.id), event.F("after-ms", time.Since(a.chat.arrived).Milliseconds()))
 		return true
-	case lost, malformed:
+	case streamLost, streamMalformed:
 		a.cancel(ctx, at)
-	case died, foundDead:
-		if refusal := a.mourn(ctx, at, how); refusal != nil {
+	case endpointDied, endpointUnreachable:
+		if refusal := a.handleDeadEndpoint(ctx, at, result); refusal != nil {
 			a.giveUp(ctx, refusal)
 			return true
 		}
 	}
-	a.exclude = append(a.exclude, at.place.Endpoint)
+	a.exclude = append(a.exclude, at.placement.Endpoint)
 	if a.offset > 0 {
 		a.Metrics.continued.Inc()
-		a.emit(event.StreamContinued, event.F("endpoint", at.place.Endpoint), event.F("offset", a.offset))
+		a.emit(event.StreamContinued, event.F("endpoint", at.placement.Endpoint), event.F("offset", a.offset))
 	}
 	return false
 }
 
-// mourn tells of a dead endpoint. It returns a refusal if the request may not
+// handleDeadEndpoint tells of a dead endpoint. It returns a refusal if the request may not
 // run again. An endpoint that is only frozen may wake and go on, so its attempt
 // is cancelled all the same.
-func (a *answer) mourn(ctx context.Context, at *attempt, how end) *outcome.Refusal {
-	e, n := at.place.Endpoint, at.place.Incarnation
+func (a *chatRun) handleDeadEndpoint(ctx context.Context, at *attempt, result attemptResult) *outcome.Refusal {
+	e, n := at.placement.Endpoint, at.placement.Incarnation
 	a.Placer.Dead(e, n)
-	if how == foundDead {
-		return a.trail.FoundDead(ctx, e)
+	if result == endpointUnreachable {
+		return a.tracked.FoundDead(ctx, e)
 	}
 	a.emit(event.EndpointLost, event.F("endpoint", e), event.F("incarnation", n), event.F("attempt", at.id))
 	a.cancel(ctx, at)
 	// The place is given back first: the wait for leave to go on may be long.
-	at.place.Release()
-	return a.trail.Crashed(ctx, e, n)
+	at.placement.Release()
+	return a.tracked.Crashed(ctx, e, n)
 }
 
 // isDead reports whether the attempt's endpoint cannot be reached or has been
 // restarted since, rather than only its connection cut.
-func (a *answer) isDead(ctx context.Context, at *attempt) bool {
-	l, err := a.Engines.Load(ctx, at.place.Address)
+func (a *chatRun) isDead(ctx context.Context, at *attempt) bool {
+	l, err := a.Engines.Load(ctx, at.placement.Address)
 	if err != nil {
 		return ctx.Err() == nil
 	}
-	return at.place.Incarnation != 0 && l.Incarnation != at.place.Incarnation
+	return at.placement.Incarnation != 0 && l.Incarnation != at.placement.Incarnation
 }
 
-func (a *answer) finish() {
+func (a *chatRun) finish() {
 	a.finished = true
-	a.sink.finish(a.id, closing{Outcome: outcome.Ran, Hint: a.place.Hint})
-	a.Metrics.ended("chat", outcome.Ran, "")
+	a.sink.finish(a.id, outcomeEvent{Outcome: outcome.Ran, Hint: a.placement.Hint})
+	a.Metrics.requestEnded("chat", outcome.Ran, "")
 }
 
 // giveUp sends the final refusal at once. Its outcome is what the evidence
 // allows, whatever the refusal claims.
-func (a *answer) giveUp(ctx context.Context, r *outcome.Refusal) {
+func (a *chatRun) giveUp(ctx context.Context, r *outcome.Refusal) {
 	final := *r
 	final.Outcome = a.evidence.Outcome()
-	a.Metrics.ended("chat", final.Outcome, string(final.Code))
-	a.logRefusal(a.chat.request, &final, event.F("team", a.chat.team), event.F("account", a.chat.account))
+	a.Metrics.requestEnded("chat", final.Outcome, string(final.Code))
+	a.logRefusal(a.chat.requestID, &final, event.F("team", a.chat.team), event.F("account", a.chat.account))
 	if ctx.Err() == nil {
 		a.sink.refuse(&final)
 	}
--- a/wisteriarouter/caller/sink.go
+++ b/wisteriarouter/caller/sink.go
@@ -22,21 +22,21 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// errSink is the error of a sink whose caller takes nothing any more.
-var errSink = errors.New("caller: connection lost")
+// errCallerDisconnected is the error of a sink whose caller takes nothing any more.
+var errCallerDisconnected = errors.New("caller: connection lost")
 
-// sink is where an answer goes.
-type sink interface {
+// responseSink is where an answer goes.
+type responseSink interface {
 	// chunk passes on one chunk of the answer.
 	chunk(id coordination.Attempt, c engine.Chunk) error
 	// finish ends a whole answer.
-	finish(id coordination.Attempt, end closing)
+	finish(id coordination.Attempt, end outcomeEvent)
 	// refuse ends the request without a whole answer.
 	refuse(r *outcome.Refusal)
 }
 
-// closing is the data of the outcome event that ends a stream.
-type closing struct {
+// outcomeEvent is the data of the outcome event that ends a stream.
+type outcomeEvent struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	Hint    string          `json:"route_hint,omitempty"`
 }
@@ -60,10 +60,10 @@
 func (w writer) write(text []byte) error {
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout))
 	if _, err := w.w.Write(text); err != nil {
-		return fmt.Errorf("%w: %w", errSink, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	if err := w.control.Flush(); err != nil {
-		return fmt.Errorf("%w: %w", errSink, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
@@ -90,15 +90,15 @@
 // streamSink writes server-sent events.
 type streamSink struct {
 	writer
-	begun bool
-	event []byte // the last event, whose space serves the next one
+	started bool
+	buf     []byte // the last event, whose space serves the next one
 }
 
 func (s *streamSink) begin(id coordination.Attempt) {
-	if s.begun {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -108,29 +108,29 @@
 
 func (s *streamSink) chunk(id coordination.Attempt, c engine.Chunk) error {
 	s.begin(id)
-	e := append(s.event[:0], "id: "...)
+	e := append(s.buf[:0], "id: "...)
 	e = engine.EventID{Attempt: id, Offset: c.Offset}.Append(e)
 	e = append(e, "\ndata: "...)
 	e = append(e, c.Data...)
-	s.event = append(e, "\n\n"...)
-	return s.write(s.event)
+	s.buf = append(e, "\n\n"...)
+	return s.write(s.buf)
 }
 
-func (s *streamSink) finish(id coordination.Attempt, end closing) {
+func (s *streamSink) finish(id coordination.Attempt, end outcomeEvent) {
 	s.begin(id)
 	_ = s.write([]byte("event: outcome\ndata: " + marshal(end) + "\n\ndata: [DONE]\n\n"))
 }
 
 func (s *streamSink) refuse(r *outcome.Refusal) {
-	if !s.begun {
+	if !s.started {
 		s.writer.refuse(r)
 		return
 	}
-	_ = s.write([]byte("event: error\ndata: " + marshal(r.Envelope()) + "\n\nevent: outcome\ndata: " + marshal(closing{Outcome: r.Outcome}) + "\n\n"))
+	_ = s.write([]byte("event: error\ndata: " + marshal(r.Envelope()) + "\n\nevent: outcome\ndata: " + marshal(outcomeEvent{Outcome: r.Outcome}) + "\n\n"))
 }
 
-// wholeSink gathers the answer and writes it as one JSON object.
-type wholeSink struct {
+// jsonSink gathers the answer and writes it as one JSON object.
+type jsonSink struct {
 	writer
 	model  string
 	text   strings.Builder
@@ -138,7 +138,7 @@
 	usage  engine.Usage
 }
 
-func (s *wholeSink) chunk(_ coordination.Attempt, c engine.Chunk) error {
+func (s *jsonSink) chunk(_ coordination.Attempt, c engine.Chunk) error {
 	s.text.WriteString(c.Text)
 	if c.Finish != "" {
 		s.reason = c.Finish
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (s *wholeSink) finish(id coordination.Attempt, end closing) {
+func (s *jsonSink) finish(id coordination.Attempt, end outcomeEvent) {
 	h := s.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(outcome.Header, end.Outcome.String())
@@ -185,7 +185,7 @@
 	Cached coordination.Tokens `json:"cached_tokens"`
 }
 
-func (s *wholeSink) completion(id coordination.Attempt) completion {
+func (s *jsonSink) completion(id coordination.Attempt) completion {
 	return completion{
 		ID:      string(id),
 		Object:  "chat.completion",
--- a/wisteriarouter/caller/whole_test.go
+++ b/wisteriarouter/caller/whole_test.go
@@ -24,15 +24,15 @@
 	fleet  *fleet
 	n      int
 	router int
-	result *heard
+	result *received
 }
 
-func (s session) run() { *s.result = s.fleet.ask(s.fleet.t.Context(), s.router, s.n, heard{}) }
+func (s session) run() { *s.result = s.fleet.ask(s.fleet.t.Context(), s.router, s.n, received{}) }
 
-// play runs all chats at once, spread over the routers, and returns what is
+// runChats runs all chats at once, spread over the routers, and returns what is
 // wrong with their answers.
-func (f *fleet) play() []string {
-	results := make([]heard, chats)
+func (f *fleet) runChats() []string {
+	results := make([]received, chats)
 	var wg sync.WaitGroup
 	for n := range chats {
 		s := session{fleet: f, n: n, router: n % len(f.servers), result: &results[n]}
@@ -49,8 +49,8 @@
 	return problems
 }
 
-// trouble is what goes wrong at the engines while the chats run.
-type trouble struct {
+// faultScenario is what goes wrong at the engines while the chats run.
+type faultScenario struct {
 	name   string
 	faults standin.Faults
 	during func(f *fleet)
@@ -73,7 +73,7 @@
 	f.engines["e2"].Leave()
 }
 
-var troubles = []trouble{
+var faultScenarios = []faultScenario{
 	{name: "none"},
 	{name: "cut connections", faults: standin.Faults{CutStreams: 30, CutAfter: 5}},
 	{name: "cut before the first token", faults: standin.Faults{CutStreams: 30}},
@@ -90,13 +90,13 @@
 	}},
 }
 
-// storm is a trouble that goes on beside the chats.
-type storm struct {
-	trouble
+// scenarioRun is a trouble that goes on beside the chats.
+type scenarioRun struct {
+	faultScenario
 	fleet *fleet
 }
 
-func (s storm) run() {
+func (s scenarioRun) run() {
 	if s.during != nil {
 		s.during(s.fleet)
 	}
@@ -106,7 +106,7 @@
 // or of other attempts. A caller would see words missing, words twice, or
 // somebody else's words.
 func TestEveryAnswerIsWholeAndItsOwn(t *testing.T) {
-	for _, tr := range troubles {
+	for _, tr := range faultScenarios {
 		t.Run(tr.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 2, 4)
@@ -114,30 +114,30 @@
 					e.SetFaults(tr.faults)
 				}
 				var wg sync.WaitGroup
-				wg.Go(storm{tr, f}.run)
-				problems := f.play()
+				wg.Go(scenarioRun{tr, f}.run)
+				problems := f.runChats()
 				wg.Wait()
 				assert.Equal(t, len(problems), 0, "%q", problems[:min(3, len(problems))])
-				f.settle()
+				f.waitForCancels()
 				assert.Equal(t, f.running(), 0, "attempts run on after all answers have ended")
-				t.Logf("tokens generated for each token delivered: %.3f", f.bill())
+				t.Logf("tokens generated for each token delivered: %.3f", f.generatedPerDelivered())
 			})
 		})
 	}
 }
 
-// settle waits until cancels have had their time.
-func (f *fleet) settle() { time.Sleep(16 * time.Second) }
+// waitForCancels waits until cancels have had their time.
+func (f *fleet) waitForCancels() { time.Sleep(16 * time.Second) }
 
-// bill returns how many tokens the engines generated for each that was
+// generatedPerDelivered returns how many tokens the engines generated for each that was
 // delivered: what callers pay for over what they read.
-func (f *fleet) bill() float64 {
+func (f *fleet) generatedPerDelivered() float64 {
 	generated, delivered := 0, 0
 	for _, e := range f.engines {
 		generated += e.Stats().GeneratedTokens
 	}
 	for n := range chats {
-		delivered += len(strings.Fields(want(n)))
+		delivered += len(strings.Fields(expectedAnswer(n)))
 	}
 	return float64(generated) / float64(delivered)
 }
@@ -150,14 +150,14 @@
 	return n
 }
 
-// crossed sends some requests with another chat's body.
-type crossed struct {
+// bodySwapper sends some requests with another chat's body.
+type bodySwapper struct {
 	caller.Engines
 	mu   sync.Mutex
 	last []byte
 }
 
-func (c *crossed) Start(ctx context.Context, address string, req engine.Request) (*engine.Stream, error) {
+func (c *bodySwapper) Start(ctx context.Context, address string, req engine.Request) (*engine.Stream, error) {
 	c.mu.Lock()
 	if c.last != nil {
 		req.Body, c.last = c.last, req.Body
@@ -168,31 +168,31 @@
 	return c.Engines.Start(ctx, address, req)
 }
 
-// skipping resumes a stream one token too far on.
-type skipping struct {
+// tokenSkipper resumes a stream one token too far on.
+type tokenSkipper struct {
 	caller.Engines
 }
 
-func (s skipping) Resume(ctx context.Context, address string, req engine.Request) (*engine.Stream, error) {
+func (s tokenSkipper) Resume(ctx context.Context, address string, req engine.Request) (*engine.Stream, error) {
 	req.Offset++
 	return s.Engines.Resume(ctx, address, req)
 }
 
 // A router mixes up two answers, or resumes a stream at the wrong token. The
 // check above has to see it, or its silence means nothing.
-func TestCheckCatchesPlantedFaults(t *testing.T) {
-	plants := map[string]plant{
-		"answers crossed": func(s *caller.Server) { s.Engines = &crossed{Engines: s.Engines} },
-		"token skipped":   func(s *caller.Server) { s.Engines = skipping{s.Engines} },
+func TestCheckCatchesInjectedFaults(t *testing.T) {
+	injectors := map[string]faultInjector{
+		"answers crossed": func(s *caller.Server) { s.Engines = &bodySwapper{Engines: s.Engines} },
+		"token skipped":   func(s *caller.Server) { s.Engines = tokenSkipper{s.Engines} },
 	}
-	for name, p := range plants {
+	for name, p := range injectors {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 1, 2, p)
 				for _, e := range f.engines {
 					e.SetFaults(standin.Faults{CutStreams: 10, CutAfter: 5})
 				}
-				assert.Assert(t, len(f.play()) > 0)
+				assert.Assert(t, len(f.runChats()) > 0)
 			})
 		})
 	}
@@ -203,10 +203,10 @@
 // none missing, and no second model call.
 func TestAnswerGoesOnThroughAnotherRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 2, 2, abandon)
+		f := newFleet(t, 2, 2, dropCancels)
 		for n := range 20 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(20+n*15)*time.Millisecond)
-			before := f.ask(ctx, 0, n, heard{})
+			before := f.ask(ctx, 0, n, received{})
 			cancel()
 			after := f.ask(t.Context(), 1, n, before)
 			assert.Equal(t, after.problem(n), "")
@@ -214,16 +214,18 @@
 	})
 }
 
-// abandon is the plant of a router that dies while it streams: the engine's
+// dropCancels is the plant of a router that dies while it streams: the engine's
 // stream breaks and no cancel comes.
-func abandon(s *caller.Server) { s.Engines = uncancelled{s.Engines} }
+func dropCancels(s *caller.Server) { s.Engines = cancelDropper{s.Engines} }
 
-// uncancelled never cancels, as a process that has died cannot.
-type uncancelled struct {
+// cancelDropper never cancels, as a process that has died cannot.
+type cancelDropper struct {
 	caller.Engines
 }
 
-func (uncancelled) Cancel(context.Context, string, coordination.Attempt) (int, error) { return 0, nil }
+func (cancelDropper) Cancel(context.Context, string, coordination.Attempt) (int, error) {
+	return 0, nil
+}
 
 // Somebody else learns an event id and sends it with a request of its own. It
 // must not get the rest of an answer that is not its own.
@@ -232,12 +234,12 @@
 		f := newFleet(t, 1, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		before := f.ask(ctx, 0, 1, heard{})
+		before := f.ask(ctx, 0, 1, received{})
 		assert.Assert(t, before.lastID != "")
 		after := f.ask(t.Context(), 0, 2, before)
 		assert.Equal(t, after.status, 400)
 		assert.Equal(t, after.header.Get("X-Outcome"), "not-run")
-		f.settle()
+		f.waitForCancels()
 	})
 }
 
@@ -248,8 +250,8 @@
 		f := newFleet(t, 1, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
 		defer cancel()
-		h := f.ask(ctx, 0, 3, heard{})
-		assert.Assert(t, !h.whole)
+		h := f.ask(ctx, 0, 3, received{})
+		assert.Assert(t, !h.complete)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, f.running(), 0)
 		assert.Equal(t, f.engines["e1"].Stats().Cancelled, 1)
@@ -260,9 +262,9 @@
 // caller still has the text, and gets the rest from another endpoint.
 func TestAnswerGoesOnBehindPartialText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 2, 2, abandon)
+		f := newFleet(t, 2, 2, dropCancels)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		before := f.ask(ctx, 0, 5, heard{})
+		before := f.ask(ctx, 0, 5, received{})
 		cancel()
 		for _, e := range f.engines {
 			e.Crash()
@@ -288,7 +290,7 @@
 		for _, e := range f.engines {
 			e.SetFaults(standin.Faults{RefuseNext: 100})
 		}
-		h := f.ask(t.Context(), 0, 1, heard{})
+		h := f.ask(t.Context(), 0, 1, received{})
 		assert.Equal(t, h.status, 429)
 		assert.Equal(t, h.header.Get("X-Outcome"), "not-run")
 		assert.Assert(t, h.header.Get("Retry-After") != "")
@@ -304,11 +306,11 @@
 		f := newFleet(t, 1, 2)
 		f.engines["e1"].SetFaults(standin.Faults{CutStreams: 1000, CutAfter: 0})
 		for n := range 4 {
-			h := f.ask(t.Context(), 0, n, heard{})
+			h := f.ask(t.Context(), 0, n, received{})
 			assert.Equal(t, h.problem(n), "")
 		}
 		resumed := f.engines["e1"].Stats().Resumed
 		assert.Assert(t, resumed > 0 && resumed <= 4*8, "%d resumes", resumed)
-		f.settle()
+		f.waitForCancels()
 	})
 }
--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -38,13 +38,13 @@
 		ClockSkew:   maxSkew,
 		Observe:     observer.Observe,
 	})
-	observer.Follow(ledger)
+	observer.RegisterOpenRecords(ledger)
 	onStop(i, func() {
 		drain(ledger)
 		closeLedger()
 	})
 	return &service.Runner{
-		Plans:   do.MustInvoke[*teams](i),
+		Planner: do.MustInvoke[*teams](i),
 		Placer:  do.MustInvoke[*placing](i),
 		Retries: do.MustInvoke[*teamRetries](i),
 		Client:  client,
@@ -64,7 +64,7 @@
 	l.Drain(ctx)
 }
 
-// PlanAction implements service.Plans.
+// PlanAction implements service.ActionPlanner.
 func (t *teams) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
 	team, refusal := t.find(a.Team, a.Account)
 	if refusal != nil {
@@ -78,7 +78,7 @@
 	return service.Plan{
 		Pool:          s.Pool(),
 		Priority:      team.Priority(a.Priority, a.Priority != coordination.Priority(0)),
-		StartWithin:   team.Deadline(),
+		StartTimeout:  team.Deadline(),
 		Timeout:       s.ActionTimeout,
 		NonIdempotent: s.NonIdempotent(a.Action),
 		Rules: execution.Rules{
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -25,16 +25,16 @@
 	lim := settingsOf(i).Limits
 	st := stateOf(i)
 	return &caller.Server{
-		Teams:    do.MustInvoke[*teams](i),
+		Planner:  do.MustInvoke[*teams](i),
 		Placer:   do.MustInvoke[*placing](i),
 		Engines:  do.MustInvoke[*engine.Client](i),
 		Suspects: do.MustInvoke[*suspects](i),
 		Retries:  do.MustInvoke[*teamRetries](i),
 		Actions:  do.MustInvoke[*service.Runner](i),
 		Limits: caller.Limits{
-			BodyBytes:    int64(lim.BodyBytes),
-			WriteTimeout: lim.WriteTimeout,
-			CancelFor:    lim.CancelFor,
+			MaxBodyBytes:  int64(lim.BodyBytes),
+			WriteTimeout:  lim.WriteTimeout,
+			CancelTimeout: lim.CancelFor,
 		},
 		Log:      logOf(i),
 		Metrics:  caller.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -272,7 +272,7 @@
 }
 
 // Place implements caller.Placer.
-func (p *placing) Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (p *placing) Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	req := placement.Request{
 		Pool:     w.Pool,
 		Key:      keyOf(w),
@@ -284,15 +284,15 @@
 	}
 	g, k, refusal := p.acquire(ctx, req, w.Deadline)
 	if refusal != nil {
-		return caller.Place{}, refusal
+		return caller.Placement{}, refusal
 	}
-	return caller.Place{
-		Endpoint:    k.ID,
-		Incarnation: g.Endpoint.Incarnation,
-		Address:     k.Address,
-		Hint:        g.Hint().String(),
-		Release:     g.Release,
-		Lost:        lo.Map(g.Lost, func(l placement.LostEndpoint, _ int) coordination.Endpoint { return l.Endpoint }),
+	return caller.Placement{
+		Endpoint:      k.ID,
+		Incarnation:   g.Endpoint.Incarnation,
+		Address:       k.Address,
+		Hint:          g.Hint().String(),
+		Release:       g.Release,
+		DeadEndpoints: lo.Map(g.Lost, func(l placement.LostEndpoint, _ int) coordination.Endpoint { return l.Endpoint }),
 	}, nil
 }
 
@@ -318,7 +318,7 @@
 
 // keyOf returns what leads a chat to its endpoint; a request without a chat
 // goes by its content.
-func keyOf(w caller.Want) placement.Key {
+func keyOf(w caller.PlacementRequest) placement.Key {
 	if w.Chat == "" {
 		return placement.Key(w.Fingerprint)
 	}
@@ -345,12 +345,12 @@
 
 // Adopt implements caller.Placer. The attempt already runs at its endpoint and
 // counts there through the endpoint's own report, so it needs no new grant.
-func (p *placing) Adopt(id coordination.Endpoint) (caller.Place, bool) {
+func (p *placing) Adopt(id coordination.Endpoint) (caller.Placement, bool) {
 	k, ok := p.directory.Find(id)
 	if !ok {
-		return caller.Place{}, false
+		return caller.Placement{}, false
 	}
-	return caller.Place{
+	return caller.Placement{
 		Endpoint:    id,
 		Incarnation: k.Incarnation,
 		Address:     k.Address,
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -69,7 +69,7 @@
 
 // Follow implements relay.Suspects.
 func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.Trail, *outcome.Refusal) {
-	t, refusal := s.suspects.Follow(ctx, fingerprint, p)
+	t, refusal := s.suspects.Track(ctx, fingerprint, p)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Follow implements caller.Suspects.
-func (s *suspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (caller.Trail, *outcome.Refusal) {
+// Track implements caller.SuspectTracker.
+func (s *suspects) Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (caller.TrackedRequest, *outcome.Refusal) {
 	f, refusal := s.guard.Begin(ctx, suspicion.Fingerprint(fingerprint), p)
 	if f == nil {
 		return nil, s.refuse(refusal, fingerprint)
@@ -169,7 +169,7 @@
 	}
 }
 
-// trail implements caller.Trail.
+// trail implements caller.TrackedRequest.
 type trail struct {
 	*suspects
 	follow      *suspicion.TrackedRequest
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -141,7 +141,7 @@
 	return team, nil
 }
 
-// PlanChat implements caller.Teams.
+// PlanChat implements caller.ChatPlanner.
 func (t *teams) PlanChat(name coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	team, refusal := t.find(name, account)
 	if refusal != nil {
@@ -152,10 +152,10 @@
 		return caller.Plan{}, unknown(outcome.UnknownModel, "team %q has no model %q", name, model)
 	}
 	return caller.Plan{
-		Pool:        m.Pool(),
-		Priority:    team.Priority(want, want != 0),
-		StartWithin: team.Deadline(),
-		Stall:       m.StallTimeout,
-		MaxTokens:   m.MaxTokens,
+		Pool:         m.Pool(),
+		Priority:     team.Priority(want, want != 0),
+		StartTimeout: team.Deadline(),
+		StallTimeout: m.StallTimeout,
+		MaxTokens:    m.MaxTokens,
 	}, nil
 }
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -69,17 +69,17 @@
 }
 
 // teamRetries holds a retry budget for each team, by its share in force. It
-// implements caller.Retries.
+// implements caller.RetryBudget.
 type teamRetries struct {
 	replica *settings.Replica
 	mu      sync.Mutex
 	budgets map[coordination.Team]*retry.Budget
 }
 
-// Request implements caller.Retries.
-func (r *teamRetries) Request(team coordination.Team) { r.budget(team).RecordRequest() }
+// RecordRequest implements caller.RetryBudget.
+func (r *teamRetries) RecordRequest(team coordination.Team) { r.budget(team).RecordRequest() }
 
-// Take implements caller.Retries.
+// Take implements caller.RetryBudget.
 func (r *teamRetries) Take(team coordination.Team) bool { return r.budget(team).Take() }
 
 // retryBurst is how many retries of a team may come at once: the streams that a
--- a/wisteriarouter/service/client.go
+++ b/wisteriarouter/service/client.go
@@ -31,27 +31,27 @@
 
 // Defaults of Options.
 const (
-	DefaultDialTimeout = 500 * time.Millisecond
-	DefaultMaxAnswer   = 8 << 20
+	DefaultDialTimeout      = 500 * time.Millisecond
+	DefaultMaxResponseBytes = 8 << 20
 )
 
-// ErrCut is the error of a call whose answer did not come whole. The service
+// ErrTruncated is the error of a call whose answer did not come whole. The service
 // may have run it.
-var ErrCut = errors.New("service: answer cut off")
+var ErrTruncated = errors.New("service: answer cut off")
 
 // Options configure a Client. Zero fields take the defaults.
 type Options struct {
-	DialTimeout time.Duration
-	MaxAnswer   int64 // the longest answer that is taken, in bytes
+	DialTimeout      time.Duration
+	MaxResponseBytes int64 // the longest answer that is taken, in bytes
 	// DialContext makes connections; nil means TCP.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // Client makes calls to plain services. It is safe for concurrent use.
 type Client struct {
-	once      *http.Client // for calls that must not be sent twice
-	pooled    *http.Client
-	maxAnswer int64
+	singleUse        *http.Client // for calls that must not be sent twice
+	pooled           *http.Client
+	maxResponseBytes int64
 }
 
 // NewClient returns a client, and a function that closes its idle connections.
@@ -59,8 +59,8 @@
 	if opts.DialTimeout <= 0 {
 		opts.DialTimeout = DefaultDialTimeout
 	}
-	if opts.MaxAnswer <= 0 {
-		opts.MaxAnswer = DefaultMaxAnswer
+	if opts.MaxResponseBytes <= 0 {
+		opts.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	dial := opts.DialContext
 	if dial == nil {
@@ -81,9 +81,9 @@
 		DisableKeepAlives:  true,
 	}
 	c := &Client{
-		once:      &http.Client{Transport: once, CheckRedirect: refuseRedirect},
-		pooled:    &http.Client{Transport: pooled, CheckRedirect: refuseRedirect},
-		maxAnswer: opts.MaxAnswer,
+		singleUse:        &http.Client{Transport: once, CheckRedirect: refuseRedirect},
+		pooled:           &http.Client{Transport: pooled, CheckRedirect: refuseRedirect},
+		maxResponseBytes: opts.MaxResponseBytes,
 	}
 	return c, pooled.CloseIdleConnections
 }
@@ -100,12 +100,12 @@
 
 // Call is one attempt of an action at one endpoint.
 type Call struct {
-	Attempt coordination.Attempt
-	Address string // host:port
-	Action  coordination.Action
-	Type    string // Content-Type of the body
-	Body    []byte
-	Once    bool // the action is non-idempotent
+	Attempt       coordination.Attempt
+	Address       string // host:port
+	Action        coordination.Action
+	ContentType   string // Content-Type of the body
+	Body          []byte
+	NonIdempotent bool // the action is non-idempotent
 }
 
 // Reply is what an endpoint answered.
@@ -125,8 +125,8 @@
 		return Reply{}, err
 	}
 	client := c.pooled
-	if call.Once {
-		client = c.once
+	if call.NonIdempotent {
+		client = c.singleUse
 	}
 	res, err := client.Do(req)
 	if err != nil {
@@ -135,11 +135,11 @@
 		return Reply{}, fmt.Errorf("service: %w", err)
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxAnswer+1))
-	if err != nil || int64(len(body)) > c.maxAnswer {
-		return Reply{}, errors.Join(ErrCut, err)
+	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxResponseBytes+1))
+	if err != nil || int64(len(body)) > c.maxResponseBytes {
+		return Reply{}, errors.Join(ErrTruncated, err)
 	}
-	weigh(e, call.Attempt, res)
+	recordOutcome(e, call.Attempt, res)
 	return newReply(res, body), nil
 }
 
@@ -149,7 +149,7 @@
 func newRequest(ctx context.Context, e *outcome.Evidence, call Call) (*http.Request, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { e.Written(call.Attempt) }}
 	var body io.Reader = bytes.NewReader(call.Body)
-	if call.Once {
+	if call.NonIdempotent {
 		body = opaqueBody{body}
 	}
 	target := "http://" + call.Address + "/actions/" + url.PathEscape(string(call.Action))
@@ -159,28 +159,28 @@
 	}
 	req.ContentLength = int64(len(call.Body))
 	req.Header.Set(headerRequestID, string(call.Attempt))
-	if call.Type != "" {
-		req.Header.Set("Content-Type", call.Type)
+	if call.ContentType != "" {
+		req.Header.Set("Content-Type", call.ContentType)
 	}
 	return req, nil
 }
 
-// weigh records what a whole answer says about its attempt. The service's own
+// recordOutcome records what a whole answer says about its attempt. The service's own
 // word counts most.
-func weigh(e *outcome.Evidence, a coordination.Attempt, res *http.Response) {
-	word := res.Header.Get(outcome.Header)
+func recordOutcome(e *outcome.Evidence, a coordination.Attempt, res *http.Response) {
+	declared := res.Header.Get(outcome.Header)
 	switch {
-	case word == outcome.NotRun.String():
+	case declared == outcome.NotRun.String():
 		e.Declined(a)
-	case word == outcome.Ran.String(), word == "" && decided(res.StatusCode):
+	case declared == outcome.Ran.String(), declared == "" && isFinalStatus(res.StatusCode):
 		e.Answered(a)
 	}
 }
 
-// decided tells whether a status without the service's word is its answer to
+// isFinalStatus tells whether a status without the service's word is its answer to
 // the action. A redirect, a refusal for the moment or an error of the server's
 // side proves nothing: a proxy or a half-run action answers so, too.
-func decided(status int) bool {
+func isFinalStatus(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
--- a/wisteriarouter/service/client_test.go
+++ b/wisteriarouter/service/client_test.go
@@ -16,11 +16,11 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// cutter reads each call whole, and breaks the connection of all calls but the
+// abortingServer reads each call whole, and breaks the connection of all calls but the
 // first. So the broken one finds a connection that is being used again.
-type cutter struct{ arrivals atomic.Int32 }
+type abortingServer struct{ arrivals atomic.Int32 }
 
-func (c *cutter) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
+func (c *abortingServer) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if c.arrivals.Add(1) > 1 {
 		panic(http.ErrAbortHandler)
@@ -34,7 +34,7 @@
 // a service that ignores the key books twice. The first half shows that it
 // does, the second that our client gives it nothing to repeat.
 func TestTransportNeverRepeatsAction(t *testing.T) {
-	naive := &cutter{}
+	naive := &abortingServer{}
 	srv := httptest.NewServer(naive)
 	defer srv.Close()
 	for range 2 {
@@ -47,14 +47,14 @@
 	}
 	assert.Assert(t, naive.arrivals.Load() > 2, "the naive client was expected to repeat")
 
-	ours := &cutter{}
+	ours := &abortingServer{}
 	srv = httptest.NewServer(ours)
 	defer srv.Close()
 	c, cleanup := service.NewClient(service.Options{})
 	defer cleanup()
 	for i, want := range []outcome.Outcome{outcome.Ran, outcome.Unknown} {
 		var e outcome.Evidence
-		_, err := c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: address(srv.URL), Action: "book", Body: []byte("book"), Once: true})
+		_, err := c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: address(srv.URL), Action: "book", Body: []byte("book"), NonIdempotent: true})
 		assert.Equal(t, e.Outcome(), want, "%v", err)
 		assert.Equal(t, ours.arrivals.Load(), int32(i+1))
 	}
@@ -92,13 +92,13 @@
 			_, _ = io.WriteString(w, "boo")
 		}, outcome.Unknown},
 	}
-	c, cleanup := service.NewClient(service.Options{MaxAnswer: 50})
+	c, cleanup := service.NewClient(service.Options{MaxResponseBytes: 50})
 	defer cleanup()
 	for _, tt := range tests {
 		for _, once := range []bool{true, false} {
 			srv := httptest.NewServer(tt.handler)
 			var e outcome.Evidence
-			_, _ = c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: address(srv.URL), Action: "book", Once: once})
+			_, _ = c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: address(srv.URL), Action: "book", NonIdempotent: once})
 			assert.Equal(t, e.Outcome(), tt.want, "%s, once %v", tt.name, once)
 			srv.Close()
 		}
@@ -111,7 +111,7 @@
 	c, cleanup := service.NewClient(service.Options{})
 	defer cleanup()
 	var e outcome.Evidence
-	_, err := c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: closedAddress(t), Action: "book", Once: true})
+	_, err := c.Do(t.Context(), &e, service.Call{Attempt: "a", Address: closedAddress(t), Action: "book", NonIdempotent: true})
 	assert.ErrorContains(t, err, "service: ")
 	assert.Equal(t, e.Outcome(), outcome.NotRun)
 }
--- a/wisteriarouter/service/observer.go
+++ b/wisteriarouter/service/observer.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Follow shows how many records l holds open.
-func (o *Observer) Follow(l *execution.Ledger) {
+// RegisterOpenRecords shows how many records l holds open.
+func (o *Observer) RegisterOpenRecords(l *execution.Ledger) {
 	o.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "wisteria_action_records_open",
 		Help: "Execution records that this router has not settled yet.",
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -24,9 +24,9 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// site is a whole fleet in one process: stand-ins of the platform and of an
+// cluster is a whole fleet in one process: stand-ins of the platform and of an
 // order desk, and routers, which talk HTTP over pipes.
-type site struct {
+type cluster struct {
 	network   pipe.Network
 	platform  *standin.Server
 	desks     []*service.Service
@@ -36,39 +36,39 @@
 
 	nonIdempotent bool
 
-	mu     sync.Mutex
-	random *rand.Rand
-	told   map[string][]told // by key
+	mu      sync.Mutex
+	random  *rand.Rand
+	results map[string][]callResult // by key
 }
 
-// told is what a caller was told of one try.
-type told struct {
+// callResult is what a caller was callResult of one try.
+type callResult struct {
 	outcome outcome.Outcome
 	body    string // of an answer
 }
 
 const (
-	siteRouters = 3
-	siteDesks   = 2
-	siteKeys    = 5
-	keyCallers  = 4
-	callerTries = 5
+	clusterRouters = 3
+	clusterDesks   = 2
+	clusterKeys    = 5
+	keyCallers     = 4
+	callerTries    = 5
 )
 
-func newSite(seed uint64) *site {
-	s := &site{random: rand.New(rand.NewPCG(seed, seed)), told: map[string][]told{}}
+func newCluster(seed uint64) *cluster {
+	s := &cluster{random: rand.New(rand.NewPCG(seed, seed)), results: map[string][]callResult{}}
 	server, stop := standin.New(standin.Options{Seed: seed})
 	s.platform = server
 	s.cleanups = append(s.cleanups, s.network.Serve("platform:80", server), stop)
-	for i := range siteDesks {
+	for i := range clusterDesks {
 		desk, stop := service.New(service.Options{Seed: seed + uint64(i), Time: 20 * time.Millisecond})
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.2})
 		s.desks = append(s.desks, desk)
 		s.addresses = append(s.addresses, deskAddress(i))
 		s.cleanups = append(s.cleanups, s.network.Serve(deskAddress(i), desk), stop)
 	}
-	s.addresses = append(s.addresses, deskAddress(siteDesks))
-	for i := range siteRouters {
+	s.addresses = append(s.addresses, deskAddress(clusterDesks))
+	for i := range clusterRouters {
 		s.addRouter(i)
 	}
 	return s
@@ -76,89 +76,89 @@
 
 func deskAddress(i int) string { return fmt.Sprintf("desk-%d:80", i) }
 
-func (s *site) addRouter(i int) {
+func (s *cluster) addRouter(i int) {
 	store, closeStore, err := platform.New(platform.Config{Endpoints: []string{"http://platform:80"}, DialContext: s.network.DialContext})
 	if err != nil {
 		panic(err)
 	}
 	client, closeClient := router.NewClient(router.Options{DialContext: s.network.DialContext})
 	ledger, stop := execution.New(execution.Config{
-		Store:  freezing{store, s},
+		Store:  freezingStore{store, s},
 		Holder: coordination.Instance(fmt.Sprint("r", i)),
 	})
-	s.routers = append(s.routers, &router.Runner{Plans: s, Placer: s, Retries: s, Client: client, Ledger: ledger})
+	s.routers = append(s.routers, &router.Runner{Planner: s, Placer: s, Retries: s, Client: client, Ledger: ledger})
 	s.cleanups = append(s.cleanups, closeStore, closeClient, stop)
 }
 
 // stop ends everything, the parts made last first.
-func (s *site) stop() {
+func (s *cluster) stop() {
 	for i := range s.cleanups {
 		s.cleanups[len(s.cleanups)-1-i]()
 	}
 }
 
-func (s *site) intN(n int) int {
+func (s *cluster) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// freezing holds up a router now and then before or after a call to the
+// freezingStore holds up a router now and then before or after a call to the
 // platform, for longer than it may wait with a dispatch.
-type freezing struct {
+type freezingStore struct {
 	execution.Store
-	site *site
+	site *cluster
 }
 
-func (f freezing) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (f freezingStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	f.freeze()
 	defer f.freeze()
 	return f.Store.CompareAndSwap(context.WithoutCancel(ctx), key, value, expect, lease)
 }
 
-func (f freezing) freeze() {
+func (f freezingStore) freeze() {
 	if f.site.intN(100) < 3 {
 		time.Sleep(2 * execution.DefaultDispatchLimit)
 	}
 }
 
-func (s *site) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) {
+func (s *cluster) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) {
 	return router.Plan{Pool: "orders", Timeout: 5 * time.Second, NonIdempotent: s.nonIdempotent}, nil
 }
 
 // Place places at a random desk, or where nobody listens.
-func (s *site) Place(context.Context, caller.Want) (caller.Place, *outcome.Refusal) {
-	return caller.Place{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
+func (s *cluster) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+	return caller.Placement{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
 }
 
-func (s *site) Leaving(coordination.Endpoint, coordination.Incarnation) {}
-func (s *site) Request(coordination.Team)                               {}
-func (s *site) Take(coordination.Team) bool                             { return true }
+func (s *cluster) Leaving(coordination.Endpoint, coordination.Incarnation) {}
+func (s *cluster) RecordRequest(coordination.Team)                         {}
+func (s *cluster) Take(coordination.Team) bool                             { return true }
 
-// label repeats one order through one router after the other.
-type label struct {
-	site   *site
+// repeatingCaller repeats one order through one router after the other.
+type repeatingCaller struct {
+	site   *cluster
 	action caller.Action
 }
 
-func (l *label) run(ctx context.Context, done *sync.WaitGroup) {
+func (l *repeatingCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	s := l.site
 	for range callerTries {
-		ans, refusal := s.routers[s.intN(siteRouters)].Run(ctx, l.action)
-		t := told{outcome: ans.Outcome, body: string(ans.Body)}
+		ans, refusal := s.routers[s.intN(clusterRouters)].Run(ctx, l.action)
+		t := callResult{outcome: ans.Outcome, body: string(ans.Body)}
 		if refusal != nil {
-			t = told{outcome: refusal.Outcome}
+			t = callResult{outcome: refusal.Outcome}
 		}
 		s.mu.Lock()
-		s.told[l.action.Key] = append(s.told[l.action.Key], t)
+		s.results[l.action.Key] = append(s.results[l.action.Key], t)
 		s.mu.Unlock()
 		time.Sleep(time.Duration(s.intN(10000)) * time.Millisecond)
 	}
 }
 
 // outages takes the platform down and up again, and loses its answers.
-type outages struct{ site *site }
+type outages struct{ site *cluster }
 
 func (o outages) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
@@ -182,42 +182,42 @@
 }
 
 // simulate runs orders against a site, and returns it when all is over.
-func simulate(t *testing.T, seed uint64, nonIdempotent bool) *site {
+func simulate(t *testing.T, seed uint64, nonIdempotent bool) *cluster {
 	t.Helper()
-	var s *site
+	var s *cluster
 	synctest.Test(t, func(t *testing.T) {
-		s = newSite(seed)
+		s = newCluster(seed)
 		s.nonIdempotent = nonIdempotent
 		defer s.stop()
 		ctx, cancel := context.WithCancel(t.Context())
-		var weather, labels sync.WaitGroup
-		weather.Add(1)
-		go outages{s}.run(ctx, &weather)
-		for i := range siteKeys {
+		var outagesDone, callersDone sync.WaitGroup
+		outagesDone.Add(1)
+		go outages{s}.run(ctx, &outagesDone)
+		for i := range clusterKeys {
 			action := order(i)
 			for range keyCallers {
-				labels.Add(1)
-				go (&label{s, action}).run(ctx, &labels)
+				callersDone.Add(1)
+				go (&repeatingCaller{s, action}).run(ctx, &callersDone)
 			}
 		}
-		labels.Wait()
+		callersDone.Wait()
 		cancel()
-		weather.Wait()
+		outagesDone.Wait()
 	})
 	return s
 }
 
-// fault compares what the callers of each key were told with its runs.
-func (s *site) fault() error {
-	for key, all := range s.told {
-		if err := contradiction(all, s.runs(key)); err != nil {
+// check compares what the callers of each key were told with its runs.
+func (s *cluster) check() error {
+	for key, all := range s.results {
+		if err := checkResults(all, s.runs(key)); err != nil {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 	}
 	return nil
 }
 
-func contradiction(all []told, runs int) error {
+func checkResults(all []callResult, runs int) error {
 	if runs > 1 {
 		return fmt.Errorf("ran %d times", runs)
 	}
@@ -242,7 +242,7 @@
 	return nil
 }
 
-func (s *site) runs(key string) int {
+func (s *cluster) runs(key string) int {
 	n := 0
 	for _, d := range s.desks {
 		n += d.Arrivals().ByKey[key].Ran
@@ -261,20 +261,20 @@
 	told := map[outcome.Outcome]int{}
 	for seed := range uint64(seeds) {
 		s := simulate(t, seed, true)
-		assert.NilError(t, s.fault(), "seed %d", seed)
-		for key, all := range s.told {
+		assert.NilError(t, s.check(), "seed %d", seed)
+		for key, all := range s.results {
 			runs += s.runs(key)
 			for _, one := range all {
 				told[one.outcome]++
 			}
 		}
 	}
-	t.Logf("%d orders, %d ran; told: %v", seeds*siteKeys, runs, told)
+	t.Logf("%d orders, %d ran; told: %v", seeds*clusterKeys, runs, told)
 	assert.Assert(t, runs > 0 && len(told) == 3)
 }
 
 // An operator forgot to mark the action as non-idempotent, so that each repeat
 // is sent. The check has to find it.
 func TestWholePathCheckFindsDoubledOrder(t *testing.T) {
-	assert.ErrorContains(t, simulate(t, 1, false).fault(), "times")
+	assert.ErrorContains(t, simulate(t, 1, false).check(), "times")
 }
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -65,7 +65,7 @@
 		DispatchLimit: 300 * time.Millisecond,
 		CallTimeout:   300 * time.Millisecond,
 	})
-	s := &site{random: rand.New(rand.NewPCG(1, uint64(os.Getpid()))), nonIdempotent: true}
+	s := &cluster{random: rand.New(rand.NewPCG(1, uint64(os.Getpid()))), nonIdempotent: true}
 	s.addresses = strings.Split(os.Getenv(envDesks), ",")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	go parent{}.run()
 	fmt.Println(l.Addr())
-	panic(http.Serve(l, process{&router.Runner{Plans: s, Placer: s, Retries: s, Client: client, Ledger: ledger}}))
+	panic(http.Serve(l, process{&router.Runner{Planner: s, Placer: s, Retries: s, Client: client, Ledger: ledger}}))
 }
 
 // parent is the test process, whose end ends this one.
@@ -129,7 +129,7 @@
 // fleet is the routers as their callers know them.
 type fleet struct {
 	mu       sync.Mutex
-	children [siteRouters]*child
+	children [clusterRouters]*child
 }
 
 func (f *fleet) get(i int) *child {
@@ -144,36 +144,36 @@
 	f.children[i] = c
 }
 
-// buyer repeats one order through the routers until the test ends.
-type buyer struct {
-	site  *site
+// processCaller repeats one order through the routers until the test ends.
+type processCaller struct {
+	site  *cluster
 	fleet *fleet
 	key   string
 }
 
-func (b *buyer) run(ctx context.Context, done *sync.WaitGroup) {
+func (b *processCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		t := b.order(client, b.fleet.get(b.site.intN(siteRouters)).address)
+		t := b.order(client, b.fleet.get(b.site.intN(clusterRouters)).address)
 		b.site.mu.Lock()
-		b.site.told[b.key] = append(b.site.told[b.key], t)
+		b.site.results[b.key] = append(b.site.results[b.key], t)
 		b.site.mu.Unlock()
 		time.Sleep(time.Duration(b.site.intN(300)) * time.Millisecond)
 	}
 }
 
-func (b *buyer) order(client *http.Client, address string) told {
+func (b *processCaller) order(client *http.Client, address string) callResult {
 	res, err := client.Post("http://"+address+"/"+b.key, "", nil)
 	if err != nil {
-		return told{}
+		return callResult{}
 	}
 	defer res.Body.Close()
 	var ans processAnswer
 	if json.NewDecoder(res.Body).Decode(&ans) != nil {
-		return told{}
+		return callResult{}
 	}
-	return told{outcome: ans.Outcome, body: ans.Body}
+	return callResult{outcome: ans.Outcome, body: ans.Body}
 }
 
 // Routers are processes here, stopped by SIGSTOP for longer than their dispatch
@@ -184,9 +184,9 @@
 	defer stop()
 	platformServer := httptest.NewServer(server)
 	defer platformServer.Close()
-	s := &site{random: rand.New(rand.NewPCG(1, 1)), told: map[string][]told{}}
+	s := &cluster{random: rand.New(rand.NewPCG(1, 1)), results: map[string][]callResult{}}
 	var desks []string
-	for i := range siteDesks {
+	for i := range clusterDesks {
 		desk, stop := service.New(service.Options{Seed: uint64(i), Time: 20 * time.Millisecond})
 		defer stop()
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.1})
@@ -196,7 +196,7 @@
 		desks = append(desks, address(srv.URL))
 	}
 	f := &fleet{}
-	for i := range siteRouters {
+	for i := range clusterRouters {
 		f.set(i, startChild(t, platformServer.URL, desks))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -207,11 +207,11 @@
 			key := booking(t).Key
 			for range 3 {
 				buyers.Add(1)
-				go (&buyer{s, f, key}).run(ctx, &buyers)
+				go (&processCaller{s, f, key}).run(ctx, &buyers)
 			}
 		}
 		assert.NilError(t, server.SetFaults(standin.Faults{LoseReply: 0.1, Outage: n%4 == 3}))
-		i := s.intN(siteRouters)
+		i := s.intN(clusterRouters)
 		c := f.get(i)
 		c.signal(syscall.SIGSTOP)
 		time.Sleep(400 * time.Millisecond)
@@ -224,12 +224,12 @@
 	}
 	cancel()
 	buyers.Wait()
-	assert.NilError(t, s.fault())
+	assert.NilError(t, s.check())
 	runs, calls := 0, 0
-	for key, all := range s.told {
+	for key, all := range s.results {
 		runs += s.runs(key)
 		calls += len(all)
 	}
-	t.Logf("%d orders, %d calls, %d ran", len(s.told), calls, runs)
+	t.Logf("%d orders, %d calls, %d ran", len(s.results), calls, runs)
 	assert.Assert(t, runs > 0)
 }
--- a/wisteriarouter/service/runner.go
+++ b/wisteriarouter/service/runner.go
@@ -15,14 +15,14 @@
 type Plan struct {
 	Pool          coordination.Pool
 	Priority      coordination.Priority
-	StartWithin   time.Duration // limit for the start of the action; zero for none
+	StartTimeout  time.Duration // limit for the start of the action; zero for none
 	Timeout       time.Duration // limit for the service's answer
 	NonIdempotent bool
 	Rules         execution.Rules
 }
 
-// Plans tells what the settings in force say.
-type Plans interface {
+// ActionPlanner tells what the settings in force say.
+type ActionPlanner interface {
 	// PlanAction returns the plan for an action, or a refusal.
 	PlanAction(a caller.Action) (Plan, *outcome.Refusal)
 }
@@ -30,16 +30,16 @@
 // Placer grants places at endpoints.
 type Placer interface {
 	// Place returns a place for an attempt, or the final refusal.
-	Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal)
+	Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal)
 	// Leaving takes in that an endpoint has said that it is stopping.
 	Leaving(e coordination.Endpoint, n coordination.Incarnation)
 }
 
 // Runner runs actions. It implements caller.Actions.
 type Runner struct {
-	Plans   Plans
+	Planner ActionPlanner
 	Placer  Placer
-	Retries caller.Retries
+	Retries caller.RetryBudget
 	Client  *Client
 	Ledger  *execution.Ledger
 	Log     event.Log
@@ -47,24 +47,24 @@
 
 var _ caller.Actions = (*Runner)(nil)
 
-// retryNow is when to come back after a refusal that another try may avoid.
-const retryNow = time.Second
+// defaultRetryAfter is when to come back after a refusal that another try may avoid.
+const defaultRetryAfter = time.Second
 
 // Run implements caller.Actions.
 //
 // The place comes before the record: an action that no endpoint has room for
 // costs the platform nothing, so that a surge does not use up its writes.
 func (r *Runner) Run(ctx context.Context, a caller.Action) (caller.Answer, *outcome.Refusal) {
-	plan, refusal := r.Plans.PlanAction(a)
+	plan, refusal := r.Planner.PlanAction(a)
 	if refusal != nil {
 		return caller.Answer{}, refusal
 	}
-	req, refusal := request(a, plan)
+	req, refusal := executionRequest(a, plan)
 	if refusal != nil {
 		return caller.Answer{}, refusal
 	}
-	r.Retries.Request(a.Team)
-	s := r.newSending(a, plan)
+	r.Retries.RecordRequest(a.Team)
+	s := r.newActionSender(a, plan)
 	if refusal := s.place(ctx); refusal != nil {
 		return caller.Answer{}, refusal
 	}
@@ -72,13 +72,13 @@
 	if !plan.NonIdempotent {
 		return s.answer(s.Send(ctx))
 	}
-	ctx, cancel := s.startBy(ctx)
+	ctx, cancel := s.withStartDeadline(ctx)
 	defer cancel()
 	return s.answer(r.Ledger.Run(ctx, req, s))
 }
 
-// request returns what is put on record of a non-idempotent action.
-func request(a caller.Action, p Plan) (execution.Request, *outcome.Refusal) {
+// executionRequest returns what is put on record of a non-idempotent action.
+func executionRequest(a caller.Action, p Plan) (execution.Request, *outcome.Refusal) {
 	if !p.NonIdempotent {
 		return execution.Request{}, nil
 	}
@@ -88,7 +88,7 @@
 			Code:       outcome.MissingKey,
 			Message:    "this action runs at most once: send an Idempotency-Key that is a UUIDv7, or any key with X-Issued-At in RFC 3339",
 			Outcome:    outcome.NotRun,
-			RetryAfter: retryNow,
+			RetryAfter: defaultRetryAfter,
 		}
 	}
 	return execution.Request{
@@ -121,7 +121,7 @@
 // out at once.
 func fingerprint(a caller.Action, issued time.Time) execution.Fingerprint {
 	return execution.FingerprintOf(
-		[]byte(a.Account), []byte(a.Service), []byte(a.Action), []byte(a.Type), a.Body,
+		[]byte(a.Account), []byte(a.Service), []byte(a.Action), []byte(a.ContentType), a.Body,
 		[]byte(issued.UTC().Format(time.RFC3339Nano)),
 	)
 }
--- a/wisteriarouter/service/runner_test.go
+++ b/wisteriarouter/service/runner_test.go
@@ -56,27 +56,27 @@
 	t.Cleanup(cleanup)
 	l, stop := execution.New(execution.Config{Store: d.store})
 	t.Cleanup(stop)
-	return &router.Runner{Plans: d, Placer: d, Retries: d, Client: c, Ledger: l}
+	return &router.Runner{Planner: d, Placer: d, Retries: d, Client: c, Ledger: l}
 }
 
 func (d *desk) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) { return d.plan, nil }
 
-func (d *desk) Place(_ context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (d *desk) Place(_ context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	for i, a := range d.addresses {
 		id := coordination.Endpoint(a)
 		if !slices.Contains(w.Exclude, id) {
 			d.held++
-			return caller.Place{Endpoint: id, Incarnation: coordination.Incarnation(i), Address: a, Release: func() { d.held-- }}, nil
+			return caller.Placement{Endpoint: id, Incarnation: coordination.Incarnation(i), Address: a, Release: func() { d.held-- }}, nil
 		}
 	}
-	return caller.Place{}, &outcome.Refusal{Code: outcome.Overloaded, Outcome: outcome.NotRun, RetryAfter: time.Second}
+	return caller.Placement{}, &outcome.Refusal{Code: outcome.Overloaded, Outcome: outcome.NotRun, RetryAfter: time.Second}
 }
 
 func (d *desk) Leaving(e coordination.Endpoint, _ coordination.Incarnation) {
 	d.left = append(d.left, e)
 }
 
-func (d *desk) Request(coordination.Team) {}
+func (d *desk) RecordRequest(coordination.Team) {}
 
 func (d *desk) Take(coordination.Team) bool {
 	d.retries--
@@ -102,7 +102,7 @@
 	key := id.String()
 	return caller.Action{
 		Team: "solco", Account: "label-1", Service: "orders", Action: "book",
-		Key: key, Body: []byte(`{"key":"` + key + `"}`), Type: "application/json",
+		Key: key, Body: []byte(`{"key":"` + key + `"}`), ContentType: "application/json",
 	}
 }
 
@@ -114,7 +114,7 @@
 	assert.Equal(t, first.Outcome, outcome.Ran)
 	second, refusal := d.router(t).Run(t.Context(), a)
 	assert.Assert(t, refusal == nil, "%v", refusal)
-	assert.Assert(t, second.Repeat)
+	assert.Assert(t, second.Replayed)
 	assert.Equal(t, string(second.Body), string(first.Body))
 	assert.Equal(t, d.count(a.Key), service.Count{Arrived: 1, Ran: 1})
 	assert.Equal(t, d.held, 0)
@@ -178,7 +178,7 @@
 	assert.Assert(t, r.Ledger.Drain(t.Context()))
 	ans, refusal := d.router(t).Run(t.Context(), a)
 	assert.Assert(t, refusal == nil, "%v", refusal)
-	assert.Assert(t, ans.Repeat)
+	assert.Assert(t, ans.Replayed)
 	assert.Equal(t, d.count(a.Key), service.Count{Arrived: 1, Ran: 1})
 }
 
--- a/wisteriarouter/service/sending.go
+++ b/wisteriarouter/service/sending.go
@@ -17,33 +17,33 @@
 // maxAttempts bounds the attempts of one action beside the retry budget.
 const maxAttempts = 3
 
-// retryAfterLoss is when a caller is told to come back after its endpoint was
+// retryAfterEndpointLost is when a caller is told to come back after its endpoint was
 // lost.
-const retryAfterLoss = 2 * time.Second
+const retryAfterEndpointLost = 2 * time.Second
 
-// sending is the sending of one action, over all its attempts. It implements
+// actionSender is the actionSender of one action, over all its attempts. It implements
 // execution.Sender.
-type sending struct {
-	runner   *Runner
-	action   caller.Action
-	plan     Plan
-	deadline time.Time // latest start; zero for none
-	evidence outcome.Evidence
-	at       caller.Place
-	attempt  coordination.Attempt // the last one; empty if nothing was sent
-	exclude  []coordination.Endpoint
+type actionSender struct {
+	runner    *Runner
+	action    caller.Action
+	plan      Plan
+	deadline  time.Time // latest start; zero for none
+	evidence  outcome.Evidence
+	placement caller.Placement
+	attempt   coordination.Attempt // the last one; empty if nothing was sent
+	exclude   []coordination.Endpoint
 }
 
-func (r *Runner) newSending(a caller.Action, p Plan) *sending {
-	s := &sending{runner: r, action: a, plan: p, deadline: a.Deadline}
-	if s.deadline.IsZero() && p.StartWithin > 0 {
-		s.deadline = time.Now().Add(p.StartWithin)
+func (r *Runner) newActionSender(a caller.Action, p Plan) *actionSender {
+	s := &actionSender{runner: r, action: a, plan: p, deadline: a.Deadline}
+	if s.deadline.IsZero() && p.StartTimeout > 0 {
+		s.deadline = time.Now().Add(p.StartTimeout)
 	}
 	return s
 }
 
-// startBy bounds the time until the action is sent. Send does not end with it.
-func (s *sending) startBy(ctx context.Context) (context.Context, context.CancelFunc) {
+// withStartDeadline bounds the time until the action is sent. Send does not end with it.
+func (s *actionSender) withStartDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if s.deadline.IsZero() {
 		return ctx, func() {}
 	}
@@ -51,8 +51,8 @@
 }
 
 // place takes a place at an endpoint that was not tried yet.
-func (s *sending) place(ctx context.Context) *outcome.Refusal {
-	place, refusal := s.runner.Placer.Place(ctx, caller.Want{
+func (s *actionSender) place(ctx context.Context) *outcome.Refusal {
+	place, refusal := s.runner.Placer.Place(ctx, caller.PlacementRequest{
 		Team:     s.action.Team,
 		Account:  s.action.Account,
 		Pool:     s.plan.Pool,
@@ -63,22 +63,22 @@
 	if refusal != nil {
 		return refusal
 	}
-	s.at = place
+	s.placement = place
 	return nil
 }
 
 // release gives the place back, once.
-func (s *sending) release() {
-	if s.at.Release != nil {
-		s.at.Release()
-		s.at.Release = nil
+func (s *actionSender) release() {
+	if s.placement.Release != nil {
+		s.placement.Release()
+		s.placement.Release = nil
 	}
 }
 
 // Send implements execution.Sender. A non-idempotent action that may have
 // reached one endpoint is never sent to another; it is while it certainly has
 // not, or the endpoint has said that it did not run it.
-func (s *sending) Send(ctx context.Context) execution.Result {
+func (s *actionSender) Send(ctx context.Context) execution.Result {
 	if s.plan.NonIdempotent {
 		// A caller that hangs up does not undo the action. We wait for its
 		// answer and put it on record, for the caller will repeat.
@@ -92,28 +92,28 @@
 	}
 }
 
-func (s *sending) try(ctx context.Context) (Reply, error) {
+func (s *actionSender) try(ctx context.Context) (Reply, error) {
 	defer s.release()
 	ctx, cancel := context.WithTimeout(ctx, s.plan.Timeout)
 	defer cancel()
 	s.attempt = coordination.Attempt(uuid.NewString())
 	reply, err := s.runner.Client.Do(ctx, &s.evidence, Call{
-		Attempt: s.attempt,
-		Address: s.at.Address,
-		Action:  s.action.Action,
-		Type:    s.action.Type,
-		Body:    s.action.Body,
-		Once:    s.plan.NonIdempotent,
+		Attempt:       s.attempt,
+		Address:       s.placement.Address,
+		Action:        s.action.Action,
+		ContentType:   s.action.ContentType,
+		Body:          s.action.Body,
+		NonIdempotent: s.plan.NonIdempotent,
 	})
 	if reply.Leaving {
-		s.runner.Placer.Leaving(s.at.Endpoint, s.at.Incarnation)
+		s.runner.Placer.Leaving(s.placement.Endpoint, s.placement.Incarnation)
 	}
 	return reply, err
 }
 
 // mayRetry tells whether another attempt can do no harm and may help. It cannot
 // help where a service has judged the action itself, and not its own state.
-func (s *sending) mayRetry(reply Reply, err error) bool {
+func (s *actionSender) mayRetry(reply Reply, err error) bool {
 	if err == nil && !busy(reply.Answer.Status) {
 		return false
 	}
@@ -121,45 +121,45 @@
 }
 
 // next takes a place for another attempt, within the retry budget.
-func (s *sending) next(ctx context.Context) bool {
+func (s *actionSender) next(ctx context.Context) bool {
 	if !s.runner.Retries.Take(s.action.Team) {
 		return false
 	}
-	s.exclude = append(s.exclude, s.at.Endpoint)
+	s.exclude = append(s.exclude, s.placement.Endpoint)
 	return s.place(ctx) == nil
 }
 
 // result sums up the attempts by the last one's end.
-func (s *sending) result(reply Reply, err error) execution.Result {
+func (s *actionSender) result(reply Reply, err error) execution.Result {
 	o := s.evidence.Outcome()
 	if err != nil {
-		return execution.Result{Outcome: o, Refusal: lost(o)}
+		return execution.Result{Outcome: o, Refusal: lostRefusal(o)}
 	}
 	if o == outcome.NotRun && busy(reply.Answer.Status) {
-		return execution.Result{Outcome: o, Refusal: declined(reply)}
+		return execution.Result{Outcome: o, Refusal: declinedRefusal(reply)}
 	}
 	return execution.Result{Outcome: o, Answer: &reply.Answer}
 }
 
 // answer turns the end of the action into what its caller gets, and logs what
 // operators should see.
-func (s *sending) answer(res execution.Result) (caller.Answer, *outcome.Refusal) {
+func (s *actionSender) answer(res execution.Result) (caller.Answer, *outcome.Refusal) {
 	s.log(res)
 	if res.Answer == nil {
 		return caller.Answer{}, res.Refusal
 	}
 	return caller.Answer{
-		Status:  res.Answer.Status,
-		Type:    res.Answer.ContentType,
-		Body:    res.Answer.Body,
-		Outcome: res.Outcome,
-		Repeat:  res.Repeated,
+		Status:      res.Answer.Status,
+		ContentType: res.Answer.ContentType,
+		Body:        res.Answer.Body,
+		Outcome:     res.Outcome,
+		Replayed:    res.Repeated,
 	}, nil
 }
 
 // log tells of an unknown end where it came about, and not again of each
 // repeat that learns of it.
-func (s *sending) log(res execution.Result) {
+func (s *actionSender) log(res execution.Result) {
 	fields := []event.Field{
 		event.F("team", s.action.Team), event.F("service", s.action.Service),
 		event.F("action", s.action.Action), event.F("key", s.action.Key),
@@ -177,22 +177,22 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// declined is the refusal of an action that the services turned away.
-func declined(r Reply) *outcome.Refusal {
+// declinedRefusal is the refusal of an action that the services turned away.
+func declinedRefusal(r Reply) *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Overloaded,
 		Message:    "the service takes no more actions now; repeat with the same key",
 		Outcome:    outcome.NotRun,
-		RetryAfter: max(r.RetryAfter, retryNow),
+		RetryAfter: max(r.RetryAfter, defaultRetryAfter),
 	}
 }
 
-func lost(o outcome.Outcome) *outcome.Refusal {
+func lostRefusal(o outcome.Outcome) *outcome.Refusal {
 	r := &outcome.Refusal{
 		Code:       outcome.EndpointLost,
 		Message:    "the service was lost before it answered; the action may have run",
 		Outcome:    o,
-		RetryAfter: retryAfterLoss,
+		RetryAfter: retryAfterEndpointLost,
 	}
 	if o == outcome.NotRun {
 		r.Message = "the service could not be reached; repeat with the same key"
