--- a/wisteriarouter/caller/abuse_test.go
+++ b/wisteriarouter/caller/abuse_test.go
@@ -28,7 +28,8 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// noEngines counts the calls that should never have been made.
+// noEngines is an engine client whose calls all fail. It counts those that
+// would run or resume an attempt.
 type noEngines struct {
 	mu    sync.Mutex
 	calls int
@@ -60,7 +61,8 @@
 	return engine.Load{}, errNoEngine
 }
 
-// newHandler returns a router's handler before engines that refuse everything.
+// newHandler returns the handler of a router with one team, one endpoint and
+// the given engine client.
 func newHandler(e caller.Engines) http.Handler {
 	s := &caller.Server{
 		Planner: oneTeam{}, Placer: onePlace("e1:80"), Engines: e, Suspects: noSuspects{},
@@ -73,12 +75,12 @@
 	return mux
 }
 
-// request is one that a careless or hostile caller sends.
+// request is an HTTP request to a router, invalid in most tests.
 type request struct {
 	name   string
-	path   string // the chat path if empty
+	path   string // chat completions if empty
 	body   string
-	header map[string]string // beside team and account; an empty value removes one
+	header map[string]string // in addition to the defaults; an empty value removes a header
 	status int
 	code   outcome.Code
 }
@@ -133,7 +135,7 @@
 	return req
 }
 
-// refusalOf checks that an answer is a typed refusal and returns its code.
+// refusalOf checks that a response is a complete refusal and returns its code.
 func refusalOf(t *testing.T, status int, header http.Header, body []byte) outcome.Code {
 	t.Helper()
 	assert.Assert(t, status >= 400, "status %d", status)
@@ -148,8 +150,8 @@
 	return e.Error.Code
 }
 
-// A caller sends what no endpoint could answer. It is told at once what is
-// wrong, in one form whichever layer noticed, and no endpoint sees any of it.
+// An invalid request is refused at once with its code, in the same form
+// whichever layer detects it, and nothing is sent to an endpoint.
 func TestBadRequestsAreRefusedTyped(t *testing.T) {
 	for _, r := range badRequests {
 		t.Run(r.name, func(t *testing.T) {
@@ -164,7 +166,8 @@
 	}
 }
 
-// pacedRouter is a router before an engine with a steady pace, on pipes.
+// pacedRouter returns a router in front of an engine with a constant token
+// rate, connected by pipes.
 func pacedRouter(t *testing.T, e plainEngine) *fleet {
 	f := newFleet(t, 1, 0)
 	f.stops = append(f.stops, f.network.Serve("e1:80", e))
@@ -172,8 +175,8 @@
 	return f
 }
 
-// A long answer runs on behind the limit for reading a request's body. The
-// server would take the caller for gone and end the answer in its middle.
+// Guards against cutting an answer that outlasts the read deadline of the
+// request body: the server would treat the caller as disconnected.
 func TestLongStreamIsNotCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := pacedRouter(t, plainEngine{tokens: 60, pace: 500 * time.Millisecond})
@@ -183,7 +186,8 @@
 	})
 }
 
-// rawCaller speaks HTTP by hand, to do what no client library does.
+// rawCaller sends and reads HTTP without a client library, to break the
+// protocol.
 type rawCaller struct {
 	conn net.Conn
 	r    *bufio.Reader
@@ -196,14 +200,15 @@
 	return rawCaller{conn: conn, r: bufio.NewReader(conn)}
 }
 
-// send sends a chat request that says it has length bytes of body.
+// send sends a chat request whose Content-Length is length, which may differ
+// from that of body.
 func (c rawCaller) send(t *testing.T, length int, body string) {
 	_, err := fmt.Fprintf(c.conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: r1\r\nContent-Type: application/json\r\n"+
 		"X-Team: demo\r\nX-Client-Account: label\r\nContent-Length: %d\r\n\r\n%s", length, body)
 	assert.NilError(t, err)
 }
 
-// refusal reads one answer and returns the code of its refusal.
+// refusal reads one response and returns the code of its refusal.
 func (c rawCaller) refusal(t *testing.T) outcome.Code {
 	res, err := http.ReadResponse(c.r, nil)
 	assert.NilError(t, err)
@@ -213,8 +218,8 @@
 	return refusalOf(t, res.StatusCode, res.Header, body)
 }
 
-// A caller sends its body a byte at a time, or stops in its middle. It holds
-// one connection for some seconds, and is then told so.
+// A caller that sends its body too slowly, or stops in the middle of it, holds
+// its connection only for the body timeout and then gets a refusal.
 func TestSlowBodyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
@@ -229,8 +234,8 @@
 	})
 }
 
-// A caller stops reading in the middle of its answer. Without a limit its
-// attempt would hold a place at the endpoint for ever, and generate on.
+// A caller stops reading in the middle of its answer. Without a write deadline
+// its attempt would hold a placement forever and generate unread tokens.
 func TestCallerThatStopsReadingIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
@@ -247,8 +252,8 @@
 	})
 }
 
-// A caller sends a bad request and never reads the answer. Its connection is
-// closed when the limits for its body and for the answer have passed.
+// A caller sends an invalid request and never reads the response. Its
+// connection is closed once the time limits for body and response have passed.
 func TestCallerThatNeverReadsRefusalsIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
@@ -260,8 +265,9 @@
 	})
 }
 
-// bodyRecorder keeps the bodies of actions, as a connection that still sends one
-// does when its answer has come early.
+// bodyRecorder keeps the bodies of actions after Run has returned, as a
+// connection does that is still sending one when the service has answered
+// early.
 type bodyRecorder struct {
 	bodies [][]byte
 }
@@ -271,9 +277,9 @@
 	return caller.Answer{Status: http.StatusOK, Outcome: outcome.Ran}, nil
 }
 
-// A service answers before it has read the whole body, which goes on being
-// sent. The space of the body must not serve the next request meanwhile, or
-// the service gets another caller's bytes.
+// A service answers before it has read the whole body, which is still being
+// sent. If the buffer of the body were reused for the next request, the
+// service would get bytes of another caller.
 func TestBodyOfActionIsNotReused(t *testing.T) {
 	k := &bodyRecorder{}
 	s := &caller.Server{Actions: k, Limits: caller.Limits{MaxBodyBytes: 1 << 12, WriteTimeout: time.Second}, Metrics: caller.NewMetrics(prometheus.NewRegistry())}
--- a/wisteriarouter/caller/acquire.go
+++ b/wisteriarouter/caller/acquire.go
@@ -7,24 +7,25 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Limits of the wait for a place to go on at.
+// Limits of the wait for a placement of a request that has already reached an
+// endpoint.
 const (
 	maxPlacementWait  = 5 * time.Second
 	minPlacementDelay = 50 * time.Millisecond
 	maxPlacementDelay = 500 * time.Millisecond
 )
 
-// acquire asks for a place for the next attempt. When an endpoint dies, all
-// that it ran comes to the others at once, and for a moment they refuse some of
-// it. A request that has reached no endpoint is refused then, and its caller
-// may send it again. One that has reached an endpoint cannot be told that it
-// was not run, so it waits for its place instead; its caller would be left
-// with a part of an answer, or not know whether it was run.
+// acquire requests a placement for the next attempt. When an endpoint dies,
+// its requests move to the remaining ones at once, which refuse some of them
+// for a moment. A request that has reached no endpoint is refused, and its
+// caller may send it again. One that has reached an endpoint can no longer be
+// reported as not run, so it waits for a placement; refusing it would leave
+// its caller with a partial answer or with an unknown outcome.
 func (a *chatRun) acquire(ctx context.Context) (Placement, *outcome.Refusal) {
 	want := a.chat.placementRequest(a.exclude)
 	want.Alone = a.tracked.Alone()
 	if a.offset > 0 {
-		want.Deadline = time.Time{} // it is that of the start, which has been met
+		want.Deadline = time.Time{} // it applies to the first token, which has been sent
 	}
 	until := time.Now().Add(maxPlacementWait)
 	for {
@@ -41,6 +42,6 @@
 			return place, refusal
 		case <-time.After(wait):
 		}
-		want.Exclude = nil // an endpoint that failed may be back
+		want.Exclude = nil // an endpoint that failed may have recovered
 	}
 }
--- a/wisteriarouter/caller/action.go
+++ b/wisteriarouter/caller/action.go
@@ -12,39 +12,40 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Action is one call of a plain service.
+// Action is one call of an action of a plain service.
 type Action struct {
 	Team        coordination.Team
 	Account     coordination.Account
 	Service     coordination.Service
 	Action      coordination.Action
 	Key         string // Idempotency-Key, empty if the caller sent none
-	IssuedAt    string // X-Issued-At as the caller wrote it
+	IssuedAt    string // X-Issued-At, unparsed
 	Priority    coordination.Priority
 	Deadline    time.Time // latest start; zero for none
 	Body        []byte
 	ContentType string // Content-Type of the body
 }
 
-// Answer is what a plain service answered.
+// Answer is the response of a plain service.
 type Answer struct {
 	Status      int
 	ContentType string // Content-Type of the body
 	Body        []byte
 	Outcome     outcome.Outcome
-	Replayed    bool // the answer of an earlier run with the same key
+	Replayed    bool // recorded answer of an earlier run with the same key
 }
 
-// Actions runs actions.
+// Actions runs actions of plain services.
 type Actions interface {
-	// Run returns the answer, or the final refusal.
+	// Run returns the answer of the service, or the refusal to send to the
+	// caller.
 	Run(ctx context.Context, a Action) (Answer, *outcome.Refusal)
 }
 
-// headerReplay marks the answer of an earlier run with the same key.
+// headerReplay marks the recorded answer of an earlier run with the same key.
 const headerReplay = "X-Idempotent-Replay"
 
-// actionInput is a request for an action as huma reads it.
+// actionInput is an action request as decoded by huma.
 type actionInput struct {
 	Service    string `path:"service" doc:"Plain service."`
 	Action     string `path:"action" doc:"Action of the service."`
@@ -67,9 +68,9 @@
 		Key:      in.Key,
 		IssuedAt: in.IssuedAt,
 		Priority: coordination.Priority(in.Priority),
-		// A copy, because huma gives the space to another request when the
-		// handler returns, and a service that has answered early may still be
-		// sent the rest of it.
+		// The body is copied because huma reuses its buffer for another
+		// request once the handler returns, while the rest of it may still be
+		// being sent to a service that answered early.
 		Body:        bytes.Clone(in.RawBody),
 		ContentType: in.Type,
 	}
--- a/wisteriarouter/caller/adopt.go
+++ b/wisteriarouter/caller/adopt.go
@@ -10,9 +10,9 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// adopt goes on with an attempt that another router began and lost, and
-// reports whether the request is over. Without it a router's death would make
-// its callers ask again, and the model would run twice.
+// adopt resumes an attempt that a failed router started, and reports whether
+// the request has ended. Without it, callers of a failed router would send
+// their requests again, and the model would run twice.
 func (a *chatRun) adopt(ctx context.Context) bool {
 	id := *a.chat.resumeFrom
 	e, _, err := engine.ParseAttempt(id.Attempt)
@@ -42,10 +42,11 @@
 	return a.concludeAttempt(ctx, at, a.relayStream(ctx, at))
 }
 
-// adoptFailed decides what becomes of a stream whose attempt is gone. With the
-// text that the caller has, or with none delivered, another endpoint can go
-// on. Otherwise nobody can complete the answer without a gap, and the caller
-// is told so at once.
+// adoptFailed handles a stream whose attempt no longer exists, and reports
+// whether the request has ended. If nothing was delivered, or the caller sent
+// the text it has received, another endpoint can continue the answer.
+// Otherwise nothing can complete it without a gap, and the caller is told so
+// at once.
 func (a *chatRun) adoptFailed(ctx context.Context) bool {
 	if a.offset == 0 || a.chat.partial != "" {
 		return false
--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -12,22 +12,22 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// maxAttempts bounds the attempts of one request beside the retry budget,
-// which is a share of all requests.
+// maxAttempts limits the attempts of one request, in addition to the retry
+// budget, which is a share of all requests.
 const maxAttempts = 6
 
-// retryAfterEndpointLost is when a caller is told to come back after its endpoints
-// were lost.
+// retryAfterEndpointLost is the Retry-After of a request whose endpoints were
+// lost.
 const retryAfterEndpointLost = 2 * time.Second
 
-// chatRun follows one chat request through its attempts.
+// chatRun runs one chat request over all its attempts.
 type chatRun struct {
 	*Server
 	chat      *chat
 	sink      responseSink
 	evidence  outcome.Evidence
-	text      strings.Builder // delivered to the sink
-	offset    int             // tokens delivered
+	text      strings.Builder // passed to the sink
+	offset    int             // tokens passed to the sink
 	exclude   []coordination.Endpoint
 	tracked   TrackedRequest
 	placement Placement            // of the last attempt
@@ -35,22 +35,22 @@
 	finished  bool
 }
 
-// attemptResult tells how one attempt ended.
+// attemptResult is how one attempt ended.
 type attemptResult int
 
 const (
-	streamOpen          attemptResult = iota // not yet: its stream stands
-	finished                                 // the answer is whole
-	callerGone                               // nobody reads any more
-	limitReached                             // the answer has all the tokens it may have
-	declined                                 // the endpoint did not run it
+	streamOpen          attemptResult = iota // not ended: its stream is open
+	finished                                 // the answer is complete
+	callerGone                               // the caller has disconnected or stopped reading
+	limitReached                             // the answer has reached its token limit
+	declined                                 // the endpoint refused to run it
 	streamLost                               // the stream broke and could not be resumed
-	endpointDied                             // so did its endpoint
-	endpointUnreachable                      // its endpoint could not be reached at all
-	streamMalformed                          // the endpoint sent what cannot be read
+	endpointDied                             // the stream broke because its endpoint died
+	endpointUnreachable                      // no connection to its endpoint could be made
+	streamMalformed                          // the endpoint sent data that cannot be parsed
 )
 
-// attempt is one try at one endpoint.
+// attempt is one attempt at one endpoint.
 type attempt struct {
 	id        coordination.Attempt
 	placement Placement
@@ -69,7 +69,7 @@
 	a.runAttempts(ctx)
 }
 
-// runAttempts makes runAttempts until the request is over.
+// runAttempts makes attempts until the request has ended.
 func (a *chatRun) runAttempts(ctx context.Context) {
 	if a.chat.resumeFrom != nil && a.adopt(ctx) {
 		return
@@ -89,7 +89,8 @@
 	a.giveUp(ctx, a.exhaustedRefusal())
 }
 
-// exhaustedRefusal is the refusal of a request that no endpoint has completed.
+// exhaustedRefusal returns the refusal of a request that no endpoint has
+// completed.
 func (a *chatRun) exhaustedRefusal() *outcome.Refusal {
 	if a.evidence.Outcome() == outcome.NotRun {
 		return &outcome.Refusal{
@@ -105,8 +106,9 @@
 	}
 }
 
-// finishAtLimit ends an answer that has all its tokens and lost only its closing
-// chunk: an endpoint has nothing left to add.
+// finishAtLimit finishes an answer that has all its tokens and lacks only the
+// final chunk, to which another endpoint could add nothing. It reports whether
+// the request has ended.
 func (a *chatRun) finishAtLimit() bool {
 	if a.id == "" || a.offset < a.chat.maxTokens {
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// try makes one attempt and reports whether the request is over.
+// try makes one attempt and reports whether the request has ended.
 func (a *chatRun) try(ctx context.Context) bool {
 	alone := a.tracked.Alone()
 	asked := time.Now()
@@ -131,7 +133,8 @@
 		return true
 	}
 	if a.tracked.Alone() && !alone {
-		// It has become a suspect on the way: it must not run beside another.
+		// The request became a suspect while it waited, so it must not run
+		// beside another suspect.
 		place.Release()
 		return false
 	}
@@ -145,8 +148,8 @@
 	return a.concludeAttempt(ctx, at, result)
 }
 
-// reportDeadEndpoints tells the trail of endpoints that placement found dead: a copy of this
-// very request may have taken them.
+// reportDeadEndpoints reports the endpoints that placement found dead, which
+// another copy of this request may have crashed.
 func (a *chatRun) reportDeadEndpoints(ctx context.Context, lost []coordination.Endpoint) *outcome.Refusal {
 	for _, e := range lost {
 		if refusal := a.tracked.FoundDead(ctx, e); refusal != nil {
@@ -156,7 +159,8 @@
 	return nil
 }
 
-// start sends the attempt. It returns standing when the stream does.
+// start sends the attempt. It returns streamOpen if the engine has opened the
+// stream.
 func (a *chatRun) start(ctx context.Context, at *attempt) attemptResult {
 	raw, err := a.chat.body.forEngine(a.text.String(), a.chat.maxTokens-a.offset)
 	if err != nil {
@@ -171,7 +175,8 @@
 	return a.startFailed(ctx, at, err)
 }
 
-// request is the attempt id as an engine gets it, from where the answer stands.
+// request returns the engine request of attempt id, starting at the current
+// offset.
 func (a *chatRun) request(id coordination.Attempt, raw []byte) engine.Request {
 	return engine.Request{
 		Attempt:  id,
--- a/wisteriarouter/caller/api.go
+++ b/wisteriarouter/caller/api.go
@@ -15,15 +15,15 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// chatInput is a chat request as huma reads it.
+// chatInput is a chat request as decoded by huma.
 type chatInput struct {
 	ChatHeaders
 	Body    chatBody
 	RawBody []byte
 }
 
-// Register adds the callers' operations to api, which has to be one of the
-// humago adapter.
+// Register adds the operations for callers to api, which must use the humago
+// adapter.
 func (s *Server) Register(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID:  "create-chat-completion",
@@ -47,12 +47,12 @@
 	}, s.runAction)
 }
 
-// bodyReadTimeout is how long huma waits for a body.
+// bodyReadTimeout is how long huma waits for a request body.
 const bodyReadTimeout = 5 * time.Second
 
-// limitWriteTime limits the time in which a caller has to take a refusal by huma.
-// A caller that sends one bad request after the other and never reads would
-// otherwise hold its connection for ever.
+// limitWriteTime sets the time limit for a caller to read a refusal by huma. A
+// caller that sends invalid requests and never reads the responses would
+// otherwise keep its connection open forever.
 func (s *Server) limitWriteTime(ctx huma.Context, next func(huma.Context)) {
 	_, w := humago.Unwrap(ctx)
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(bodyReadTimeout + s.Limits.WriteTimeout))
@@ -82,10 +82,11 @@
 	}}, nil
 }
 
-// newRequestID returns a name for a request whose caller gave it none.
+// newRequestID returns an id for a request that carries none.
 func newRequestID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// refusedChat answers a chat that never went anywhere, and logs that.
+// refusedChat logs and returns the refusal of a chat request that was sent to
+// no endpoint.
 func (s *Server) refusedChat(request string, r *outcome.Refusal) *huma.StreamResponse {
 	s.logRefusal(request, r)
 	res := s.refused("chat", r)
@@ -97,7 +98,8 @@
 	return res
 }
 
-// refused answers a request that never went anywhere.
+// refused counts and returns the refusal of a request that was sent to no
+// endpoint.
 func (s *Server) refused(kind string, r *outcome.Refusal) *huma.StreamResponse {
 	s.Metrics.requestEnded(kind, r.Outcome, string(r.Code))
 	return &huma.StreamResponse{Body: func(ctx huma.Context) {
@@ -106,8 +108,8 @@
 	}}
 }
 
-// RefusalError is the error of a request that the HTTP layer refused before any
-// handler saw it, in the form of every other refusal.
+// RefusalError is the error of a request that the HTTP layer refused before a
+// handler was called. It is encoded as every other refusal.
 type RefusalError struct {
 	refusal outcome.Refusal
 }
@@ -121,9 +123,9 @@
 // MarshalJSON implements json.Marshaler.
 func (f *RefusalError) MarshalJSON() ([]byte, error) { return json.Marshal(f.refusal.Envelope()) }
 
-// Schema implements huma.SchemaProvider. It also keeps huma from sending a copy
-// of the exported fields, of which a Fault has none, with a link to the schema
-// in place of the fault: the caller would be told nothing at all.
+// Schema implements huma.SchemaProvider. It also prevents huma from adding a
+// link to the schema: to do so it would send a copy of the exported fields, of
+// which RefusalError has none, and the caller would be told nothing.
 func (f *RefusalError) Schema(r huma.Registry) *huma.Schema {
 	return huma.SchemaFromType(r, reflect.TypeFor[outcome.Envelope]())
 }
@@ -139,14 +141,14 @@
 	return h
 }
 
-// Errors of huma have the form of a router's refusals in the whole process.
+// init makes huma encode its errors as refusals, in the whole process.
 func init() {
 	huma.NewError = NewRefusalError
 	huma.NewErrorWithContext = newRefusalErrorWithContext
 }
 
-// newRefusalErrorWithContext is NewFault with the headers set, too: huma itself sets those of
-// an error only when a handler returns it.
+// newRefusalErrorWithContext is NewRefusalError that also sets the headers:
+// huma sets those of an error only if a handler returns it.
 func newRefusalErrorWithContext(ctx huma.Context, status int, message string, errs ...error) huma.StatusError {
 	f := NewRefusalError(status, message, errs...)
 	if h, ok := f.(huma.HeadersError); ok && ctx != nil {
@@ -157,8 +159,8 @@
 	return f
 }
 
-// NewRefusalError makes the error of a request that huma refuses. It is meant for
-// huma.NewError.
+// NewRefusalError returns the error of a request that huma refuses. It is
+// meant for huma.NewError.
 func NewRefusalError(status int, message string, errs ...error) huma.StatusError {
 	code := outcome.Malformed
 	if status == http.StatusRequestEntityTooLarge {
--- a/wisteriarouter/caller/caller.go
+++ b/wisteriarouter/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller serves callers: it checks their requests, follows each one
-// through its attempts at endpoints, and tells what became of it.
+// Package caller serves callers over HTTP: it validates their requests, runs
+// each one through its attempts at endpoints, and reports the outcome.
 package caller
 
 import (
@@ -12,28 +12,28 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Plan is what the settings in force say about one chat request.
+// Plan holds what the settings in force say about one chat request.
 type Plan struct {
 	Pool         coordination.Pool
 	Priority     coordination.Priority
-	StartTimeout time.Duration // limit for the start of the answer; zero for none
-	StallTimeout time.Duration // silence of an endpoint after which an attempt is lost
+	StartTimeout time.Duration // time limit for the start of the answer; zero for none
+	StallTimeout time.Duration // silence of an endpoint after which its attempt is lost
 	MaxTokens    coordination.Tokens
 }
 
-// ChatPlanner tells what the settings in force say.
+// ChatPlanner applies the settings in force to chat requests.
 type ChatPlanner interface {
-	// PlanChat returns the plan for a chat request, or a refusal.
+	// PlanChat returns the plan for a chat request, or its refusal.
 	PlanChat(team coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (Plan, *outcome.Refusal)
 }
 
-// PlacementRequest describes the place that an attempt needs.
+// PlacementRequest describes the placement that an attempt needs.
 type PlacementRequest struct {
 	Team        coordination.Team
 	Account     coordination.Account
 	Pool        coordination.Pool
 	Chat        coordination.Chat
-	Hint        string // as the caller sent it; never trusted
+	Hint        string // route hint sent by the caller; untrusted
 	Priority    coordination.Priority
 	Deadline    time.Time // latest start; zero for none
 	Exclude     []coordination.Endpoint
@@ -41,30 +41,31 @@
 	Alone       bool   // the request is suspected of crashing endpoints
 }
 
-// Placement is a granted place at an endpoint. Release gives it back and may be
-// called again.
+// Placement is capacity reserved at an endpoint. Release returns it and may be
+// called more than once.
 type Placement struct {
 	Endpoint      coordination.Endpoint
 	Incarnation   coordination.Incarnation
 	Address       string
-	Hint          string // leads the chat's next request back here
+	Hint          string // route hint to this endpoint for the chat's next request
 	Release       func()
-	DeadEndpoints []coordination.Endpoint // found dead on the way
+	DeadEndpoints []coordination.Endpoint // found dead during placement
 }
 
-// Placer grants places.
+// Placer reserves capacity at endpoints.
 type Placer interface {
-	// Place returns a place for an attempt, or the final refusal.
+	// Place returns a placement for an attempt, or the refusal to send to the
+	// caller.
 	Place(ctx context.Context, w PlacementRequest) (Placement, *outcome.Refusal)
-	// Adopt returns the place of an attempt that already runs at e.
+	// Adopt returns a placement for an attempt that already runs at e.
 	Adopt(e coordination.Endpoint) (Placement, bool)
-	// Dead takes in that an endpoint cannot be reached or has restarted.
+	// Dead records that an endpoint cannot be reached or has restarted.
 	Dead(e coordination.Endpoint, n coordination.Incarnation)
-	// Leaving takes in that an endpoint has said that it is stopping.
+	// Leaving records that an endpoint has reported that it is stopping.
 	Leaving(e coordination.Endpoint, n coordination.Incarnation)
 }
 
-// Engines are the calls to model engines that an answer needs.
+// Engines are the calls to model engines that a chat request needs.
 type Engines interface {
 	Start(ctx context.Context, address string, req engine.Request) (*engine.Stream, error)
 	Resume(ctx context.Context, address string, req engine.Request) (*engine.Stream, error)
@@ -72,42 +73,48 @@
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// SuspectTracker keeps requests that crash endpoints from taking one after another.
+// SuspectTracker prevents a request that crashes endpoints from crashing one
+// after another.
 type SuspectTracker interface {
-	// Track begins to follow a request, or refuses it. It may wait until
-	// another copy of a suspect has ended.
+	// Track starts tracking a request, or refuses it. It may block until
+	// another copy of a suspected request has ended.
 	Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (TrackedRequest, *outcome.Refusal)
 }
 
-// TrackedRequest follows one request. End is called once, at the end.
+// TrackedRequest is the tracking of one request. End must be called once, when
+// the request ends.
 type TrackedRequest interface {
-	// Alone reports whether the next attempt must run apart from suspects.
+	// Alone reports whether the next attempt must run at an endpoint without
+	// other suspects.
 	Alone() bool
-	// Crashed tells that the endpoint which ran the request has died. It
-	// returns when the request may go on, or with its refusal.
+	// Crashed records that the endpoint that ran the request has died. It
+	// blocks until the request may run again and returns nil, or returns its
+	// refusal.
 	Crashed(ctx context.Context, e coordination.Endpoint, n coordination.Incarnation) *outcome.Refusal
-	// FoundDead tells that an endpoint was dead before the request reached it.
+	// FoundDead records that an endpoint was dead before the request reached
+	// it. It returns a refusal if the request may not run again.
 	FoundDead(ctx context.Context, e coordination.Endpoint) *outcome.Refusal
-	// End tells whether the request has run to its end.
+	// End ends the tracking. Finished is true if the request ran to
+	// completion.
 	End(finished bool)
 }
 
-// RetryBudget limits second attempts to a share of each team's requests.
+// RetryBudget limits retries to a share of each team's requests.
 type RetryBudget interface {
-	// RecordRequest counts a first attempt.
+	// RecordRequest counts the first attempt of a request.
 	RecordRequest(team coordination.Team)
-	// Take reports whether one more attempt may be made, and counts it.
+	// Take reports whether another attempt may be made, and counts it.
 	Take(team coordination.Team) bool
 }
 
-// Limits are the limits of one router towards callers and endpoints.
+// Limits are the limits on callers and on calls to endpoints.
 type Limits struct {
-	MaxBodyBytes  int64         // largest body of a request
-	WriteTimeout  time.Duration // longest wait for a caller to take an event
-	CancelTimeout time.Duration // how long a cancel is tried
+	MaxBodyBytes  int64         // maximum size of a request body, in bytes
+	WriteTimeout  time.Duration // maximum time for a caller to read one write
+	CancelTimeout time.Duration // how long cancelling an attempt is retried
 }
 
-// Server answers callers.
+// Server serves the requests of callers.
 type Server struct {
 	Planner  ChatPlanner
 	Placer   Placer
@@ -121,8 +128,8 @@
 	Stopping func() bool // reports whether new requests are refused
 }
 
-// retryAfterStop is when a caller is told to come back to a router that
-// stops: the balancer has another one by then.
+// retryAfterStop is the Retry-After of a router that is stopping. By then the
+// load balancer sends requests to other routers.
 const retryAfterStop = time.Second
 
 func (s *Server) refuseWhenStopping() *outcome.Refusal {
--- a/wisteriarouter/caller/caller_test.go
+++ b/wisteriarouter/caller/caller_test.go
@@ -22,7 +22,8 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// fleet is routers before engines on a network of pipes, in the paused clock.
+// fleet is a number of routers in front of engines, connected by pipes, in a
+// synctest bubble.
 type fleet struct {
 	t       *testing.T
 	network pipe.Network
@@ -32,7 +33,7 @@
 	stops   []func()
 }
 
-// faultInjector changes a router before it serves, to faultInjector a fault.
+// faultInjector changes a router before it serves, to inject a fault.
 type faultInjector func(*caller.Server)
 
 func newFleet(t *testing.T, routers, engines int, injectors ...faultInjector) *fleet {
@@ -74,7 +75,7 @@
 	}
 }
 
-// close ends what the fleet started, the last first.
+// close stops everything the fleet started, in reverse order.
 func (f *fleet) close() {
 	for i := len(f.stops) - 1; i >= 0; i-- {
 		f.stops[i]()
@@ -85,7 +86,7 @@
 
 func routerAddress(n int) string { return fmt.Sprintf("r%d:80", n+1) }
 
-// roundRobin places each attempt at the next engine.
+// roundRobin places each attempt at the next engine that is not excluded.
 type roundRobin struct {
 	fleet *fleet
 	mu    sync.Mutex
@@ -178,7 +179,7 @@
 	return caller.Answer{}, unknown(outcome.UnknownService)
 }
 
-// received is what a caller received of one request.
+// received is what a caller has received of one answer.
 type received struct {
 	text     string
 	offset   int
@@ -190,14 +191,14 @@
 	body     string
 }
 
-// prompt returns a message that no other chat sends.
+// prompt returns the message of chat n, which no other chat sends.
 func prompt(n int) string { return fmt.Sprintf("chat %d asks for %d copies of side %d", n, n*7, n%2) }
 
 func expectedAnswer(n int) string {
 	return standin.Answer([]standin.Message{{Role: "user", Content: standin.Content(prompt(n))}}, 0)
 }
 
-// ask sends chat n through a router, going on behind what was heard before.
+// ask sends chat n to a router, to continue after the part received before.
 func (f *fleet) ask(ctx context.Context, router, n int, before received) received {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"partial":%q,"messages":[{"role":"user","content":%q}]}`, before.text, prompt(n))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+routerAddress(router)+"/v1/chat/completions", strings.NewReader(body))
@@ -222,7 +223,7 @@
 	return before.read(res)
 }
 
-// read takes in the events of a stream for as long as they come.
+// read adds the events of a stream until it ends or breaks.
 func (h received) read(res *http.Response) received {
 	for e, err := range sse.Read(res.Body, nil) {
 		if err != nil {
@@ -256,18 +257,19 @@
 	}
 }
 
-// problem tells what is wrong with the answer to chat n, or nothing.
+// problem describes what is wrong with the answer to chat n. It returns the
+// empty string for a correct one.
 func (h received) problem(n int) string {
 	expected := expectedAnswer(n)
 	switch {
 	case !h.complete:
-		return fmt.Sprintf("chat %d: not whole: status %d, outcome %q, error %q, %d tokens", n, h.status, h.outcome, h.body, h.offset)
+		return fmt.Sprintf("chat %d: incomplete: status %d, outcome %q, error %q, %d tokens", n, h.status, h.outcome, h.body, h.offset)
 	case h.text != expected:
 		return fmt.Sprintf("chat %d: got %q, want %q", n, h.text, expected)
 	case h.offset != len(strings.Fields(expected)):
 		return fmt.Sprintf("chat %d: last offset %d of %d", n, h.offset, len(strings.Fields(expected)))
 	case h.outcome == "" || !strings.Contains(h.outcome, `"ran"`):
-		return fmt.Sprintf("chat %d: whole, but outcome %q", n, h.outcome)
+		return fmt.Sprintf("chat %d: complete, but outcome %q", n, h.outcome)
 	}
 	return ""
 }
--- a/wisteriarouter/caller/cancel.go
+++ b/wisteriarouter/caller/cancel.go
@@ -10,14 +10,15 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// cancel stops an attempt that nobody reads. It goes on beside the request,
-// for an endpoint that is frozen may answer only later.
+// cancel cancels an attempt whose output is no longer needed. It runs in the
+// background, because a frozen endpoint may respond only later.
 func (a *chatRun) cancel(ctx context.Context, at *attempt) {
 	c := &cancellation{Server: a.Server, id: at.id, address: at.placement.Address, delivered: a.offset}
 	go c.run(context.WithoutCancel(ctx))
 }
 
-// cancellation tries to cancel one attempt for a while.
+// cancellation retries the cancelling of one attempt until it succeeds or
+// CancelTimeout has passed.
 type cancellation struct {
 	*Server
 	id        coordination.Attempt
@@ -25,7 +26,7 @@
 	delivered int
 }
 
-// cancelRetryDelay is the wait between tries.
+// cancelRetryDelay is the wait between two tries.
 const cancelRetryDelay = 500 * time.Millisecond
 
 func (c *cancellation) run(ctx context.Context) {
--- a/wisteriarouter/caller/chat.go
+++ b/wisteriarouter/caller/chat.go
@@ -36,8 +36,8 @@
 	_       struct{} `json:"-" additionalProperties:"true"`
 }
 
-// chatBody is the part of an OpenAI-compatible body that a router reads. All
-// other fields go to the engine as they are.
+// chatBody holds the fields of an OpenAI-compatible body that the router
+// reads. All other fields are passed to the engine unchanged.
 type chatBody struct {
 	Model    string        `json:"model" minLength:"1" doc:"Model, without version."`
 	Messages []chatMessage `json:"messages" minItems:"1"`
@@ -46,9 +46,9 @@
 	_        struct{}      `json:"-" additionalProperties:"true"`
 }
 
-// chat is one checked chat request.
+// chat is a validated chat request.
 type chat struct {
-	requestID   string // its id in logs
+	requestID   string // logged with every event of the request
 	team        coordination.Team
 	account     coordination.Account
 	id          coordination.Chat
@@ -57,7 +57,7 @@
 	deadline    time.Time
 	stream      bool
 	partial     string
-	maxTokens   int // tokens of the whole answer
+	maxTokens   int // limit for the whole answer
 	resumeFrom  *engine.EventID
 	body        body
 	binding     engine.Fingerprint
@@ -65,10 +65,10 @@
 	arrived     time.Time
 }
 
-// body is a caller's JSON object with its fields as they came.
+// body is the JSON object of a caller, with its fields undecoded.
 type body map[string]json.RawMessage
 
-// parseBody reads raw and takes out what only routers understand.
+// parseBody decodes raw and removes the fields that only routers understand.
 func parseBody(raw []byte) (body, error) {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
@@ -81,7 +81,7 @@
 	return b, nil
 }
 
-// Names of the fields of a body that a router reads or sets.
+// Names of the body fields that the router reads or sets.
 const (
 	fieldModel                = "model"
 	fieldPartial              = "partial"
@@ -92,13 +92,14 @@
 	fieldAddGenerationPrompt  = "add_generation_prompt"
 )
 
-// limitFields are the fields in which a caller may limit the new tokens.
+// limitFields are the fields in which a caller may limit the generated tokens,
+// in order of precedence.
 var limitFields = []string{"max_completion_tokens", "max_tokens"}
 
-// checkFieldNames refuses names that differ from those of fields that a router reads
-// only in their case. Go's decoder takes them for the same field and engines
-// do not: a caller could have the router check one model or one text, and the
-// engine run another.
+// checkFieldNames rejects fields whose names differ only in case from those
+// that the router reads. encoding/json treats them as the same field and
+// engines do not: a caller could have the router check one model or text and
+// the engine run another.
 func (b body) checkFieldNames() error {
 	if err := b.checkCase(fieldModel, fieldMessages, fieldStream, fieldPartial); err != nil {
 		return err
@@ -126,9 +127,9 @@
 	return nil
 }
 
-// forEngine returns the body that an engine gets: streaming, with at most left
-// new tokens if the caller set a limit, and going on behind text when the
-// answer has begun.
+// forEngine returns the body to send to an engine: streaming, with at most
+// left new tokens if the caller set a limit, and continuing text if part of
+// the answer has been delivered.
 func (b body) forEngine(text string, left int) ([]byte, error) {
 	out := maps.Clone(b)
 	out[fieldStream] = json.RawMessage("true")
@@ -150,8 +151,8 @@
 	return json.Marshal(out)
 }
 
-// maxTokens returns the most tokens of the whole answer: what the caller asks for,
-// and never more than most.
+// maxTokens returns the token limit of the whole answer: the limit set by the
+// caller, but no more than most.
 func (b body) maxTokens(most int) int {
 	for _, f := range limitFields {
 		var n int
@@ -162,7 +163,7 @@
 	return most
 }
 
-// withPartial returns the messages with the answer so far behind them.
+// withPartial returns the messages followed by the answer so far.
 func (b body) withPartial(text string) (json.RawMessage, error) {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(b[fieldMessages], &messages); err != nil {
@@ -175,8 +176,8 @@
 	return json.Marshal(append(messages, last))
 }
 
-// newChat checks a request. Whatever is wrong with it is refused before
-// anything reaches an endpoint.
+// newChat validates a request. It refuses an invalid one before anything is
+// sent to an endpoint.
 func (s *Server) newChat(h ChatHeaders, in chatBody, raw []byte) (*chat, *outcome.Refusal) {
 	if h.Team == "" {
 		return nil, refuse(outcome.UnknownTeam, "the X-Team header is missing")
@@ -211,8 +212,8 @@
 	return c, c.setResume(h.LastEventID)
 }
 
-// maxDeadlineMs is the longest deadline, a day, that a caller may ask for; a
-// longer one would not fit into a duration.
+// maxDeadlineMs is the maximum deadline that a caller may set: one day. An
+// unlimited one could overflow time.Duration.
 const maxDeadlineMs = 24 * 60 * 60 * 1000
 
 func (c *chat) setDeadline(ms int) {
@@ -225,10 +226,11 @@
 	}
 }
 
-// bindingBytes is how much of a digest stands in an attempt's id.
+// bindingBytes is the length of the part of a digest that attempt ids contain.
 const bindingBytes = 12
 
-// bind ties the request's attempts to its team, account and body.
+// bind sets the binding, which ties the attempts of the request to its team,
+// account, model and messages.
 func (c *chat) bind(model string) {
 	h := sha256.New()
 	fmt.Fprintf(h, "%q %q %q ", c.team, c.account, model)
@@ -236,8 +238,8 @@
 	c.binding = engine.Fingerprint(hex.EncodeToString(h.Sum(nil)[:bindingBytes]))
 }
 
-// fingerprintOf returns what a conversation is known by, through whichever
-// account it comes and however its JSON is spaced.
+// fingerprintOf returns a fingerprint of the conversation that depends neither
+// on the caller's account nor on the whitespace of its JSON.
 func fingerprintOf(messages []chatMessage) uint64 {
 	parts := make([]string, 0, 2*len(messages))
 	for _, m := range messages {
@@ -250,8 +252,8 @@
 	return uint64(suspicion.FingerprintOf(parts...))
 }
 
-// setResume reads Last-Event-ID. An id that was made for another request is
-// refused: it would deliver an answer to somebody else.
+// setResume parses Last-Event-ID. It refuses an id made for another request,
+// which would deliver the answer to a different caller.
 func (c *chat) setResume(last string) *outcome.Refusal {
 	if last == "" {
 		return nil
@@ -282,17 +284,17 @@
 	}
 }
 
-// refuse returns the refusal of a request that was never sent anywhere and
-// that makes no sense to repeat soon as it is.
+// refuse returns the refusal of a request that was sent to no endpoint and
+// that would be refused again if repeated unchanged.
 func refuse(code outcome.Code, message string) *outcome.Refusal {
 	return &outcome.Refusal{Code: code, Message: message, Outcome: outcome.NotRun, RetryAfter: retryAfterBadRequest}
 }
 
-// retryAfterBadRequest is when a caller whose request is at fault may come back:
-// after settings may have changed.
+// retryAfterBadRequest is the Retry-After of an invalid request. By then the
+// settings may have changed.
 const retryAfterBadRequest = 5 * time.Second
 
-// serve follows one chat request to its end and writes it to sink.
+// serve runs one chat request and writes its answer to sink.
 func (s *Server) serve(ctx context.Context, c *chat, sink responseSink) {
 	s.Metrics.inFlight.Inc()
 	defer s.Metrics.inFlight.Dec()
--- a/wisteriarouter/caller/follow.go
+++ b/wisteriarouter/caller/follow.go
@@ -11,22 +11,23 @@
 )
 
 // resumeDelays are the waits before each try to resume a broken stream on its
-// own endpoint. A cut connection comes back at once; a process that died does
-// not come back within them, and the answer goes on elsewhere.
+// endpoint. A cut connection can be reopened at once; a process that died does
+// not restart within them, and the answer continues at another endpoint.
 var resumeDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond}
 
-// maxEmptyConnections is how many connections running may bring no token before the
-// attempt is taken for lost. An engine that takes each resume and sends nothing
-// would otherwise be asked for ever, and its caller wait as long.
+// maxEmptyConnections is the number of consecutive connections without a token
+// after which the attempt is lost. An engine that accepts each resume and
+// sends nothing would otherwise be called forever, while its caller waits.
 const maxEmptyConnections = 8
 
-// emptyConnectionDelay is the wait before a resume for each connection running that
-// brought no token.
+// emptyConnectionDelay is the wait before a resume, for each consecutive
+// connection without a token.
 const emptyConnectionDelay = 50 * time.Millisecond
 
-// relayStream passes the stream on until the answer is whole or cannot go on here.
+// relayStream passes the stream on until the answer is complete or cannot
+// continue at this endpoint.
 func (a *chatRun) relayStream(ctx context.Context, at *attempt) attemptResult {
-	emptyConnections := 0 // connections running that brought no token
+	emptyConnections := 0 // consecutive connections without a token
 	for {
 		before := a.offset
 		err := a.copyChunks(at)
@@ -54,11 +55,12 @@
 	}
 }
 
-// errTokenLimit is the error of an answer that goes on behind its limit, because the
-// engine was given none or ignores it.
-var errTokenLimit = errors.New("caller: answer is longer than allowed")
+// errTokenLimit is the error of an answer that continues past its token limit,
+// because the engine was given none or ignores it.
+var errTokenLimit = errors.New("caller: answer exceeds the token limit")
 
-// copyChunks passes chunks to the sink. It returns nil behind a whole answer.
+// copyChunks passes chunks to the sink. It returns nil after a complete
+// answer.
 func (a *chatRun) copyChunks(at *attempt) error {
 	for {
 		c, err := at.stream.Next()
@@ -84,8 +86,8 @@
 	}
 }
 
-// resume opens the rest of a broken stream on the same endpoint. What was
-// generated is paid for, so that another endpoint is the second choice.
+// resume reopens a broken stream on the same endpoint. Another endpoint is the
+// second choice, because the tokens generated so far have been paid for.
 func (a *chatRun) resume(ctx context.Context, at *attempt) bool {
 	for _, pause := range resumeDelays {
 		if !wait(ctx, pause) {
@@ -99,19 +101,20 @@
 		if errors.Is(err, engine.ErrGone) {
 			return false
 		}
-		// The endpoint may be back in a moment, but until then its owner must
-		// not send others there: they would be lost with it, and suspected.
+		// The endpoint may recover in a moment, but until then its owner must
+		// not place other requests there: they would be lost with it and
+		// become suspects.
 		a.Placer.Dead(at.placement.Endpoint, at.placement.Incarnation)
 		if errors.Is(err, engine.ErrSilent) {
-			return false // frozen: another try would only wait as long
+			return false // frozen: another try would take as long to fail
 		}
 	}
 	return false
 }
 
-// wait waits for d and reports whether ctx still stands. It makes no timer for
-// no time at all: under the race detector one that is due at once in a paused
-// clock can crash the process.
+// wait waits for d and reports whether ctx is still active. It creates no
+// timer if d is not positive: with the race detector, a timer that is due at
+// once in a synctest bubble can crash the process.
 func wait(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/wisteriarouter/caller/frozen_test.go
+++ b/wisteriarouter/caller/frozen_test.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/wisteriarouter/caller"
 )
 
-// longStall is a team that gives a silent endpoint the usual ten seconds.
+// longStall is a planner with the usual stall timeout of ten seconds.
 type longStall struct{}
 
 func (longStall) PlanChat(team coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
@@ -24,8 +24,8 @@
 }
 
 // An engine freezes in the middle of an answer and keeps its connections open.
-// The caller sees the words stop. Waiting for the whole limit, and again for
-// each try to resume, makes that half a minute.
+// If the router waited for the whole stall timeout, and again for each try to
+// resume, the answer would pause for half a minute.
 func TestFrozenEngineIsLeftEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
@@ -41,8 +41,9 @@
 	})
 }
 
-// An engine is busy with a long prompt for longer than its usual pace, and says
-// so when it is asked. It is waited for: to go elsewhere would pay twice.
+// An engine is silent for longer than its usual time between tokens because of
+// a long prompt, and reports so when probed. The router must wait: tokens
+// generated at another engine would be paid for twice.
 func TestBusyEngineIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
@@ -55,7 +56,7 @@
 	})
 }
 
-// asker asks for one answer.
+// asker sends one chat and passes on the answer.
 type asker struct {
 	fleet *fleet
 	whole chan<- received
--- a/wisteriarouter/caller/fuzz_test.go
+++ b/wisteriarouter/caller/fuzz_test.go
@@ -13,7 +13,7 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// bodySeeds are bodies beside those of badRequests.
+// bodySeeds are fuzz seeds in addition to the bodies of badRequests.
 var bodySeeds = []string{
 	goodBody,
 	`{"model":"m","stream":true,"max_tokens":3,"messages":[{"role":"user","content":[{"type":"text","text":"hi"}]}],"tools":[{}]}`,
@@ -24,7 +24,7 @@
 	"{\"model\":\"m\",\"messages\":[{\"role\":\"\xff\",\"content\":\"\\ud800\"}]}",
 }
 
-// bodyCapturer keeps the body of the attempt that reached an engine.
+// bodyCapturer keeps the body of the attempt that was sent to an engine.
 type bodyCapturer struct {
 	noEngines
 	body []byte
@@ -37,9 +37,9 @@
 	return nil, &engine.StartError{NotRun: true, Status: http.StatusServiceUnavailable, Err: errNoEngine}
 }
 
-// A caller sends any body at all. The router must not panic, must refuse with a
-// typed error whatever it does not pass on, and must pass on only what asks for
-// the model that it has checked.
+// Whatever body a caller sends, the router must not panic, must refuse with a
+// complete refusal what it does not pass on, and must pass on only requests
+// for the model that it has checked.
 func FuzzChatBody(f *testing.F) {
 	for _, r := range badRequests {
 		if r.path == "" {
@@ -64,7 +64,7 @@
 	})
 }
 
-// checkSent checks a body that reached an engine.
+// checkSent checks a body that was sent to an engine.
 func checkSent(t *testing.T, body []byte) {
 	t.Helper()
 	var out map[string]any
--- a/wisteriarouter/caller/log.go
+++ b/wisteriarouter/caller/log.go
@@ -7,18 +7,19 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// attemptResultNames name the ends of attempts in logs.
+// attemptResultNames are the names of attempt results in logs.
 var attemptResultNames = [...]string{
 	streamOpen: "standing", finished: "delivered", callerGone: "caller-gone", limitReached: "delivered",
 	declined: "declined", streamLost: "broken", endpointDied: "endpoint-died", endpointUnreachable: "unsent", streamMalformed: "malformed",
 }
 
-// emit logs an event of the request.
+// emit logs an event with the id of the request.
 func (a *chatRun) emit(k event.Kind, fields ...event.Field) {
 	a.Log.Emit(k, append(fields, event.F("request", a.chat.requestID))...)
 }
 
-// logPlacement logs where an attempt is sent and what decided it.
+// logPlacement logs the endpoint of an attempt and what the placement was
+// based on.
 func (a *chatRun) logPlacement(at *attempt, took time.Duration) {
 	fields := []event.Field{
 		event.F("attempt", a.evidence.Attempts()+1),
@@ -36,7 +37,7 @@
 	a.emit(event.ChatPlaced, fields...)
 }
 
-// logAttemptEnd logs how an attempt logAttemptEnd.
+// logAttemptEnd logs how an attempt ended.
 func (a *chatRun) logAttemptEnd(at *attempt, result attemptResult) {
 	a.emit(event.ChatAttempt,
 		event.F("attempt", a.evidence.Attempts()),
@@ -48,7 +49,7 @@
 	)
 }
 
-// logRefusal logs a request's final refusal.
+// logRefusal logs the refusal of a request.
 func (s *Server) logRefusal(request string, r *outcome.Refusal, fields ...event.Field) {
 	s.Log.Emit(event.RequestRefused, append(fields,
 		event.F("request", request),
--- a/wisteriarouter/caller/log_test.go
+++ b/wisteriarouter/caller/log_test.go
@@ -17,7 +17,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// logBuffer keeps the lines of a router's log.
+// logBuffer holds the log of a router.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -30,7 +30,7 @@
 	return j.text.Write(p)
 }
 
-// attach has a router log here.
+// attach makes a router log to j.
 func (j *logBuffer) attach(s *caller.Server) {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{})
@@ -38,7 +38,8 @@
 	s.Log = event.NewLog(logger)
 }
 
-// linesOf returns the lines that name a request, as their kinds with some fields.
+// linesOf returns the log lines of a request, each as its event with some
+// fields.
 func (j *logBuffer) linesOf(t *testing.T, request string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -59,9 +60,8 @@
 	return all
 }
 
-// A user complains of an answer that stopped for a moment. The logs must tell
-// by the request's id where it was, which endpoint died under it and where it
-// went on.
+// The logs of a request whose endpoint dies show under its id where it ran,
+// which endpoint died and where it was continued.
 func TestLogsTellWhatBecameOfAChat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var j logBuffer
@@ -74,14 +74,14 @@
 			"chat-placed e1", "chat-attempt e1 endpoint-died", "endpoint-lost e1", "stream-continued e1",
 			"chat-placed e2", "chat-attempt e2 delivered",
 		})
-		time.Sleep(time.Minute) // cancelling at the dead engine ends by itself
+		time.Sleep(time.Minute) // lets the cancelling at the dead engine time out
 		f.close()
 		f.stops = nil
 	})
 }
 
-// A caller whose team is not known is refused before anything else; the id that
-// it gave itself leads to the reason.
+// A request that is refused before anything else is logged under the id that
+// its caller gave it, with the reason.
 func TestLogsTellOfARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var j logBuffer
--- a/wisteriarouter/caller/metrics.go
+++ b/wisteriarouter/caller/metrics.go
@@ -7,7 +7,8 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// Metrics counts what callers see and what they are billed for.
+// Metrics holds the metrics of requests, and of the tokens that callers are
+// billed for.
 type Metrics struct {
 	requests   *prometheus.CounterVec
 	inFlight   prometheus.Gauge
@@ -22,7 +23,7 @@
 	cancelled  prometheus.Counter
 }
 
-// NewMetrics registers the metrics of callers with reg.
+// NewMetrics creates the metrics and registers them with reg.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
--- a/wisteriarouter/caller/path_bench_test.go
+++ b/wisteriarouter/caller/path_bench_test.go
@@ -27,12 +27,13 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// plainEngine streams answers of a fixed text, so that a benchmark measures the
-// way and not the model. Each chunk says in "created" when it was sent.
+// plainEngine streams answers of a fixed text, so that a benchmark measures
+// the path and not the model. The "created" field of a chunk is the time at
+// which it was sent, in Unix nanoseconds.
 type plainEngine struct {
-	tokens int           // length of an answer
-	pace   time.Duration // time between tokens; zero for as fast as they are read
-	hold   chan struct{} // if set, answers do not end before it is closed
+	tokens int           // number of tokens in an answer
+	pace   time.Duration // time between tokens; zero for no limit
+	hold   chan struct{} // if set, answers continue until it is closed
 }
 
 func (e plainEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +50,8 @@
 	fmt.Fprintf(w, "id: %s.%d\ndata: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id, n)
 }
 
-// waitNext reports whether another token follows the first n, when it is due.
+// waitNext waits until the token after the first n is due. It reports whether
+// there is one.
 func (e plainEngine) waitNext(n int) bool {
 	if n == 0 {
 		return true
@@ -72,8 +74,8 @@
 	return n < e.tokens
 }
 
-// patientTeam is oneTeam with endpoints that may be silent for long: an idle
-// stream must not be taken for lost.
+// patientTeam is oneTeam with a long stall timeout, so that an idle stream is
+// not treated as lost.
 type patientTeam struct{ oneTeam }
 
 func (t patientTeam) PlanChat(team coordination.Team, a coordination.Account, m coordination.Model, p coordination.Priority) (caller.Plan, *outcome.Refusal) {
@@ -83,7 +85,7 @@
 	return plan, refusal
 }
 
-// onePlace places everything at one address.
+// onePlace places all attempts at one address.
 type onePlace string
 
 func (p onePlace) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
@@ -98,13 +100,13 @@
 
 func (p onePlace) Leaving(coordination.Endpoint, coordination.Incarnation) {}
 
-// route is one route to an engine.
+// route is a path to an engine.
 type route struct {
 	name    string
 	address string
 }
 
-// newRoutes returns the ways to an engine: without and with a router.
+// newRoutes returns the routes to an engine: direct and through a router.
 func newRoutes(tb testing.TB, e plainEngine) []route {
 	backend := httptest.NewServer(e)
 	tb.Cleanup(backend.Close)
@@ -126,10 +128,11 @@
 
 const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a quote for 300 copies"}]}`
 
-// benchClient keeps connections, so that a benchmark does not measure dialling.
+// benchClient reuses connections, so that a benchmark does not measure
+// dialing.
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 
-// open asks for one answer.
+// open requests one answer.
 func (w route) open() (io.ReadCloser, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.address+"/v1/chat/completions", strings.NewReader(benchBody))
 	if err != nil {
@@ -150,9 +153,10 @@
 	return res.Body, nil
 }
 
-// BenchmarkPath compares the way through a router with the engine alone, in
-// one run. All sides share the process, so that the difference is the router's.
-// Answers of one token show what a request costs, long ones what a token costs.
+// BenchmarkPath compares the route through a router with the direct one in the
+// same run. All sides share the process, so that the difference is the cost of
+// the router. Answers of one token show the cost of a request, those of 300
+// tokens that of a token.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 300} {
 		for _, w := range newRoutes(b, plainEngine{tokens: tokens}) {
@@ -173,13 +177,13 @@
 	}
 }
 
-// streamReader is one open stream of a benchmark.
+// streamReader reads one stream of a benchmark.
 type streamReader struct {
 	tb    testing.TB
 	way   route
 	begun *sync.WaitGroup
-	first time.Duration   // from the request to the first token
-	lags  []time.Duration // of each token, from the engine to the caller
+	first time.Duration   // time from the request to the first token
+	lags  []time.Duration // time from the engine to the caller, of each token
 }
 
 func (r *streamReader) run() {
@@ -207,10 +211,10 @@
 	}
 }
 
-// streamReaders are streams that run at once.
+// streamReaders are concurrent streams.
 type streamReaders struct {
 	all   []*streamReader
-	begun sync.WaitGroup // all have their first token
+	begun sync.WaitGroup // done when all streams have their first token
 	ended sync.WaitGroup
 }
 
@@ -225,15 +229,15 @@
 	return rs
 }
 
-// quantile returns the value below which share of all lies, in microseconds.
+// quantile returns the given quantile of all, in microseconds.
 func quantile(all []time.Duration, share float64) float64 {
 	slices.Sort(all)
 	return float64(all[int(share*float64(len(all)-1))].Nanoseconds()) / 1e3
 }
 
-// BenchmarkPaced has 200 streams go on at 40 tokens/s each: 8,000 tokens/s, what
-// one of 330 routers carries at the target. It reports how far callers are
-// behind the engine, and the processor time of all sides for each token.
+// BenchmarkPaced runs 200 streams at 40 tokens/s each: 8,000 tokens/s, the
+// share of one of 330 routers at the target load. It reports the delay from
+// engine to caller, and the CPU time of all sides for each token.
 func BenchmarkPaced(b *testing.B) {
 	const streams, tokens = 200, 80
 	for _, w := range newRoutes(b, plainEngine{tokens: tokens, pace: 25 * time.Millisecond}) {
@@ -257,10 +261,11 @@
 	}
 }
 
-// BenchmarkOpenStreams reports the memory that an open stream costs: the
-// engine's and the caller's sides alone, and with a router between them. Idle
-// streams have had one token; active ones get 40 a second. It is for
-// -benchtime=1x: streams stay open until both ways have been measured.
+// BenchmarkOpenStreams reports the memory of an open stream: that of the
+// engine and the caller alone, and with a router between them. Idle streams
+// have received one token; active ones receive 40 tokens/s. It must be run
+// with -benchtime=1x, because streams stay open until both routes have been
+// measured.
 func BenchmarkOpenStreams(b *testing.B) {
 	const open = 1000
 	for _, kind := range []struct {
@@ -288,7 +293,7 @@
 	}
 }
 
-// memory returns the bytes of live heap and of stacks.
+// memory returns the size of the live heap and of stacks in use, in bytes.
 func memory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -296,7 +301,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// processorTime returns what the process has used of all processors.
+// processorTime returns the CPU time of the process, user and system.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/wisteriarouter/caller/settle.go
+++ b/wisteriarouter/caller/settle.go
@@ -8,8 +8,8 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// concludeAttempt draws the consequences of an attempt's end and reports whether the
-// request is over.
+// concludeAttempt handles the end of an attempt and reports whether the
+// request has ended.
 func (a *chatRun) concludeAttempt(ctx context.Context, at *attempt, result attemptResult) bool {
 	defer at.placement.Release()
 	if result == streamLost && a.isDead(ctx, at) {
@@ -47,9 +47,9 @@
 	return false
 }
 
-// handleDeadEndpoint tells of a dead endpoint. It returns a refusal if the request may not
-// run again. An endpoint that is only frozen may wake and go on, so its attempt
-// is cancelled all the same.
+// handleDeadEndpoint reports a dead endpoint. It returns a refusal if the
+// request may not run again. The attempt is cancelled as well, because an
+// endpoint that is only frozen may resume it.
 func (a *chatRun) handleDeadEndpoint(ctx context.Context, at *attempt, result attemptResult) *outcome.Refusal {
 	e, n := at.placement.Endpoint, at.placement.Incarnation
 	a.Placer.Dead(e, n)
@@ -58,13 +58,13 @@
 	}
 	a.emit(event.EndpointLost, event.F("endpoint", e), event.F("incarnation", n), event.F("attempt", at.id))
 	a.cancel(ctx, at)
-	// The place is given back first: the wait for leave to go on may be long.
+	// Released before the call to Crashed, which may block for long.
 	at.placement.Release()
 	return a.tracked.Crashed(ctx, e, n)
 }
 
-// isDead reports whether the attempt's endpoint cannot be reached or has been
-// restarted since, rather than only its connection cut.
+// isDead reports whether the attempt's endpoint cannot be reached or has
+// restarted, as opposed to a cut connection.
 func (a *chatRun) isDead(ctx context.Context, at *attempt) bool {
 	l, err := a.Engines.Load(ctx, at.placement.Address)
 	if err != nil {
@@ -79,8 +79,8 @@
 	a.Metrics.requestEnded("chat", outcome.Ran, "")
 }
 
-// giveUp sends the final refusal at once. Its outcome is what the evidence
-// allows, whatever the refusal claims.
+// giveUp sends the refusal that ends the request. The outcome in it is taken
+// from the evidence, not from r.
 func (a *chatRun) giveUp(ctx context.Context, r *outcome.Refusal) {
 	final := *r
 	final.Outcome = a.evidence.Outcome()
--- a/wisteriarouter/caller/sink.go
+++ b/wisteriarouter/caller/sink.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// Names of the answer headers.
+// Names of response headers.
 const (
 	headerHint       = "X-Route-Hint"
 	headerAttempt    = "X-Attempt-Id"
@@ -22,16 +22,17 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// errCallerDisconnected is the error of a sink whose caller takes nothing any more.
+// errCallerDisconnected is the error of a sink whose caller has disconnected
+// or stopped reading.
 var errCallerDisconnected = errors.New("caller: connection lost")
 
-// responseSink is where an answer goes.
+// responseSink writes the answer to a caller.
 type responseSink interface {
-	// chunk passes on one chunk of the answer.
+	// chunk writes one chunk of the answer.
 	chunk(id coordination.Attempt, c engine.Chunk) error
-	// finish ends a whole answer.
+	// finish ends a complete answer.
 	finish(id coordination.Attempt, end outcomeEvent)
-	// refuse ends the request without a whole answer.
+	// refuse ends the request without a complete answer.
 	refuse(r *outcome.Refusal)
 }
 
@@ -41,8 +42,8 @@
 	Hint    string          `json:"route_hint,omitempty"`
 }
 
-// writer writes to one caller and gives up on one that stops reading, whose
-// answer would otherwise hold its place for ever.
+// writer writes to one caller with a time limit for each write. A caller that
+// stops reading would otherwise hold its placement forever.
 type writer struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -51,8 +52,8 @@
 
 func newWriter(w http.ResponseWriter, timeout time.Duration) writer {
 	c := http.NewResponseController(w)
-	// The limit for reading the body must not end the connection while the
-	// answer runs: the server would take the caller for gone.
+	// The read deadline set for the body must not expire during the answer:
+	// the server would treat the caller as disconnected.
 	_ = c.SetReadDeadline(time.Time{})
 	return writer{w: w, control: c, timeout: timeout}
 }
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// refuse sends a refusal as the whole answer.
+// refuse writes a refusal as the whole response.
 func (w writer) refuse(r *outcome.Refusal) {
 	h := w.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -78,7 +79,8 @@
 	_ = w.write([]byte(marshal(r.Envelope()) + "\n"))
 }
 
-// marshal encodes values whose types cannot fail to encode.
+// marshal encodes a value of a type that always encodes. It panics on an
+// error.
 func marshal(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -87,11 +89,11 @@
 	return string(data)
 }
 
-// streamSink writes server-sent events.
+// streamSink writes the answer as server-sent events.
 type streamSink struct {
 	writer
 	started bool
-	buf     []byte // the last event, whose space serves the next one
+	buf     []byte // last event, reused for the next one
 }
 
 func (s *streamSink) begin(id coordination.Attempt) {
@@ -129,7 +131,7 @@
 	_ = s.write([]byte("event: error\ndata: " + marshal(r.Envelope()) + "\n\nevent: outcome\ndata: " + marshal(outcomeEvent{Outcome: r.Outcome}) + "\n\n"))
 }
 
-// jsonSink gathers the answer and writes it as one JSON object.
+// jsonSink collects the answer and writes it as one JSON object.
 type jsonSink struct {
 	writer
 	model  string
@@ -158,7 +160,7 @@
 	_ = s.write([]byte(marshal(s.completion(id)) + "\n"))
 }
 
-// completion is an OpenAI-compatible answer.
+// completion is an OpenAI-compatible chat completion.
 type completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
--- a/wisteriarouter/service/client.go
+++ b/wisteriarouter/service/client.go
@@ -1,6 +1,6 @@
-// Package service speaks to plain services, such as an order desk. Actions
-// that may be repeated are retried within a budget; a non-idempotent one is
-// put on record first, and reaches an endpoint once at most.
+// Package service calls the actions of plain services. Idempotent actions are
+// retried within a budget. A non-idempotent one is recorded before it is sent,
+// and runs at one endpoint at most.
 package service
 
 import (
@@ -21,7 +21,7 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// Header names of the services' protocol.
+// Headers and values of the protocol of plain services.
 const (
 	headerRequestID  = "X-Request-Id"
 	headerState      = "X-State"
@@ -29,27 +29,27 @@
 	stateLeaving     = "leaving"
 )
 
-// Defaults of Options.
+// Defaults of Options. DefaultMaxResponseBytes is in bytes.
 const (
 	DefaultDialTimeout      = 500 * time.Millisecond
 	DefaultMaxResponseBytes = 8 << 20
 )
 
-// ErrTruncated is the error of a call whose answer did not come whole. The service
-// may have run it.
-var ErrTruncated = errors.New("service: answer cut off")
+// ErrTruncated is the error of a call whose response is incomplete or exceeds
+// Options.MaxResponseBytes. The service may have run the action.
+var ErrTruncated = errors.New("service: response truncated")
 
-// Options configure a Client. Zero fields take the defaults.
+// Options configures a Client. Zero fields take the defaults.
 type Options struct {
 	DialTimeout      time.Duration
-	MaxResponseBytes int64 // the longest answer that is taken, in bytes
-	// DialContext makes connections; nil means TCP.
+	MaxResponseBytes int64 // maximum size of a response body
+	// DialContext opens connections; nil means TCP with DialTimeout.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client makes calls to plain services. It is safe for concurrent use.
+// Client calls plain services. It is safe for concurrent use.
 type Client struct {
-	singleUse        *http.Client // for calls that must not be sent twice
+	singleUse        *http.Client // one connection for each call, for non-idempotent actions
 	pooled           *http.Client
 	maxResponseBytes int64
 }
@@ -72,9 +72,9 @@
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     30 * time.Second,
 	}
-	// A connection that is used again may be closed by the service just as the
-	// request goes out. The transport then sends some requests once more on
-	// its own; on a connection of their own it never does.
+	// The service may close a reused connection just as a request is written
+	// to it. The transport then sends some requests again on its own, which it
+	// never does on a new connection.
 	once := &http.Transport{
 		DialContext:        dial,
 		DisableCompression: true,
@@ -88,14 +88,14 @@
 	return c, pooled.CloseIdleConnections
 }
 
-// refuseRedirect hands a redirect to the caller: followed, it would send the
+// refuseRedirect returns redirects to the caller: following one would send the
 // body a second time.
 func refuseRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// opaqueBody hides that a body could be rewound, without which the transport
-// has no second copy to send.
+// opaqueBody hides the type of a body, so that the transport cannot rewind it
+// and send it again.
 type opaqueBody struct{ io.Reader }
 
 // Call is one attempt of an action at one endpoint.
@@ -105,18 +105,18 @@
 	Action        coordination.Action
 	ContentType   string // Content-Type of the body
 	Body          []byte
-	NonIdempotent bool // the action is non-idempotent
+	NonIdempotent bool // must not be sent twice
 }
 
-// Reply is what an endpoint answered.
+// Reply is the response of an endpoint.
 type Reply struct {
 	Answer     execution.Answer
-	Leaving    bool          // the endpoint says that it is stopping
-	RetryAfter time.Duration // as the endpoint asked; zero if it did not
+	Leaving    bool          // the endpoint reported that it is stopping
+	RetryAfter time.Duration // as sent by the endpoint; zero if absent
 }
 
-// Do makes one call, and records in e what is known of it. An error means that
-// no whole answer came; e tells what may have become of the call.
+// Do makes one call and records in e how far it got. On an error no complete
+// response was received; e then holds the possible outcomes of the call.
 func (c *Client) Do(ctx context.Context, e *outcome.Evidence, call Call) (Reply, error) {
 	e.Begin(call.Attempt)
 	req, err := newRequest(ctx, e, call)
@@ -130,7 +130,7 @@
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		// Ignored by e if a connection was got: see newRequest.
+		// No effect if a connection was obtained: see newRequest.
 		e.NothingSent(call.Attempt)
 		return Reply{}, fmt.Errorf("service: %w", err)
 	}
@@ -143,9 +143,9 @@
 	return newReply(res, body), nil
 }
 
-// newRequest builds the request of a call. From the moment that the transport
-// has a connection for it, its bytes count as sent, since a failure after that
-// does not tell how far they got.
+// newRequest returns the HTTP request of a call. Once the transport has a
+// connection for it, the request counts as written, since a later failure does
+// not tell how much of it was sent.
 func newRequest(ctx context.Context, e *outcome.Evidence, call Call) (*http.Request, error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { e.Written(call.Attempt) }}
 	var body io.Reader = bytes.NewReader(call.Body)
@@ -165,8 +165,8 @@
 	return req, nil
 }
 
-// recordOutcome records what a whole answer says about its attempt. The service's own
-// word counts most.
+// recordOutcome records what a complete response says about its attempt. The
+// outcome header of the service takes precedence over the status.
 func recordOutcome(e *outcome.Evidence, a coordination.Attempt, res *http.Response) {
 	declared := res.Header.Get(outcome.Header)
 	switch {
@@ -177,9 +177,10 @@
 	}
 }
 
-// isFinalStatus tells whether a status without the service's word is its answer to
-// the action. A redirect, a refusal for the moment or an error of the server's
-// side proves nothing: a proxy or a half-run action answers so, too.
+// isFinalStatus reports whether a status without an outcome header is the
+// answer of the service to the action. Redirects, temporary refusals and
+// server errors prove nothing: a proxy or a partly run action may return them
+// as well.
 func isFinalStatus(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
--- a/wisteriarouter/service/client_test.go
+++ b/wisteriarouter/service/client_test.go
@@ -16,8 +16,8 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// abortingServer reads each call whole, and breaks the connection of all calls but the
-// first. So the broken one finds a connection that is being used again.
+// abortingServer reads each call completely, and aborts the connection of all
+// calls but the first, so that the aborted call uses a reused connection.
 type abortingServer struct{ arrivals atomic.Int32 }
 
 func (c *abortingServer) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
@@ -29,10 +29,10 @@
 
 func address(url string) string { return strings.TrimPrefix(url, "http://") }
 
-// A service takes an order and its connection breaks before the answer. Go's
-// transport sends a request with an idempotency key once more on its own, and
-// a service that ignores the key books twice. The first half shows that it
-// does, the second that our client gives it nothing to repeat.
+// The connection to a service breaks before its answer to an order. Go's
+// transport sends a request with an idempotency key again on its own, and a
+// service that ignores the key runs it twice. The first half shows that the
+// transport does so, the second that Client prevents it.
 func TestTransportNeverRepeatsAction(t *testing.T) {
 	naive := &abortingServer{}
 	srv := httptest.NewServer(naive)
@@ -105,8 +105,8 @@
 	}
 }
 
-// Nobody listens at the endpoint's address any more. Nothing was sent, so the
-// action may go elsewhere, and its caller may be told not-run.
+// No process listens at the address of the endpoint. Nothing was sent, so the
+// action may be sent to another endpoint and its caller may be told not-run.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	c, cleanup := service.NewClient(service.Options{})
 	defer cleanup()
@@ -116,7 +116,7 @@
 	assert.Equal(t, e.Outcome(), outcome.NotRun)
 }
 
-// closedAddress returns an address where nobody listens.
+// closedAddress returns an address at which no process listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/wisteriarouter/service/observer.go
+++ b/wisteriarouter/service/observer.go
@@ -7,7 +7,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Observer counts and logs what a ledger reports.
+// Observer counts and logs the events of an execution.Ledger.
 type Observer struct {
 	reg    prometheus.Registerer
 	log    event.Log
@@ -28,7 +28,7 @@
 	return o
 }
 
-// Observe is for the field of that name in execution.Config.
+// Observe handles one event. It is meant for execution.Config.Observe.
 func (o *Observer) Observe(e execution.Event) {
 	o.events.WithLabelValues(e.String()).Inc()
 	switch e {
@@ -45,7 +45,7 @@
 	}
 }
 
-// RegisterOpenRecords shows how many records l holds open.
+// RegisterOpenRecords registers a gauge of the open records of l.
 func (o *Observer) RegisterOpenRecords(l *execution.Ledger) {
 	o.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "wisteria_action_records_open",
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -24,13 +24,13 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// cluster is a whole fleet in one process: stand-ins of the platform and of an
-// order desk, and routers, which talk HTTP over pipes.
+// cluster is a whole deployment in one process: stand-ins of the platform and
+// of an order service, and routers, connected by pipes.
 type cluster struct {
 	network   pipe.Network
 	platform  *standin.Server
 	desks     []*service.Service
-	addresses []string // of the desks, and one where nobody listens
+	addresses []string // of the desks, and one at which nothing listens
 	routers   []*router.Runner
 	cleanups  []func()
 
@@ -41,10 +41,10 @@
 	results map[string][]callResult // by key
 }
 
-// callResult is what a caller was callResult of one try.
+// callResult is what a caller was told about one call.
 type callResult struct {
 	outcome outcome.Outcome
-	body    string // of an answer
+	body    string // empty for a refusal
 }
 
 const (
@@ -90,7 +90,7 @@
 	s.cleanups = append(s.cleanups, closeStore, closeClient, stop)
 }
 
-// stop ends everything, the parts made last first.
+// stop stops everything in reverse order of creation.
 func (s *cluster) stop() {
 	for i := range s.cleanups {
 		s.cleanups[len(s.cleanups)-1-i]()
@@ -103,8 +103,8 @@
 	return s.random.IntN(n)
 }
 
-// freezingStore holds up a router now and then before or after a call to the
-// platform, for longer than it may wait with a dispatch.
+// freezingStore delays some calls to the platform, before or after they run,
+// for longer than the dispatch limit.
 type freezingStore struct {
 	execution.Store
 	site *cluster
@@ -126,7 +126,7 @@
 	return router.Plan{Pool: "orders", Timeout: 5 * time.Second, NonIdempotent: s.nonIdempotent}, nil
 }
 
-// Place places at a random desk, or where nobody listens.
+// Place places at a random desk, or at the address at which nothing listens.
 func (s *cluster) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	return caller.Placement{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
 }
@@ -135,7 +135,7 @@
 func (s *cluster) RecordRequest(coordination.Team)                         {}
 func (s *cluster) Take(coordination.Team) bool                             { return true }
 
-// repeatingCaller repeats one order through one router after the other.
+// repeatingCaller repeats one order, each time through a random router.
 type repeatingCaller struct {
 	site   *cluster
 	action caller.Action
@@ -157,7 +157,8 @@
 	}
 }
 
-// outages takes the platform down and up again, and loses its answers.
+// outages switches the platform off and on, and loses some of its calls and
+// replies.
 type outages struct{ site *cluster }
 
 func (o outages) run(ctx context.Context, done *sync.WaitGroup) {
@@ -171,8 +172,9 @@
 	}
 }
 
-// order returns an action whose key does not carry its time: the library takes
-// the time of UUIDs from the last one that it made, outside the paused clock.
+// order returns an action whose key carries no time. UUIDs cannot be used: the
+// library derives their time from the previous one it made, outside the
+// synctest bubble.
 func order(i int) caller.Action {
 	key := fmt.Sprint("order-", i)
 	return caller.Action{
@@ -181,7 +183,8 @@
 	}
 }
 
-// simulate runs orders against a site, and returns it when all is over.
+// simulate runs orders against a cluster, and returns it when all calls have
+// ended.
 func simulate(t *testing.T, seed uint64, nonIdempotent bool) *cluster {
 	t.Helper()
 	var s *cluster
@@ -207,7 +210,8 @@
 	return s
 }
 
-// check compares what the callers of each key were told with its runs.
+// check compares what the callers of each key were told with the runs of the
+// key.
 func (s *cluster) check() error {
 	for key, all := range s.results {
 		if err := checkResults(all, s.runs(key)); err != nil {
@@ -250,11 +254,12 @@
 	return n
 }
 
-// Labels send the same orders through several routers, while the desk cuts
-// connections before and after it runs them or turns them away, the platform
-// loses answers and is down, and routers freeze. The desk counts its runs: no
-// order may run twice, none that ran may be denied to all, and all who are told
-// that it ran get the same receipt.
+// Callers send the same orders through several routers, while the service
+// aborts connections before and after it runs them or refuses them, the
+// platform loses replies and is down, and routers freeze. According to the
+// counts of the service, no order may run twice, no order that ran may be
+// reported as not run to all its callers, and all callers that are told that
+// it ran get the same answer.
 func TestWholePathAtMostOnce(t *testing.T) {
 	const seeds = 20
 	runs := 0
@@ -273,8 +278,8 @@
 	assert.Assert(t, runs > 0 && len(told) == 3)
 }
 
-// An operator forgot to mark the action as non-idempotent, so that each repeat
-// is sent. The check has to find it.
+// Checks that check detects an order that runs twice. The action is not marked
+// as non-idempotent, so each repeat is sent.
 func TestWholePathCheckFindsDoubledOrder(t *testing.T) {
 	assert.ErrorContains(t, simulate(t, 1, false).check(), "times")
 }
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -31,7 +31,7 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// The variables that make this test binary a router process.
+// Environment variables that make this test binary run as a router.
 const (
 	envPlatform = "WISTERIA_TEST_PLATFORM" // URL
 	envDesks    = "WISTERIA_TEST_DESKS"    // addresses, separated by commas
@@ -44,8 +44,8 @@
 	os.Exit(m.Run())
 }
 
-// process is a router in a process of its own: it runs the order whose key is
-// the path, and answers with what its caller is told.
+// process is the handler of a router in its own process. It runs the order
+// whose key is the path, and responds with what the caller is told.
 type process struct{ runner *router.Runner }
 
 type processAnswer struct {
@@ -76,7 +76,8 @@
 	panic(http.Serve(l, process{&router.Runner{Planner: s, Placer: s, Retries: s, Client: client, Ledger: ledger}}))
 }
 
-// parent is the test process, whose end ends this one.
+// parent ends this process when the test process ends, which closes standard
+// input.
 type parent struct{}
 
 func (parent) run() {
@@ -108,7 +109,7 @@
 	cmd.Env = append(os.Environ(), envPlatform+"="+platformURL, envDesks+"="+strings.Join(desks, ","))
 	out, err := cmd.StdoutPipe()
 	assert.NilError(t, err)
-	_, err = cmd.StdinPipe() // closed when we end
+	_, err = cmd.StdinPipe() // closed when the test process ends
 	assert.NilError(t, err)
 	assert.NilError(t, cmd.Start())
 	c := &child{cmd: cmd}
@@ -126,7 +127,7 @@
 	_ = c.cmd.Wait()
 }
 
-// fleet is the routers as their callers know them.
+// fleet holds the current router processes.
 type fleet struct {
 	mu       sync.Mutex
 	children [clusterRouters]*child
@@ -176,9 +177,10 @@
 	return callResult{outcome: ans.Outcome, body: ans.Body}
 }
 
-// Routers are processes here, stopped by SIGSTOP for longer than their dispatch
-// limit and woken, or killed and replaced, while their callers repeat orders
-// through the others and the platform loses answers and goes down.
+// Router processes are stopped by SIGSTOP for longer than their dispatch limit
+// and continued, or killed and replaced, while their callers repeat orders
+// through the others and the platform loses replies and is down. The results
+// must stand up to the check of TestWholePathAtMostOnce.
 func TestProcessesFrozenAndKilled(t *testing.T) {
 	server, stop := standin.New(standin.Options{Seed: 1})
 	defer stop()
--- a/wisteriarouter/service/runner.go
+++ b/wisteriarouter/service/runner.go
@@ -11,27 +11,28 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Plan is what the settings in force say about one action.
+// Plan holds what the settings in force say about one action.
 type Plan struct {
 	Pool          coordination.Pool
 	Priority      coordination.Priority
-	StartTimeout  time.Duration // limit for the start of the action; zero for none
-	Timeout       time.Duration // limit for the service's answer
+	StartTimeout  time.Duration // time limit for the start of the action; zero for none
+	Timeout       time.Duration // time limit for the service's response
 	NonIdempotent bool
 	Rules         execution.Rules
 }
 
-// ActionPlanner tells what the settings in force say.
+// ActionPlanner applies the settings in force to actions.
 type ActionPlanner interface {
-	// PlanAction returns the plan for an action, or a refusal.
+	// PlanAction returns the plan for an action, or its refusal.
 	PlanAction(a caller.Action) (Plan, *outcome.Refusal)
 }
 
-// Placer grants places at endpoints.
+// Placer reserves capacity at endpoints.
 type Placer interface {
-	// Place returns a place for an attempt, or the final refusal.
+	// Place returns a placement for an attempt, or the refusal to send to the
+	// caller.
 	Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal)
-	// Leaving takes in that an endpoint has said that it is stopping.
+	// Leaving records that an endpoint has reported that it is stopping.
 	Leaving(e coordination.Endpoint, n coordination.Incarnation)
 }
 
@@ -47,13 +48,14 @@
 
 var _ caller.Actions = (*Runner)(nil)
 
-// defaultRetryAfter is when to come back after a refusal that another try may avoid.
+// defaultRetryAfter is the Retry-After of refusals that a repeat may avoid.
 const defaultRetryAfter = time.Second
 
 // Run implements caller.Actions.
 //
-// The place comes before the record: an action that no endpoint has room for
-// costs the platform nothing, so that a surge does not use up its writes.
+// The placement comes before the record: an action for which no endpoint has
+// capacity makes no call to the platform, so that a surge does not exhaust its
+// writes.
 func (r *Runner) Run(ctx context.Context, a caller.Action) (caller.Answer, *outcome.Refusal) {
 	plan, refusal := r.Planner.PlanAction(a)
 	if refusal != nil {
@@ -77,7 +79,8 @@
 	return s.answer(r.Ledger.Run(ctx, req, s))
 }
 
-// executionRequest returns what is put on record of a non-idempotent action.
+// executionRequest returns the request to record for a non-idempotent action,
+// or a refusal if its key is missing or carries no time.
 func executionRequest(a caller.Action, p Plan) (execution.Request, *outcome.Refusal) {
 	if !p.NonIdempotent {
 		return execution.Request{}, nil
@@ -101,8 +104,9 @@
 	}, nil
 }
 
-// issuedAt returns when the action's key was made. A UUIDv7 tells it itself;
-// then X-Issued-At does not count, since it may differ from try to try.
+// issuedAt returns when the action's key was made. If the key is a UUIDv7, its
+// time is used and X-Issued-At is ignored, since the latter may differ between
+// repeats.
 func issuedAt(a caller.Action) (time.Time, bool) {
 	if a.Key == "" {
 		return time.Time{}, false
@@ -114,11 +118,11 @@
 	return t, err == nil
 }
 
-// fingerprint covers all that makes a request the same as an earlier one. The
-// client account is part of it, so that nobody gets the answer to another
-// account's action by its key; the time of issue is, so that a caller that
-// stamps each try anew, and so would have its key accepted for ever, is found
-// out at once.
+// fingerprint returns the fingerprint by which a repeat is recognised as the
+// same request. It covers the client account, so that a key does not give
+// access to the answer of another account's action. It covers the time of
+// issue, so that a caller that sets a new time for each repeat, whose key
+// would never expire, gets a conflict at once.
 func fingerprint(a caller.Action, issued time.Time) execution.Fingerprint {
 	return execution.FingerprintOf(
 		[]byte(a.Account), []byte(a.Service), []byte(a.Action), []byte(a.ContentType), a.Body,
--- a/wisteriarouter/service/runner_test.go
+++ b/wisteriarouter/service/runner_test.go
@@ -20,7 +20,8 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// desk is an order desk with some endpoints, before one router.
+// desk is an order service with a number of endpoints. It also implements the
+// interfaces that a router needs.
 type desk struct {
 	services  []*service.Service
 	addresses []string
@@ -49,7 +50,7 @@
 	return d
 }
 
-// router returns a router of its own before the desk.
+// router returns a new router in front of the desk.
 func (d *desk) router(t *testing.T) *router.Runner {
 	t.Helper()
 	c, cleanup := router.NewClient(router.Options{})
@@ -83,7 +84,8 @@
 	return d.retries >= 0
 }
 
-// count returns how often a key arrived at all endpoints, and how often it ran.
+// count returns how often a key arrived at all endpoints in total, and how
+// often it ran.
 func (d *desk) count(key string) service.Count {
 	var sum service.Count
 	for _, s := range d.services {
@@ -94,7 +96,7 @@
 	return sum
 }
 
-// booking returns an action under a new key.
+// booking returns an action with a new key.
 func booking(t *testing.T) caller.Action {
 	t.Helper()
 	id, err := uuid.NewV7()
@@ -120,9 +122,9 @@
 	assert.Equal(t, d.held, 0)
 }
 
-// The service books the slot and its connection breaks. The label repeats the
-// order through other routers; it must not be sent again, also not to the
-// desk's other endpoint, and the label must not be told that nothing happened.
+// The service runs the order and its connection breaks. The caller repeats the
+// order through other routers; it must not be sent again, not even to another
+// endpoint, and the caller must not be told that it did not run.
 func TestCutConnectionIsNotRepeated(t *testing.T) {
 	d := newDesk(t, 2)
 	d.services[0].SetFaults(service.Faults{CutAfterNext: 1})
@@ -136,8 +138,8 @@
 	assert.Equal(t, d.held, 0)
 }
 
-// One endpoint is gone and another one says that it runs nothing now. Neither
-// ran the order, so a third one may.
+// One endpoint is unreachable and another refuses. Neither ran the order, so
+// it may be sent to a third.
 func TestCertainlyNotRunGoesOn(t *testing.T) {
 	d := newDesk(t, 2)
 	d.addresses = append([]string{closedAddress(t)}, d.addresses...)
@@ -150,8 +152,8 @@
 	assert.Equal(t, d.held, 0)
 }
 
-// All endpoints turn the order away. The label is told not-run and when to
-// come back, and its repeat under the same key runs.
+// All endpoints refuse the order. The caller is told not-run and when to
+// retry, and a repeat with the same key runs.
 func TestDeclinedKeyIsFree(t *testing.T) {
 	d := newDesk(t, 1)
 	d.services[0].SetFaults(service.Faults{RefuseNext: 1})
@@ -164,8 +166,8 @@
 	assert.Equal(t, d.count(a.Key).Ran, 1)
 }
 
-// The label hangs up while its order is being run. The order is on record all
-// the same, so that the repeat gets the answer.
+// The caller disconnects while its order is running. The answer is recorded
+// nevertheless, so that the repeat gets it.
 func TestHangUpKeepsAnswer(t *testing.T) {
 	d := newDesk(t, 1)
 	d.services[0].SetFaults(service.Faults{TimeMillis: 200})
@@ -182,8 +184,8 @@
 	assert.Equal(t, d.count(a.Key), service.Count{Arrived: 1, Ran: 1})
 }
 
-// The platform answers only after the order's deadline for its start. A label
-// that has been told to count on nothing after it must not find a slot booked.
+// The platform responds only after the start deadline of the order. A caller
+// that may rely on nothing starting after it must not find the order run.
 func TestDeadlineBeforeRecord(t *testing.T) {
 	d := newDesk(t, 1)
 	d.store.SetFaults(kvtest.Faults{Delay: 30 * time.Millisecond})
@@ -195,7 +197,7 @@
 	assert.Equal(t, d.count(a.Key).Arrived, 0)
 }
 
-// cancelOnArrival hangs up once the action has reached the service.
+// cancelOnArrival cancels the call once the action has reached the service.
 type cancelOnArrival struct {
 	desk   *desk
 	key    string
@@ -243,7 +245,7 @@
 	}
 }
 
-// The connection of an idempotent action breaks. It may be sent again, within
+// The connection of an idempotent action breaks. It may be sent again within
 // the retry budget, and needs neither a key nor the platform.
 func TestIdempotentActionIsRetried(t *testing.T) {
 	d := newDesk(t, 2)
--- a/wisteriarouter/service/sending.go
+++ b/wisteriarouter/service/sending.go
@@ -14,14 +14,15 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// maxAttempts bounds the attempts of one action beside the retry budget.
+// maxAttempts limits the attempts of one action, in addition to the retry
+// budget.
 const maxAttempts = 3
 
-// retryAfterEndpointLost is when a caller is told to come back after its endpoint was
+// retryAfterEndpointLost is the Retry-After of an action whose endpoint was
 // lost.
 const retryAfterEndpointLost = 2 * time.Second
 
-// actionSender is the actionSender of one action, over all its attempts. It implements
+// actionSender sends one action, over all its attempts. It implements
 // execution.Sender.
 type actionSender struct {
 	runner    *Runner
@@ -30,7 +31,7 @@
 	deadline  time.Time // latest start; zero for none
 	evidence  outcome.Evidence
 	placement caller.Placement
-	attempt   coordination.Attempt // the last one; empty if nothing was sent
+	attempt   coordination.Attempt // last attempt; empty if nothing was sent
 	exclude   []coordination.Endpoint
 }
 
@@ -42,7 +43,8 @@
 	return s
 }
 
-// withStartDeadline bounds the time until the action is sent. Send does not end with it.
+// withStartDeadline returns a context that expires if the action is not sent
+// by its deadline. It does not stop Send, which detaches its context.
 func (s *actionSender) withStartDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if s.deadline.IsZero() {
 		return ctx, func() {}
@@ -50,7 +52,7 @@
 	return context.WithDeadline(ctx, s.deadline)
 }
 
-// place takes a place at an endpoint that was not tried yet.
+// place reserves capacity at an endpoint that has not been tried yet.
 func (s *actionSender) place(ctx context.Context) *outcome.Refusal {
 	place, refusal := s.runner.Placer.Place(ctx, caller.PlacementRequest{
 		Team:     s.action.Team,
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// release gives the place back, once.
+// release releases the placement, once.
 func (s *actionSender) release() {
 	if s.placement.Release != nil {
 		s.placement.Release()
@@ -75,13 +77,13 @@
 	}
 }
 
-// Send implements execution.Sender. A non-idempotent action that may have
-// reached one endpoint is never sent to another; it is while it certainly has
-// not, or the endpoint has said that it did not run it.
+// Send implements execution.Sender. A non-idempotent action is sent to another
+// endpoint only if it certainly did not reach the previous one, or that
+// endpoint reported that it did not run it.
 func (s *actionSender) Send(ctx context.Context) execution.Result {
 	if s.plan.NonIdempotent {
-		// A caller that hangs up does not undo the action. We wait for its
-		// answer and put it on record, for the caller will repeat.
+		// A caller that disconnects does not undo the action. Its answer is
+		// awaited and recorded, because the caller will repeat the request.
 		ctx = context.WithoutCancel(ctx)
 	}
 	for n := 1; ; n++ {
@@ -111,8 +113,8 @@
 	return reply, err
 }
 
-// mayRetry tells whether another attempt can do no harm and may help. It cannot
-// help where a service has judged the action itself, and not its own state.
+// mayRetry reports whether another attempt is safe and may succeed. It cannot
+// succeed if the service rejected the action itself, rather than being busy.
 func (s *actionSender) mayRetry(reply Reply, err error) bool {
 	if err == nil && !busy(reply.Answer.Status) {
 		return false
@@ -120,7 +122,8 @@
 	return s.evidence.Outcome() == outcome.NotRun || err != nil && !s.plan.NonIdempotent
 }
 
-// next takes a place for another attempt, within the retry budget.
+// next takes a retry from the budget and places another attempt. It reports
+// whether both succeeded.
 func (s *actionSender) next(ctx context.Context) bool {
 	if !s.runner.Retries.Take(s.action.Team) {
 		return false
@@ -129,7 +132,7 @@
 	return s.place(ctx) == nil
 }
 
-// result sums up the attempts by the last one's end.
+// result returns the result of all attempts, given the end of the last one.
 func (s *actionSender) result(reply Reply, err error) execution.Result {
 	o := s.evidence.Outcome()
 	if err != nil {
@@ -141,8 +144,8 @@
 	return execution.Result{Outcome: o, Answer: &reply.Answer}
 }
 
-// answer turns the end of the action into what its caller gets, and logs what
-// operators should see.
+// answer converts the result to the answer or refusal for the caller, and logs
+// refused actions and unknown outcomes.
 func (s *actionSender) answer(res execution.Result) (caller.Answer, *outcome.Refusal) {
 	s.log(res)
 	if res.Answer == nil {
@@ -157,8 +160,8 @@
 	}, nil
 }
 
-// log tells of an unknown end where it came about, and not again of each
-// repeat that learns of it.
+// log logs an unknown outcome only where it arose, and not for each repeat
+// that receives it from the record.
 func (s *actionSender) log(res execution.Result) {
 	fields := []event.Field{
 		event.F("team", s.action.Team), event.F("service", s.action.Service),
@@ -177,7 +180,8 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// declinedRefusal is the refusal of an action that the services turned away.
+// declinedRefusal returns the refusal of an action that every endpoint tried
+// refused to run.
 func declinedRefusal(r Reply) *outcome.Refusal {
 	return &outcome.Refusal{
 		Code:       outcome.Overloaded,
