--- a/wisteriarouter/caller/abuse_test.go
+++ b/wisteriarouter/caller/abuse_test.go
@@ -152,7 +152,7 @@
 
 // An invalid request is refused at once with its code, in the same form
 // whichever layer detects it, and nothing is sent to an endpoint.
-func TestBadRequestsAreRefusedTyped(t *testing.T) {
+func TestBadRequestsGetTypedRefusals(t *testing.T) {
 	for _, r := range badRequests {
 		t.Run(r.name, func(t *testing.T) {
 			engines := &noEngines{}
--- a/wisteriarouter/caller/acquire.go
+++ b/wisteriarouter/caller/acquire.go
@@ -22,14 +22,14 @@
 // reported as not run, so it waits for a placement; refusing it would leave
 // its caller with a partial answer or with an unknown outcome.
 func (a *chatRun) acquire(ctx context.Context) (Placement, *outcome.Refusal) {
-	want := a.chat.placementRequest(a.exclude)
-	want.Alone = a.tracked.Alone()
+	req := a.chat.placementRequest(a.exclude)
+	req.Alone = a.tracked.Alone()
 	if a.offset > 0 {
-		want.Deadline = time.Time{} // it applies to the first token, which has been sent
+		req.Deadline = time.Time{} // it applies to the first token, which has been sent
 	}
 	until := time.Now().Add(maxPlacementWait)
 	for {
-		place, refusal := a.Placer.Place(ctx, want)
+		place, refusal := a.Placer.Place(ctx, req)
 		if refusal == nil || refusal.Code != outcome.Overloaded || a.evidence.Outcome() == outcome.NotRun {
 			return place, refusal
 		}
@@ -42,6 +42,6 @@
 			return place, refusal
 		case <-time.After(wait):
 		}
-		want.Exclude = nil // an endpoint that failed may have recovered
+		req.Exclude = nil // an endpoint that failed may have recovered
 	}
 }
--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -59,13 +59,13 @@
 }
 
 func (a *chatRun) run(ctx context.Context) {
-	trail, refusal := a.Suspects.Track(ctx, a.chat.fingerprint, a.chat.plan.Pool)
+	tracked, refusal := a.Suspects.Track(ctx, a.chat.fingerprint, a.chat.plan.Pool)
 	if refusal != nil {
 		a.giveUp(ctx, refusal)
 		return
 	}
-	a.tracked = trail
-	defer func() { trail.End(a.finished) }()
+	a.tracked = tracked
+	defer func() { tracked.End(a.finished) }()
 	a.runAttempts(ctx)
 }
 
--- a/wisteriarouter/caller/frozen_test.go
+++ b/wisteriarouter/caller/frozen_test.go
@@ -26,7 +26,7 @@
 // An engine freezes in the middle of an answer and keeps its connections open.
 // If the router waited for the whole stall timeout, and again for each try to
 // resume, the answer would pause for half a minute.
-func TestFrozenEngineIsLeftEarly(t *testing.T) {
+func TestFrozenEngineIsAbandonedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
 		begun := time.Now()
--- a/wisteriarouter/caller/log_test.go
+++ b/wisteriarouter/caller/log_test.go
@@ -62,7 +62,7 @@
 
 // The logs of a request whose endpoint dies show under its id where it ran,
 // which endpoint died and where it was continued.
-func TestLogsTellWhatBecameOfAChat(t *testing.T) {
+func TestLogsDescribeChat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var j logBuffer
 		f := newFleet(t, 1, 2, j.attach)
@@ -82,7 +82,7 @@
 
 // A request that is refused before anything else is logged under the id that
 // its caller gave it, with the reason.
-func TestLogsTellOfARefusal(t *testing.T) {
+func TestLogsDescribeRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var j logBuffer
 		f := newFleet(t, 1, 1, j.attach)
--- a/wisteriarouter/caller/path_bench_test.go
+++ b/wisteriarouter/caller/path_bench_test.go
@@ -179,19 +179,19 @@
 
 // streamReader reads one stream of a benchmark.
 type streamReader struct {
-	tb    testing.TB
-	way   route
-	begun *sync.WaitGroup
-	first time.Duration   // time from the request to the first token
-	lags  []time.Duration // time from the engine to the caller, of each token
+	tb      testing.TB
+	route   route
+	started *sync.WaitGroup
+	first   time.Duration   // time from the request to the first token
+	lags    []time.Duration // time from the engine to the caller, of each token
 }
 
 func (r *streamReader) run() {
 	start := time.Now()
-	body, err := r.way.open()
+	body, err := r.route.open()
 	if err != nil {
 		r.tb.Error(err)
-		r.begun.Done()
+		r.started.Done()
 		return
 	}
 	defer body.Close()
@@ -206,23 +206,23 @@
 		r.lags = append(r.lags, time.Since(time.Unix(0, sent)))
 		if len(r.lags) == 1 {
 			r.first = time.Since(start)
-			r.begun.Done()
+			r.started.Done()
 		}
 	}
 }
 
 // streamReaders are concurrent streams.
 type streamReaders struct {
-	all   []*streamReader
-	begun sync.WaitGroup // done when all streams have their first token
-	ended sync.WaitGroup
+	all     []*streamReader
+	started sync.WaitGroup // done when all streams have their first token
+	ended   sync.WaitGroup
 }
 
 func newStreamReaders(tb testing.TB, w route, n int) *streamReaders {
 	rs := &streamReaders{}
-	rs.begun.Add(n)
+	rs.started.Add(n)
 	for range n {
-		r := &streamReader{tb: tb, way: w, begun: &rs.begun}
+		r := &streamReader{tb: tb, route: w, started: &rs.started}
 		rs.all = append(rs.all, r)
 		rs.ended.Go(r.run)
 	}
@@ -280,7 +280,7 @@
 					before := memory()
 					rs := newStreamReaders(b, w, open)
 					opened = append(opened, rs)
-					rs.begun.Wait()
+					rs.started.Wait()
 					time.Sleep(time.Second)
 					b.ReportMetric(float64(memory()-before)/open/1024, "KiB/stream")
 				}
--- a/wisteriarouter/caller/whole_test.go
+++ b/wisteriarouter/caller/whole_test.go
@@ -105,7 +105,7 @@
 // Connections break, and engines die, freeze and send chunks twice, out of
 // order or of other attempts. Guards against answers with missing or repeated
 // words, or with words of another answer.
-func TestEveryAnswerIsWholeAndItsOwn(t *testing.T) {
+func TestAnswersAreCompleteUnderFaults(t *testing.T) {
 	for _, tr := range faultScenarios {
 		t.Run(tr.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -201,7 +201,7 @@
 // A router dies while it streams. Its callers reconnect to another router with
 // the id of the last event they received, and receive the rest without a
 // repeated or missing word and without a second run of the model.
-func TestAnswerGoesOnThroughAnotherRouter(t *testing.T) {
+func TestAnswerContinuesThroughAnotherRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 2, dropCancels)
 		for n := range 20 {
@@ -261,7 +261,7 @@
 // The endpoint that runs an attempt dies together with its router. A caller
 // that sends the text received so far gets the rest from another endpoint;
 // without that text it is refused at once.
-func TestAnswerGoesOnBehindPartialText(t *testing.T) {
+func TestAnswerContinuesAfterPartialText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 2, dropCancels)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
--- a/wisteriarouter/service/client.go
+++ b/wisteriarouter/service/client.go
@@ -75,13 +75,13 @@
 	// The service may close a reused connection just as a request is written
 	// to it. The transport then sends some requests again on its own, which it
 	// never does on a new connection.
-	once := &http.Transport{
+	singleUse := &http.Transport{
 		DialContext:        dial,
 		DisableCompression: true,
 		DisableKeepAlives:  true,
 	}
 	c := &Client{
-		singleUse:        &http.Client{Transport: once, CheckRedirect: refuseRedirect},
+		singleUse:        &http.Client{Transport: singleUse, CheckRedirect: refuseRedirect},
 		pooled:           &http.Client{Transport: pooled, CheckRedirect: refuseRedirect},
 		maxResponseBytes: opts.MaxResponseBytes,
 	}
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -107,7 +107,7 @@
 // for longer than the dispatch limit.
 type freezingStore struct {
 	execution.Store
-	site *cluster
+	cluster *cluster
 }
 
 func (f freezingStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
@@ -117,7 +117,7 @@
 }
 
 func (f freezingStore) freeze() {
-	if f.site.intN(100) < 3 {
+	if f.cluster.intN(100) < 3 {
 		time.Sleep(2 * execution.DefaultDispatchLimit)
 	}
 }
@@ -137,13 +137,13 @@
 
 // repeatingCaller repeats one order, each time through a random router.
 type repeatingCaller struct {
-	site   *cluster
-	action caller.Action
+	cluster *cluster
+	action  caller.Action
 }
 
 func (l *repeatingCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
-	s := l.site
+	s := l.cluster
 	for range callerTries {
 		ans, refusal := s.routers[s.intN(clusterRouters)].Run(ctx, l.action)
 		t := callResult{outcome: ans.Outcome, body: string(ans.Body)}
@@ -159,13 +159,13 @@
 
 // outages switches the platform off and on, and loses some of its calls and
 // replies.
-type outages struct{ site *cluster }
+type outages struct{ cluster *cluster }
 
 func (o outages) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	for ctx.Err() == nil {
-		f := standin.Faults{LoseReply: 0.1, LoseCall: 0.05, Outage: o.site.intN(4) == 0}
-		if err := o.site.platform.SetFaults(f); err != nil {
+		f := standin.Faults{LoseReply: 0.1, LoseCall: 0.05, Outage: o.cluster.intN(4) == 0}
+		if err := o.cluster.platform.SetFaults(f); err != nil {
 			panic(err)
 		}
 		time.Sleep(3 * time.Second)
@@ -221,6 +221,7 @@
 	return nil
 }
 
+// checkResults compares what the callers of one key were told with its runs.
 func checkResults(all []callResult, runs int) error {
 	if runs > 1 {
 		return fmt.Errorf("ran %d times", runs)
@@ -233,7 +234,7 @@
 			denied++
 		case one.outcome != outcome.Ran:
 		case runs == 0:
-			return errors.New("told ran, but did not run")
+			return errors.New("reported as run, but did not run")
 		case body != "" && body != one.body:
 			return errors.New("different answers")
 		default:
@@ -241,7 +242,7 @@
 		}
 	}
 	if runs > 0 && denied == len(all) {
-		return errors.New("denied to all, but ran")
+		return errors.New("reported as not run to all callers, but ran")
 	}
 	return nil
 }
@@ -280,6 +281,6 @@
 
 // Checks that check detects an order that runs twice. The action is not marked
 // as non-idempotent, so each repeat is sent.
-func TestWholePathCheckFindsDoubledOrder(t *testing.T) {
+func TestWholePathCheckFindsOrderRunTwice(t *testing.T) {
 	assert.ErrorContains(t, simulate(t, 1, false).check(), "times")
 }
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -147,20 +147,20 @@
 
 // processCaller repeats one order through the routers until the test ends.
 type processCaller struct {
-	site  *cluster
-	fleet *fleet
-	key   string
+	cluster *cluster
+	fleet   *fleet
+	key     string
 }
 
 func (b *processCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		t := b.order(client, b.fleet.get(b.site.intN(clusterRouters)).address)
-		b.site.mu.Lock()
-		b.site.results[b.key] = append(b.site.results[b.key], t)
-		b.site.mu.Unlock()
-		time.Sleep(time.Duration(b.site.intN(300)) * time.Millisecond)
+		t := b.order(client, b.fleet.get(b.cluster.intN(clusterRouters)).address)
+		b.cluster.mu.Lock()
+		b.cluster.results[b.key] = append(b.cluster.results[b.key], t)
+		b.cluster.mu.Unlock()
+		time.Sleep(time.Duration(b.cluster.intN(300)) * time.Millisecond)
 	}
 }
 
@@ -202,14 +202,14 @@
 		f.set(i, startChild(t, platformServer.URL, desks))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	var buyers sync.WaitGroup
+	var callersDone sync.WaitGroup
 	const rounds = 12
 	for n := range rounds {
 		for range 3 {
 			key := booking(t).Key
 			for range 3 {
-				buyers.Add(1)
-				go (&processCaller{s, f, key}).run(ctx, &buyers)
+				callersDone.Add(1)
+				go (&processCaller{s, f, key}).run(ctx, &callersDone)
 			}
 		}
 		assert.NilError(t, server.SetFaults(standin.Faults{LoseReply: 0.1, Outage: n%4 == 3}))
@@ -225,7 +225,7 @@
 		c.signal(syscall.SIGCONT)
 	}
 	cancel()
-	buyers.Wait()
+	callersDone.Wait()
 	assert.NilError(t, s.check())
 	runs, calls := 0, 0
 	for key, all := range s.results {
--- a/wisteriarouter/service/runner_test.go
+++ b/wisteriarouter/service/runner_test.go
@@ -140,7 +140,7 @@
 
 // One endpoint is unreachable and another refuses. Neither ran the order, so
 // it may be sent to a third.
-func TestCertainlyNotRunGoesOn(t *testing.T) {
+func TestNotRunActionIsSentToNextEndpoint(t *testing.T) {
 	d := newDesk(t, 2)
 	d.addresses = append([]string{closedAddress(t)}, d.addresses...)
 	d.services[0].SetFaults(service.Faults{RefuseNext: 1})
@@ -154,7 +154,7 @@
 
 // All endpoints refuse the order. The caller is told not-run and when to
 // retry, and a repeat with the same key runs.
-func TestDeclinedKeyIsFree(t *testing.T) {
+func TestKeyIsReusableAfterRefusal(t *testing.T) {
 	d := newDesk(t, 1)
 	d.services[0].SetFaults(service.Faults{RefuseNext: 1})
 	a := booking(t)
@@ -168,7 +168,7 @@
 
 // The caller disconnects while its order is running. The answer is recorded
 // nevertheless, so that the repeat gets it.
-func TestHangUpKeepsAnswer(t *testing.T) {
+func TestAnswerIsKeptAfterDisconnect(t *testing.T) {
 	d := newDesk(t, 1)
 	d.services[0].SetFaults(service.Faults{TimeMillis: 200})
 	a := booking(t)
