--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -121,7 +121,7 @@
 // try makes one attempt and reports whether the request has ended.
 func (a *chatRun) try(ctx context.Context) bool {
 	alone := a.tracked.Alone()
-	asked := time.Now()
+	requestedAt := time.Now()
 	place, refusal := a.acquire(ctx)
 	if refusal != nil {
 		a.giveUp(ctx, refusal)
@@ -140,7 +140,7 @@
 	}
 	at := &attempt{id: engine.NewAttempt(place.Endpoint, a.chat.binding), placement: place, startedAt: time.Now()}
 	a.id, a.placement = at.id, place
-	a.logPlacement(at, time.Since(asked))
+	a.logPlacement(at, time.Since(requestedAt))
 	result := a.start(ctx, at)
 	if result == streamOpen {
 		result = a.relayStream(ctx, at)
--- a/wisteriarouter/caller/cancel.go
+++ b/wisteriarouter/caller/cancel.go
@@ -17,8 +17,8 @@
 	go c.run(context.WithoutCancel(ctx))
 }
 
-// cancellation retries the cancelling of one attempt until it succeeds or
-// CancelTimeout has passed.
+// cancellation cancels one attempt, with retries until it succeeds, the
+// endpoint no longer has the attempt, or CancelTimeout has passed.
 type cancellation struct {
 	*Server
 	id        coordination.Attempt
--- a/wisteriarouter/caller/chat.go
+++ b/wisteriarouter/caller/chat.go
@@ -218,8 +218,8 @@
 
 func (c *chat) setDeadline(ms int) {
 	within := c.plan.StartTimeout
-	if asked := time.Duration(min(ms, maxDeadlineMs)) * time.Millisecond; asked > 0 && (within == 0 || asked < within) {
-		within = asked
+	if requested := time.Duration(min(ms, maxDeadlineMs)) * time.Millisecond; requested > 0 && (within == 0 || requested < within) {
+		within = requested
 	}
 	if within > 0 {
 		c.deadline = c.arrived.Add(within)
--- a/wisteriarouter/caller/frozen_test.go
+++ b/wisteriarouter/caller/frozen_test.go
@@ -30,11 +30,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 2, func(s *caller.Server) { s.Planner = longStall{} })
 		begun := time.Now()
-		whole := make(chan received, 1)
-		go asker{f, whole}.run(t.Context())
+		result := make(chan received, 1)
+		go asker{f, result}.run(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		f.engines["e1"].SetFaults(standin.Faults{FreezeMillis: 60000})
-		h := <-whole
+		h := <-result
 		assert.Equal(t, h.problem(1), "")
 		assert.Assert(t, time.Since(begun) < 4*time.Second, "the answer took %v", time.Since(begun))
 		f.waitForCancels()
@@ -59,7 +59,7 @@
 // asker sends one chat and passes on the answer.
 type asker struct {
 	fleet *fleet
-	whole chan<- received
+	result chan<- received
 }
 
-func (a asker) run(ctx context.Context) { a.whole <- a.fleet.ask(ctx, 0, 1, received{}) }
+func (a asker) run(ctx context.Context) { a.result <- a.fleet.ask(ctx, 0, 1, received{}) }
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -264,19 +264,19 @@
 func TestWholePathAtMostOnce(t *testing.T) {
 	const seeds = 20
 	runs := 0
-	told := map[outcome.Outcome]int{}
+	outcomes := map[outcome.Outcome]int{}
 	for seed := range uint64(seeds) {
 		s := simulate(t, seed, true)
 		assert.NilError(t, s.check(), "seed %d", seed)
 		for key, all := range s.results {
 			runs += s.runs(key)
 			for _, one := range all {
-				told[one.outcome]++
+				outcomes[one.outcome]++
 			}
 		}
 	}
-	t.Logf("%d orders, %d ran; told: %v", seeds*clusterKeys, runs, told)
-	assert.Assert(t, runs > 0 && len(told) == 3)
+	t.Logf("%d orders, %d ran; told: %v", seeds*clusterKeys, runs, outcomes)
+	assert.Assert(t, runs > 0 && len(outcomes) == 3)
 }
 
 // Checks that check detects an order that runs twice. The action is not marked
--- a/wisteriarouter/service/sending.go
+++ b/wisteriarouter/service/sending.go
@@ -43,8 +43,8 @@
 	return s
 }
 
-// withStartDeadline returns a context that expires if the action is not sent
-// by its deadline. It does not stop Send, which detaches its context.
+// withStartDeadline returns a context that bounds the time until the action is
+// sent. It does not stop Send, which detaches its context.
 func (s *actionSender) withStartDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if s.deadline.IsZero() {
 		return ctx, func() {}
