--- a/wisteriarouter/caller/frozen_test.go
+++ b/wisteriarouter/caller/frozen_test.go
@@ -58,7 +58,7 @@
 
 // asker sends one chat and passes on the answer.
 type asker struct {
-	fleet *fleet
+	fleet  *fleet
 	result chan<- received
 }
 
