--- a/wisteriarouter/caller/caller_test.go
+++ b/wisteriarouter/caller/caller_test.go
@@ -22,7 +22,8 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// fleet is routers before engines on a network of pipes, in the paused clock.
+// fleet is a number of routers in front of engines, connected by pipes, in a
+// synctest bubble.
 type fleet struct {
 	t       *testing.T
 	network pipe.Network
@@ -32,10 +33,10 @@
 	stops   []func()
 }
 
-// plant changes a router before it serves, to plant a fault.
-type plant func(*caller.Server)
+// faultInjector changes a router before it serves, to inject a fault.
+type faultInjector func(*caller.Server)
 
-func newFleet(t *testing.T, routers, engines int, plants ...plant) *fleet {
+func newFleet(t *testing.T, routers, engines int, injectors ...faultInjector) *fleet {
 	f := &fleet{t: t, engines: make(map[coordination.Endpoint]*standin.Engine)}
 	f.placer = &roundRobin{fleet: f}
 	for n := range engines {
@@ -47,7 +48,7 @@
 	}
 	for n := range routers {
 		s := f.newServer()
-		for _, p := range plants {
+		for _, p := range injectors {
 			p(s)
 		}
 		mux := http.NewServeMux()
@@ -63,18 +64,18 @@
 	client, closeClient := engine.NewClient(engine.Options{DialContext: f.network.DialContext})
 	f.stops = append(f.stops, closeClient)
 	return &caller.Server{
-		Teams:    oneTeam{},
+		Planner:  oneTeam{},
 		Placer:   f.placer,
 		Engines:  client,
 		Suspects: noSuspects{},
-		Retries:  endlessRetries{},
+		Retries:  unlimitedRetries{},
 		Actions:  noActions{},
-		Limits:   caller.Limits{BodyBytes: 1 << 16, WriteTimeout: 5 * time.Second, CancelFor: 15 * time.Second},
+		Limits:   caller.Limits{MaxBodyBytes: 1 << 16, WriteTimeout: 5 * time.Second, CancelTimeout: 15 * time.Second},
 		Metrics:  caller.NewMetrics(prometheus.NewRegistry()),
 	}
 }
 
-// close ends what the fleet started, the last first.
+// close stops everything the fleet started, in reverse order.
 func (f *fleet) close() {
 	for i := len(f.stops) - 1; i >= 0; i-- {
 		f.stops[i]()
@@ -85,7 +86,7 @@
 
 func routerAddress(n int) string { return fmt.Sprintf("r%d:80", n+1) }
 
-// roundRobin places each attempt at the next engine.
+// roundRobin places each attempt at the next engine that is not excluded.
 type roundRobin struct {
 	fleet *fleet
 	mu    sync.Mutex
@@ -93,7 +94,7 @@
 	next  int
 }
 
-func (p *roundRobin) Place(_ context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (p *roundRobin) Place(_ context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range p.ids {
@@ -106,8 +107,8 @@
 	return p.place(p.ids[p.next%len(p.ids)]), nil
 }
 
-func (p *roundRobin) place(id coordination.Endpoint) caller.Place {
-	return caller.Place{
+func (p *roundRobin) place(id coordination.Endpoint) caller.Placement {
+	return caller.Placement{
 		Endpoint:    id,
 		Incarnation: coordination.Incarnation(p.fleet.engines[id].Incarnation()),
 		Address:     address(id),
@@ -116,7 +117,9 @@
 	}
 }
 
-func (p *roundRobin) Adopt(id coordination.Endpoint) (caller.Place, bool) { return p.place(id), true }
+func (p *roundRobin) Adopt(id coordination.Endpoint) (caller.Placement, bool) {
+	return p.place(id), true
+}
 
 func (p *roundRobin) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
@@ -140,7 +143,7 @@
 	if model != "m" {
 		return caller.Plan{}, unknown(outcome.UnknownModel)
 	}
-	return caller.Plan{Pool: "m", Stall: time.Second, MaxTokens: 4096}, nil
+	return caller.Plan{Pool: "m", StallTimeout: time.Second, MaxTokens: 4096}, nil
 }
 
 func unknown(code outcome.Code) *outcome.Refusal {
@@ -149,7 +152,7 @@
 
 type noSuspects struct{}
 
-func (noSuspects) Follow(context.Context, uint64, coordination.Pool) (caller.Trail, *outcome.Refusal) {
+func (noSuspects) Track(context.Context, uint64, coordination.Pool) (caller.TrackedRequest, *outcome.Refusal) {
 	return noSuspects{}, nil
 }
 
@@ -165,10 +168,10 @@
 
 func (noSuspects) End(bool) {}
 
-type endlessRetries struct{}
+type unlimitedRetries struct{}
 
-func (endlessRetries) Request(coordination.Team)   {}
-func (endlessRetries) Take(coordination.Team) bool { return true }
+func (unlimitedRetries) RecordRequest(coordination.Team) {}
+func (unlimitedRetries) Take(coordination.Team) bool     { return true }
 
 type noActions struct{}
 
@@ -176,28 +179,28 @@
 	return caller.Answer{}, unknown(outcome.UnknownService)
 }
 
-// heard is what a caller heard of one request.
-type heard struct {
-	text    string
-	offset  int
-	lastID  string
-	whole   bool
-	outcome string
-	status  int
-	header  http.Header
-	body    string
+// received is what a caller has received of one answer.
+type received struct {
+	text     string
+	offset   int
+	lastID   string
+	complete bool
+	outcome  string
+	status   int
+	header   http.Header
+	body     string
 }
 
-// words returns a message that no other chat sends.
-func words(n int) string { return fmt.Sprintf("chat %d asks for %d copies of side %d", n, n*7, n%2) }
+// prompt returns the message of chat n, which no other chat sends.
+func prompt(n int) string { return fmt.Sprintf("chat %d asks for %d copies of side %d", n, n*7, n%2) }
 
-func want(n int) string {
-	return standin.Answer([]standin.Message{{Role: "user", Content: standin.Content(words(n))}}, 0)
+func expectedAnswer(n int) string {
+	return standin.Answer([]standin.Message{{Role: "user", Content: standin.Content(prompt(n))}}, 0)
 }
 
-// ask sends chat n through a router, going on behind what was heard before.
-func (f *fleet) ask(ctx context.Context, router, n int, before heard) heard {
-	body := fmt.Sprintf(`{"model":"m","stream":true,"partial":%q,"messages":[{"role":"user","content":%q}]}`, before.text, words(n))
+// ask sends chat n to a router, to continue after the part received before.
+func (f *fleet) ask(ctx context.Context, router, n int, before received) received {
+	body := fmt.Sprintf(`{"model":"m","stream":true,"partial":%q,"messages":[{"role":"user","content":%q}]}`, before.text, prompt(n))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+routerAddress(router)+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		f.t.Error(err)
@@ -220,8 +223,8 @@
 	return before.read(res)
 }
 
-// read takes in the events of a stream for as long as they come.
-func (h heard) read(res *http.Response) heard {
+// read adds the events of a stream until it ends or breaks.
+func (h received) read(res *http.Response) received {
 	for e, err := range sse.Read(res.Body, nil) {
 		if err != nil {
 			break
@@ -232,15 +235,15 @@
 		case e.Type == "error":
 			h.body = e.Data
 		case e.Data == "[DONE]":
-			h.whole = true
+			h.complete = true
 		default:
-			h.take(e)
+			h.addEvent(e)
 		}
 	}
 	return h
 }
 
-func (h *heard) take(e sse.Event) {
+func (h *received) addEvent(e sse.Event) {
 	id, err := engine.ParseEventID(e.LastEventID)
 	if err != nil {
 		h.body = err.Error()
@@ -254,18 +257,19 @@
 	}
 }
 
-// problem tells what is wrong with the answer to chat n, or nothing.
-func (h heard) problem(n int) string {
-	expected := want(n)
+// problem describes what is wrong with the answer to chat n. It returns the
+// empty string for a correct one.
+func (h received) problem(n int) string {
+	expected := expectedAnswer(n)
 	switch {
-	case !h.whole:
-		return fmt.Sprintf("chat %d: not whole: status %d, outcome %q, error %q, %d tokens", n, h.status, h.outcome, h.body, h.offset)
+	case !h.complete:
+		return fmt.Sprintf("chat %d: incomplete: status %d, outcome %q, error %q, %d tokens", n, h.status, h.outcome, h.body, h.offset)
 	case h.text != expected:
 		return fmt.Sprintf("chat %d: got %q, want %q", n, h.text, expected)
 	case h.offset != len(strings.Fields(expected)):
 		return fmt.Sprintf("chat %d: last offset %d of %d", n, h.offset, len(strings.Fields(expected)))
 	case h.outcome == "" || !strings.Contains(h.outcome, `"ran"`):
-		return fmt.Sprintf("chat %d: whole, but outcome %q", n, h.outcome)
+		return fmt.Sprintf("chat %d: complete, but outcome %q", n, h.outcome)
 	}
 	return ""
 }
--- a/wisteriarouter/caller/path_bench_test.go
+++ b/wisteriarouter/caller/path_bench_test.go
@@ -27,12 +27,13 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// plainEngine streams answers of a fixed text, so that a benchmark measures the
-// way and not the model. Each chunk says in "created" when it was sent.
+// plainEngine streams answers of a fixed text, so that a benchmark measures
+// the path and not the model. The "created" field of a chunk is the time at
+// which it was sent, in Unix nanoseconds.
 type plainEngine struct {
-	tokens int           // length of an answer
-	pace   time.Duration // time between tokens; zero for as fast as they are read
-	hold   chan struct{} // if set, answers do not end before it is closed
+	tokens int           // number of tokens in an answer
+	pace   time.Duration // time between tokens; zero for no limit
+	hold   chan struct{} // if set, answers continue until it is closed
 }
 
 func (e plainEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +42,7 @@
 	f := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	n := 0
-	for e.goesOn(n) {
+	for e.waitNext(n) {
 		n++
 		fmt.Fprintf(w, "id: %s.%d\ndata: {\"id\":\"c\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word \"},\"finish_reason\":null}]}\n\n", id, n, time.Now().UnixNano())
 		_ = f.Flush()
@@ -49,8 +50,9 @@
 	fmt.Fprintf(w, "id: %s.%d\ndata: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id, n)
 }
 
-// goesOn reports whether another token follows the first n, when it is due.
-func (e plainEngine) goesOn(n int) bool {
+// waitNext waits until the token after the first n is due. It reports whether
+// there is one.
+func (e plainEngine) waitNext(n int) bool {
 	if n == 0 {
 		return true
 	}
@@ -72,63 +74,66 @@
 	return n < e.tokens
 }
 
-// patientTeam is oneTeam with endpoints that may be silent for long: an idle
-// stream must not be taken for lost.
+// patientTeam is oneTeam with a long stall timeout, so that an idle stream is
+// not treated as lost.
 type patientTeam struct{ oneTeam }
 
 func (t patientTeam) PlanChat(team coordination.Team, a coordination.Account, m coordination.Model, p coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	plan, refusal := t.oneTeam.PlanChat(team, a, m, p)
-	plan.Stall = time.Hour
+	plan.StallTimeout = time.Hour
 	plan.MaxTokens = 1 << 20
 	return plan, refusal
 }
 
-// onePlace places everything at one address.
+// onePlace places all attempts at one address.
 type onePlace string
 
-func (p onePlace) Place(context.Context, caller.Want) (caller.Place, *outcome.Refusal) {
-	return caller.Place{Endpoint: "e1", Address: string(p), Release: func() {}}, nil
+func (p onePlace) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+	return caller.Placement{Endpoint: "e1", Address: string(p), Release: func() {}}, nil
 }
 
-func (p onePlace) Adopt(coordination.Endpoint) (caller.Place, bool) { return caller.Place{}, false }
+func (p onePlace) Adopt(coordination.Endpoint) (caller.Placement, bool) {
+	return caller.Placement{}, false
+}
 
 func (p onePlace) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
 func (p onePlace) Leaving(coordination.Endpoint, coordination.Incarnation) {}
 
-// way is one way to an engine.
-type way struct {
+// route is a path to an engine.
+type route struct {
 	name    string
 	address string
 }
 
-// newWays returns the ways to an engine: without and with a router.
-func newWays(tb testing.TB, e plainEngine) []way {
+// newRoutes returns the routes to an engine: direct and through a router.
+func newRoutes(tb testing.TB, e plainEngine) []route {
 	backend := httptest.NewServer(e)
 	tb.Cleanup(backend.Close)
 	direct := strings.TrimPrefix(backend.URL, "http://")
 	client, closeClient := engine.NewClient(engine.Options{})
 	tb.Cleanup(closeClient)
 	s := &caller.Server{
-		Teams: patientTeam{}, Placer: onePlace(direct), Engines: client, Suspects: noSuspects{},
-		Retries: endlessRetries{}, Actions: noActions{},
-		Limits:  caller.Limits{BodyBytes: 1 << 20, WriteTimeout: time.Minute, CancelFor: time.Second},
+		Planner: patientTeam{}, Placer: onePlace(direct), Engines: client, Suspects: noSuspects{},
+		Retries: unlimitedRetries{}, Actions: noActions{},
+		Limits:  caller.Limits{MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute, CancelTimeout: time.Second},
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
 	}
 	mux := http.NewServeMux()
 	s.Register(humago.New(mux, huma.DefaultConfig("bench", "0")))
 	front := httptest.NewServer(mux)
 	tb.Cleanup(front.Close)
-	return []way{{"direct", direct}, {"routed", strings.TrimPrefix(front.URL, "http://")}}
+	return []route{{"direct", direct}, {"routed", strings.TrimPrefix(front.URL, "http://")}}
 }
 
 const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"a quote for 300 copies"}]}`
 
-// benchClient keeps connections, so that a benchmark does not measure dialling.
+// benchClient reuses connections, so that a benchmark does not measure
+// dialing.
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}
 
-// open asks for one answer.
-func (w way) open() (io.ReadCloser, error) {
+// open requests one answer.
+func (w route) open() (io.ReadCloser, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.address+"/v1/chat/completions", strings.NewReader(benchBody))
 	if err != nil {
 		return nil, err
@@ -148,12 +153,13 @@
 	return res.Body, nil
 }
 
-// BenchmarkPath compares the way through a router with the engine alone, in
-// one run. All sides share the process, so that the difference is the router's.
-// Answers of one token show what a request costs, long ones what a token costs.
+// BenchmarkPath compares the route through a router with the direct one in the
+// same run. All sides share the process, so that the difference is the cost of
+// the router. Answers of one token show the cost of a request, those of 300
+// tokens that of a token.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 300} {
-		for _, w := range newWays(b, plainEngine{tokens: tokens}) {
+		for _, w := range newRoutes(b, plainEngine{tokens: tokens}) {
 			b.Run(fmt.Sprintf("tokens=%d/%s", tokens, w.name), func(b *testing.B) {
 				b.ReportAllocs()
 				before := processorTime()
@@ -171,21 +177,21 @@
 	}
 }
 
-// reading is one open stream of a benchmark.
-type reading struct {
-	tb     testing.TB
-	way    way
-	begun  *sync.WaitGroup
-	first  time.Duration   // from the request to the first token
-	behind []time.Duration // of each token, from the engine to the caller
+// streamReader reads one stream of a benchmark.
+type streamReader struct {
+	tb      testing.TB
+	route   route
+	started *sync.WaitGroup
+	first   time.Duration   // time from the request to the first token
+	lags    []time.Duration // time from the engine to the caller, of each token
 }
 
-func (r *reading) run() {
+func (r *streamReader) run() {
 	start := time.Now()
-	body, err := r.way.open()
+	body, err := r.route.open()
 	if err != nil {
 		r.tb.Error(err)
-		r.begun.Done()
+		r.started.Done()
 		return
 	}
 	defer body.Close()
@@ -197,53 +203,53 @@
 		}
 		text, _, _ := strings.Cut(rest, ",")
 		sent, _ := strconv.ParseInt(text, 10, 64)
-		r.behind = append(r.behind, time.Since(time.Unix(0, sent)))
-		if len(r.behind) == 1 {
+		r.lags = append(r.lags, time.Since(time.Unix(0, sent)))
+		if len(r.lags) == 1 {
 			r.first = time.Since(start)
-			r.begun.Done()
+			r.started.Done()
 		}
 	}
 }
 
-// readings are streams that run at once.
-type readings struct {
-	all   []*reading
-	begun sync.WaitGroup // all have their first token
-	ended sync.WaitGroup
+// streamReaders are concurrent streams.
+type streamReaders struct {
+	all     []*streamReader
+	started sync.WaitGroup // done when all streams have their first token
+	ended   sync.WaitGroup
 }
 
-func newReadings(tb testing.TB, w way, n int) *readings {
-	rs := &readings{}
-	rs.begun.Add(n)
+func newStreamReaders(tb testing.TB, w route, n int) *streamReaders {
+	rs := &streamReaders{}
+	rs.started.Add(n)
 	for range n {
-		r := &reading{tb: tb, way: w, begun: &rs.begun}
+		r := &streamReader{tb: tb, route: w, started: &rs.started}
 		rs.all = append(rs.all, r)
 		rs.ended.Go(r.run)
 	}
 	return rs
 }
 
-// quantile returns the value below which share of all lies, in microseconds.
+// quantile returns the given quantile of all, in microseconds.
 func quantile(all []time.Duration, share float64) float64 {
 	slices.Sort(all)
 	return float64(all[int(share*float64(len(all)-1))].Nanoseconds()) / 1e3
 }
 
-// BenchmarkPaced has 200 streams go on at 40 tokens/s each: 8,000 tokens/s, what
-// one of 330 routers carries at the target. It reports how far callers are
-// behind the engine, and the processor time of all sides for each token.
+// BenchmarkPaced runs 200 streams at 40 tokens/s each: 8,000 tokens/s, the
+// share of one of 330 routers at the target load. It reports the delay from
+// engine to caller, and the CPU time of all sides for each token.
 func BenchmarkPaced(b *testing.B) {
 	const streams, tokens = 200, 80
-	for _, w := range newWays(b, plainEngine{tokens: tokens, pace: 25 * time.Millisecond}) {
+	for _, w := range newRoutes(b, plainEngine{tokens: tokens, pace: 25 * time.Millisecond}) {
 		b.Run(w.name, func(b *testing.B) {
 			var first, behind []time.Duration
 			before := processorTime()
 			for b.Loop() {
-				rs := newReadings(b, w, streams)
+				rs := newStreamReaders(b, w, streams)
 				rs.ended.Wait()
 				for _, r := range rs.all {
 					first = append(first, r.first)
-					behind = append(behind, r.behind...)
+					behind = append(behind, r.lags...)
 				}
 			}
 			used := processorTime() - before
@@ -255,10 +261,11 @@
 	}
 }
 
-// BenchmarkOpenStreams reports the memory that an open stream costs: the
-// engine's and the caller's sides alone, and with a router between them. Idle
-// streams have had one token; active ones get 40 a second. It is for
-// -benchtime=1x: streams stay open until both ways have been measured.
+// BenchmarkOpenStreams reports the memory of an open stream: that of the
+// engine and the caller alone, and with a router between them. Idle streams
+// have received one token; active ones receive 40 tokens/s. It must be run
+// with -benchtime=1x, because streams stay open until both routes have been
+// measured.
 func BenchmarkOpenStreams(b *testing.B) {
 	const open = 1000
 	for _, kind := range []struct {
@@ -266,14 +273,14 @@
 		pace time.Duration
 	}{{name: "idle"}, {name: "active", pace: 25 * time.Millisecond}} {
 		hold := make(chan struct{})
-		var opened []*readings
-		for _, w := range newWays(b, plainEngine{hold: hold, pace: kind.pace}) {
+		var opened []*streamReaders
+		for _, w := range newRoutes(b, plainEngine{hold: hold, pace: kind.pace}) {
 			b.Run(kind.name+"/"+w.name, func(b *testing.B) {
 				for b.Loop() {
 					before := memory()
-					rs := newReadings(b, w, open)
+					rs := newStreamReaders(b, w, open)
 					opened = append(opened, rs)
-					rs.begun.Wait()
+					rs.started.Wait()
 					time.Sleep(time.Second)
 					b.ReportMetric(float64(memory()-before)/open/1024, "KiB/stream")
 				}
@@ -286,7 +293,7 @@
 	}
 }
 
-// memory returns the bytes of live heap and of stacks.
+// memory returns the size of the live heap and of stacks in use, in bytes.
 func memory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -294,7 +301,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// processorTime returns what the process has used of all processors.
+// processorTime returns the CPU time of the process, user and system.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/wisteriarouter/caller/sink.go
+++ b/wisteriarouter/caller/sink.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// Names of the answer headers.
+// Names of response headers.
 const (
 	headerHint       = "X-Route-Hint"
 	headerAttempt    = "X-Attempt-Id"
@@ -22,27 +22,28 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// errSink is the error of a sink whose caller takes nothing any more.
-var errSink = errors.New("caller: connection lost")
+// errCallerDisconnected is the error of a sink whose caller has disconnected
+// or stopped reading.
+var errCallerDisconnected = errors.New("caller: connection lost")
 
-// sink is where an answer goes.
-type sink interface {
-	// chunk passes on one chunk of the answer.
+// responseSink writes the answer to a caller.
+type responseSink interface {
+	// chunk writes one chunk of the answer.
 	chunk(id coordination.Attempt, c engine.Chunk) error
-	// finish ends a whole answer.
-	finish(id coordination.Attempt, end closing)
-	// refuse ends the request without a whole answer.
+	// finish ends a complete answer.
+	finish(id coordination.Attempt, end outcomeEvent)
+	// refuse ends the request without a complete answer.
 	refuse(r *outcome.Refusal)
 }
 
-// closing is the data of the outcome event that ends a stream.
-type closing struct {
+// outcomeEvent is the data of the outcome event that ends a stream.
+type outcomeEvent struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	Hint    string          `json:"route_hint,omitempty"`
 }
 
-// writer writes to one caller and gives up on one that stops reading, whose
-// answer would otherwise hold its place for ever.
+// writer writes to one caller with a time limit for each write. A caller that
+// stops reading would otherwise hold its placement forever.
 type writer struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -51,8 +52,8 @@
 
 func newWriter(w http.ResponseWriter, timeout time.Duration) writer {
 	c := http.NewResponseController(w)
-	// The limit for reading the body must not end the connection while the
-	// answer runs: the server would take the caller for gone.
+	// The read deadline set for the body must not expire during the answer:
+	// the server would treat the caller as disconnected.
 	_ = c.SetReadDeadline(time.Time{})
 	return writer{w: w, control: c, timeout: timeout}
 }
@@ -60,15 +61,15 @@
 func (w writer) write(text []byte) error {
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout))
 	if _, err := w.w.Write(text); err != nil {
-		return fmt.Errorf("%w: %w", errSink, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	if err := w.control.Flush(); err != nil {
-		return fmt.Errorf("%w: %w", errSink, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
 
-// refuse sends a refusal as the whole answer.
+// refuse writes a refusal as the whole response.
 func (w writer) refuse(r *outcome.Refusal) {
 	h := w.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -78,7 +79,8 @@
 	_ = w.write([]byte(marshal(r.Envelope()) + "\n"))
 }
 
-// marshal encodes values whose types cannot fail to encode.
+// marshal encodes a value of a type that always encodes. It panics on an
+// error.
 func marshal(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -87,18 +89,18 @@
 	return string(data)
 }
 
-// streamSink writes server-sent events.
+// streamSink writes the answer as server-sent events.
 type streamSink struct {
 	writer
-	begun bool
-	event []byte // the last event, whose space serves the next one
+	started bool
+	buf     []byte // last event, reused for the next one
 }
 
 func (s *streamSink) begin(id coordination.Attempt) {
-	if s.begun {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -108,29 +110,29 @@
 
 func (s *streamSink) chunk(id coordination.Attempt, c engine.Chunk) error {
 	s.begin(id)
-	e := append(s.event[:0], "id: "...)
+	e := append(s.buf[:0], "id: "...)
 	e = engine.EventID{Attempt: id, Offset: c.Offset}.Append(e)
 	e = append(e, "\ndata: "...)
 	e = append(e, c.Data...)
-	s.event = append(e, "\n\n"...)
-	return s.write(s.event)
+	s.buf = append(e, "\n\n"...)
+	return s.write(s.buf)
 }
 
-func (s *streamSink) finish(id coordination.Attempt, end closing) {
+func (s *streamSink) finish(id coordination.Attempt, end outcomeEvent) {
 	s.begin(id)
 	_ = s.write([]byte("event: outcome\ndata: " + marshal(end) + "\n\ndata: [DONE]\n\n"))
 }
 
 func (s *streamSink) refuse(r *outcome.Refusal) {
-	if !s.begun {
+	if !s.started {
 		s.writer.refuse(r)
 		return
 	}
-	_ = s.write([]byte("event: error\ndata: " + marshal(r.Envelope()) + "\n\nevent: outcome\ndata: " + marshal(closing{Outcome: r.Outcome}) + "\n\n"))
+	_ = s.write([]byte("event: error\ndata: " + marshal(r.Envelope()) + "\n\nevent: outcome\ndata: " + marshal(outcomeEvent{Outcome: r.Outcome}) + "\n\n"))
 }
 
-// wholeSink gathers the answer and writes it as one JSON object.
-type wholeSink struct {
+// jsonSink collects the answer and writes it as one JSON object.
+type jsonSink struct {
 	writer
 	model  string
 	text   strings.Builder
@@ -138,7 +140,7 @@
 	usage  engine.Usage
 }
 
-func (s *wholeSink) chunk(_ coordination.Attempt, c engine.Chunk) error {
+func (s *jsonSink) chunk(_ coordination.Attempt, c engine.Chunk) error {
 	s.text.WriteString(c.Text)
 	if c.Finish != "" {
 		s.reason = c.Finish
@@ -149,7 +151,7 @@
 	return nil
 }
 
-func (s *wholeSink) finish(id coordination.Attempt, end closing) {
+func (s *jsonSink) finish(id coordination.Attempt, end outcomeEvent) {
 	h := s.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(outcome.Header, end.Outcome.String())
@@ -158,7 +160,7 @@
 	_ = s.write([]byte(marshal(s.completion(id)) + "\n"))
 }
 
-// completion is an OpenAI-compatible answer.
+// completion is an OpenAI-compatible chat completion.
 type completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -185,7 +187,7 @@
 	Cached coordination.Tokens `json:"cached_tokens"`
 }
 
-func (s *wholeSink) completion(id coordination.Attempt) completion {
+func (s *jsonSink) completion(id coordination.Attempt) completion {
 	return completion{
 		ID:      string(id),
 		Object:  "chat.completion",
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -69,7 +69,6 @@
 	return all
 }
 
-
 // AssignedPools implements [order.Pools]. It returns the pools of which this router is
 // the root and for which at least one team has set something to load.
 func (o *poolOrders) AssignedPools() []coordination.Pool {
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -279,7 +279,7 @@
 }
 
 // Place implements caller.Placer.
-func (p *placer) Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal) {
+func (p *placer) Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	req := placement.Request{
 		Pool:     w.Pool,
 		Key:      keyOf(w),
@@ -291,15 +291,15 @@
 	}
 	g, k, refusal := p.acquire(ctx, req, w.Deadline)
 	if refusal != nil {
-		return caller.Place{}, refusal
+		return caller.Placement{}, refusal
 	}
-	return caller.Place{
-		Endpoint:    k.ID,
-		Incarnation: g.Endpoint.Incarnation,
-		Address:     k.Address,
-		Hint:        g.Hint().String(),
-		Release:     g.Release,
-		Lost:        lo.Map(g.Lost, func(l placement.LostEndpoint, _ int) coordination.Endpoint { return l.Endpoint }),
+	return caller.Placement{
+		Endpoint:      k.ID,
+		Incarnation:   g.Endpoint.Incarnation,
+		Address:       k.Address,
+		Hint:          g.Hint().String(),
+		Release:       g.Release,
+		DeadEndpoints: lo.Map(g.Lost, func(l placement.LostEndpoint, _ int) coordination.Endpoint { return l.Endpoint }),
 	}, nil
 }
 
@@ -327,7 +327,7 @@
 // keyOf returns the key by which a request is assigned to an endpoint: the
 // client account and the chat, or the content's fingerprint for a request
 // without a chat.
-func keyOf(w caller.Want) placement.Key {
+func keyOf(w caller.PlacementRequest) placement.Key {
 	if w.Chat == "" {
 		return placement.Key(w.Fingerprint)
 	}
@@ -355,12 +355,12 @@
 
 // Adopt implements caller.Placer. The attempt already runs at its endpoint and
 // is counted there by the endpoint's load report, so it needs no new grant.
-func (p *placer) Adopt(id coordination.Endpoint) (caller.Place, bool) {
+func (p *placer) Adopt(id coordination.Endpoint) (caller.Placement, bool) {
 	k, ok := p.directory.Find(id)
 	if !ok {
-		return caller.Place{}, false
+		return caller.Placement{}, false
 	}
-	return caller.Place{
+	return caller.Placement{
 		Endpoint:    id,
 		Incarnation: k.Incarnation,
 		Address:     k.Address,
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -69,7 +69,7 @@
 
 // Follow implements relay.CrashGuard.
 func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.TrackedRequest, *outcome.Refusal) {
-	t, refusal := s.crashSuspicion.Follow(ctx, fingerprint, p)
+	t, refusal := s.crashSuspicion.Track(ctx, fingerprint, p)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Follow implements [caller.Suspects].
-func (s *crashSuspicion) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (caller.Trail, *outcome.Refusal) {
+// Track implements [caller.SuspectTracker].
+func (s *crashSuspicion) Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (caller.TrackedRequest, *outcome.Refusal) {
 	f, refusal := s.guard.Begin(ctx, suspicion.Fingerprint(fingerprint), p)
 	if f == nil {
 		return nil, s.newRefusal(refusal, fingerprint)
@@ -172,7 +172,7 @@
 	}
 }
 
-// requestTracker implements [caller.Trail].
+// requestTracker implements [caller.TrackedRequest].
 type requestTracker struct {
 	*crashSuspicion
 	tracked     *suspicion.TrackedRequest
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -145,7 +145,7 @@
 	return team, nil
 }
 
-// PlanChat implements [caller.Teams].
+// PlanChat implements [caller.ChatPlanner].
 func (t *teamSettings) PlanChat(name coordination.Team, account coordination.Account, model coordination.Model, want coordination.Priority) (caller.Plan, *outcome.Refusal) {
 	team, refusal := t.find(name, account)
 	if refusal != nil {
@@ -156,10 +156,10 @@
 		return caller.Plan{}, unknownRefusal(outcome.UnknownModel, "team %q has no model %q", name, model)
 	}
 	return caller.Plan{
-		Pool:        m.Pool(),
-		Priority:    team.Priority(want, want != 0),
-		StartWithin: team.Deadline(),
-		Stall:       m.StallTimeout,
-		MaxTokens:   m.MaxTokens,
+		Pool:         m.Pool(),
+		Priority:     team.Priority(want, want != 0),
+		StartTimeout: team.Deadline(),
+		StallTimeout: m.StallTimeout,
+		MaxTokens:    m.MaxTokens,
 	}, nil
 }
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -69,17 +69,18 @@
 }
 
 // teamRetries holds a retry budget for each team, with the share from its
-// settings. It implements caller.Retries.
+
+// settings. It implements caller.RetryBudget.
 type teamRetries struct {
 	replica *settings.Replica
 	mu      sync.Mutex
 	budgets map[coordination.Team]*retry.Budget
 }
 
-// Request implements caller.Retries.
-func (r *teamRetries) Request(team coordination.Team) { r.budget(team).RecordRequest() }
+// RecordRequest implements caller.RetryBudget.
+func (r *teamRetries) RecordRequest(team coordination.Team) { r.budget(team).RecordRequest() }
 
-// Take implements caller.Retries.
+// Take implements caller.RetryBudget.
 func (r *teamRetries) Take(team coordination.Team) bool { return r.budget(team).Take() }
 
 // retryBurst is the number of retries that a team may make at once: the streams
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -24,51 +24,51 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// site is a whole fleet in one process: stand-ins of the platform and of an
-// order desk, and routers, which talk HTTP over pipes.
-type site struct {
+// cluster is a whole deployment in one process: stand-ins of the platform and
+// of an order service, and routers, connected by pipes.
+type cluster struct {
 	network   pipe.Network
 	platform  *standin.Server
 	desks     []*service.Service
-	addresses []string // of the desks, and one where nobody listens
+	addresses []string // of the desks, and one at which nothing listens
 	routers   []*router.Runner
 	cleanups  []func()
 
 	nonIdempotent bool
 
-	mu     sync.Mutex
-	random *rand.Rand
-	told   map[string][]told // by key
+	mu      sync.Mutex
+	random  *rand.Rand
+	results map[string][]callResult // by key
 }
 
-// told is what a caller was told of one try.
-type told struct {
+// callResult is what a caller was told about one call.
+type callResult struct {
 	outcome outcome.Outcome
-	body    string // of an answer
+	body    string // empty for a refusal
 }
 
 const (
-	siteRouters = 3
-	siteDesks   = 2
-	siteKeys    = 5
-	keyCallers  = 4
-	callerTries = 5
+	clusterRouters = 3
+	clusterDesks   = 2
+	clusterKeys    = 5
+	keyCallers     = 4
+	callerTries    = 5
 )
 
-func newSite(seed uint64) *site {
-	s := &site{random: rand.New(rand.NewPCG(seed, seed)), told: map[string][]told{}}
+func newCluster(seed uint64) *cluster {
+	s := &cluster{random: rand.New(rand.NewPCG(seed, seed)), results: map[string][]callResult{}}
 	server, stop := standin.New(standin.Options{Seed: seed})
 	s.platform = server
 	s.cleanups = append(s.cleanups, s.network.Serve("platform:80", server), stop)
-	for i := range siteDesks {
+	for i := range clusterDesks {
 		desk, stop := service.New(service.Options{Seed: seed + uint64(i), Time: 20 * time.Millisecond})
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.2})
 		s.desks = append(s.desks, desk)
 		s.addresses = append(s.addresses, deskAddress(i))
 		s.cleanups = append(s.cleanups, s.network.Serve(deskAddress(i), desk), stop)
 	}
-	s.addresses = append(s.addresses, deskAddress(siteDesks))
-	for i := range siteRouters {
+	s.addresses = append(s.addresses, deskAddress(clusterDesks))
+	for i := range clusterRouters {
 		s.addRouter(i)
 	}
 	return s
@@ -76,103 +76,105 @@
 
 func deskAddress(i int) string { return fmt.Sprintf("desk-%d:80", i) }
 
-func (s *site) addRouter(i int) {
+func (s *cluster) addRouter(i int) {
 	store, closeStore, err := platform.New(platform.Config{Endpoints: []string{"http://platform:80"}, DialContext: s.network.DialContext})
 	if err != nil {
 		panic(err)
 	}
 	client, closeClient := router.NewClient(router.Options{DialContext: s.network.DialContext})
 	ledger, stop := execution.New(execution.Config{
-		Store:  freezing{store, s},
+		Store:  freezingStore{store, s},
 		Holder: coordination.Instance(fmt.Sprint("r", i)),
 	})
-	s.routers = append(s.routers, &router.Runner{Plans: s, Placer: s, Retries: s, Client: client, Ledger: ledger})
+	s.routers = append(s.routers, &router.Runner{Planner: s, Placer: s, Retries: s, Client: client, Ledger: ledger})
 	s.cleanups = append(s.cleanups, closeStore, closeClient, stop)
 }
 
-// stop ends everything, the parts made last first.
-func (s *site) stop() {
+// stop stops everything in reverse order of creation.
+func (s *cluster) stop() {
 	for i := range s.cleanups {
 		s.cleanups[len(s.cleanups)-1-i]()
 	}
 }
 
-func (s *site) intN(n int) int {
+func (s *cluster) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// freezing holds up a router now and then before or after a call to the
-// platform, for longer than it may wait with a dispatch.
-type freezing struct {
+// freezingStore delays some calls to the platform, before or after they run,
+// for longer than the dispatch limit.
+type freezingStore struct {
 	execution.Store
-	site *site
+	cluster *cluster
 }
 
-func (f freezing) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
+func (f freezingStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	f.freeze()
 	defer f.freeze()
 	return f.Store.CompareAndSwap(context.WithoutCancel(ctx), key, value, expect, lease)
 }
 
-func (f freezing) freeze() {
-	if f.site.intN(100) < 3 {
+func (f freezingStore) freeze() {
+	if f.cluster.intN(100) < 3 {
 		time.Sleep(2 * execution.DefaultDispatchLimit)
 	}
 }
 
-func (s *site) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) {
+func (s *cluster) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) {
 	return router.Plan{Pool: "orders", Timeout: 5 * time.Second, NonIdempotent: s.nonIdempotent}, nil
 }
 
-// Place places at a random desk, or where nobody listens.
-func (s *site) Place(context.Context, caller.Want) (caller.Place, *outcome.Refusal) {
-	return caller.Place{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
+// Place places at a random desk, or at the address at which nothing listens.
+func (s *cluster) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+	return caller.Placement{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
 }
 
-func (s *site) Leaving(coordination.Endpoint, coordination.Incarnation) {}
-func (s *site) Request(coordination.Team)                               {}
-func (s *site) Take(coordination.Team) bool                             { return true }
+func (s *cluster) Leaving(coordination.Endpoint, coordination.Incarnation) {}
+func (s *cluster) RecordRequest(coordination.Team)                         {}
+func (s *cluster) Take(coordination.Team) bool                             { return true }
 
-// label repeats one order through one router after the other.
-type label struct {
-	site   *site
-	action caller.Action
+// repeatingCaller repeats one order, each time through a random router.
+type repeatingCaller struct {
+	cluster *cluster
+	action  caller.Action
 }
 
-func (l *label) run(ctx context.Context, done *sync.WaitGroup) {
+func (l *repeatingCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
-	s := l.site
+	s := l.cluster
 	for range callerTries {
-		ans, refusal := s.routers[s.intN(siteRouters)].Run(ctx, l.action)
-		t := told{outcome: ans.Outcome, body: string(ans.Body)}
+		ans, refusal := s.routers[s.intN(clusterRouters)].Run(ctx, l.action)
+		t := callResult{outcome: ans.Outcome, body: string(ans.Body)}
 		if refusal != nil {
-			t = told{outcome: refusal.Outcome}
+			t = callResult{outcome: refusal.Outcome}
 		}
 		s.mu.Lock()
-		s.told[l.action.Key] = append(s.told[l.action.Key], t)
+		s.results[l.action.Key] = append(s.results[l.action.Key], t)
 		s.mu.Unlock()
 		time.Sleep(time.Duration(s.intN(10000)) * time.Millisecond)
 	}
 }
 
-// outages takes the platform down and up again, and loses its answers.
-type outages struct{ site *site }
+// outages switches the platform off and on, and loses some of its calls and
+// replies.
+type outages struct{ cluster *cluster }
 
 func (o outages) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	for ctx.Err() == nil {
-		f := standin.Faults{LoseReply: 0.1, LoseCall: 0.05, Outage: o.site.intN(4) == 0}
-		if err := o.site.platform.SetFaults(f); err != nil {
+		f := standin.Faults{LoseReply: 0.1, LoseCall: 0.05, Outage: o.cluster.intN(4) == 0}
+		if err := o.cluster.platform.SetFaults(f); err != nil {
 			panic(err)
 		}
 		time.Sleep(3 * time.Second)
 	}
 }
 
-// order returns an action whose key does not carry its time: the library takes
-// the time of UUIDs from the last one that it made, outside the paused clock.
+// order returns an action whose key carries no time. UUIDs cannot be used: the
+// library derives their time from the previous one it made, outside the
+// synctest bubble.
 func order(i int) caller.Action {
 	key := fmt.Sprint("order-", i)
 	return caller.Action{
@@ -181,43 +183,46 @@
 	}
 }
 
-// simulate runs orders against a site, and returns it when all is over.
-func simulate(t *testing.T, seed uint64, nonIdempotent bool) *site {
+// simulate runs orders against a cluster, and returns it when all calls have
+// ended.
+func simulate(t *testing.T, seed uint64, nonIdempotent bool) *cluster {
 	t.Helper()
-	var s *site
+	var s *cluster
 	synctest.Test(t, func(t *testing.T) {
-		s = newSite(seed)
+		s = newCluster(seed)
 		s.nonIdempotent = nonIdempotent
 		defer s.stop()
 		ctx, cancel := context.WithCancel(t.Context())
-		var weather, labels sync.WaitGroup
-		weather.Add(1)
-		go outages{s}.run(ctx, &weather)
-		for i := range siteKeys {
+		var outagesDone, callersDone sync.WaitGroup
+		outagesDone.Add(1)
+		go outages{s}.run(ctx, &outagesDone)
+		for i := range clusterKeys {
 			action := order(i)
 			for range keyCallers {
-				labels.Add(1)
-				go (&label{s, action}).run(ctx, &labels)
+				callersDone.Add(1)
+				go (&repeatingCaller{s, action}).run(ctx, &callersDone)
 			}
 		}
-		labels.Wait()
+		callersDone.Wait()
 		cancel()
-		weather.Wait()
+		outagesDone.Wait()
 	})
 	return s
 }
 
-// fault compares what the callers of each key were told with its runs.
-func (s *site) fault() error {
-	for key, all := range s.told {
-		if err := contradiction(all, s.runs(key)); err != nil {
+// check compares what the callers of each key were told with the runs of the
+// key.
+func (s *cluster) check() error {
+	for key, all := range s.results {
+		if err := checkResults(all, s.runs(key)); err != nil {
 			return fmt.Errorf("%s: %w", key, err)
 		}
 	}
 	return nil
 }
 
-func contradiction(all []told, runs int) error {
+// checkResults compares what the callers of one key were told with its runs.
+func checkResults(all []callResult, runs int) error {
 	if runs > 1 {
 		return fmt.Errorf("ran %d times", runs)
 	}
@@ -229,7 +234,7 @@
 			denied++
 		case one.outcome != outcome.Ran:
 		case runs == 0:
-			return errors.New("told ran, but did not run")
+			return errors.New("reported as run, but did not run")
 		case body != "" && body != one.body:
 			return errors.New("different answers")
 		default:
@@ -237,12 +242,12 @@
 		}
 	}
 	if runs > 0 && denied == len(all) {
-		return errors.New("denied to all, but ran")
+		return errors.New("reported as not run to all callers, but ran")
 	}
 	return nil
 }
 
-func (s *site) runs(key string) int {
+func (s *cluster) runs(key string) int {
 	n := 0
 	for _, d := range s.desks {
 		n += d.Arrivals().ByKey[key].Ran
@@ -250,31 +255,32 @@
 	return n
 }
 
-// Labels send the same orders through several routers, while the desk cuts
-// connections before and after it runs them or turns them away, the platform
-// loses answers and is down, and routers freeze. The desk counts its runs: no
-// order may run twice, none that ran may be denied to all, and all who are told
-// that it ran get the same receipt.
+// Callers send the same orders through several routers, while the service
+// aborts connections before and after it runs them or refuses them, the
+// platform loses replies and is down, and routers freeze. According to the
+// counts of the service, no order may run twice, no order that ran may be
+// reported as not run to all its callers, and all callers that are told that
+// it ran get the same answer.
 func TestWholePathAtMostOnce(t *testing.T) {
 	const seeds = 20
 	runs := 0
-	told := map[outcome.Outcome]int{}
+	outcomes := map[outcome.Outcome]int{}
 	for seed := range uint64(seeds) {
 		s := simulate(t, seed, true)
-		assert.NilError(t, s.fault(), "seed %d", seed)
-		for key, all := range s.told {
+		assert.NilError(t, s.check(), "seed %d", seed)
+		for key, all := range s.results {
 			runs += s.runs(key)
 			for _, one := range all {
-				told[one.outcome]++
+				outcomes[one.outcome]++
 			}
 		}
 	}
-	t.Logf("%d orders, %d ran; told: %v", seeds*siteKeys, runs, told)
-	assert.Assert(t, runs > 0 && len(told) == 3)
+	t.Logf("%d orders, %d ran; told: %v", seeds*clusterKeys, runs, outcomes)
+	assert.Assert(t, runs > 0 && len(outcomes) == 3)
 }
 
-// An operator forgot to mark the action as non-idempotent, so that each repeat
-// is sent. The check has to find it.
-func TestWholePathCheckFindsDoubledOrder(t *testing.T) {
-	assert.ErrorContains(t, simulate(t, 1, false).fault(), "times")
+// Checks that check detects an order that runs twice. The action is not marked
+// as non-idempotent, so each repeat is sent.
+func TestWholePathCheckFindsOrderRunTwice(t *testing.T) {
+	assert.ErrorContains(t, simulate(t, 1, false).check(), "times")
 }
--- a/wisteriarouter/service/runner.go
+++ b/wisteriarouter/service/runner.go
@@ -11,35 +11,36 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Plan is what the settings in force say about one action.
+// Plan holds what the settings in force say about one action.
 type Plan struct {
 	Pool          coordination.Pool
 	Priority      coordination.Priority
-	StartWithin   time.Duration // limit for the start of the action; zero for none
-	Timeout       time.Duration // limit for the service's answer
+	StartTimeout  time.Duration // time limit for the start of the action; zero for none
+	Timeout       time.Duration // time limit for the service's response
 	NonIdempotent bool
 	Rules         execution.Rules
 }
 
-// Plans tells what the settings in force say.
-type Plans interface {
-	// PlanAction returns the plan for an action, or a refusal.
+// ActionPlanner applies the settings in force to actions.
+type ActionPlanner interface {
+	// PlanAction returns the plan for an action, or its refusal.
 	PlanAction(a caller.Action) (Plan, *outcome.Refusal)
 }
 
-// Placer grants places at endpoints.
+// Placer reserves capacity at endpoints.
 type Placer interface {
-	// Place returns a place for an attempt, or the final refusal.
-	Place(ctx context.Context, w caller.Want) (caller.Place, *outcome.Refusal)
-	// Leaving takes in that an endpoint has said that it is stopping.
+	// Place returns a placement for an attempt, or the refusal to send to the
+	// caller.
+	Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal)
+	// Leaving records that an endpoint has reported that it is stopping.
 	Leaving(e coordination.Endpoint, n coordination.Incarnation)
 }
 
 // Runner runs actions. It implements caller.Actions.
 type Runner struct {
-	Plans   Plans
+	Planner ActionPlanner
 	Placer  Placer
-	Retries caller.Retries
+	Retries caller.RetryBudget
 	Client  *Client
 	Ledger  *execution.Ledger
 	Log     event.Log
@@ -47,24 +48,25 @@
 
 var _ caller.Actions = (*Runner)(nil)
 
-// retryNow is when to come back after a refusal that another try may avoid.
-const retryNow = time.Second
+// defaultRetryAfter is the Retry-After of refusals that a repeat may avoid.
+const defaultRetryAfter = time.Second
 
 // Run implements caller.Actions.
 //
-// The place comes before the record: an action that no endpoint has room for
-// costs the platform nothing, so that a surge does not use up its writes.
+// The placement comes before the record: an action for which no endpoint has
+// capacity makes no call to the platform, so that a surge does not exhaust its
+// writes.
 func (r *Runner) Run(ctx context.Context, a caller.Action) (caller.Answer, *outcome.Refusal) {
-	plan, refusal := r.Plans.PlanAction(a)
+	plan, refusal := r.Planner.PlanAction(a)
 	if refusal != nil {
 		return caller.Answer{}, refusal
 	}
-	req, refusal := request(a, plan)
+	req, refusal := executionRequest(a, plan)
 	if refusal != nil {
 		return caller.Answer{}, refusal
 	}
-	r.Retries.Request(a.Team)
-	s := r.newSending(a, plan)
+	r.Retries.RecordRequest(a.Team)
+	s := r.newActionSender(a, plan)
 	if refusal := s.place(ctx); refusal != nil {
 		return caller.Answer{}, refusal
 	}
@@ -72,13 +74,14 @@
 	if !plan.NonIdempotent {
 		return s.answer(s.Send(ctx))
 	}
-	ctx, cancel := s.startBy(ctx)
+	ctx, cancel := s.withStartDeadline(ctx)
 	defer cancel()
 	return s.answer(r.Ledger.Run(ctx, req, s))
 }
 
-// request returns what is put on record of a non-idempotent action.
-func request(a caller.Action, p Plan) (execution.Request, *outcome.Refusal) {
+// executionRequest returns the request to record for a non-idempotent action,
+// or a refusal if its key is missing or carries no time.
+func executionRequest(a caller.Action, p Plan) (execution.Request, *outcome.Refusal) {
 	if !p.NonIdempotent {
 		return execution.Request{}, nil
 	}
@@ -88,7 +91,7 @@
 			Code:       outcome.MissingKey,
 			Message:    "this action runs at most once: send an Idempotency-Key that is a UUIDv7, or any key with X-Issued-At in RFC 3339",
 			Outcome:    outcome.NotRun,
-			RetryAfter: retryNow,
+			RetryAfter: defaultRetryAfter,
 		}
 	}
 	return execution.Request{
@@ -101,8 +104,9 @@
 	}, nil
 }
 
-// issuedAt returns when the action's key was made. A UUIDv7 tells it itself;
-// then X-Issued-At does not count, since it may differ from try to try.
+// issuedAt returns when the action's key was made. If the key is a UUIDv7, its
+// time is used and X-Issued-At is ignored, since the latter may differ between
+// repeats.
 func issuedAt(a caller.Action) (time.Time, bool) {
 	if a.Key == "" {
 		return time.Time{}, false
@@ -114,14 +118,14 @@
 	return t, err == nil
 }
 
-// fingerprint covers all that makes a request the same as an earlier one. The
-// client account is part of it, so that nobody gets the answer to another
-// account's action by its key; the time of issue is, so that a caller that
-// stamps each try anew, and so would have its key accepted for ever, is found
-// out at once.
+// fingerprint returns the fingerprint by which a repeat is recognised as the
+// same request. It covers the client account, so that a key does not give
+// access to the answer of another account's action. It covers the time of
+// issue, so that a caller that sets a new time for each repeat, whose key
+// would never expire, gets a conflict at once.
 func fingerprint(a caller.Action, issued time.Time) execution.Fingerprint {
 	return execution.FingerprintOf(
-		[]byte(a.Account), []byte(a.Service), []byte(a.Action), []byte(a.Type), a.Body,
+		[]byte(a.Account), []byte(a.Service), []byte(a.Action), []byte(a.ContentType), a.Body,
 		[]byte(issued.UTC().Format(time.RFC3339Nano)),
 	)
 }
