--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -53,19 +53,19 @@
 
 // Route describes how requests with a given host and path prefix are served.
 type Route struct {
-	Name            string
-	Host            string // lower case, without a port
-	Prefix          string // begins and ends with a slash
-	Kind            Kind
-	Timeout         time.Duration // maximum time that a caller waits; zero for no limit
+	Name        string
+	Host        string // lower case, without a port
+	Prefix      string // begins and ends with a slash
+	Kind        Kind
+	Timeout     time.Duration // maximum time that a caller waits; zero for no limit
 	FirstTarget time.Duration // time to the first byte or event within which an answer has its full value
-	GapTarget       time.Duration // maximum pause between two events of a stream; zero for no target
-	Attempts        int           // maximum number of endpoints a request is sent to, at least 1
-	Priority        coordination.Priority
-	Shares          []Share
-	Public          bool // requires no key
-	Sticky          bool // requests name the parts of their prompts
-	Resumable       bool // a broken stream may be continued at another endpoint
+	GapTarget   time.Duration // maximum pause between two events of a stream; zero for no target
+	Attempts    int           // maximum number of endpoints a request is sent to, at least 1
+	Priority    coordination.Priority
+	Shares      []Share
+	Public      bool // requires no key
+	Sticky      bool // requests name the parts of their prompts
+	Resumable   bool // a broken stream may be continued at another endpoint
 }
 
 // Idempotent reports whether a request of the route may run more than once.
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -27,7 +27,7 @@
 const claimRenewInterval = 25 * time.Second
 
 // crashSuspicion connects the detection of requests that crash endpoints with the
-// other routers. It implements [caller.Suspects].
+// other routers. It implements [caller.SuspectTracker].
 type crashSuspicion struct {
 	node        *peer.Node
 	gate        *suspicion.Gate
