--- a/wisteriarouter/caller/abuse_test.go
+++ b/wisteriarouter/caller/abuse_test.go
@@ -49,11 +49,11 @@
 
 func (e *noEngines) Resume(context.Context, string, engine.Request) (*engine.Stream, error) {
 	e.count()
-	return nil, engine.ErrGone
+	return nil, engine.ErrNotFound
 }
 
 func (e *noEngines) Cancel(context.Context, string, coordination.Attempt) (int, error) {
-	return 0, engine.ErrGone
+	return 0, engine.ErrNotFound
 }
 
 func (e *noEngines) Load(context.Context, string) (engine.Load, error) {
--- a/wisteriarouter/caller/adopt.go
+++ b/wisteriarouter/caller/adopt.go
@@ -32,7 +32,7 @@
 	at.stream, err = a.Engines.Resume(ctx, place.Address, a.request(id.Attempt, nil))
 	if err != nil {
 		place.Release()
-		if !errors.Is(err, engine.ErrGone) && ctx.Err() == nil {
+		if !errors.Is(err, engine.ErrNotFound) && ctx.Err() == nil {
 			a.cancel(ctx, at)
 		}
 		return a.adoptFailed(ctx)
--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -174,12 +174,12 @@
 // request is the attempt id as an engine gets it, from where the answer stands.
 func (a *answer) request(id coordination.Attempt, raw []byte) engine.Request {
 	return engine.Request{
-		Attempt:  id,
-		Chat:     a.chat.id,
-		Priority: a.chat.plan.Priority,
-		Body:     raw,
-		Offset:   a.offset,
-		Idle:     a.chat.plan.Stall,
+		Attempt:     id,
+		Chat:        a.chat.id,
+		Priority:    a.chat.plan.Priority,
+		Body:        raw,
+		Offset:      a.offset,
+		IdleTimeout: a.chat.plan.Stall,
 	}
 }
 
@@ -195,7 +195,7 @@
 		return declined
 	case failure.NotRun:
 		a.evidence.NothingSent(at.id)
-		if failure.Dead {
+		if failure.NoResponse {
 			return foundDead
 		}
 	default:
--- a/wisteriarouter/caller/cancel.go
+++ b/wisteriarouter/caller/cancel.go
@@ -33,7 +33,7 @@
 	defer stop()
 	for {
 		generated, err := c.Engines.Cancel(ctx, c.address, c.id)
-		if err == nil || errors.Is(err, engine.ErrGone) {
+		if err == nil || errors.Is(err, engine.ErrNotFound) {
 			c.Metrics.cancelled.Inc()
 			c.Metrics.wasted.Add(float64(max(0, generated-c.delivered)))
 			return
--- a/wisteriarouter/caller/follow.go
+++ b/wisteriarouter/caller/follow.go
@@ -96,13 +96,13 @@
 			at.stream = stream
 			return true
 		}
-		if errors.Is(err, engine.ErrGone) {
+		if errors.Is(err, engine.ErrNotFound) {
 			return false
 		}
 		// The endpoint may be back in a moment, but until then its owner must
 		// not send others there: they would be lost with it, and suspected.
 		a.Placer.Dead(at.place.Endpoint, at.place.Incarnation)
-		if errors.Is(err, engine.ErrSilent) {
+		if errors.Is(err, engine.ErrTimeout) {
 			return false // frozen: another try would only wait as long
 		}
 	}
--- a/wisteriarouter/caller/settle.go
+++ b/wisteriarouter/caller/settle.go
@@ -29,7 +29,7 @@
 	case callerGone:
 		a.cancel(ctx, at)
 		a.Metrics.ended("chat", a.evidence.Outcome(), "caller-gone")
-		a.emit(event.ConnectionDropped, event.F("attempt", at.id), event.F("after-ms", time.Since(a.chat.arrived).Milliseconds()))
+		a.emit(event.CallerGone, event.F("attempt", at.id), event.F("after-ms", time.Since(a.chat.arrived).Milliseconds()))
 		return true
 	case lost, malformed:
 		a.cancel(ctx, at)
--- a/wisteriarouter/check.go
+++ b/wisteriarouter/check.go
@@ -32,7 +32,7 @@
 }
 
 func (c *checkCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	cfg := load(c.file)
+	cfg := loadConfig(c.file)
 	if cfg == nil {
 		return subcommands.ExitFailure
 	}
@@ -40,9 +40,9 @@
 	return subcommands.ExitSuccess
 }
 
-// load reads a settings file and prints what is wrong with it. It returns nil
+// loadConfig reads a settings file and prints what is wrong with it. It returns nil
 // if anything is.
-func load(file string) *config.Config {
+func loadConfig(file string) *config.Config {
 	cfg, problems, err := config.Load(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "wisteriarouter:", err)
--- a/wisteriarouter/clock_test.go
+++ b/wisteriarouter/clock_test.go
@@ -14,13 +14,13 @@
 	"gotest.tools/v3/golden"
 )
 
-// timeOfDay matches what reads the time of day rather than the steady clock.
-var timeOfDay = regexp.MustCompile(`\.Unix(Milli|Micro|Nano)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)|Millis\(now|Millis\(time\.Now`)
+// wallClockUse matches what reads the time of day rather than the steady clock.
+var wallClockUse = regexp.MustCompile(`\.Unix(Milli|Micro|Nano)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)|Millis\(now|Millis\(time\.Now`)
 
 // The time of day may jump by hours on some machines. A time-out that goes by it
 // ends what is well, or never what is not. docs/DECISIONS.md says of each use why it
 // bears a jump; a new one has to be added there, and here.
-func TestTimeOfDayIsUsedOnlyWhereListed(t *testing.T) {
+func TestWallClockUsesAreListed(t *testing.T) {
 	var found bytes.Buffer
 	for _, root := range []string{"../coordination", "../platform", "."} {
 		err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -28,7 +28,7 @@
 				return err
 			}
 			text, err := os.ReadFile(path)
-			if n := len(timeOfDay.FindAll(text, -1)); n > 0 {
+			if n := len(wallClockUse.FindAll(text, -1)); n > 0 {
 				fmt.Fprintf(&found, "%s %d\n", filepath.ToSlash(path), n)
 			}
 			return err
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -22,9 +22,9 @@
 // there then would meet a dead engine, and be suspected of having crashed it.
 // So its owner holds to the old incarnation, which grants nothing to those who
 // ask for the new one, until the engine itself has reported.
-func (p *placing) served(all []endpoint.Known) []placement.Descriptor {
+func (p *placing) served(all []endpoint.Info) []placement.Descriptor {
 	next := make(lives, len(all))
-	served := lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
+	served := lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor {
 		d := p.tuning.Load().descriptor(k.Descriptor)
 		last, known := p.lives[k.ID]
 		if known && last < d.Incarnation && k.Kind == platform.Engine {
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -82,7 +82,7 @@
 		Peers: lo.Map(s.node.Members(), func(m membership.Member, _ int) operator.PeerStatus {
 			return operator.PeerStatus{Instance: m.Instance, Zone: m.Zone, State: m.State.String()}
 		}),
-		Endpoints: lo.Map(s.directory.All(), func(k endpoint.Known, _ int) operator.EndpointStatus {
+		Endpoints: lo.Map(s.directory.All(), func(k endpoint.Info, _ int) operator.EndpointStatus {
 			return s.endpoint(k)
 		}),
 	}
@@ -96,7 +96,7 @@
 	return p
 }
 
-func (s *status) endpoint(k endpoint.Known) operator.EndpointStatus {
+func (s *status) endpoint(k endpoint.Info) operator.EndpointStatus {
 	return operator.EndpointStatus{
 		Endpoint: k.ID,
 		Pool:     k.Pool,
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -82,7 +82,7 @@
 
 // Targets implements order.Pools.
 func (o *orders) Targets(p coordination.Pool) []order.Target {
-	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Known, _ int) (order.Target, bool) {
+	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Info, _ int) (order.Target, bool) {
 		t := order.Target{Endpoint: k.ID, Incarnation: k.Incarnation, Address: k.Address}
 		return t, k.State != placement.Leaving && k.Kind == platform.Engine
 	})
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -139,7 +139,7 @@
 }
 
 func newEngines(i do.Injector) (*engine.Client, error) {
-	c, cleanup := engine.NewClient(engine.Options{Call: settingsOf(i).Limits.EngineCall})
+	c, cleanup := engine.NewClient(engine.Options{CallTimeout: settingsOf(i).Limits.EngineCall})
 	onStop(i, cleanup)
 	return c, nil
 }
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -44,8 +44,8 @@
 	updating  sync.Mutex       // held by update; guards the fields below
 	roster    placement.Roster // damps endpoints that come and go
 	owned     map[coordination.Endpoint]bool
-	listed    []endpoint.Known // the list of the last update
-	observers []func(all []endpoint.Known)
+	listed    []endpoint.Info // the list of the last update
+	observers []func(all []endpoint.Info)
 }
 
 func newPlacing(i do.Injector) (*placing, error) {
@@ -100,7 +100,7 @@
 		Directory: p.directory,
 		Loads:     engines,
 		Interval:  interval,
-		Soon:      p.polls,
+		Trigger:   p.polls,
 		Owned:     p.owns,
 		OnLoad:    p.report,
 	}
@@ -159,7 +159,7 @@
 
 // observe has fn called with the list of endpoints now and, before requests are
 // placed by it, with each that differs.
-func (p *placing) observe(fn func(all []endpoint.Known)) {
+func (p *placing) observe(fn func(all []endpoint.Info)) {
 	p.updating.Lock()
 	defer p.updating.Unlock()
 	p.observers = append(p.observers, fn)
@@ -168,7 +168,7 @@
 
 // tell tells the observers of a list that differs from the last one. The caller
 // holds p.updating.
-func (p *placing) tell(all []endpoint.Known) {
+func (p *placing) tell(all []endpoint.Info) {
 	if slices.Equal(all, p.listed) {
 		return
 	}
@@ -188,14 +188,14 @@
 	p.view.Store(routers)
 	p.owner.Update(placement.NewSet(p.served(all)), routers)
 	p.pollNew(all)
-	p.entry.Update(p.roster.Update(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
+	p.entry.Update(p.roster.Update(lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor {
 		return p.tuning.Load().descriptor(k.Descriptor)
 	})), routers)
 }
 
 // pollNew has the loads read at once if this router has become the owner of an
 // endpoint: it grants nothing there until it knows what the endpoint runs.
-func (p *placing) pollNew(all []endpoint.Known) {
+func (p *placing) pollNew(all []endpoint.Info) {
 	if p.polls == nil {
 		return
 	}
@@ -221,7 +221,7 @@
 // reads the loads of endpoints: until it has met them it takes all for its own.
 const meetTime = time.Second
 
-func (p *placing) owns(k endpoint.Known) bool {
+func (p *placing) owns(k endpoint.Info) bool {
 	if p.alone && time.Since(p.started) < meetTime {
 		return false
 	}
@@ -236,7 +236,7 @@
 	return 0
 }
 
-func (p *placing) report(k endpoint.Known, l engine.Load) {
+func (p *placing) report(k endpoint.Info, l engine.Load) {
 	if p.reported(k.ID) != l.Incarnation {
 		p.changed()
 	}
@@ -265,7 +265,7 @@
 func (r loadReader) ReadLoad(ctx context.Context, id coordination.Endpoint) (placement.Report, error) {
 	k, ok := r.directory.Find(id)
 	if !ok {
-		return placement.Report{}, engine.ErrGone
+		return placement.Report{}, engine.ErrNotFound
 	}
 	l, err := r.engines.Load(ctx, k.Address)
 	return reportOf(id, l), err
@@ -299,14 +299,14 @@
 // acquire asks for a grant for a request that has to start by a time, which may
 // be zero, and finds the endpoint that it is for. Placement learns of a change of
 // the list behind the directory, so that a grant may be for one that has gone.
-func (p *placing) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Known, *outcome.Refusal) {
+func (p *placing) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Info, *outcome.Refusal) {
 	for {
 		if !by.IsZero() {
 			req.Deadline = max(time.Until(by), time.Millisecond)
 		}
 		g, refusal := p.entry.Acquire(ctx, req)
 		if g == nil {
-			return nil, endpoint.Known{}, refusalOf(refusal)
+			return nil, endpoint.Info{}, refusalOf(refusal)
 		}
 		if k, ok := p.directory.Find(g.Endpoint.ID); ok {
 			return g, k, nil
@@ -361,6 +361,6 @@
 
 // Leaving implements caller.Placer.
 func (p *placing) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
-	p.directory.Leave(id, n)
+	p.directory.RecordLeaving(id, n)
 	p.owner.MarkLeaving(id, n)
 }
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -39,7 +39,7 @@
 	d.mirror = m
 	// Endpoints are taken in before the desired state: requests that wait for
 	// it would otherwise find their pools empty.
-	do.MustInvoke[*endpoint.Register](i)
+	do.MustInvoke[*endpoint.EntryTracker](i)
 	m.Observe(d.take)
 	m.Observe(newBehindMetric(do.MustInvoke[*prometheus.Registry](i)))
 	feed(i, m, d.asked)
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -18,14 +18,14 @@
 }
 
 // newRegister has the entries in the store taken into the directory.
-func newRegister(i do.Injector) (*endpoint.Register, error) {
+func newRegister(i do.Injector) (*endpoint.EntryTracker, error) {
 	m := do.MustInvoke[*mirror.Mirror](i)
-	r := &endpoint.Register{
-		Directory: do.MustInvoke[*endpoint.Directory](i),
-		Away:      func() bool { return m.Age() > mirror.OutageThreshold },
-		Log:       logOf(i),
+	r := &endpoint.EntryTracker{
+		Directory:        do.MustInvoke[*endpoint.Directory](i),
+		StoreUnavailable: func() bool { return m.Age() > mirror.OutageThreshold },
+		Log:              logOf(i),
 	}
-	m.OnStoreRecovery(r.StoreBack)
+	m.OnStoreRecovery(r.StoreRecovered)
 	m.Observe(entryReader{register: r, log: logOf(i)}.take)
 	return r, nil
 }
@@ -38,7 +38,7 @@
 
 // entryReader turns items of the store into changes of endpoints.
 type entryReader struct {
-	register *endpoint.Register
+	register *endpoint.EntryTracker
 	log      event.Log
 }
 
@@ -52,12 +52,12 @@
 			changes = append(changes, c)
 		}
 	}
-	r.register.Take(changes)
+	r.register.Apply(changes)
 }
 
 func (r entryReader) change(item mirror.Item) (endpoint.Change, bool) {
 	if item.Deleted {
-		return endpoint.Change{Entry: instances.Entry{ID: platform.EntryID(item.Key)}, Gone: true}, true
+		return endpoint.Change{Entry: instances.Entry{ID: platform.EntryID(item.Key)}, Removed: true}, true
 	}
 	e, err := platform.DecodeEntry(item.Key, item.Value)
 	if err != nil {
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -98,11 +98,11 @@
 }
 
 // list takes in a change of the list of endpoints.
-func (p *relayPlacer) list(listed []endpoint.Known) {
+func (p *relayPlacer) list(listed []endpoint.Info) {
 	if len(listed) == 0 {
 		return
 	}
-	all := lo.Map(listed, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor })
+	all := lo.Map(listed, func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor })
 	p.holders.Store(placement.NewCacheHolders(time.Now(), all, p.holders.Load()))
 }
 
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -52,7 +52,7 @@
 }
 
 func (l leavingListener) hear(key string, version uint64, _ []byte) {
-	l.directory.Leave(coordination.Endpoint(key), coordination.Incarnation(version))
+	l.directory.RecordLeaving(coordination.Endpoint(key), coordination.Incarnation(version))
 }
 
 // peerEvents turns what happens between routers into numbered events.
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -96,8 +96,8 @@
 // lists tells of endpoints that have gone from the list or restarted without
 // having said so. A router that has dropped an endpoint before any request of
 // its own met it there would otherwise not know that something took it.
-func (s *suspects) lists(all []endpoint.Known) {
-	next := placement.NewSet(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
+func (s *suspects) lists(all []endpoint.Info) {
+	next := placement.NewSet(lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor }))
 	s.mu.Lock()
 	before := s.set
 	s.set = next
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -34,7 +34,7 @@
 // placed tells what placement goes by.
 type placed interface {
 	// owns reports whether this router owns an endpoint.
-	owns(k endpoint.Known) bool
+	owns(k endpoint.Info) bool
 	// bound returns the load bound in force, or zero for the default.
 	bound() float64
 }
@@ -135,13 +135,13 @@
 // target returns the engine that the next request of a chat will go to first:
 // the hint of its last answer names the engine that is leaving, which is no
 // candidate any more.
-func (t *transfers) target(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
-	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Known, _ int) placement.Descriptor {
+func (t *transfers) target(p coordination.Pool, chat coordination.Chat) (endpoint.Info, bool) {
+	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Info, _ int) placement.Descriptor {
 		return k.Descriptor
 	}))
 	first := set.Candidates(nil, p, placement.KeyOf(chat), 0, 1)
 	if len(first) == 0 {
-		return endpoint.Known{}, false
+		return endpoint.Info{}, false
 	}
 	return t.directory.Find(first[0].ID)
 }
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -16,7 +16,7 @@
 // evacuation moves the chats of one leaving engine for as long as it answers.
 type evacuation struct {
 	*transfers
-	from  endpoint.Known
+	from  endpoint.Info
 	plan  *transfer.Plan // used by run alone
 	since transfer.Sequence
 	read  time.Time // when the cache events were last read
@@ -33,7 +33,7 @@
 	bytes  int64
 }
 
-func newEvacuation(t *transfers, k endpoint.Known) *evacuation {
+func newEvacuation(t *transfers, k endpoint.Info) *evacuation {
 	return &evacuation{
 		transfers: t,
 		from:      k,
@@ -133,7 +133,7 @@
 		return transfer.Busy, 0
 	}
 	kv, err := m.engines.Export(ctx, m.from.Address, m.chat)
-	if errors.Is(err, engine.ErrGone) {
+	if errors.Is(err, engine.ErrNotFound) {
 		return transfer.Cold, 0
 	}
 	if err != nil {
@@ -146,7 +146,7 @@
 	n, err := m.engines.Import(ctx, to.Address, kv)
 	n = max(n, kv.Size)
 	switch {
-	case errors.Is(err, engine.ErrCut):
+	case errors.Is(err, engine.ErrTruncated):
 		return transfer.Lost, n
 	case err != nil:
 		return transfer.Refused, n
@@ -156,7 +156,7 @@
 
 // room reports whether an engine may receive a chat. It reads the engine's load
 // itself: the engine may have another owner.
-func (m move) room(ctx context.Context, to endpoint.Known) bool {
+func (m move) room(ctx context.Context, to endpoint.Info) bool {
 	m.mu.Lock()
 	fresh := m.loads.Fresh(time.Now(), to.ID)
 	m.mu.Unlock()
@@ -168,7 +168,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !fresh && err == nil {
-		m.loads.Update(to.ID, l.Room(time.Now()))
+		m.loads.Update(to.ID, l.TransferLoad(time.Now()))
 	}
 	return err == nil && to.State == placement.Live && m.loads.CanAccept(to.ID, m.cfg.WithPlacementBound(m.placed.bound()))
 }
--- a/wisteriarouter/daemon/transfer_test.go
+++ b/wisteriarouter/daemon/transfer_test.go
@@ -246,7 +246,7 @@
 		w.join()
 		w.transfer(transfer.Config{}, w.client)
 		e.Leave()
-		w.directory.Leave(leavingEngine, coordination.Incarnation(e.Incarnation()))
+		w.directory.RecordLeaving(leavingEngine, coordination.Incarnation(e.Incarnation()))
 		time.Sleep(3 * time.Second)
 		start := time.Now()
 		assert.NilError(t, p.server.Shutdown(context.Background()))
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -78,7 +78,7 @@
 }
 
 func (w *evacuationWorld) update() {
-	set := placement.NewSet(lo.Map(w.directory.All(), func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
+	set := placement.NewSet(lo.Map(w.directory.All(), func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor }))
 	routers := placement.NewRouters([]placement.Router{{ID: "r1", Incarnation: 1}}, 0)
 	w.owner.Update(set, routers)
 	w.entry.Update(set, routers)
@@ -93,8 +93,8 @@
 // ownsAll is the only router.
 type ownsAll struct{}
 
-func (ownsAll) owns(endpoint.Known) bool { return true }
-func (ownsAll) bound() float64           { return 0 }
+func (ownsAll) owns(endpoint.Info) bool { return true }
+func (ownsAll) bound() float64          { return 0 }
 
 func (w *evacuationWorld) join() {
 	w.next++
@@ -128,7 +128,7 @@
 func (w *evacuationWorld) leave(id coordination.Endpoint, stay time.Duration) {
 	e := w.engines[id]
 	e.Leave()
-	w.directory.Leave(id, coordination.Incarnation(e.Incarnation()))
+	w.directory.RecordLeaving(id, coordination.Incarnation(e.Incarnation()))
 	l := leaver{world: w, id: id, stay: stay}
 	go l.run()
 }
@@ -183,7 +183,7 @@
 func (w *evacuationWorld) say(c *talker, words, limit int) (heard, error) {
 	start := time.Now()
 	g, refusal := w.entry.Acquire(context.Background(), placement.Request{
-		Pool: transferPool, Key: placement.KeyOf(engine.ChatOf(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
+		Pool: transferPool, Key: placement.KeyOf(engine.ScopedChat(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
 	})
 	if g == nil {
 		return heard{}, fmt.Errorf("%w: %s", errRefused, refusal.Code)
--- a/wisteriarouter/endpoint/directory.go
+++ b/wisteriarouter/endpoint/directory.go
@@ -24,20 +24,20 @@
 	Capacity    int
 }
 
-// Known is one endpoint as the router knows it.
-type Known struct {
+// Info is one endpoint as the router knows it.
+type Info struct {
 	placement.Descriptor
 	Kind    platform.Kind
 	Address string
 }
 
 // Leaving reports whether the endpoint is stopping.
-func (k Known) Leaving() bool { return k.State == placement.Leaving }
+func (k Info) Leaving() bool { return k.State == placement.Leaving }
 
-// absences is in how many lists running an endpoint has to be missing before
+// missedListLimit is in how many lists running an endpoint has to be missing before
 // it is dropped. A single list may be cut short, and dropping a live endpoint
 // would move its chats to cold ones.
-const absences = 2
+const missedListLimit = 2
 
 // Directory is the aggregate of all that is known of endpoints. The zero value
 // is empty and ready for use. It is safe for concurrent use.
@@ -46,12 +46,12 @@
 	// seen to leave. It has to be set before the directory is used.
 	OnLeaving func(id coordination.Endpoint, n coordination.Incarnation)
 
-	mu       sync.Mutex
-	entries  map[coordination.Endpoint]*entry
-	leaving  map[coordination.Endpoint]coordination.Incarnation
-	fresh    []mark
-	snapshot atomic.Pointer[snapshot]
-	watchers []func()
+	mu           sync.Mutex
+	entries      map[coordination.Endpoint]*entry
+	leaving      map[coordination.Endpoint]coordination.Incarnation
+	newlyLeaving []leavingMark
+	snapshot     atomic.Pointer[snapshot]
+	watchers     []func()
 }
 
 // Watch has fn called behind each change.
@@ -61,76 +61,76 @@
 	d.watchers = append(d.watchers, fn)
 }
 
-// mark says that an incarnation of an endpoint is leaving.
-type mark struct {
+// leavingMark says that an incarnation of an endpoint is leaving.
+type leavingMark struct {
 	id          coordination.Endpoint
 	incarnation coordination.Incarnation
 }
 
-// maxMarks bounds the marks of endpoints that come and go under new names.
-const maxMarks = 16384
+// maxLeaving bounds the marks of endpoints that come and go under new names.
+const maxLeaving = 16384
 
 type entry struct {
-	Known
-	missing int // lists running that did not name it
+	Info
+	missedLists int // lists running that did not name it
 }
 
 // snapshot is what readers see. It never changes.
 type snapshot struct {
-	byID  map[coordination.Endpoint]Known
-	pools map[coordination.Pool][]Known
-	all   []Known // sorted by id
+	byID  map[coordination.Endpoint]Info
+	pools map[coordination.Pool][]Info
+	all   []Info // sorted by id
 }
 
-var empty snapshot
+var emptySnapshot snapshot
 
-func (d *Directory) view() *snapshot {
+func (d *Directory) current() *snapshot {
 	if s := d.snapshot.Load(); s != nil {
 		return s
 	}
-	return &empty
+	return &emptySnapshot
 }
 
 // Find returns an endpoint by its id.
-func (d *Directory) Find(id coordination.Endpoint) (Known, bool) {
-	k, ok := d.view().byID[id]
+func (d *Directory) Find(id coordination.Endpoint) (Info, bool) {
+	k, ok := d.current().byID[id]
 	return k, ok
 }
 
 // Pool returns the endpoints of a pool, sorted by id. Callers must not change
 // the slice.
-func (d *Directory) Pool(p coordination.Pool) []Known { return d.view().pools[p] }
+func (d *Directory) Pool(p coordination.Pool) []Info { return d.current().pools[p] }
 
 // Pools returns the names of the pools that have endpoints, sorted.
 func (d *Directory) Pools() []coordination.Pool {
-	names := lo.Keys(d.view().pools)
+	names := lo.Keys(d.current().pools)
 	slices.Sort(names)
 	return names
 }
 
 // All returns all endpoints, sorted by id. Callers must not change the slice.
-func (d *Directory) All() []Known { return d.view().all }
+func (d *Directory) All() []Info { return d.current().all }
 
-func byID(a, b Known) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b Info) int { return cmp.Compare(a.ID, b.ID) }
 
 // Update takes in the platform's list. The list lags: an incarnation older
 // than the one known, or one known to leave, is not brought back by it.
 func (d *Directory) Update(list []platform.Entry) {
-	d.change(func() {
+	d.mutate(func() {
 		seen := make(map[coordination.Endpoint]bool, len(list))
 		for _, l := range list {
 			if l.Kind == platform.Router {
 				continue
 			}
 			seen[l.ID] = true
-			d.list(l)
+			d.upsert(l)
 		}
 		for id, e := range d.entries {
 			if seen[id] {
 				continue
 			}
-			e.missing++
-			if e.missing >= absences {
+			e.missedLists++
+			if e.missedLists >= missedListLimit {
 				delete(d.entries, id)
 			}
 		}
@@ -140,9 +140,9 @@
 // Apply takes in single changes of the platform's list: entries that are new or
 // have changed, and endpoints that it no longer has.
 func (d *Directory) Apply(entries []platform.Entry, gone []coordination.Endpoint) {
-	d.change(func() {
+	d.mutate(func() {
 		for _, l := range entries {
-			d.list(l)
+			d.upsert(l)
 		}
 		for _, id := range gone {
 			delete(d.entries, id)
@@ -150,14 +150,14 @@
 	})
 }
 
-func (d *Directory) list(l platform.Entry) {
+func (d *Directory) upsert(l platform.Entry) {
 	e := d.entries[l.ID]
 	if e == nil {
 		e = &entry{}
 		e.ID = l.ID
 		d.entries[l.ID] = e
 	}
-	e.missing = 0
+	e.missedLists = 0
 	if l.Incarnation < e.Incarnation {
 		return
 	}
@@ -172,9 +172,9 @@
 	}
 }
 
-// Hear takes in an endpoint's own word.
-func (d *Directory) Hear(r Report) {
-	d.change(func() {
+// ApplyReport takes in an endpoint's own word.
+func (d *Directory) ApplyReport(r Report) {
+	d.mutate(func() {
 		e := d.entries[r.ID]
 		if e == nil || r.Incarnation < e.Incarnation {
 			return
@@ -189,11 +189,11 @@
 	})
 }
 
-// Leave takes in that an incarnation of an endpoint is leaving, as noticed by
+// RecordLeaving takes in that an incarnation of an endpoint is leaving, as noticed by
 // this router or another one. That is final: an endpoint that is stopping has
 // no later word that would make it take work again.
-func (d *Directory) Leave(id coordination.Endpoint, n coordination.Incarnation) {
-	d.change(func() { d.markLeaving(id, n) })
+func (d *Directory) RecordLeaving(id coordination.Endpoint, n coordination.Incarnation) {
+	d.mutate(func() { d.markLeaving(id, n) })
 }
 
 func (d *Directory) markLeaving(id coordination.Endpoint, n coordination.Incarnation) {
@@ -201,14 +201,14 @@
 		return
 	}
 	d.leaving[id] = n
-	d.fresh = append(d.fresh, mark{id, n})
+	d.newlyLeaving = append(d.newlyLeaving, leavingMark{id, n})
 	d.prune()
 }
 
 // prune forgets the marks of endpoints that are no longer listed once there
 // are very many. A few stay, so that a list that lags does not bring one back.
 func (d *Directory) prune() {
-	if len(d.leaving) < maxMarks {
+	if len(d.leaving) < maxLeaving {
 		return
 	}
 	for id := range d.leaving {
@@ -218,10 +218,10 @@
 	}
 }
 
-// change runs fn under the lock, publishes a new snapshot and then tells the
+// mutate runs fn under the lock, publishes a new snapshot and then tells the
 // callbacks, which may ask the directory.
-func (d *Directory) change(fn func()) {
-	fresh, watchers := d.apply(fn)
+func (d *Directory) mutate(fn func()) {
+	fresh, watchers := d.publish(fn)
 	for _, m := range fresh {
 		if d.OnLeaving != nil {
 			d.OnLeaving(m.id, m.incarnation)
@@ -232,8 +232,8 @@
 	}
 }
 
-// apply returns the fresh marks and whom to tell of a change.
-func (d *Directory) apply(fn func()) (fresh []mark, watchers []func()) {
+// publish returns the fresh marks and whom to tell of a change.
+func (d *Directory) publish(fn func()) (fresh []leavingMark, watchers []func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.entries == nil {
@@ -241,22 +241,22 @@
 		d.leaving = make(map[coordination.Endpoint]coordination.Incarnation)
 	}
 	fn()
-	fresh, d.fresh = d.fresh, nil
-	next := d.build()
-	if same(d.view(), next) {
+	fresh, d.newlyLeaving = d.newlyLeaving, nil
+	next := d.buildSnapshot()
+	if equalSnapshots(d.current(), next) {
 		return fresh, nil
 	}
 	d.snapshot.Store(next)
 	return fresh, d.watchers
 }
 
-func (d *Directory) build() *snapshot {
+func (d *Directory) buildSnapshot() *snapshot {
 	s := &snapshot{
-		byID:  make(map[coordination.Endpoint]Known, len(d.entries)),
-		pools: make(map[coordination.Pool][]Known),
+		byID:  make(map[coordination.Endpoint]Info, len(d.entries)),
+		pools: make(map[coordination.Pool][]Info),
 	}
 	for id, e := range d.entries {
-		k := e.Known
+		k := e.Info
 		k.State = placement.Live
 		if n, ok := d.leaving[id]; ok && k.Incarnation <= n {
 			k.State = placement.Leaving
@@ -264,14 +264,14 @@
 		s.byID[id] = k
 		s.all = append(s.all, k)
 	}
-	slices.SortFunc(s.all, byID)
+	slices.SortFunc(s.all, compareByID)
 	for _, k := range s.all {
 		s.pools[k.Pool] = append(s.pools[k.Pool], k)
 	}
 	return s
 }
 
-func same(a, b *snapshot) bool {
+func equalSnapshots(a, b *snapshot) bool {
 	if len(a.byID) != len(b.byID) {
 		return false
 	}
--- a/wisteriarouter/endpoint/directory_test.go
+++ b/wisteriarouter/endpoint/directory_test.go
@@ -37,9 +37,9 @@
 func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
 	var d endpoint.Directory
 	d.Update([]platform.Entry{listed("e1", 5, platform.Live)})
-	d.Hear(endpoint.Report{ID: "e1", Incarnation: 5, Leaving: true})
+	d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: 5, Leaving: true})
 	d.Update([]platform.Entry{listed("e1", 5, platform.Live)})
-	d.Hear(endpoint.Report{ID: "e1", Incarnation: 5})
+	d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: 5})
 	assert.Equal(t, state(&d, "e1"), placement.Leaving)
 	d.Update([]platform.Entry{listed("e1", 6, platform.Live)})
 	assert.Equal(t, state(&d, "e1"), placement.Live)
@@ -63,9 +63,9 @@
 			case 1:
 				d.Update([]platform.Entry{listed("e1", n, platform.Leaving)})
 			case 2:
-				d.Hear(endpoint.Report{ID: "e1", Incarnation: n, Leaving: rapid.Bool().Draw(t, "leaving")})
+				d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: n, Leaving: rapid.Bool().Draw(t, "leaving")})
 			default:
-				d.Leave("e1", n)
+				d.RecordLeaving("e1", n)
 			}
 			k, ok := d.Find("e1")
 			if ok && k.State == placement.Live && told[k.Incarnation] {
@@ -77,7 +77,7 @@
 
 // One list is cut short. Dropping what it does not name would move every chat
 // of the missing endpoints to a cold one.
-func TestOneShortListDropsNothing(t *testing.T) {
+func TestSingleTruncatedListRemovesNothing(t *testing.T) {
 	var d endpoint.Directory
 	full := []platform.Entry{listed("e1", 1, platform.Live), listed("e2", 1, platform.Live)}
 	d.Update(full)
@@ -90,12 +90,12 @@
 	assert.Equal(t, len(d.Pool("m")), 1)
 }
 
-// brokenLister answers with its list, or not at all.
-type brokenLister struct {
+// failingLister answers with its list, or not at all.
+type failingLister struct {
 	list atomic.Pointer[[]platform.Entry]
 }
 
-func (l *brokenLister) Instances(context.Context) ([]platform.Entry, error) {
+func (l *failingLister) Instances(context.Context) ([]platform.Entry, error) {
 	list := l.list.Load()
 	if list == nil {
 		return nil, errors.New("no answer")
@@ -108,7 +108,7 @@
 func TestListOutageChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d endpoint.Directory
-		var l brokenLister
+		var l failingLister
 		one := []platform.Entry{listed("e1", 1, platform.Live)}
 		two := append(one, listed("e2", 1, platform.Live))
 		l.list.Store(&one)
@@ -126,9 +126,9 @@
 	})
 }
 
-type loads map[string]engine.Load
+type fakeLoadReader map[string]engine.Load
 
-func (l loads) Load(_ context.Context, address string) (engine.Load, error) {
+func (l fakeLoadReader) Load(_ context.Context, address string) (engine.Load, error) {
 	load, ok := l[address]
 	if !ok {
 		return engine.Load{}, errors.New("no answer")
@@ -136,17 +136,17 @@
 	return load, nil
 }
 
-func TestPollerAsksOnlyWhatItOwns(t *testing.T) {
+func TestPollerReadsOnlyOwnedEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d endpoint.Directory
 		d.Update([]platform.Entry{listed("e1", 1, platform.Live), listed("e2", 1, platform.Live), listed("e3", 1, platform.Live)})
 		asked := map[coordination.Endpoint]int{}
 		p := endpoint.Poller{
 			Directory: &d,
-			Loads:     loads{"e1:1": {Incarnation: 1, State: "leaving"}, "e2:1": {Incarnation: 2}},
+			Loads:     fakeLoadReader{"e1:1": {Incarnation: 1, State: "leaving"}, "e2:1": {Incarnation: 2}},
 			Interval:  time.Second,
-			Owned:     func(k endpoint.Known) bool { return k.ID != "e2" },
-			OnLoad:    func(k endpoint.Known, _ engine.Load) { asked[k.ID]++ },
+			Owned:     func(k endpoint.Info) bool { return k.ID != "e2" },
+			OnLoad:    func(k endpoint.Info, _ engine.Load) { asked[k.ID]++ },
 		}
 		stop := p.Start(t.Context())
 		time.Sleep(2500 * time.Millisecond)
--- a/wisteriarouter/endpoint/refresh.go
+++ b/wisteriarouter/endpoint/refresh.go
@@ -22,18 +22,18 @@
 	Interval  func() time.Duration // between two reads
 	Log       event.Log
 
-	lost bool
+	failing bool
 }
 
 // Start reads the list once, if it can, and then goes on reading it until the
 // returned function is called.
 func (r *Refresher) Start(ctx context.Context) func() {
 	r.refresh(ctx)
-	return start(ctx, r.loop)
+	return startLoop(ctx, r.loop)
 }
 
-// start runs fn until the returned function is called, which waits for it.
-func start(ctx context.Context, fn func(context.Context)) func() {
+// startLoop runs fn until the returned function is called, which waits for it.
+func startLoop(ctx context.Context, fn func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { fn(ctx) })
@@ -59,21 +59,21 @@
 func (r *Refresher) refresh(ctx context.Context) {
 	list, err := r.Lister.Instances(ctx)
 	if err != nil {
-		if !r.lost && ctx.Err() == nil {
+		if !r.failing && ctx.Err() == nil {
 			r.Log.Emit(event.PlatformLost, event.F("service", "instances"), event.F("error", err.Error()))
 		}
-		r.lost = true
+		r.failing = true
 		return
 	}
-	if r.lost {
-		r.lost = false
+	if r.failing {
+		r.failing = false
 		r.Log.Emit(event.PlatformBack, event.F("service", "instances"))
 	}
 	r.Directory.Update(list)
 }
 
-// Loads reads an engine's own report.
-type Loads interface {
+// LoadReader reads an engine's own report.
+type LoadReader interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
@@ -82,23 +82,23 @@
 // grow with the fleet.
 type Poller struct {
 	Directory *Directory
-	Loads     Loads
+	Loads     LoadReader
 	Interval  time.Duration
 	// Owned tells whether this router owns the endpoint.
-	Owned func(k Known) bool
+	Owned func(k Info) bool
 	// OnLoad takes each report that came.
-	OnLoad func(k Known, l engine.Load)
-	// Soon, if set, brings a sign to read the reports before the interval has
+	OnLoad func(k Info, l engine.Load)
+	// Trigger, if set, brings a sign to read the reports before the interval has
 	// passed.
-	Soon <-chan struct{}
+	Trigger <-chan struct{}
 }
 
-// pollers bounds the calls that run at a time, so that a zone of frozen
+// maxConcurrentPolls bounds the calls that run at a time, so that a zone of frozen
 // engines does not hold up the reports of the others for long.
-const pollers = 16
+const maxConcurrentPolls = 16
 
 // Start polls until the returned function is called.
-func (p *Poller) Start(ctx context.Context) func() { return start(ctx, p.loop) }
+func (p *Poller) Start(ctx context.Context) func() { return startLoop(ctx, p.loop) }
 
 func (p *Poller) loop(ctx context.Context) {
 	t := time.NewTicker(p.Interval)
@@ -108,7 +108,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-p.Soon:
+		case <-p.Trigger:
 		}
 		p.poll(ctx)
 	}
@@ -116,35 +116,35 @@
 
 func (p *Poller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, pollers)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, k := range p.Directory.All() {
 		if k.Kind != platform.Engine || !p.Owned(k) {
 			continue
 		}
 		slots <- struct{}{}
-		q := inquiry{poller: p, of: k, done: func() { <-slots }}
+		q := pollTask{poller: p, target: k, release: func() { <-slots }}
 		wg.Go(func() { q.run(ctx) })
 	}
 	wg.Wait()
 }
 
-// inquiry is one question to one engine.
-type inquiry struct {
-	poller *Poller
-	of     Known
-	done   func()
+// pollTask is one question to one engine.
+type pollTask struct {
+	poller  *Poller
+	target  Info
+	release func()
 }
 
-func (q inquiry) run(ctx context.Context) {
-	defer q.done()
-	q.poller.ask(ctx, q.of)
+func (q pollTask) run(ctx context.Context) {
+	defer q.release()
+	q.poller.pollEndpoint(ctx, q.target)
 }
 
-func (p *Poller) ask(ctx context.Context, k Known) {
+func (p *Poller) pollEndpoint(ctx context.Context, k Info) {
 	l, err := p.Loads.Load(ctx, k.Address)
 	if err != nil {
 		return
 	}
-	p.Directory.Hear(Report{ID: k.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
+	p.Directory.ApplyReport(Report{ID: k.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
 	p.OnLoad(k, l)
 }
--- a/wisteriarouter/endpoint/register_test.go
+++ b/wisteriarouter/endpoint/register_test.go
@@ -13,34 +13,34 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-func entryOf(id string, state platform.State) Change {
+func entryChange(id string, state platform.State) Change {
 	return Change{Entry: platform.Entry{
 		ID: coordination.Endpoint(id), Address: "10.0.0.1:80", Pool: "p", State: state, Incarnation: 1, Kind: platform.PlainService,
 	}}
 }
 
-func removal(id string) Change {
-	return Change{Entry: platform.Entry{ID: coordination.Endpoint(id)}, Gone: true}
+func removalChange(id string) Change {
+	return Change{Entry: platform.Entry{ID: coordination.Endpoint(id)}, Removed: true}
 }
 
-func register(endpoints int) *Register {
-	r := &Register{Directory: &Directory{}}
+func newTracker(endpoints int) *EntryTracker {
+	r := &EntryTracker{Directory: &Directory{}}
 	for i := range endpoints {
-		r.Take([]Change{entryOf(fmt.Sprintf("e%d", i), platform.Live)})
+		r.Apply([]Change{entryChange(fmt.Sprintf("e%d", i), platform.Live)})
 	}
 	return r
 }
 
-func listed(r *Register, id string) bool {
+func listed(r *EntryTracker, id string) bool {
 	_, ok := r.Directory.Find(coordination.Endpoint(id))
 	return ok
 }
 
-func TestRemovedEndpointIsGoneAtOnce(t *testing.T) {
+func TestRemovedEndpointIsDroppedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(9)
+		r := newTracker(9)
 		time.Sleep(time.Minute)
-		r.Take([]Change{removal("e3")})
+		r.Apply([]Change{removalChange("e3")})
 		assert.Assert(t, !listed(r, "e3"))
 		assert.Assert(t, listed(r, "e4"))
 	})
@@ -48,12 +48,12 @@
 
 func TestDrainingEndpointIsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(3)
-		r.Take([]Change{entryOf("e1", platform.Leaving)})
+		r := newTracker(3)
+		r.Apply([]Change{entryChange("e1", platform.Leaving)})
 		k, ok := r.Directory.Find("e1")
 		assert.Assert(t, ok && k.Leaving())
-		r.StoreBack()
-		r.Take([]Change{removal("e1")})
+		r.StoreRecovered()
+		r.Apply([]Change{removalChange("e1")})
 		assert.Assert(t, !listed(r, "e1"))
 	})
 }
@@ -61,14 +61,14 @@
 // The store is away for some seconds, and the leases of all entries run out
 // meanwhile. The endpoints live; if they were dropped, every request would be
 // refused for the two seconds until the entries are back.
-func TestEntriesThatLapseWithTheStoreAreKept(t *testing.T) {
+func TestEntriesExpiredDuringStoreOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(3)
+		r := newTracker(3)
 		time.Sleep(time.Minute)
-		r.StoreBack()
-		r.Take([]Change{removal("e0"), removal("e1"), removal("e2")})
+		r.StoreRecovered()
+		r.Apply([]Change{removalChange("e0"), removalChange("e1"), removalChange("e2")})
 		time.Sleep(1500 * time.Millisecond)
-		r.Take([]Change{entryOf("e0", platform.Live), entryOf("e1", platform.Live)})
+		r.Apply([]Change{entryChange("e0", platform.Live), entryChange("e1", platform.Live)})
 		assert.Assert(t, listed(r, "e2"), "entries may be back within two seconds")
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -80,12 +80,12 @@
 // An endpoint leaves without a word shortly after the store has come back. It
 // may get no requests two seconds later: it serves on only so long. Once, a
 // hold that began with the removal sent a request 2.12 s behind it.
-func TestHoldEndsWithTheReturnOfTheStore(t *testing.T) {
+func TestHoldIsMeasuredFromStoreRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(9)
-		r.StoreBack()
+		r := newTracker(9)
+		r.StoreRecovered()
 		time.Sleep(1860 * time.Millisecond)
-		r.Take([]Change{removal("e0")})
+		r.Apply([]Change{removalChange("e0")})
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		assert.Assert(t, !listed(r, "e0"))
@@ -94,15 +94,15 @@
 
 // This router's own watch of the store has not noticed the outage: it waited
 // all the while. It sees only that a third of the endpoints have gone at once.
-func TestVeryManyRemovalsAreHeld(t *testing.T) {
+func TestBulkRemovalsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(9)
+		r := newTracker(9)
 		time.Sleep(time.Minute)
 		var all []Change
 		for i := range 9 {
-			all = append(all, removal(fmt.Sprintf("e%d", i)))
+			all = append(all, removalChange(fmt.Sprintf("e%d", i)))
 		}
-		r.Take(all)
+		r.Apply(all)
 		assert.Assert(t, len(r.Directory.All()) >= 5, "%d are left", len(r.Directory.All()))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
@@ -112,19 +112,19 @@
 
 // The store comes back and goes away again before the entries are. Nobody can
 // tell whether the endpoints have gone.
-func TestNothingIsDroppedWhileTheStoreIsAway(t *testing.T) {
+func TestNothingIsRemovedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := register(3)
+		r := newTracker(3)
 		var away atomic.Bool
-		r.Away = away.Load
-		r.StoreBack()
-		r.Take([]Change{removal("e0")})
+		r.StoreUnavailable = away.Load
+		r.StoreRecovered()
+		r.Apply([]Change{removalChange("e0")})
 		away.Store(true)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.Assert(t, listed(r, "e0"))
 		away.Store(false)
-		r.StoreBack()
+		r.StoreRecovered()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		assert.Assert(t, !listed(r, "e0"))
--- a/wisteriarouter/engine/attempt.go
+++ b/wisteriarouter/engine/attempt.go
@@ -17,8 +17,8 @@
 
 const randomBytes = 16
 
-// errAttempt is the error of an id that no router has made.
-var errAttempt = errors.New("engine: malformed attempt id")
+// errMalformedAttempt is the error of an id that no router has made.
+var errMalformedAttempt = errors.New("engine: malformed attempt id")
 
 // NewAttempt returns an id for a try at the endpoint. A caller who has lost
 // its router shows the id to another one, which reads the endpoint from it and
@@ -35,11 +35,11 @@
 func ParseAttempt(id coordination.Attempt) (coordination.Endpoint, Fingerprint, error) {
 	rest, f, ok := cutLast(string(id), "-")
 	if !ok {
-		return "", "", errAttempt
+		return "", "", errMalformedAttempt
 	}
 	e, random, ok := cutLast(rest, "-")
 	if !ok || e == "" || f == "" || len(random) != 2*randomBytes {
-		return "", "", errAttempt
+		return "", "", errMalformedAttempt
 	}
 	return coordination.Endpoint(e), Fingerprint(f), nil
 }
--- a/wisteriarouter/engine/chunk.go
+++ b/wisteriarouter/engine/chunk.go
@@ -31,10 +31,10 @@
 // all of them: json.Unmarshal makes its state anew for each token, which was
 // half of all that a router allocated. It is of no use behind an error.
 type chunkDecoder struct {
-	data strings.Reader
-	json *json.Decoder
-	wire wireChunk
-	fed  int64 // bytes of all chunks so far
+	data       strings.Reader
+	json       *json.Decoder
+	wire       wireChunk
+	inputBytes int64 // bytes of all chunks so far
 }
 
 func newChunkDecoder() *chunkDecoder {
@@ -43,14 +43,14 @@
 	return d
 }
 
-// errTrailing is the error of a chunk with more than one value.
-var errTrailing = errors.New("text behind the value")
+// errTrailingData is the error of a chunk with more than one value.
+var errTrailingData = errors.New("text behind the value")
 
 // decode returns the chunk in data. Its error is ErrMalformed.
 func (d *chunkDecoder) decode(data string) (Chunk, error) {
 	text := strings.TrimRight(data, " \t\r\n")
 	d.data.Reset(text)
-	d.fed += int64(len(text))
+	d.inputBytes += int64(len(text))
 	d.wire = wireChunk{}
 	if err := d.json.Decode(&d.wire); err != nil {
 		// Not wrapped: the decoder's error for no data is io.EOF, which would
@@ -58,8 +58,8 @@
 		return Chunk{}, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	// What the decoder has not taken would be read as the next chunk.
-	if d.json.InputOffset() != d.fed {
-		return Chunk{}, fmt.Errorf("%w: %w", ErrMalformed, errTrailing)
+	if d.json.InputOffset() != d.inputBytes {
+		return Chunk{}, fmt.Errorf("%w: %w", ErrMalformed, errTrailingData)
 	}
 	return d.chunk(oneLine(text)), nil
 }
--- a/wisteriarouter/engine/engine.go
+++ b/wisteriarouter/engine/engine.go
@@ -33,27 +33,27 @@
 	maxReplyBytes = 1 << 20
 )
 
-// ErrCut is the error of a stream whose connection ended before its answer
+// ErrTruncated is the error of a stream whose connection ended before its answer
 // did. The engine may still be generating.
-var ErrCut = errors.New("engine: stream cut")
+var ErrTruncated = errors.New("engine: stream cut")
 
-// ErrGone is the error of a call about an attempt that the engine does not
+// ErrNotFound is the error of a call about an attempt that the engine does not
 // have, or no longer has.
-var ErrGone = errors.New("engine: attempt gone")
+var ErrNotFound = errors.New("engine: attempt gone")
 
-// ErrSilent is the error of a resume that the engine did not answer in time.
-var ErrSilent = errors.New("engine: no answer in time")
+// ErrTimeout is the error of a resume that the engine did not answer in time.
+var ErrTimeout = errors.New("engine: no answer in time")
 
 // ErrMalformed is the error of a stream with a chunk that cannot be read.
 var ErrMalformed = errors.New("engine: malformed chunk")
 
 // StartError tells why an attempt brought no stream.
 type StartError struct {
-	NotRun  bool // the engine certainly did not run the request
-	Leaving bool // the engine says that it is stopping
-	Dead    bool // no connection could be made, or it broke without an answer
-	Status  int  // HTTP status, zero if there was no answer
-	Err     error
+	NotRun     bool // the engine certainly did not run the request
+	Leaving    bool // the engine says that it is stopping
+	NoResponse bool // no connection could be made, or it broke without an answer
+	Status     int  // HTTP status, zero if there was no answer
+	Err        error
 }
 
 // Error implements error.
@@ -82,12 +82,12 @@
 
 // Request is one attempt at one engine.
 type Request struct {
-	Attempt  coordination.Attempt
-	Chat     coordination.Chat
-	Priority coordination.Priority
-	Body     []byte
-	Offset   int           // tokens that the body's partial answer holds already
-	Idle     time.Duration // longest silence inside the stream
+	Attempt     coordination.Attempt
+	Chat        coordination.Chat
+	Priority    coordination.Priority
+	Body        []byte
+	Offset      int           // tokens that the body's partial answer holds already
+	IdleTimeout time.Duration // longest silence inside the stream
 }
 
 // Load is an engine's own report, which lags.
@@ -105,47 +105,47 @@
 
 // Client makes calls to engines. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	call time.Duration
+	http        *http.Client
+	callTimeout time.Duration
 }
 
 // Options are the options of a client. The zero value is ready for use.
 type Options struct {
-	// Call is the longest time of a short call, such as a cancel; 500 ms.
-	Call time.Duration
+	// CallTimeout is the longest time of a short call, such as a cancel; 500 ms.
+	CallTimeout time.Duration
 	// DialContext makes connections; that of net.Dialer.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 const (
-	defaultCall = 500 * time.Millisecond
-	dialTimeout = time.Second
-	idleConns   = 256
-	idleTimeout = 30 * time.Second
+	defaultCallTimeout  = 500 * time.Millisecond
+	dialTimeout         = time.Second
+	maxIdleConnsPerHost = 256
+	idleConnTimeout     = 30 * time.Second
 )
 
 // NewClient returns a client and a function that closes its connections.
 func NewClient(opts Options) (*Client, func()) {
-	if opts.Call <= 0 {
-		opts.Call = defaultCall
+	if opts.CallTimeout <= 0 {
+		opts.CallTimeout = defaultCallTimeout
 	}
 	if opts.DialContext == nil {
 		opts.DialContext = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	tr := &http.Transport{
 		DialContext:         opts.DialContext,
-		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: tr}, call: opts.Call}, tr.CloseIdleConnections
+	return &Client{http: &http.Client{Transport: tr}, callTimeout: opts.CallTimeout}, tr.CloseIdleConnections
 }
 
 // Start sends one attempt to the engine at address. On success the answer's
 // stream is open. Every failure is a *StartError.
 func (c *Client) Start(ctx context.Context, address string, req Request) (*Stream, error) {
-	w := watchEngine(ctx, req.Idle, c.aliveAt(address))
-	sent, err := newStart(w.trace(), address, req)
+	w := newProbingWatchdog(ctx, req.IdleTimeout, c.livenessProbe(address))
+	sent, err := newStartRequest(w.traceContext(), address, req)
 	if err != nil {
 		w.stop()
 		return nil, &StartError{NotRun: true, Err: err}
@@ -153,20 +153,20 @@
 	res, err := c.http.Do(sent)
 	if err != nil {
 		w.stop()
-		return nil, &StartError{NotRun: !w.wrote.Load(), Dead: ctx.Err() == nil, Err: err}
+		return nil, &StartError{NotRun: !w.gotConn.Load(), NoResponse: ctx.Err() == nil, Err: err}
 	}
 	if res.StatusCode != http.StatusOK {
 		defer w.stop()
-		return nil, refusal(res)
+		return nil, responseError(res)
 	}
 	return newStream(res.Body, w, req.Attempt, req.Offset), nil
 }
 
-// aliveAt returns a function that tells whether the engine answers a short call
+// livenessProbe returns a function that tells whether the engine answers a short call
 // at all, whatever the answer.
-func (c *Client) aliveAt(address string) func(context.Context) bool {
+func (c *Client) livenessProbe(address string) func(context.Context) bool {
 	return func(ctx context.Context) bool {
-		call, cancel := context.WithTimeout(ctx, c.call)
+		call, cancel := context.WithTimeout(ctx, c.callTimeout)
 		defer cancel()
 		req, err := http.NewRequestWithContext(call, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), nil)
 		if err != nil {
@@ -182,8 +182,8 @@
 	}
 }
 
-// refusal turns an answer other than OK into an error and closes it.
-func refusal(res *http.Response) *StartError {
+// responseError turns an answer other than OK into an error and closes it.
+func responseError(res *http.Response) *StartError {
 	defer res.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(res.Body, 512))
 	return &StartError{
@@ -198,8 +198,8 @@
 // whose body it does not need. The stream has to open within the time of a
 // short call: on a frozen engine each try would wait for the whole limit.
 func (c *Client) Resume(ctx context.Context, address string, req Request) (*Stream, error) {
-	w := watchEngine(ctx, req.Idle, c.aliveAt(address))
-	opening := time.AfterFunc(c.call, w.cancel)
+	w := newProbingWatchdog(ctx, req.IdleTimeout, c.livenessProbe(address))
+	opening := time.AfterFunc(c.callTimeout, w.cancel)
 	defer opening.Stop()
 	url := fmt.Sprintf("http://%s/v1/attempts/%s/stream?after=%d", address, req.Attempt, req.Offset)
 	get, err := http.NewRequestWithContext(w.ctx, http.MethodGet, url, nil)
@@ -212,18 +212,18 @@
 		silent := w.ctx.Err() != nil && ctx.Err() == nil
 		w.stop()
 		if silent {
-			return nil, ErrSilent
+			return nil, ErrTimeout
 		}
 		return nil, fmt.Errorf("engine: resume: %w", err)
 	}
 	if res.StatusCode == http.StatusNotFound {
 		w.stop()
 		res.Body.Close()
-		return nil, ErrGone
+		return nil, ErrNotFound
 	}
 	if res.StatusCode != http.StatusOK {
 		w.stop()
-		return nil, refusal(res)
+		return nil, responseError(res)
 	}
 	return newStream(res.Body, w, req.Attempt, req.Offset), nil
 }
@@ -231,26 +231,26 @@
 // Cancel tells the engine to stop an attempt, so that nobody is billed for
 // what nobody reads. It returns how many tokens the attempt had generated.
 func (c *Client) Cancel(ctx context.Context, address string, id coordination.Attempt) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	var reply struct {
 		Generated int `json:"generated"`
 	}
-	err := c.json(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/attempts/%s/cancel", address, id), &reply)
+	err := c.callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/attempts/%s/cancel", address, id), &reply)
 	return reply.Generated, err
 }
 
 // Load reads the engine's report.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	var l Load
-	err := c.json(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), &l)
+	err := c.callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), &l)
 	return l, err
 }
 
-// json makes one short call and decodes its answer into v.
-func (c *Client) json(ctx context.Context, method, url string, v any) error {
+// callJSON makes one short call and decodes its answer into v.
+func (c *Client) callJSON(ctx context.Context, method, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return fmt.Errorf("engine: %w", err)
@@ -261,7 +261,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusNotFound {
-		return ErrGone
+		return ErrNotFound
 	}
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("engine: %s answers %s", req.URL.Path, res.Status)
@@ -272,4 +272,4 @@
 	return nil
 }
 
-func priorityText(p coordination.Priority) string { return strconv.Itoa(int(p)) }
+func formatPriority(p coordination.Priority) string { return strconv.Itoa(int(p)) }
--- a/wisteriarouter/engine/fuzz_test.go
+++ b/wisteriarouter/engine/fuzz_test.go
@@ -14,40 +14,40 @@
 
 const fuzzAttempt = "e1-00112233445566778899aabbccddeeff-f0"
 
-// token returns an event of the attempt under test.
-func token(offset, text string) string {
+// tokenEvent returns an event of the attempt under test.
+func tokenEvent(offset, text string) string {
 	return "id: " + fuzzAttempt + "." + offset + "\ndata: {\"choices\":[{\"delta\":{\"content\":\"" + text + "\"},\"finish_reason\":null}]}\n\n"
 }
 
-// closing returns the event that ends an answer of total tokens.
-func closing(total string) string {
+// finalEvent returns the event that ends an answer of total tokens.
+func finalEvent(total string) string {
 	return "id: " + fuzzAttempt + "." + total + "\ndata: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":2}}\n\n"
 }
 
 // streamSeeds are what engines send, and what breaks readers.
 var streamSeeds = []string{
 	"",
-	token("1", "a ") + token("2", "b ") + closing("2") + "data: [DONE]\n\n",
-	token("2", "b ") + token("1", "a ") + token("1", "a ") + closing("2"),
-	closing("2") + token("1", "a ") + token("2", "b "),
-	token("1", "a ") + closing("2") + "data: [DONE]\n\n",
-	token("1", "a ") + closing("0"),
-	token("1", "a ") + strings.Replace(token("2", "b "), "e1-", "e2-", 1) + closing("1"),
-	token("-1", "a ") + token("99999999999999999999", "a ") + token("9223372036854775807", "a "),
+	tokenEvent("1", "a ") + tokenEvent("2", "b ") + finalEvent("2") + "data: [DONE]\n\n",
+	tokenEvent("2", "b ") + tokenEvent("1", "a ") + tokenEvent("1", "a ") + finalEvent("2"),
+	finalEvent("2") + tokenEvent("1", "a ") + tokenEvent("2", "b "),
+	tokenEvent("1", "a ") + finalEvent("2") + "data: [DONE]\n\n",
+	tokenEvent("1", "a ") + finalEvent("0"),
+	tokenEvent("1", "a ") + strings.Replace(tokenEvent("2", "b "), "e1-", "e2-", 1) + finalEvent("1"),
+	tokenEvent("-1", "a ") + tokenEvent("99999999999999999999", "a ") + tokenEvent("9223372036854775807", "a "),
 	"id: " + fuzzAttempt + ".1\n\n",
 	"id: " + fuzzAttempt + ".1\ndata:\n\n",
-	"id: " + fuzzAttempt + ".1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]} {}\n\n" + token("2", "b "),
-	"id: " + fuzzAttempt + ".1\ndata: {\"choices\":[\ndata:\ndata: ]}\n\n" + closing("1"),
+	"id: " + fuzzAttempt + ".1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]} {}\n\n" + tokenEvent("2", "b "),
+	"id: " + fuzzAttempt + ".1\ndata: {\"choices\":[\ndata:\ndata: ]}\n\n" + finalEvent("1"),
 	"id: " + fuzzAttempt + ".1\ndata: {\"choices\":{}}\n\n",
 	"id: " + fuzzAttempt + ".1\ndata: null\n\nid: " + fuzzAttempt + ".2\ndata: [\n\n",
-	"\xef\xbb\xbf:comment\r\n" + strings.ReplaceAll(token("1", "a "), "\n", "\r\n") + strings.ReplaceAll(closing("1"), "\n", "\r"),
+	"\xef\xbb\xbf:comment\r\n" + strings.ReplaceAll(tokenEvent("1", "a "), "\n", "\r\n") + strings.ReplaceAll(finalEvent("1"), "\n", "\r"),
 	"event: error\nid\nretry: 1\ndata\n\n\n\n",
-	strings.Repeat(token("5", "x "), 3) + strings.Repeat("data: \n", 100) + "\n",
+	strings.Repeat(tokenEvent("5", "x "), 3) + strings.Repeat("data: \n", 100) + "\n",
 }
 
 // newBytesStream returns a stream that reads data behind token offset.
 func newBytesStream(data []byte, offset int) *Stream {
-	return newStream(io.NopCloser(bytes.NewReader(data)), watch(context.Background(), 0), fuzzAttempt, offset)
+	return newStream(io.NopCloser(bytes.NewReader(data)), newWatchdog(context.Background(), 0), fuzzAttempt, offset)
 }
 
 // An engine sends anything at all. The router must not panic, deliver a token
@@ -68,7 +68,7 @@
 		for {
 			c, err := s.Next()
 			if err != nil {
-				checkEnd(t, err, whole)
+				checkFinalError(t, err, whole)
 				return
 			}
 			assert.Assert(t, !whole, "a chunk behind the closing one")
@@ -90,15 +90,15 @@
 	assert.Assert(t, !strings.ContainsAny(c.Data, "\r\n"), "%q", c.Data)
 }
 
-// checkEnd checks the error that ended a stream.
-func checkEnd(t *testing.T, err error, whole bool) {
+// checkFinalError checks the error that ended a stream.
+func checkFinalError(t *testing.T, err error, whole bool) {
 	t.Helper()
 	if whole {
 		assert.Equal(t, err, io.EOF)
 		return
 	}
 	assert.Assert(t, !errors.Is(err, io.EOF), "a broken answer passes for a whole one: %v", err)
-	assert.Assert(t, errors.Is(err, ErrCut) || errors.Is(err, ErrMalformed), "%v", err)
+	assert.Assert(t, errors.Is(err, ErrTruncated) || errors.Is(err, ErrMalformed), "%v", err)
 }
 
 // A caller shows any Last-Event-ID at all. Only the ids of routers may be
@@ -125,7 +125,7 @@
 // An engine spreads a chunk over several data lines, sends one without data or
 // with text behind it. A caller would see its stream break in mid-event, or
 // a broken answer end as if it were whole.
-func TestOddChunks(t *testing.T) {
+func TestMultilineAndMalformedChunks(t *testing.T) {
 	s := newBytesStream([]byte("id: "+fuzzAttempt+".1\ndata: {\"choices\":[\ndata:\ndata: ]}\n\n"), 0)
 	defer s.Close()
 	c, err := s.Next()
@@ -142,7 +142,7 @@
 
 // A stream's decoder keeps its state from chunk to chunk. A chunk that leaves
 // fields out must not show those of the one before it.
-func TestDecoderForgetsLastChunk(t *testing.T) {
+func TestDecoderResetsBetweenChunks(t *testing.T) {
 	d := newChunkDecoder()
 	c, err := d.decode(`{"choices":[{"delta":{"content":"a"},"finish_reason":"stop"}],"usage":{"prompt_tokens":7}}`)
 	assert.NilError(t, err)
--- a/wisteriarouter/engine/kv.go
+++ b/wisteriarouter/engine/kv.go
@@ -29,21 +29,21 @@
 	return context.WithValue(ctx, accountKey{}, a)
 }
 
-// ChatOf returns the name by which engines know a chat: the client account and
+// ScopedChat returns the name by which engines know a chat: the client account and
 // the caller's own id of the chat. Two accounts may use the same id; under that
 // id alone an engine would take their chats for one, and would export the KV
 // cache of either for the other. A chat without an id has no name.
-func ChatOf(a coordination.Account, id coordination.Chat) coordination.Chat {
+func ScopedChat(a coordination.Account, id coordination.Chat) coordination.Chat {
 	if a == "" || id == "" {
 		return id
 	}
 	return coordination.Chat(string(a) + "/" + string(id))
 }
 
-// chatIn returns the name of a chat of the account that ctx serves.
-func chatIn(ctx context.Context, id coordination.Chat) coordination.Chat {
+// scopedChatFromContext returns the name of a chat of the account that ctx serves.
+func scopedChatFromContext(ctx context.Context, id coordination.Chat) coordination.Chat {
 	a, _ := ctx.Value(accountKey{}).(coordination.Account)
-	return ChatOf(a, id)
+	return ScopedChat(a, id)
 }
 
 // CacheEvents are the events behind a number, as far as the engine shows them.
@@ -56,10 +56,10 @@
 // CacheEvents reads what has happened to the KV caches of an engine's chats
 // behind a number.
 func (c *Client) CacheEvents(ctx context.Context, address string, since transfer.Sequence) (CacheEvents, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/v1/cache-events?since=%d", address, since)
-	res, err := c.kv(ctx, http.MethodGet, url, nil, 0)
+	res, err := c.callKV(ctx, http.MethodGet, url, nil, 0)
 	if err != nil {
 		return CacheEvents{}, err
 	}
@@ -83,14 +83,14 @@
 }
 
 // Export opens the KV cache of a chat, which the caller has to close. The error
-// is ErrGone if the engine has none. The cache is not held in memory: it may
+// is ErrNotFound if the engine has none. The cache is not held in memory: it may
 // have hundreds of megabytes, and a router has few.
 func (c *Client) Export(ctx context.Context, address string, chat coordination.Chat) (KV, error) {
 	body, err := json.Marshal(exportRequest{Chat: chat})
 	if err != nil {
 		return KV{}, fmt.Errorf("engine: export: %w", err)
 	}
-	res, err := c.kv(ctx, http.MethodPost, "http://"+address+"/v1/kv/export", bytes.NewReader(body), int64(len(body)))
+	res, err := c.callKV(ctx, http.MethodPost, "http://"+address+"/v1/kv/export", bytes.NewReader(body), int64(len(body)))
 	if err != nil {
 		return KV{}, err
 	}
@@ -98,39 +98,39 @@
 }
 
 // Import hands a KV cache to an engine. It returns the bytes that were read
-// from the cache, whether or not the engine took them. The error is ErrCut if
+// from the cache, whether or not the engine took them. The error is ErrTruncated if
 // the cache broke off, in which case the engine has taken nothing.
 func (c *Client) Import(ctx context.Context, address string, kv KV) (int64, error) {
-	counted := &counter{from: kv.Body}
-	res, err := c.kv(ctx, http.MethodPost, "http://"+address+"/v1/kv/import", counted, kv.Size)
+	counted := &countingReader{source: kv.Body}
+	res, err := c.callKV(ctx, http.MethodPost, "http://"+address+"/v1/kv/import", counted, kv.Size)
 	if err == nil {
 		res.Body.Close()
 	}
-	if counted.cut.Load() {
-		return counted.n.Load(), ErrCut
+	if counted.failed.Load() {
+		return counted.n.Load(), ErrTruncated
 	}
 	return counted.n.Load(), err
 }
 
-// counter counts the bytes that are read through it. The transport may go on
+// countingReader counts the bytes that are read through it. The transport may go on
 // reading for a moment when the engine has answered.
-type counter struct {
-	from io.Reader
-	n    atomic.Int64
-	cut  atomic.Bool // reading ended before the end
+type countingReader struct {
+	source io.Reader
+	n      atomic.Int64
+	failed atomic.Bool // reading ended before the end
 }
 
-func (c *counter) Read(p []byte) (int, error) {
-	n, err := c.from.Read(p)
+func (c *countingReader) Read(p []byte) (int, error) {
+	n, err := c.source.Read(p)
 	c.n.Add(int64(n))
 	if err != nil && !errors.Is(err, io.EOF) {
-		c.cut.Store(true)
+		c.failed.Store(true)
 	}
 	return n, err
 }
 
-// kv makes one call about KV caches.
-func (c *Client) kv(ctx context.Context, method, url string, body io.Reader, size int64) (*http.Response, error) {
+// callKV makes one call about KV caches.
+func (c *Client) callKV(ctx context.Context, method, url string, body io.Reader, size int64) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
@@ -148,14 +148,14 @@
 		return res, nil
 	case http.StatusNotFound:
 		res.Body.Close()
-		return nil, ErrGone
+		return nil, ErrNotFound
 	}
 	defer res.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(res.Body, maxRefusalBytes))
 	return nil, fmt.Errorf("engine: %s answers %s: %s", req.URL.Path, res.Status, text)
 }
 
-// Room returns what a decision to move chats needs of a report.
-func (l Load) Room(now time.Time) transfer.Load {
+// TransferLoad returns what a decision to move chats needs of a report.
+func (l Load) TransferLoad(now time.Time) transfer.Load {
 	return transfer.Load{Requests: l.Running + l.Waiting, Capacity: l.Capacity, Leaving: l.Leaving(), ReadAt: now}
 }
--- a/wisteriarouter/engine/kv_bench_test.go
+++ b/wisteriarouter/engine/kv_bench_test.go
@@ -35,7 +35,7 @@
 	c, closeClient := NewClient(Options{})
 	defer closeClient()
 	b.SetBytes(size)
-	before := used()
+	before := processCPUTime()
 	for b.Loop() {
 		kv, err := c.Export(b.Context(), strings.TrimPrefix(from.URL, "http://"), "c")
 		assert.NilError(b, err)
@@ -44,11 +44,11 @@
 		assert.Equal(b, n, int64(size))
 		kv.Body.Close()
 	}
-	b.ReportMetric((used()-before).Seconds()/float64(b.N)/size*1e9, "cpu-s/GB")
+	b.ReportMetric((processCPUTime()-before).Seconds()/float64(b.N)/size*1e9, "cpu-s/GB")
 }
 
-// used returns the processor time that the process has used.
-func used() time.Duration {
+// processCPUTime returns the processor time that the process has processCPUTime.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
--- a/wisteriarouter/engine/kv_test.go
+++ b/wisteriarouter/engine/kv_test.go
@@ -27,7 +27,7 @@
 // Two client accounts use the same id for their chats. An engine that is told
 // the id alone takes both for one chat, and exports the cache of either for the
 // other.
-func TestChatsAreNamedWithTheirAccount(t *testing.T) {
+func TestChatIDsAreScopedByAccount(t *testing.T) {
 	var named []string
 	c, address := kvClient(t, func(_ http.ResponseWriter, r *http.Request) {
 		named = append(named, r.Header.Get(headerChat))
@@ -54,7 +54,7 @@
 
 // The cache of a chat has gone, or the leaving engine dies in the middle of its
 // export. The other engine must not take a part of it for the whole.
-func TestBrokenExport(t *testing.T) {
+func TestInterruptedExportIsNotImported(t *testing.T) {
 	var whole atomic.Int32
 	c, address := kvClient(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -72,11 +72,11 @@
 	assert.NilError(t, err)
 	defer kv.Body.Close()
 	n, err := c.Import(t.Context(), address, kv)
-	assert.ErrorIs(t, err, ErrCut)
+	assert.ErrorIs(t, err, ErrTruncated)
 	assert.Assert(t, n <= 100_000, "%d bytes", n)
 	assert.Equal(t, whole.Load(), int32(0))
 
 	cold, coldAddress := kvClient(t, http.NotFound)
 	_, err = cold.Export(t.Context(), coldAddress, "label/1")
-	assert.ErrorIs(t, err, ErrGone)
+	assert.ErrorIs(t, err, ErrNotFound)
 }
--- a/wisteriarouter/engine/order.go
+++ b/wisteriarouter/engine/order.go
@@ -17,7 +17,7 @@
 
 // Order gives an order to an engine. It implements order.EngineClient.
 func (c *Client) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	data, err := json.Marshal(orderBody{Fencing: f, Order: o})
 	if err != nil {
--- a/wisteriarouter/event/catalogue.go
+++ b/wisteriarouter/event/catalogue.go
@@ -58,7 +58,7 @@
 	RequestSuspected  = Kind{507, "request-suspected", logrus.WarnLevel, "A request ran on an endpoint that died."}
 	RequestConvicted  = Kind{508, "request-convicted", logrus.ErrorLevel, "A request's second endpoint died. The fleet refuses it from now on; look at its fingerprint's caller."}
 	RetryBudgetSpent  = Kind{509, "retry-budget-spent", logrus.WarnLevel, "A request was not retried because the share of retries is spent. Look for endpoints that fail."}
-	ConnectionDropped = Kind{511, "caller-gone", logrus.InfoLevel, "A caller went away; its attempt was cancelled."}
+	CallerGone        = Kind{511, "caller-gone", logrus.InfoLevel, "A caller went away; its attempt was cancelled."}
 	ChatPlaced        = Kind{514, "chat-placed", logrus.InfoLevel, "A chat got a place at an endpoint and is sent there; tells how long the place took and how much of the time to the start is left. Nothing to do."}
 	ChatAttempt       = Kind{515, "chat-attempt", logrus.InfoLevel, "An attempt of a chat has ended; tells how, after how long, and how many tokens the caller has by then. Look at the endpoint if attempts are lost there more than elsewhere."}
 	EndpointOutlier   = Kind{516, "endpoint-outlier", logrus.WarnLevel, "An endpoint that this router counts gets no requests of an availability zone's routers, or gets them again, by what requests showed of it; tells the sum of the evidence and the pause before it is probed. Look at the endpoint: its own health check may be good."}
@@ -99,7 +99,7 @@
 		PlatformLost, PlatformBack,
 		PeerConnected, PeerDisconnected, PeerMalformed, PeerRefused, MemberChanged, RumourShed, PeerBusy, PeerAway, PeerBack, HintFailed,
 		EndpointLeaving, EndpointLost, StreamResumed, StreamContinued, StreamMalformed, CancelFailed,
-		RequestRefused, RequestSuspected, RequestConvicted, RetryBudgetSpent, ConnectionDropped, EndpointHeld, EndpointMalformed, ChatPlaced, ChatAttempt, EndpointOutlier,
+		RequestRefused, RequestSuspected, RequestConvicted, RetryBudgetSpent, CallerGone, EndpointHeld, EndpointMalformed, ChatPlaced, ChatAttempt, EndpointOutlier,
 		ActionUnknown, ActionRefused, ActionUnfinished, RecordLost, RecordUnsettled,
 		OrderGiven,
 		RelayAttempt, RelayAttemptLost, RelayRefused, RelayCut, RelayCallerGone, RelayBudgetSpent, RelayPlaced, RelayOverdue,
--- a/wisteriarouter/event/event.go
+++ b/wisteriarouter/event/event.go
@@ -30,15 +30,15 @@
 
 // Log writes structured, numbered events. The zero value drops them.
 type Log struct {
-	logger *logrus.Logger
-	limits *limiter
-	always []Field
+	logger     *logrus.Logger
+	limits     *limiter
+	baseFields []Field
 }
 
 // NewLog returns a log that writes through logger. The fields always go with
 // each line.
-func NewLog(logger *logrus.Logger, always ...Field) Log {
-	return Log{logger: logger, limits: &limiter{kinds: make(map[Number]*count)}, always: always}
+func NewLog(logger *logrus.Logger, baseFields ...Field) Log {
+	return Log{logger: logger, limits: &limiter{kinds: make(map[Number]*lineCount)}, baseFields: baseFields}
 }
 
 // Emit logs one event. Of a kind that comes too often the rest of the second is
@@ -59,7 +59,7 @@
 func (l Log) write(k Kind, fields ...Field) {
 	data := make(logrus.Fields, len(fields)+1)
 	data["event"] = int(k.Number)
-	for _, f := range l.always {
+	for _, f := range l.baseFields {
 		data[f.Name] = f.Value
 	}
 	for _, f := range fields {
--- a/wisteriarouter/event/event_test.go
+++ b/wisteriarouter/event/event_test.go
@@ -18,11 +18,11 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-const page = "../../docs/EVENTS.md"
+const eventsPage = "../../docs/EVENTS.md"
 
 // The page is what operators search when an alert shows a number, so it holds
 // exactly the rows of the catalogue. WISTERIA_UPDATE=1 writes it anew.
-func TestPageHoldsCatalogue(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery log line of a router carries `event`, one of these numbers. A test holds\nthis page and package event together.\n\n")
 	b.WriteString("| number | name | level | meaning, and what to do |\n| --- | --- | --- | --- |\n")
@@ -30,9 +30,9 @@
 		fmt.Fprintf(&b, "| %d | `%s` | %s | %s |\n", k.Number, k.Name, k.Level, k.Help)
 	}
 	if os.Getenv("WISTERIA_UPDATE") != "" {
-		assert.NilError(t, os.WriteFile(page, []byte(b.String()), 0o644))
+		assert.NilError(t, os.WriteFile(eventsPage, []byte(b.String()), 0o644))
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(eventsPage)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), b.String())
 }
@@ -49,11 +49,11 @@
 }
 
 func TestCatalogueIsComplete(t *testing.T) {
-	assert.Equal(t, len(declared(t)), len(event.Catalogue()))
+	assert.Equal(t, len(declaredKinds(t)), len(event.Catalogue()))
 }
 
-// declared returns the names of the kinds that the catalogue's file declares.
-func declared(t *testing.T) []string {
+// declaredKinds returns the names of the kinds that the catalogue's file declares.
+func declaredKinds(t *testing.T) []string {
 	f, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	assert.NilError(t, err)
 	var names []string
@@ -92,7 +92,7 @@
 		assert.NilError(t, err)
 		code.Write(text)
 	}
-	for _, name := range declared(t) {
+	for _, name := range declaredKinds(t) {
 		used := regexp.MustCompile(`(event\.|\bwrite\()` + name + `\b`).MatchString(code.String())
 		assert.Check(t, used, "nothing emits %s", name)
 	}
--- a/wisteriarouter/event/limit.go
+++ b/wisteriarouter/event/limit.go
@@ -18,11 +18,11 @@
 // limiter bounds the lines of each kind.
 type limiter struct {
 	mu    sync.Mutex
-	kinds map[Number]*count
+	kinds map[Number]*lineCount
 }
 
-// count is what was logged of a kind in a second.
-type count struct {
+// lineCount is what was logged of a kind in a second.
+type lineCount struct {
 	second  int64
 	lines   int
 	dropped int
@@ -35,12 +35,12 @@
 	defer l.mu.Unlock()
 	c := l.kinds[k.Number]
 	if c == nil {
-		c = &count{}
+		c = &lineCount{}
 		l.kinds[k.Number] = c
 	}
 	if s := now.Unix(); s != c.second {
 		dropped = c.dropped
-		*c = count{second: s}
+		*c = lineCount{second: s}
 	}
 	limit := ordinaryPerSecond
 	if k.Level <= logrus.WarnLevel {
--- a/wisteriarouter/event/writer.go
+++ b/wisteriarouter/event/writer.go
@@ -13,8 +13,8 @@
 // instance logs under full load, some hundred lines a second, they hold several
 // seconds; they take 1.2 MB at most.
 const (
-	urgentLines   = 1024
-	ordinaryLines = 3072
+	urgentQueueSize   = 1024
+	ordinaryQueueSize = 3072
 )
 
 // Writer writes lines to an output that may block, such as a pipe that nobody
@@ -25,8 +25,8 @@
 	out      io.Writer
 	urgent   chan []byte
 	ordinary chan []byte
-	done     chan struct{}
-	ended    chan struct{}
+	stopping chan struct{}
+	stopped  chan struct{}
 	once     sync.Once
 	dropped  atomic.Uint64
 }
@@ -36,10 +36,10 @@
 func NewWriter(out io.Writer) (*Writer, func()) {
 	w := &Writer{
 		out:      out,
-		urgent:   make(chan []byte, urgentLines),
-		ordinary: make(chan []byte, ordinaryLines),
-		done:     make(chan struct{}),
-		ended:    make(chan struct{}),
+		urgent:   make(chan []byte, urgentQueueSize),
+		ordinary: make(chan []byte, ordinaryQueueSize),
+		stopping: make(chan struct{}),
+		stopped:  make(chan struct{}),
 	}
 	go w.run()
 	return w, w.stop
@@ -50,9 +50,9 @@
 const stopTimeout = 500 * time.Millisecond
 
 func (w *Writer) stop() {
-	w.once.Do(func() { close(w.done) })
+	w.once.Do(func() { close(w.stopping) })
 	select {
-	case <-w.ended:
+	case <-w.stopped:
 	case <-time.After(stopTimeout):
 	}
 }
@@ -60,8 +60,8 @@
 // Dropped returns how many lines found no room.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// put queues a line, of which it keeps no reference.
-func (w *Writer) put(level logrus.Level, line []byte) {
+// enqueue queues a line, of which it keeps no reference.
+func (w *Writer) enqueue(level logrus.Level, line []byte) {
 	queue := w.ordinary
 	if level <= logrus.WarnLevel {
 		queue = w.urgent
@@ -74,7 +74,7 @@
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	for {
 		line, ok := w.next()
 		if !ok {
@@ -97,7 +97,7 @@
 		return line, true
 	case line := <-w.ordinary:
 		return line, true
-	case <-w.done:
+	case <-w.stopping:
 	}
 	select {
 	case line := <-w.urgent:
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.writer.put(e.Level, line)
+	f.writer.enqueue(e.Level, line)
 	return nil, nil
 }
 
--- a/wisteriarouter/event/writer_test.go
+++ b/wisteriarouter/event/writer_test.go
@@ -14,21 +14,21 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// slowOutput is an output that can be blocked.
-type slowOutput struct {
+// blockableOutput is an output that can be blocked.
+type blockableOutput struct {
 	mu      sync.Mutex
 	blocked chan struct{} // writes wait until it is closed
 	text    strings.Builder
 }
 
-func (o *slowOutput) Write(p []byte) (int, error) {
+func (o *blockableOutput) Write(p []byte) (int, error) {
 	<-o.blocked
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(p)
 }
 
-func (o *slowOutput) String() string {
+func (o *blockableOutput) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
@@ -44,9 +44,9 @@
 
 // Nobody reads the log any more, and the pipe is full. A request that waited
 // for its line to be written would be late, and so would all behind it.
-func TestBlockedOutputHoldsUpNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockEmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &slowOutput{blocked: make(chan struct{})}
+		out := &blockableOutput{blocked: make(chan struct{})}
 		log, w, stop := newTestLog(out)
 		start := time.Now()
 		for second := range 60 {
@@ -70,9 +70,9 @@
 }
 
 // A router ends while nobody reads its log. It must not hang.
-func TestEndDoesNotWaitForABlockedOutput(t *testing.T) {
+func TestStopTimesOutOnBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &slowOutput{blocked: make(chan struct{})}
+		out := &blockableOutput{blocked: make(chan struct{})}
 		log, _, stop := newTestLog(out)
 		log.Emit(event.Started)
 		start := time.Now()
@@ -82,8 +82,8 @@
 	})
 }
 
-func TestStopWritesWhatIsQueued(t *testing.T) {
-	out := &slowOutput{blocked: make(chan struct{})}
+func TestStopFlushesQueue(t *testing.T) {
+	out := &blockableOutput{blocked: make(chan struct{})}
 	close(out.blocked)
 	log, w, stop := newTestLog(out)
 	for range 100 {
@@ -96,9 +96,9 @@
 
 // Callers that knock without a key fill the log. Their lines are cut at a rate,
 // and the log says how many are missing.
-func TestFloodOfOneKindIsCutAndCounted(t *testing.T) {
+func TestFloodOfOneKindIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &slowOutput{blocked: make(chan struct{})}
+		out := &blockableOutput{blocked: make(chan struct{})}
 		close(out.blocked)
 		log, _, stop := newTestLog(out)
 		for range 5000 {
--- a/wisteriarouter/serve.go
+++ b/wisteriarouter/serve.go
@@ -37,7 +37,7 @@
 }
 
 func (c *serveCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	cfg := load(c.file)
+	cfg := loadConfig(c.file)
 	if cfg == nil {
 		return subcommands.ExitFailure
 	}
