--- a/wisteriarouter/clock_test.go
+++ b/wisteriarouter/clock_test.go
@@ -14,12 +14,13 @@
 	"gotest.tools/v3/golden"
 )
 
-// wallClockUse matches what reads the time of day rather than the steady clock.
+// wallClockUse matches code that reads the wall clock rather than the monotonic
+// clock.
 var wallClockUse = regexp.MustCompile(`\.Unix(Milli|Micro|Nano)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)|Millis\(now|Millis\(time\.Now`)
 
-// The time of day may jump by hours on some machines. A time-out that goes by it
-// ends what is well, or never what is not. docs/DECISIONS.md says of each use why it
-// bears a jump; a new one has to be added there, and here.
+// The wall clock may jump by hours on some machines. A timeout based on it
+// would expire too early or never. docs/DECISIONS.md explains for each use why
+// it tolerates a jump; add a new use there and to the golden file.
 func TestWallClockUsesAreListed(t *testing.T) {
 	var found bytes.Buffer
 	for _, root := range []string{"../coordination", "../platform", "."} {
--- a/wisteriarouter/endpoint/directory_test.go
+++ b/wisteriarouter/endpoint/directory_test.go
@@ -22,7 +22,8 @@
 	return platform.Entry{ID: id, Address: string(id) + ":1", Zone: "a", Kind: platform.Engine, Pool: "m", State: state, Incarnation: n}
 }
 
-// state returns the state of an endpoint as placement sees it.
+// state returns the state of an endpoint; an unknown endpoint counts as
+// leaving.
 func state(d *endpoint.Directory, id coordination.Endpoint) placement.State {
 	k, ok := d.Find(id)
 	if !ok {
@@ -31,9 +32,9 @@
 	return k.State
 }
 
-// An endpoint says that it is stopping, and the platform's list, which lags,
-// goes on naming it as live. A router that believed the list would send it new
-// work, and the shutdown would cut that off.
+// An endpoint reports its shutdown while the lagging platform list still has it
+// as live. A router that believed the list would send it new requests, which
+// the shutdown would cut off.
 func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
 	var d endpoint.Directory
 	d.Update([]platform.Entry{listed("e1", 5, platform.Live)})
@@ -47,9 +48,9 @@
 	assert.Equal(t, state(&d, "e1"), placement.Live)
 }
 
-// Words about two incarnations of one endpoint arrive in any order and number,
-// as they do from lists that lag and from rumours. Whatever the order, an
-// incarnation that was once called leaving is never live again.
+// Lagging lists and rumors deliver reports about several incarnations of an
+// endpoint in any order and number. An incarnation that was once reported as
+// leaving must never become live again.
 func TestLeavingNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d endpoint.Directory
@@ -75,8 +76,8 @@
 	})
 }
 
-// One list is cut short. Dropping what it does not name would move every chat
-// of the missing endpoints to a cold one.
+// One list is truncated. Removing the endpoints that it omits would move their
+// chats to endpoints without their KV caches.
 func TestSingleTruncatedListRemovesNothing(t *testing.T) {
 	var d endpoint.Directory
 	full := []platform.Entry{listed("e1", 1, platform.Live), listed("e2", 1, platform.Live)}
@@ -90,7 +91,7 @@
 	assert.Equal(t, len(d.Pool("m")), 1)
 }
 
-// failingLister answers with its list, or not at all.
+// failingLister returns its list, or an error if it has none.
 type failingLister struct {
 	list atomic.Pointer[[]platform.Entry]
 }
@@ -103,8 +104,8 @@
 	return *list, nil
 }
 
-// The platform does not answer for a while. The endpoints that are known are
-// served on, and a change is seen soon after the platform is back.
+// The platform is unavailable for a while. The known endpoints are kept, and a
+// change is applied soon after the platform is available again.
 func TestListOutageChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d endpoint.Directory
--- a/wisteriarouter/endpoint/register_test.go
+++ b/wisteriarouter/endpoint/register_test.go
@@ -58,9 +58,9 @@
 	})
 }
 
-// The store is away for some seconds, and the leases of all entries run out
-// meanwhile. The endpoints live; if they were dropped, every request would be
-// refused for the two seconds until the entries are back.
+// The store is unavailable for some seconds, so that the leases of all entries
+// expire. The endpoints are live; if they were removed, every request would be
+// refused for the two seconds until the entries are written again.
 func TestEntriesExpiredDuringStoreOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTracker(3)
@@ -69,17 +69,18 @@
 		r.Apply([]Change{removalChange("e0"), removalChange("e1"), removalChange("e2")})
 		time.Sleep(1500 * time.Millisecond)
 		r.Apply([]Change{entryChange("e0", platform.Live), entryChange("e1", platform.Live)})
-		assert.Assert(t, listed(r, "e2"), "entries may be back within two seconds")
+		assert.Assert(t, listed(r, "e2"), "entries may be written again within two seconds")
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.Assert(t, listed(r, "e0") && listed(r, "e1"))
-		assert.Assert(t, !listed(r, "e2"), "an entry that has not come back is gone")
+		assert.Assert(t, !listed(r, "e2"), "an endpoint whose entry has not come back is removed")
 	})
 }
 
-// An endpoint leaves without a word shortly after the store has come back. It
-// may get no requests two seconds later: it serves on only so long. Once, a
-// hold that began with the removal sent a request 2.12 s behind it.
+// An endpoint leaves without announcing it shortly after the store has
+// recovered. It serves for only two more seconds, after which it must get no
+// requests. A hold that started at the removal of the entry sent a request 2.12
+// s after it.
 func TestHoldIsMeasuredFromStoreRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTracker(9)
@@ -92,8 +93,9 @@
 	})
 }
 
-// This router's own watch of the store has not noticed the outage: it waited
-// all the while. It sees only that a third of the endpoints have gone at once.
+// The router has not detected the outage of the store, because its watch was
+// waiting the whole time. It only sees that more than a third of the endpoints
+// are removed at once.
 func TestBulkRemovalsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTracker(9)
@@ -110,8 +112,8 @@
 	})
 }
 
-// The store comes back and goes away again before the entries are. Nobody can
-// tell whether the endpoints have gone.
+// The store becomes unavailable again before the entries are written again. The
+// missing entries then say nothing about the endpoints.
 func TestNothingIsRemovedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTracker(3)
--- a/wisteriarouter/engine/attempt_test.go
+++ b/wisteriarouter/engine/attempt_test.go
@@ -30,7 +30,7 @@
 	for _, s := range []string{"", "x", "e1.", ".5", "e1.-2", "e1.9999999999999999999999", "e1-abc-def.x"} {
 		if id, err := engine.ParseEventID(s); err == nil {
 			_, _, err = engine.ParseAttempt(id.Attempt)
-			assert.Assert(t, err != nil, "%q is taken", s)
+			assert.Assert(t, err != nil, "%q is accepted", s)
 		}
 	}
 }
--- a/wisteriarouter/engine/fuzz_test.go
+++ b/wisteriarouter/engine/fuzz_test.go
@@ -14,7 +14,7 @@
 
 const fuzzAttempt = "e1-00112233445566778899aabbccddeeff-f0"
 
-// tokenEvent returns an event of the attempt under test.
+// tokenEvent returns an event with one token of the attempt under test.
 func tokenEvent(offset, text string) string {
 	return "id: " + fuzzAttempt + "." + offset + "\ndata: {\"choices\":[{\"delta\":{\"content\":\"" + text + "\"},\"finish_reason\":null}]}\n\n"
 }
@@ -24,7 +24,8 @@
 	return "id: " + fuzzAttempt + "." + total + "\ndata: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":2}}\n\n"
 }
 
-// streamSeeds are what engines send, and what breaks readers.
+// streamSeeds are valid, reordered, duplicated, truncated and malformed
+// streams.
 var streamSeeds = []string{
 	"",
 	tokenEvent("1", "a ") + tokenEvent("2", "b ") + finalEvent("2") + "data: [DONE]\n\n",
@@ -45,14 +46,14 @@
 	strings.Repeat(tokenEvent("5", "x "), 3) + strings.Repeat("data: \n", 100) + "\n",
 }
 
-// newBytesStream returns a stream that reads data behind token offset.
+// newBytesStream returns a stream that reads data, starting after token offset.
 func newBytesStream(data []byte, offset int) *Stream {
 	return newStream(io.NopCloser(bytes.NewReader(data)), newWatchdog(context.Background(), 0), fuzzAttempt, offset)
 }
 
-// An engine sends anything at all. The router must not panic, deliver a token
-// twice or out of order, take a broken answer for a whole one, or break the
-// caller's own stream.
+// Whatever an engine sends, the router must not panic, deliver a token twice or
+// out of order, take a broken answer for a complete one, or corrupt the stream
+// to the caller.
 func FuzzStream(f *testing.F) {
 	for _, seed := range streamSeeds {
 		f.Add([]byte(seed), 0)
@@ -60,7 +61,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte, offset int) {
 		if offset < 0 {
-			return // no router resumes behind a negative offset
+			return // routers never resume at a negative offset
 		}
 		s := newBytesStream(data, offset)
 		defer s.Close()
@@ -71,7 +72,7 @@
 				checkFinalError(t, err, whole)
 				return
 			}
-			assert.Assert(t, !whole, "a chunk behind the closing one")
+			assert.Assert(t, !whole, "a chunk after the final one")
 			checkChunk(t, c, offset)
 			offset = c.Offset
 			whole = c.Finish != ""
@@ -79,7 +80,7 @@
 	})
 }
 
-// checkChunk checks the chunk that came behind token offset.
+// checkChunk checks the chunk that follows token offset.
 func checkChunk(t *testing.T, c Chunk, offset int) {
 	t.Helper()
 	if c.Finish == "" {
@@ -90,19 +91,20 @@
 	assert.Assert(t, !strings.ContainsAny(c.Data, "\r\n"), "%q", c.Data)
 }
 
-// checkFinalError checks the error that ended a stream.
+// checkFinalError checks the error that ended a stream. whole tells whether the
+// final chunk was returned before it.
 func checkFinalError(t *testing.T, err error, whole bool) {
 	t.Helper()
 	if whole {
 		assert.Equal(t, err, io.EOF)
 		return
 	}
-	assert.Assert(t, !errors.Is(err, io.EOF), "a broken answer passes for a whole one: %v", err)
+	assert.Assert(t, !errors.Is(err, io.EOF), "a broken answer was taken for a complete one: %v", err)
 	assert.Assert(t, errors.Is(err, ErrTruncated) || errors.Is(err, ErrMalformed), "%v", err)
 }
 
-// A caller shows any Last-Event-ID at all. Only the ids of routers may be
-// taken, and each must come back as it was.
+// A caller can send any Last-Event-ID. Every id that is accepted must be
+// unchanged by formatting and parsing it again.
 func FuzzEventID(f *testing.F) {
 	for _, seed := range []string{"", ".", fuzzAttempt + ".0", fuzzAttempt + ".-1", fuzzAttempt + ".+1", fuzzAttempt + ".01", "a.b.3", "--.1", "-.\x00.9"} {
 		f.Add(seed)
@@ -122,9 +124,9 @@
 	})
 }
 
-// An engine spreads a chunk over several data lines, sends one without data or
-// with text behind it. A caller would see its stream break in mid-event, or
-// a broken answer end as if it were whole.
+// An engine sends a chunk as several data lines, without data, or with data
+// after the JSON value. The caller's stream would break within an event, or a
+// broken answer would look complete.
 func TestMultilineAndMalformedChunks(t *testing.T) {
 	s := newBytesStream([]byte("id: "+fuzzAttempt+".1\ndata: {\"choices\":[\ndata:\ndata: ]}\n\n"), 0)
 	defer s.Close()
@@ -140,8 +142,8 @@
 	}
 }
 
-// A stream's decoder keeps its state from chunk to chunk. A chunk that leaves
-// fields out must not show those of the one before it.
+// The decoder of a stream reuses its state. A chunk that omits fields must not
+// return the values of the previous chunk.
 func TestDecoderResetsBetweenChunks(t *testing.T) {
 	d := newChunkDecoder()
 	c, err := d.decode(`{"choices":[{"delta":{"content":"a"},"finish_reason":"stop"}],"usage":{"prompt_tokens":7}}`)
--- a/wisteriarouter/engine/kv_bench_test.go
+++ b/wisteriarouter/engine/kv_bench_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkMoveKV measures what it costs to pass the KV cache of a chat from
-// one engine to another over loopback. The processor time is that of the
-// process, in which both engines run as well: a router's own is less.
+// BenchmarkMoveKV measures the transfer of a chat's KV cache from one engine to
+// another over loopback. The CPU time is that of the whole process, which
+// includes both engines, so a router's own share is lower.
 //
 //	go test -run xxx -bench MoveKV ./engine
 func BenchmarkMoveKV(b *testing.B) {
@@ -47,7 +47,7 @@
 	b.ReportMetric((processCPUTime()-before).Seconds()/float64(b.N)/size*1e9, "cpu-s/GB")
 }
 
-// processCPUTime returns the processor time that the process has processCPUTime.
+// processCPUTime returns the user and system CPU time of the process.
 func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/wisteriarouter/engine/kv_test.go
+++ b/wisteriarouter/engine/kv_test.go
@@ -15,7 +15,7 @@
 	"wisteriaspool/coordination/transfer"
 )
 
-// kvClient returns a client, and the address of an engine that answers with h.
+// kvClient returns a client, and the address of an engine whose handler is h.
 func kvClient(t *testing.T, h http.HandlerFunc) (*Client, string) {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -24,9 +24,8 @@
 	return c, strings.TrimPrefix(s.URL, "http://")
 }
 
-// Two client accounts use the same id for their chats. An engine that is told
-// the id alone takes both for one chat, and exports the cache of either for the
-// other.
+// Two client accounts use the same chat id. An engine that receives only the id
+// treats both as one chat and exports the cache of one account to the other.
 func TestChatIDsAreScopedByAccount(t *testing.T) {
 	var named []string
 	c, address := kvClient(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -52,8 +51,8 @@
 	assert.DeepEqual(t, events, CacheEvents{Events: []transfer.Event{{Seq: 7, Chat: "label/1", Kind: transfer.Stored}}, Next: 9})
 }
 
-// The cache of a chat has gone, or the leaving engine dies in the middle of its
-// export. The other engine must not take a part of it for the whole.
+// The cache of a chat no longer exists, or the leaving engine dies during its
+// export. The other engine must not take a partial cache for a complete one.
 func TestInterruptedExportIsNotImported(t *testing.T) {
 	var whole atomic.Int32
 	c, address := kvClient(t, func(w http.ResponseWriter, r *http.Request) {
--- a/wisteriarouter/event/catalogue.go
+++ b/wisteriarouter/event/catalogue.go
@@ -2,96 +2,96 @@
 
 import "github.com/sirupsen/logrus"
 
-// The events of a router's life.
+// Events of the router process.
 var (
-	Started        = Kind{100, "started", logrus.InfoLevel, "The router serves. Nothing to do."}
-	Ready          = Kind{101, "ready", logrus.InfoLevel, "The router has settings and endpoints and takes requests."}
-	Stopping       = Kind{102, "stopping", logrus.InfoLevel, "A graceful shutdown began: no new requests, those in flight finish."}
-	Stopped        = Kind{103, "stopped", logrus.InfoLevel, "The shutdown is complete; in-flight tells how many requests were left, which is 0 unless the stop limit passed."}
-	Failed         = Kind{104, "failed", logrus.ErrorLevel, "The router could not start or go on. The error tells why."}
-	Reloaded       = Kind{105, "reloaded", logrus.InfoLevel, "The settings file was read again and is in force, but for addresses and names, which need a restart."}
-	LinesDropped   = Kind{107, "lines-dropped", logrus.WarnLevel, "Lines of a kind were not logged, since there were too many in a second; the count tells how many. The metrics still count what they would have told."}
-	RequestDropped = Kind{108, "request-dropped", logrus.WarnLevel, "A connection ended though a part of a request, or all of it, had been read and nobody answers it; tells how many bytes, since when, whether it was the first request on its connection, whether the other side had gone, and whether the router was closing connections. If it had not gone, its request is lost."}
-	ReloadFailed   = Kind{106, "reload-failed", logrus.ErrorLevel, "The settings file was to be read again and cannot be; the settings before stay in force. The problems name the lines."}
+	Started        = Kind{100, "started", logrus.InfoLevel, "The router has started. No action needed."}
+	Ready          = Kind{101, "ready", logrus.InfoLevel, "The router has settings and endpoints and accepts requests."}
+	Stopping       = Kind{102, "stopping", logrus.InfoLevel, "A graceful shutdown has begun: new requests are refused, those in flight finish."}
+	Stopped        = Kind{103, "stopped", logrus.InfoLevel, "The shutdown is complete; in-flight is the number of unfinished requests, which is 0 unless the stop limit was exceeded."}
+	Failed         = Kind{104, "failed", logrus.ErrorLevel, "The router could not start or continue; the error gives the reason."}
+	Reloaded       = Kind{105, "reloaded", logrus.InfoLevel, "The settings file was reloaded and is in force, except for addresses and names, which need a restart."}
+	LinesDropped   = Kind{107, "lines-dropped", logrus.WarnLevel, "Lines of a kind were not logged because there were too many within a second; count is their number. The metrics still include their events."}
+	RequestDropped = Kind{108, "request-dropped", logrus.WarnLevel, "A connection ended after a part of a request, or all of it, had been read and without a response; gives the number of bytes, since when, whether it was the first request on its connection, whether the peer had disconnected, and whether the router was closing connections. If the peer had not disconnected, its request is lost."}
+	ReloadFailed   = Kind{106, "reload-failed", logrus.ErrorLevel, "The settings file could not be reloaded; the previous settings stay in force. The problems name the lines."}
 )
 
-// The events of settings.
+// Events of settings.
 var (
-	SettingsApplied  = Kind{200, "settings-applied", logrus.InfoLevel, "A team's settings revision, or a version of the desired state, is in force on this router. Of a desired state it tells who told of it (the store or a router), how long before the store had told the first router (behind-ms), and how long nobody had heard from the store (unconfirmed-ms)."}
-	SettingsInvalid  = Kind{201, "settings-invalid", logrus.WarnLevel, "The platform holds a value that this router refuses; the last good one stays in force. Put a valid change on top."}
-	SettingsRejected = Kind{202, "settings-rejected", logrus.WarnLevel, "An operator's change was refused; the outcome tells whether it conflicted, was invalid or could not be written."}
+	SettingsApplied  = Kind{200, "settings-applied", logrus.InfoLevel, "A team's settings revision, or a version of the desired state, is in force on this router. For a desired state it gives the source (the store or a router), how long ago the first router received it from the store (behind-ms), and for how long no router had received anything from the store (unconfirmed-ms)."}
+	SettingsInvalid  = Kind{201, "settings-invalid", logrus.WarnLevel, "The platform holds a value that this router rejects; the last valid one stays in force. Write a valid change."}
+	SettingsRejected = Kind{202, "settings-rejected", logrus.WarnLevel, "An operator's change was rejected; the outcome says whether it conflicted, was invalid or could not be written."}
 	SettingsChanged  = Kind{203, "settings-changed", logrus.InfoLevel, "An operator's change was accepted through this router."}
-	SettingsLate     = Kind{205, "settings-late", logrus.WarnLevel, "A version of the desired state came into force more than half a second behind the first router; tells whom this router asked last, how many milliseconds it was kept waiting there, and what came of it. Look whether those routers had lost the store (300)."}
+	SettingsLate     = Kind{205, "settings-late", logrus.WarnLevel, "A version of the desired state came into force more than half a second later than on the first router; gives the router that this one asked last, how many milliseconds it waited for it, and the result. Check whether those routers had lost the store (300)."}
 )
 
-// The events of the platform's service.
+// Events of the platform's service.
 var (
-	PlatformLost = Kind{300, "platform-lost", logrus.WarnLevel, "Calls to the platform's service fail. Chats go on with the last settings; non-idempotent actions are refused. See the platform's own alarms."}
+	PlatformLost = Kind{300, "platform-lost", logrus.WarnLevel, "Calls to the platform's service fail. Chats continue with the last settings; non-idempotent actions are refused. See the platform's own alarms."}
 	PlatformBack = Kind{301, "platform-back", logrus.InfoLevel, "Calls to the platform's service succeed again."}
 )
 
-// The events of peers.
+// Events of peers.
 var (
-	PeerConnected    = Kind{400, "peer-connected", logrus.DebugLevel, "A connection to another router stands."}
+	PeerConnected    = Kind{400, "peer-connected", logrus.DebugLevel, "A connection to another router was established."}
 	PeerDisconnected = Kind{401, "peer-disconnected", logrus.DebugLevel, "A connection to another router ended."}
-	PeerMalformed    = Kind{402, "peer-malformed", logrus.WarnLevel, "A peer sent a malformed message; its connection was closed. Look for a router of a wrong version or a foreign client on the peer port."}
-	PeerRefused      = Kind{403, "peer-refused", logrus.WarnLevel, "A connection was refused at hello, for its fleet name or its version."}
-	MemberChanged    = Kind{404, "member-changed", logrus.InfoLevel, "A router joined, left, or is taken for dead."}
-	RumourShed       = Kind{405, "rumour-shed", logrus.WarnLevel, "Soft state was dropped to stay under the byte budget. If it goes on, raise the budget or look for flapping instances."}
-	PeerBusy         = Kind{406, "peer-busy", logrus.WarnLevel, "More calls of other routers came at once than this one handles; some were turned away. If it goes on, the instance is too small or a peer repeats itself."}
-	PeerAway         = Kind{407, "peer-away", logrus.WarnLevel, "A router leaves calls without an answer; this one does without it until it answers again. If it goes on and the router is not declared dead, look at the path between the two."}
-	PeerBack         = Kind{408, "peer-back", logrus.InfoLevel, "A router that was away answers again."}
-	HintFailed       = Kind{409, "hint-failed", logrus.InfoLevel, "A router could not be told of a change of the store, or what it had told of could not be fetched from it. Others have told of it too; look whether that router is away."}
+	PeerMalformed    = Kind{402, "peer-malformed", logrus.WarnLevel, "A peer sent a malformed message; its connection was closed. Look for a router of a wrong version or another client on the peer port."}
+	PeerRefused      = Kind{403, "peer-refused", logrus.WarnLevel, "A connection was refused during the handshake because of its fleet name or its version."}
+	MemberChanged    = Kind{404, "member-changed", logrus.InfoLevel, "A router joined, left, or was declared dead."}
+	RumourShed       = Kind{405, "rumour-shed", logrus.WarnLevel, "Soft state was dropped to stay within the byte budget. If this continues, raise the budget or look for flapping instances."}
+	PeerBusy         = Kind{406, "peer-busy", logrus.WarnLevel, "Other routers made more concurrent calls than this router handles; some were refused. If this continues, the instance is too small or a peer repeats its calls."}
+	PeerAway         = Kind{407, "peer-away", logrus.WarnLevel, "A router does not answer calls; this one does not use it until it answers again. If this continues and the router is not declared dead, check the network path between the two."}
+	PeerBack         = Kind{408, "peer-back", logrus.InfoLevel, "A router that did not answer calls answers again."}
+	HintFailed       = Kind{409, "hint-failed", logrus.InfoLevel, "A router could not be notified of a change of the store, or a change that it announced could not be fetched from it. Other routers announce the change as well; check whether that router is reachable."}
 )
 
-// The events of chats and endpoints.
+// Events of chats and endpoints.
 var (
-	EndpointLeaving   = Kind{500, "endpoint-leaving", logrus.InfoLevel, "An endpoint announced its stop and gets no new work."}
-	EndpointLost      = Kind{501, "endpoint-lost", logrus.WarnLevel, "An endpoint died or was restarted while it ran requests."}
-	StreamResumed     = Kind{502, "stream-resumed", logrus.InfoLevel, "A stream that broke was resumed on the same endpoint."}
-	StreamContinued   = Kind{503, "stream-continued", logrus.InfoLevel, "A stream whose endpoint was lost goes on elsewhere."}
-	StreamMalformed   = Kind{504, "stream-malformed", logrus.ErrorLevel, "An endpoint sent a chunk that cannot be read; the attempt was cancelled."}
-	CancelFailed      = Kind{505, "cancel-failed", logrus.WarnLevel, "An attempt nobody reads could not be cancelled; it ends when the endpoint's own limit passes."}
-	EndpointHeld      = Kind{512, "endpoint-held", logrus.InfoLevel, "An endpoint's entry was removed while the store was away or with very many others; the endpoint stays for a while in case the entry comes back."}
-	EndpointMalformed = Kind{513, "endpoint-malformed", logrus.WarnLevel, "An entry in the store cannot be used and names no endpoint; the error tells why. Look for another writer."}
-	RequestRefused    = Kind{506, "request-refused", logrus.WarnLevel, "A request got a final refusal; tells the code, why, whether it has run, and when the caller was told to come back."}
+	EndpointLeaving   = Kind{500, "endpoint-leaving", logrus.InfoLevel, "An endpoint announced its shutdown and gets no new requests."}
+	EndpointLost      = Kind{501, "endpoint-lost", logrus.WarnLevel, "An endpoint died or restarted while it was running requests."}
+	StreamResumed     = Kind{502, "stream-resumed", logrus.InfoLevel, "An interrupted stream was resumed on the same endpoint."}
+	StreamContinued   = Kind{503, "stream-continued", logrus.InfoLevel, "A stream whose endpoint was lost continues on another endpoint."}
+	StreamMalformed   = Kind{504, "stream-malformed", logrus.ErrorLevel, "An endpoint sent a chunk that cannot be decoded; the attempt was cancelled."}
+	CancelFailed      = Kind{505, "cancel-failed", logrus.WarnLevel, "An attempt whose answer is no longer needed could not be cancelled; it ends at the endpoint's own limit."}
+	EndpointHeld      = Kind{512, "endpoint-held", logrus.InfoLevel, "An endpoint's entry was removed shortly after an outage of the store or together with many others; the endpoint is kept for a while in case the entry comes back."}
+	EndpointMalformed = Kind{513, "endpoint-malformed", logrus.WarnLevel, "An entry in the store is invalid and was ignored; the error gives the reason. Look for another writer."}
+	RequestRefused    = Kind{506, "request-refused", logrus.WarnLevel, "A request was finally refused; gives the code, the reason, whether it has run, and after what time the caller was told to retry."}
 	RequestSuspected  = Kind{507, "request-suspected", logrus.WarnLevel, "A request ran on an endpoint that died."}
-	RequestConvicted  = Kind{508, "request-convicted", logrus.ErrorLevel, "A request's second endpoint died. The fleet refuses it from now on; look at its fingerprint's caller."}
-	RetryBudgetSpent  = Kind{509, "retry-budget-spent", logrus.WarnLevel, "A request was not retried because the share of retries is spent. Look for endpoints that fail."}
-	CallerGone        = Kind{511, "caller-gone", logrus.InfoLevel, "A caller went away; its attempt was cancelled."}
-	ChatPlaced        = Kind{514, "chat-placed", logrus.InfoLevel, "A chat got a place at an endpoint and is sent there; tells how long the place took and how much of the time to the start is left. Nothing to do."}
-	ChatAttempt       = Kind{515, "chat-attempt", logrus.InfoLevel, "An attempt of a chat has ended; tells how, after how long, and how many tokens the caller has by then. Look at the endpoint if attempts are lost there more than elsewhere."}
-	EndpointOutlier   = Kind{516, "endpoint-outlier", logrus.WarnLevel, "An endpoint that this router counts gets no requests of an availability zone's routers, or gets them again, by what requests showed of it; tells the sum of the evidence and the pause before it is probed. Look at the endpoint: its own health check may be good."}
+	RequestConvicted  = Kind{508, "request-convicted", logrus.ErrorLevel, "A second endpoint died while it ran the same request. All routers refuse the request from now on; check the caller with its fingerprint."}
+	RetryBudgetSpent  = Kind{509, "retry-budget-spent", logrus.WarnLevel, "A request was not retried because the retry budget is exhausted. Look for failing endpoints."}
+	CallerGone        = Kind{511, "caller-gone", logrus.InfoLevel, "A caller disconnected; its attempt was cancelled."}
+	ChatPlaced        = Kind{514, "chat-placed", logrus.InfoLevel, "A chat was placed on an endpoint and is sent there; gives the duration of the placement and the time left until the start deadline. No action needed."}
+	ChatAttempt       = Kind{515, "chat-attempt", logrus.InfoLevel, "An attempt of a chat has ended; gives the result, the duration, and the number of tokens delivered to the caller so far. Check the endpoint if attempts are lost there more often than elsewhere."}
+	EndpointOutlier   = Kind{516, "endpoint-outlier", logrus.WarnLevel, "Based on the results of requests, the routers of an availability zone stopped or resumed sending requests to an endpoint that this router counts; gives the sum of the evidence and the pause before the endpoint is probed. Check the endpoint: its own health check may still pass."}
 )
 
-// The events of actions.
+// Events of actions.
 var (
-	ActionUnknown    = Kind{600, "action-unknown", logrus.WarnLevel, "An action may or may not have run. Its record stands; check at the service with the key."}
+	ActionUnknown    = Kind{600, "action-unknown", logrus.WarnLevel, "An action may or may not have run. Its record is kept; check with the service, using the key."}
 	ActionRefused    = Kind{601, "action-refused", logrus.DebugLevel, "A non-idempotent action was refused and did not run."}
-	ActionUnfinished = Kind{602, "action-unfinished", logrus.WarnLevel, "An action ran but its record could not be closed yet; the router keeps trying."}
-	RecordLost       = Kind{603, "record-lost", logrus.ErrorLevel, "A record that this router held is gone or is another's: the platform lost it. Its key may run again; check at the service."}
-	RecordUnsettled  = Kind{604, "record-unsettled", logrus.WarnLevel, "A record was never closed. Its key stays in progress until it expires."}
+	ActionUnfinished = Kind{602, "action-unfinished", logrus.WarnLevel, "An action ran, but its record could not be closed yet; the router keeps retrying."}
+	RecordLost       = Kind{603, "record-lost", logrus.ErrorLevel, "A record that this router held no longer exists or belongs to another router: the platform lost it. An action with its key may run again; check with the service."}
+	RecordUnsettled  = Kind{604, "record-unsettled", logrus.WarnLevel, "A record was not closed. Its key remains in progress until it expires."}
 )
 
-// The events of orders to engines.
+// Events of orders to engines.
 var (
-	OrderGiven = Kind{700, "order-given", logrus.InfoLevel, "An engine was told to load something; the result tells whether it took the order. If many are fenced, two routers hold the pool: see the platform's leases under /wisteriaspool/orders/."}
+	OrderGiven = Kind{700, "order-given", logrus.InfoLevel, "An engine was ordered to load something; the result says whether it accepted the order. If many orders are fenced, two routers hold the pool: see the platform's leases under /wisteriaspool/orders/."}
 )
 
-// The events of relayed requests. Each names the request, and with its route
-// the version of the desired state by which it was decided.
+// Events of relayed requests. Each names the request and, if it gives the route,
+// the version of the desired state that determined it.
 var (
-	RelayAttempt     = Kind{800, "relay-attempt", logrus.InfoLevel, "A request was sent to an endpoint; tells which, for which key, whether the cache of another endpoint was fetched, how it ended and when. Nothing to do."}
-	RelayAttemptLost = Kind{801, "relay-attempt-lost", logrus.WarnLevel, "An attempt got no usable answer; the error tells how far it had come. Look at the endpoint if it happens there more than elsewhere."}
-	RelayRefused     = Kind{802, "relay-refused", logrus.WarnLevel, "The router answered in its own name; tells the status, why, and when the caller was told to come back."}
-	RelayCut         = Kind{803, "relay-cut", logrus.WarnLevel, "An answer was broken off after the caller had got a part of it."}
-	RelayCallerGone  = Kind{804, "relay-caller-gone", logrus.InfoLevel, "The caller went away before its answer was complete; the endpoint was told to stop."}
-	RelayBudgetSpent = Kind{805, "relay-budget-spent", logrus.WarnLevel, "A request was not sent again because the pool's share of retries is spent. Look for endpoints that fail."}
-	RelayPlaced      = Kind{806, "relay-placed", logrus.InfoLevel, "A request got a place at an endpoint and is sent there; tells for which key, the endpoint's rank among those of the key, how long the place took, and how old what the router knows of the store is. Nothing to do."}
-	RelayOverdue     = Kind{807, "relay-overdue", logrus.InfoLevel, "An endpoint has sent no byte of an answer for longer than others take; tells after how long, and whether the request may go on elsewhere. Look at the endpoint if it happens there more than elsewhere."}
+	RelayAttempt     = Kind{800, "relay-attempt", logrus.InfoLevel, "A request was sent to an endpoint; gives the endpoint, the key, whether the cache of another endpoint was fetched, the result and the times. No action needed."}
+	RelayAttemptLost = Kind{801, "relay-attempt-lost", logrus.WarnLevel, "An attempt got no usable answer; the error says how far it got. Check the endpoint if this happens there more often than elsewhere."}
+	RelayRefused     = Kind{802, "relay-refused", logrus.WarnLevel, "The router itself answered the request; gives the status, the reason, and after what time the caller was told to retry."}
+	RelayCut         = Kind{803, "relay-cut", logrus.WarnLevel, "An answer was aborted after a part of it had been sent to the caller."}
+	RelayCallerGone  = Kind{804, "relay-caller-gone", logrus.InfoLevel, "The caller disconnected before its answer was complete; the endpoint was told to stop."}
+	RelayBudgetSpent = Kind{805, "relay-budget-spent", logrus.WarnLevel, "A request was not retried because the retry budget of its pool is exhausted. Look for failing endpoints."}
+	RelayPlaced      = Kind{806, "relay-placed", logrus.InfoLevel, "A request was placed on an endpoint and is sent there; gives the key, the endpoint's rank among those of the key, the duration of the placement, and the age of the router's view of the store. No action needed."}
+	RelayOverdue     = Kind{807, "relay-overdue", logrus.InfoLevel, "An endpoint has sent no byte of an answer for longer than others take; gives the time waited, and whether the request may be sent to another endpoint. Check the endpoint if this happens there more often than elsewhere."}
 )
 
-// Catalogue lists every kind, in order of number.
+// Catalogue returns every kind of event, ordered by number.
 func Catalogue() []Kind {
 	return []Kind{
 		Started, Ready, Stopping, Stopped, Failed, Reloaded, ReloadFailed, LinesDropped, RequestDropped,
--- a/wisteriarouter/event/event_test.go
+++ b/wisteriarouter/event/event_test.go
@@ -20,8 +20,9 @@
 
 const eventsPage = "../../docs/EVENTS.md"
 
-// The page is what operators search when an alert shows a number, so it holds
-// exactly the rows of the catalogue. WISTERIA_UPDATE=1 writes it anew.
+// Operators look up the numbers of alerts on the page, so it must hold exactly
+// the rows of the catalogue. Run the test with WISTERIA_UPDATE=1 to regenerate
+// the page.
 func TestEventsPageMatchesCatalogue(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery log line of a router carries `event`, one of these numbers. A test holds\nthis page and package event together.\n\n")
@@ -42,7 +43,7 @@
 	last := event.Number(0)
 	for _, k := range event.Catalogue() {
 		assert.Assert(t, k.Number > last, "%d is not in order", k.Number)
-		assert.Assert(t, !names[k.Name], "%s stands twice", k.Name)
+		assert.Assert(t, !names[k.Name], "%s is listed twice", k.Name)
 		last = k.Number
 		names[k.Name] = true
 	}
@@ -52,7 +53,7 @@
 	assert.Equal(t, len(declaredKinds(t)), len(event.Catalogue()))
 }
 
-// declaredKinds returns the names of the kinds that the catalogue's file declares.
+// declaredKinds returns the names of the kinds that catalogue.go declares.
 func declaredKinds(t *testing.T) []string {
 	f, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	assert.NilError(t, err)
@@ -79,7 +80,7 @@
 	event.Log{}.Emit(event.Started)
 }
 
-// An operator waits for a number that the page promises and nothing ever logs.
+// The page would otherwise document events that the router never logs.
 func TestEveryEventIsEmitted(t *testing.T) {
 	var code strings.Builder
 	files, err := filepath.Glob("../*/*.go")
--- a/wisteriarouter/event/writer_test.go
+++ b/wisteriarouter/event/writer_test.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// blockableOutput is an output that can be blocked.
+// blockableOutput is an output whose writes block until a channel is closed.
 type blockableOutput struct {
 	mu      sync.Mutex
 	blocked chan struct{} // writes wait until it is closed
@@ -42,8 +42,8 @@
 	return event.NewLog(logger), w, stop
 }
 
-// Nobody reads the log any more, and the pipe is full. A request that waited
-// for its line to be written would be late, and so would all behind it.
+// Nothing reads the log, and the pipe is full. A request that waited for its
+// line to be written would be delayed, and so would all requests after it.
 func TestBlockedOutputDoesNotBlockEmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockableOutput{blocked: make(chan struct{})}
@@ -57,7 +57,7 @@
 		}
 		assert.Equal(t, time.Since(start), time.Minute)
 		assert.Assert(t, w.Dropped() > 0)
-		// Failures have room of their own.
+		// Warnings have their own queue.
 		before := w.Dropped()
 		log.Emit(event.RelayCut, event.F("request", "last"))
 		assert.Equal(t, w.Dropped(), before)
@@ -65,11 +65,11 @@
 		stop()
 		assert.Assert(t, strings.Contains(out.String(), `"request":"last"`))
 		first := strings.Index(out.String(), `"relay-cut"`)
-		assert.Assert(t, first < 1000, "a failure waits behind successes")
+		assert.Assert(t, first < 1000, "a warning was written after informational lines")
 	})
 }
 
-// A router ends while nobody reads its log. It must not hang.
+// A router that stops while nothing reads its log must not hang.
 func TestStopTimesOutOnBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockableOutput{blocked: make(chan struct{})}
@@ -94,8 +94,8 @@
 	assert.Equal(t, w.Dropped(), uint64(0))
 }
 
-// Callers that knock without a key fill the log. Their lines are cut at a rate,
-// and the log says how many are missing.
+// Many refused requests flood the log with one kind of event. The rate of its
+// lines is limited, and the number of dropped lines is logged.
 func TestFloodOfOneKindIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockableOutput{blocked: make(chan struct{})}
@@ -114,8 +114,9 @@
 	})
 }
 
-// A request at full load costs two lines. Before the queue, a line cost its
-// write as well, and one that blocked held up the request.
+// A request at full load logs two lines. Writing them synchronously would add
+// the time of the write to the request, and a blocked write would block the
+// request.
 func BenchmarkEmit(b *testing.B) {
 	log, _, stop := newTestLog(io.Discard)
 	defer stop()
@@ -127,8 +128,8 @@
 	}
 }
 
-// What a line costs the request that it is about: it is formatted and queued;
-// the output takes it later.
+// BenchmarkLine measures the cost of a line to the request that logs it: the
+// line is formatted and queued, and written to the output later.
 func BenchmarkLine(b *testing.B) {
 	w, stop := event.NewWriter(io.Discard)
 	defer stop()
