--- a/wisteriarouter/endpoint/directory.go
+++ b/wisteriarouter/endpoint/directory.go
@@ -142,12 +142,12 @@
 
 // Apply applies individual changes of the platform's list: new or changed
 // entries, and the ids of removed endpoints.
-func (d *Directory) Apply(entries []platform.Entry, gone []coordination.Endpoint) {
+func (d *Directory) Apply(entries []platform.Entry, removed []coordination.Endpoint) {
 	d.mutate(func() {
 		for _, l := range entries {
 			d.upsert(l)
 		}
-		for _, id := range gone {
+		for _, id := range removed {
 			delete(d.entries, id)
 		}
 	})
@@ -226,8 +226,8 @@
 // mutate runs fn with the lock held, publishes a new snapshot, and then calls
 // the callbacks without the lock, so that they may query the directory.
 func (d *Directory) mutate(fn func()) {
-	fresh, watchers := d.publish(fn)
-	for _, m := range fresh {
+	marks, watchers := d.publish(fn)
+	for _, m := range marks {
 		if d.OnLeaving != nil {
 			d.OnLeaving(m.id, m.incarnation)
 		}
@@ -240,7 +240,7 @@
 // publish runs fn with the lock held and publishes the resulting snapshot. It
 // returns the new leaving marks, and the watchers to call if the snapshot has
 // changed.
-func (d *Directory) publish(fn func()) (fresh []leavingMark, watchers []func()) {
+func (d *Directory) publish(fn func()) (marks []leavingMark, watchers []func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.entries == nil {
@@ -248,13 +248,13 @@
 		d.leaving = make(map[coordination.Endpoint]coordination.Incarnation)
 	}
 	fn()
-	fresh, d.newlyLeaving = d.newlyLeaving, nil
+	marks, d.newlyLeaving = d.newlyLeaving, nil
 	next := d.buildSnapshot()
 	if equalSnapshots(d.current(), next) {
-		return fresh, nil
+		return marks, nil
 	}
 	d.snapshot.Store(next)
-	return fresh, d.watchers
+	return marks, d.watchers
 }
 
 func (d *Directory) buildSnapshot() *snapshot {
--- a/wisteriarouter/endpoint/register.go
+++ b/wisteriarouter/endpoint/register.go
@@ -64,7 +64,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var put []platform.Entry
-	var gone []coordination.Endpoint
+	var removed []coordination.Endpoint
 	for _, c := range changes {
 		if !c.Removed {
 			r.cancelRemoval(c.ID)
@@ -74,9 +74,9 @@
 		if r.holdRemoved(now, c.ID) {
 			continue
 		}
-		gone = append(gone, c.ID)
+		removed = append(removed, c.ID)
 	}
-	r.Directory.Apply(put, gone)
+	r.Directory.Apply(put, removed)
 }
 
 // holdRemoved delays the removal of an endpoint if its entry may come back, and
@@ -99,11 +99,11 @@
 // holdDuration returns how long to keep an endpoint whose entry was removed at
 // now, zero for not at all. endpoints is the size of its pool.
 func (r *EntryTracker) holdDuration(now time.Time, endpoints int) time.Duration {
-	mass := r.recordRemoval(now, endpoints)
+	bulk := r.recordRemoval(now, endpoints)
 	switch {
 	case now.Sub(r.recoveredAt) < recoveryHold:
 		return recoveryHold - now.Sub(r.recoveredAt)
-	case mass:
+	case bulk:
 		return bulkHold
 	default:
 		return 0
--- a/wisteriarouter/engine/attempt.go
+++ b/wisteriarouter/engine/attempt.go
@@ -24,8 +24,8 @@
 
 // NewAttempt returns a new id for an attempt at the endpoint. A caller that has
 // lost its router presents the id to another router, which reads the endpoint
-// from it and refuses a request with a different fingerprint. A leaked id
-// therefore does not expose the answer to a different request.
+// from it and refuses a request with a different fingerprint, so that a leaked
+// id alone does not give access to the answer.
 func NewAttempt(e coordination.Endpoint, f Fingerprint) coordination.Attempt {
 	var b [randomBytes]byte
 	// crypto/rand.Read never returns an error: on failure it crashes the
--- a/wisteriarouter/engine/silence.go
+++ b/wisteriarouter/engine/silence.go
@@ -55,17 +55,18 @@
 )
 
 // newWatchdog returns a running watchdog that does not probe the engine.
-func newWatchdog(ctx context.Context, idle time.Duration) *idleWatchdog {
-	return newProbingWatchdog(ctx, idle, nil)
+func newWatchdog(ctx context.Context, timeout time.Duration) *idleWatchdog {
+	return newProbingWatchdog(ctx, timeout, nil)
 }
 
 // newProbingWatchdog returns a running watchdog that probes the engine with
-// alive, or only applies the timeout if alive is nil.
-func newProbingWatchdog(ctx context.Context, idle time.Duration, alive func(context.Context) bool) *idleWatchdog {
-	if idle <= 0 {
-		idle = defaultIdleTimeout
+// probe, or only applies the timeout if probe is nil. A timeout that is not
+// positive means defaultIdleTimeout.
+func newProbingWatchdog(ctx context.Context, timeout time.Duration, probe func(context.Context) bool) *idleWatchdog {
+	if timeout <= 0 {
+		timeout = defaultIdleTimeout
 	}
-	w := &idleWatchdog{timeout: idle, probe: alive}
+	w := &idleWatchdog{timeout: timeout, probe: probe}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	w.lastEvent.Set(time.Now())
 	w.mu.Lock()
@@ -81,11 +82,11 @@
 	if w.probe == nil {
 		return w.timeout
 	}
-	quiet := initialProbeDelay
+	delay := initialProbeDelay
 	if w.events.Load() >= minGapEvents {
-		quiet = max(minProbeDelay, probeDelayGaps*time.Duration(w.meanGap.Load()))
+		delay = max(minProbeDelay, probeDelayGaps*time.Duration(w.meanGap.Load()))
 	}
-	return min(w.timeout, quiet<<min(w.probes.Load(), maxDoublings))
+	return min(w.timeout, delay<<min(w.probes.Load(), maxDoublings))
 }
 
 // onTimer cancels the request if the timeout has passed or the engine does not
--- a/wisteriarouter/engine/stream.go
+++ b/wisteriarouter/engine/stream.go
@@ -137,8 +137,8 @@
 	c.Offset = id.Offset
 	switch {
 	case c.Finish != "":
-		closing := c
-		s.final = &closing
+		final := c
+		s.final = &final
 	case c.Offset == s.offset+1:
 		s.offset++
 		return c, true, nil
--- a/wisteriarouter/event/event.go
+++ b/wisteriarouter/event/event.go
@@ -42,7 +42,8 @@
 }
 
 // Emit logs one event. Events of a kind that exceed its limit per second are
-// dropped; their number is logged with the next event of the kind.
+// dropped; their number is logged before the first event of the kind in a later
+// second.
 func (l Log) Emit(k Kind, fields ...Field) {
 	if l.logger == nil || !l.logger.IsLevelEnabled(k.Level) {
 		return
--- a/wisteriarouter/serve.go
+++ b/wisteriarouter/serve.go
@@ -23,9 +23,9 @@
 func (*serveCommand) Usage() string {
 	return `wisteriarouter serve -config FILE
 
-Runs a router until SIGTERM or SIGINT, then finishes what is in flight. SIGHUP,
-or a change of FILE, has the settings read again; addresses and names need a
-restart.
+Runs a router until SIGTERM or SIGINT, then finishes the requests in flight.
+SIGHUP or a change of FILE reloads the settings; changes of addresses and names
+need a restart.
 Exit codes: 0 stopped with nothing cut off, 1 could not start or had to cut
 off requests, 2 wrong usage.
 
