--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -179,12 +179,12 @@
 // offset.
 func (a *chatRun) request(id coordination.Attempt, raw []byte) engine.Request {
 	return engine.Request{
-		Attempt:  id,
-		Chat:     a.chat.id,
-		Priority: a.chat.plan.Priority,
-		Body:     raw,
-		Offset:   a.offset,
-		Idle:     a.chat.plan.StallTimeout,
+		Attempt:     id,
+		Chat:        a.chat.id,
+		Priority:    a.chat.plan.Priority,
+		Body:        raw,
+		Offset:      a.offset,
+		IdleTimeout: a.chat.plan.StallTimeout,
 	}
 }
 
@@ -200,7 +200,7 @@
 		return declined
 	case failure.NotRun:
 		a.evidence.NothingSent(at.id)
-		if failure.Dead {
+		if failure.NoResponse {
 			return endpointUnreachable
 		}
 	default:
--- a/wisteriarouter/caller/follow.go
+++ b/wisteriarouter/caller/follow.go
@@ -98,14 +98,14 @@
 			at.stream = stream
 			return true
 		}
-		if errors.Is(err, engine.ErrGone) {
+		if errors.Is(err, engine.ErrNotFound) {
 			return false
 		}
 		// The endpoint may recover in a moment, but until then its owner must
 		// not place other requests there: they would be lost with it and
 		// become suspects.
 		a.Placer.Dead(at.placement.Endpoint, at.placement.Incarnation)
-		if errors.Is(err, engine.ErrSilent) {
+		if errors.Is(err, engine.ErrTimeout) {
 			return false // frozen: another try would take as long to fail
 		}
 	}
--- a/wisteriarouter/caller/settle.go
+++ b/wisteriarouter/caller/settle.go
@@ -29,7 +29,7 @@
 	case callerGone:
 		a.cancel(ctx, at)
 		a.Metrics.requestEnded("chat", a.evidence.Outcome(), "caller-gone")
-		a.emit(event.ConnectionDropped, event.F("attempt", at.id), event.F("after-ms", time.Since(a.chat.arrived).Milliseconds()))
+		a.emit(event.CallerGone, event.F("attempt", at.id), event.F("after-ms", time.Since(a.chat.arrived).Milliseconds()))
 		return true
 	case streamLost, streamMalformed:
 		a.cancel(ctx, at)
--- a/wisteriarouter/check.go
+++ b/wisteriarouter/check.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/wisteriarouter/config"
 )
 
-// checkCommand validates a settings file without starting anything.
+// checkCommand validates a settings file without starting the router.
 type checkCommand struct {
 	file string
 }
@@ -32,7 +32,7 @@
 }
 
 func (c *checkCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	cfg := load(c.file)
+	cfg := loadConfig(c.file)
 	if cfg == nil {
 		return subcommands.ExitFailure
 	}
@@ -40,9 +40,9 @@
 	return subcommands.ExitSuccess
 }
 
-// load reads a settings file and prints what is wrong with it. It returns nil
-// if anything is.
-func load(file string) *config.Config {
+// loadConfig reads a settings file and prints its problems to standard error.
+// It returns nil if the file is unreadable or invalid.
+func loadConfig(file string) *config.Config {
 	cfg, problems, err := config.Load(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "wisteriarouter:", err)
--- a/wisteriarouter/daemon/losses.go
+++ b/wisteriarouter/daemon/losses.go
@@ -24,9 +24,9 @@
 // and be suspected of having crashed it. So the owner keeps the old incarnation,
 // which grants nothing to requests for the new one, until the engine itself has
 // reported the new one.
-func (p *placer) ownerDescriptors(all []endpoint.Known) []placement.Descriptor {
+func (p *placer) ownerDescriptors(all []endpoint.Info) []placement.Descriptor {
 	next := make(incarnationMap, len(all))
-	served := lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
+	served := lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor {
 		d := p.settings.Load().descriptor(k.Descriptor)
 		last, known := p.incarnations[k.ID]
 		if known && last < d.Incarnation && k.Kind == platform.Engine {
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -140,7 +140,7 @@
 }
 
 func newEngines(i do.Injector) (*engine.Client, error) {
-	c, cleanup := engine.NewClient(engine.Options{Call: configOf(i).Limits.EngineCall})
+	c, cleanup := engine.NewClient(engine.Options{CallTimeout: configOf(i).Limits.EngineCall})
 	onStop(i, cleanup)
 	return c, nil
 }
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -44,8 +44,8 @@
 	updating  sync.Mutex       // held by update; guards the fields below
 	roster    placement.Roster // delays the return of endpoints that come and go
 	owned     map[coordination.Endpoint]bool
-	lastList  []endpoint.Known // the list at the last update
-	observers []func(all []endpoint.Known)
+	lastList  []endpoint.Info // the list at the last update
+	observers []func(all []endpoint.Info)
 }
 
 func newPlacer(i do.Injector) (*placer, error) {
@@ -101,7 +101,7 @@
 		Directory: p.directory,
 		Loads:     engines,
 		Interval:  interval,
-		Soon:      p.pollNow,
+		Trigger:   p.pollNow,
 		Owned:     p.owns,
 		OnLoad:    p.recordLoad,
 	}
@@ -163,7 +163,7 @@
 
 // observe calls fn with the present list of endpoints and with each later list
 // that differs, before requests are placed by that list.
-func (p *placer) observe(fn func(all []endpoint.Known)) {
+func (p *placer) observe(fn func(all []endpoint.Info)) {
 	p.updating.Lock()
 	defer p.updating.Unlock()
 	p.observers = append(p.observers, fn)
@@ -172,7 +172,7 @@
 
 // notifyObservers calls the observers if the list differs from the last one.
 // The caller holds p.updating.
-func (p *placer) notifyObservers(all []endpoint.Known) {
+func (p *placer) notifyObservers(all []endpoint.Info) {
 	if slices.Equal(all, p.lastList) {
 		return
 	}
@@ -192,14 +192,14 @@
 	p.routers.Store(routers)
 	p.owner.Update(placement.NewSet(p.ownerDescriptors(all)), routers)
 	p.pollNew(all)
-	p.entry.Update(p.roster.Update(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor {
+	p.entry.Update(p.roster.Update(lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor {
 		return p.settings.Load().descriptor(k.Descriptor)
 	})), routers)
 }
 
 // pollNew requests an immediate poll if this router has become the owner of an
 // endpoint, because it grants nothing there until it knows the endpoint's load.
-func (p *placer) pollNew(all []endpoint.Known) {
+func (p *placer) pollNew(all []endpoint.Info) {
 	if p.pollNow == nil {
 		return
 	}
@@ -226,7 +226,7 @@
 // the owner of all endpoints.
 const joinWait = time.Second
 
-func (p *placer) owns(k endpoint.Known) bool {
+func (p *placer) owns(k endpoint.Info) bool {
 	if p.hasSeeds && time.Since(p.started) < joinWait {
 		return false
 	}
@@ -242,7 +242,7 @@
 	return 0
 }
 
-func (p *placer) recordLoad(k endpoint.Known, l engine.Load) {
+func (p *placer) recordLoad(k endpoint.Info, l engine.Load) {
 	if p.reportedIncarnation(k.ID) != l.Incarnation {
 		p.signalChange()
 	}
@@ -272,7 +272,7 @@
 func (r loadReader) ReadLoad(ctx context.Context, id coordination.Endpoint) (placement.Report, error) {
 	k, ok := r.directory.Find(id)
 	if !ok {
-		return placement.Report{}, engine.ErrGone
+		return placement.Report{}, engine.ErrNotFound
 	}
 	l, err := r.engines.Load(ctx, k.Address)
 	return reportOf(id, l), err
@@ -307,14 +307,14 @@
 // no limit, and looks up its endpoint. Placement learns of a change of the list
 // later than the directory, so a grant may be for an endpoint that has gone;
 // then another grant is requested.
-func (p *placer) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Known, *outcome.Refusal) {
+func (p *placer) acquire(ctx context.Context, req placement.Request, by time.Time) (*placement.Grant, endpoint.Info, *outcome.Refusal) {
 	for {
 		if !by.IsZero() {
 			req.Deadline = max(time.Until(by), time.Millisecond)
 		}
 		g, refusal := p.entry.Acquire(ctx, req)
 		if g == nil {
-			return nil, endpoint.Known{}, refusalOf(refusal)
+			return nil, endpoint.Info{}, refusalOf(refusal)
 		}
 		if k, ok := p.directory.Find(g.Endpoint.ID); ok {
 			return g, k, nil
@@ -371,6 +371,6 @@
 
 // Leaving implements caller.Placer.
 func (p *placer) Leaving(id coordination.Endpoint, n coordination.Incarnation) {
-	p.directory.Leave(id, n)
+	p.directory.RecordLeaving(id, n)
 	p.owner.MarkLeaving(id, n)
 }
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -103,11 +103,11 @@
 
 // updateHolders updates the cache holders after a change of the list of
 // endpoints.
-func (p *relayPlacer) updateHolders(listed []endpoint.Known) {
+func (p *relayPlacer) updateHolders(listed []endpoint.Info) {
 	if len(listed) == 0 {
 		return
 	}
-	all := lo.Map(listed, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor })
+	all := lo.Map(listed, func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor })
 	p.holders.Store(placement.NewCacheHolders(time.Now(), all, p.holders.Load()))
 }
 
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -52,7 +52,7 @@
 }
 
 func (l leavingReceiver) receive(key string, version uint64, _ []byte) {
-	l.directory.Leave(coordination.Endpoint(key), coordination.Incarnation(version))
+	l.directory.RecordLeaving(coordination.Endpoint(key), coordination.Incarnation(version))
 }
 
 // peerEventLogger logs the events of the peer node under their catalogue numbers.
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -98,8 +98,8 @@
 // endpointsChanged records the loss of endpoints that have left the list or
 // restarted without announcing it. Otherwise a router that dropped an endpoint
 // before any request of its own reached it would not know that it had crashed.
-func (s *crashSuspicion) endpointsChanged(all []endpoint.Known) {
-	next := placement.NewSet(lo.Map(all, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
+func (s *crashSuspicion) endpointsChanged(all []endpoint.Info) {
+	next := placement.NewSet(lo.Map(all, func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor }))
 	s.mu.Lock()
 	before := s.endpoints
 	s.endpoints = next
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -34,7 +34,7 @@
 // placementInfo is what transfers needs to know of placement.
 type placementInfo interface {
 	// owns reports whether this router owns an endpoint.
-	owns(k endpoint.Known) bool
+	owns(k endpoint.Info) bool
 	// loadBound returns the load bound in force, or zero if the default applies.
 	loadBound() float64
 }
@@ -137,13 +137,13 @@
 // destination returns the engine that the next request of a chat will try first.
 // The hint of its last answer is ignored: it names the leaving engine, which is no
 // longer a candidate.
-func (t *transfers) destination(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
-	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Known, _ int) placement.Descriptor {
+func (t *transfers) destination(p coordination.Pool, chat coordination.Chat) (endpoint.Info, bool) {
+	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Info, _ int) placement.Descriptor {
 		return k.Descriptor
 	}))
 	first := set.Candidates(nil, p, placement.KeyOf(chat), 0, 1)
 	if len(first) == 0 {
-		return endpoint.Known{}, false
+		return endpoint.Info{}, false
 	}
 	return t.directory.Find(first[0].ID)
 }
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -17,7 +17,7 @@
 // responds.
 type evacuation struct {
 	*transfers
-	from     endpoint.Known
+	from     endpoint.Info
 	plan     *transfer.Plan // used only by run
 	since    transfer.Sequence
 	lastRead time.Time // when the cache events were last read
@@ -34,7 +34,7 @@
 	bytes  int64
 }
 
-func newEvacuation(t *transfers, k endpoint.Known) *evacuation {
+func newEvacuation(t *transfers, k endpoint.Info) *evacuation {
 	return &evacuation{
 		transfers: t,
 		from:      k,
@@ -136,7 +136,7 @@
 		return transfer.Busy, 0
 	}
 	kv, err := m.engines.Export(ctx, m.from.Address, m.chat)
-	if errors.Is(err, engine.ErrGone) {
+	if errors.Is(err, engine.ErrNotFound) {
 		return transfer.Cold, 0
 	}
 	if err != nil {
@@ -149,7 +149,7 @@
 	n, err := m.engines.Import(ctx, to.Address, kv)
 	n = max(n, kv.Size)
 	switch {
-	case errors.Is(err, engine.ErrCut):
+	case errors.Is(err, engine.ErrTruncated):
 		return transfer.Lost, n
 	case err != nil:
 		return transfer.Refused, n
@@ -159,7 +159,7 @@
 
 // hasRoom reports whether an engine can receive a chat. It reads the load from the
 // engine, because another router may own the engine.
-func (m move) hasRoom(ctx context.Context, to endpoint.Known) bool {
+func (m move) hasRoom(ctx context.Context, to endpoint.Info) bool {
 	m.mu.Lock()
 	fresh := m.loads.Fresh(time.Now(), to.ID)
 	m.mu.Unlock()
@@ -171,7 +171,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !fresh && err == nil {
-		m.loads.Update(to.ID, l.Room(time.Now()))
+		m.loads.Update(to.ID, l.TransferLoad(time.Now()))
 	}
 	return err == nil && to.State == placement.Live && m.loads.CanAccept(to.ID, m.cfg.WithPlacementBound(m.placement.loadBound()))
 }
--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -78,7 +78,7 @@
 }
 
 func (w *evacuationEnv) update() {
-	set := placement.NewSet(lo.Map(w.directory.All(), func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor }))
+	set := placement.NewSet(lo.Map(w.directory.All(), func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor }))
 	routers := placement.NewRouters([]placement.Router{{ID: "r1", Incarnation: 1}}, 0)
 	w.owner.Update(set, routers)
 	w.entry.Update(set, routers)
@@ -93,7 +93,7 @@
 // ownsAll is the placement of the only router, with the default load bound.
 type ownsAll struct{}
 
-func (ownsAll) owns(endpoint.Known) bool { return true }
+func (ownsAll) owns(endpoint.Info) bool { return true }
 func (ownsAll) loadBound() float64       { return 0 }
 
 func (w *evacuationEnv) join() {
@@ -128,7 +128,7 @@
 func (w *evacuationEnv) leave(id coordination.Endpoint, stay time.Duration) {
 	e := w.engines[id]
 	e.Leave()
-	w.directory.Leave(id, coordination.Incarnation(e.Incarnation()))
+	w.directory.RecordLeaving(id, coordination.Incarnation(e.Incarnation()))
 	l := engineStopper{env: w, id: id, stay: stay}
 	go l.run()
 }
@@ -184,7 +184,7 @@
 func (w *evacuationEnv) send(c *chatSession, words, limit int) (turnResult, error) {
 	start := time.Now()
 	g, refusal := w.entry.Acquire(context.Background(), placement.Request{
-		Pool: transferPool, Key: placement.KeyOf(engine.ChatOf(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
+		Pool: transferPool, Key: placement.KeyOf(engine.ScopedChat(transferAccount, c.chat)), Hint: c.hint, Account: transferAccount,
 	})
 	if g == nil {
 		return turnResult{}, fmt.Errorf("%w: %s", errRefused, refusal.Code)
--- a/wisteriarouter/engine/engine.go
+++ b/wisteriarouter/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine speaks to model engines: it starts, follows, resumes and
-// cancels their answers, and reads their load. It knows nothing of placement.
+// Package engine is the client for model engines. It starts, reads, resumes and
+// cancels attempts, reads load reports, transfers KV caches and sends orders.
+// It does not choose endpoints.
 package engine
 
 import (
@@ -16,7 +17,7 @@
 	"wisteriaspool/coordination"
 )
 
-// Header names of the engines' protocol.
+// Names and values of the headers of the engine protocol.
 const (
 	headerAttempt  = "X-Attempt-Id"
 	headerPriority = "X-Priority"
@@ -27,36 +28,37 @@
 	outcomeNotRun  = "not-run"
 )
 
-// Limits of what is read from an engine.
+// Limits on the size of what is read from an engine.
 const (
 	maxEventBytes = 256 << 10
 	maxReplyBytes = 1 << 20
 )
 
-// ErrCut is the error of a stream whose connection ended before its answer
-// did. The engine may still be generating.
-var ErrCut = errors.New("engine: stream cut")
+// ErrTruncated means that a stream or a KV cache ended before it was complete.
+// After a truncated stream the engine may still be generating.
+var ErrTruncated = errors.New("engine: stream truncated")
 
-// ErrGone is the error of a call about an attempt that the engine does not
-// have, or no longer has.
-var ErrGone = errors.New("engine: attempt gone")
+// ErrNotFound means that the engine does not have, or no longer has, the
+// attempt or the KV cache that a call is about.
+var ErrNotFound = errors.New("engine: not found")
 
-// ErrSilent is the error of a resume that the engine did not answer in time.
-var ErrSilent = errors.New("engine: no answer in time")
+// ErrTimeout means that the engine did not answer a resume request within the
+// call timeout.
+var ErrTimeout = errors.New("engine: timed out waiting for a response")
 
-// ErrMalformed is the error of a stream with a chunk that cannot be read.
+// ErrMalformed means that a stream contains a chunk that cannot be decoded.
 var ErrMalformed = errors.New("engine: malformed chunk")
 
-// StartError tells why an attempt brought no stream.
+// StartError describes why an attempt returned no stream.
 type StartError struct {
-	NotRun  bool // the engine certainly did not run the request
-	Leaving bool // the engine says that it is stopping
-	Dead    bool // no connection could be made, or it broke without an answer
-	Status  int  // HTTP status, zero if there was no answer
-	Err     error
+	NotRun     bool // the engine is known not to have run the request
+	Leaving    bool // the engine reports that it is shutting down
+	NoResponse bool // the connection failed, or closed before any response
+	Status     int  // HTTP status, zero if there was no response
+	Err        error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("engine: start: status %d: %v", e.Status, e.Err)
 }
@@ -64,7 +66,7 @@
 // Unwrap returns the underlying error.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// Usage counts the tokens of one attempt, as the engine bills them.
+// Usage holds the token counts of one attempt, as billed by the engine.
 type Usage struct {
 	Prompt     coordination.Tokens
 	Cached     coordination.Tokens
@@ -73,24 +75,24 @@
 
 // Chunk is one event of an answer.
 type Chunk struct {
-	Offset int    // tokens of the whole answer up to and including this chunk
-	Text   string // what the chunk adds to the answer
-	Data   string // the chunk as the engine sent it, for callers that stream
-	Finish string // the reason to finish, in the last chunk of an answer
+	Offset int    // number of tokens of the answer up to and including this chunk
+	Text   string // text that the chunk adds to the answer
+	Data   string // the JSON that the engine sent, without line breaks, for streaming callers
+	Finish string // finish reason, set only in the last chunk of an answer
 	Usage  *Usage
 }
 
-// Request is one attempt at one engine.
+// Request describes one attempt.
 type Request struct {
-	Attempt  coordination.Attempt
-	Chat     coordination.Chat
-	Priority coordination.Priority
-	Body     []byte
-	Offset   int           // tokens that the body's partial answer holds already
-	Idle     time.Duration // longest silence inside the stream
+	Attempt     coordination.Attempt
+	Chat        coordination.Chat
+	Priority    coordination.Priority
+	Body        []byte
+	Offset      int           // number of tokens in the partial answer that the body contains
+	IdleTimeout time.Duration // maximum time without an event; if not positive, 10 s
 }
 
-// Load is an engine's own report, which lags.
+// Load is an engine's report of its own load. It lags behind the actual load.
 type Load struct {
 	Running     int                      `json:"running"`
 	Waiting     int                      `json:"waiting"`
@@ -100,52 +102,53 @@
 	ObservedAt  time.Time                `json:"observed_at"`
 }
 
-// Leaving reports whether the engine has announced its stop.
+// Leaving reports whether the engine has announced its shutdown.
 func (l Load) Leaving() bool { return l.State == stateLeaving }
 
-// Client makes calls to engines. It is safe for concurrent use.
+// Client calls engines. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	call time.Duration
+	http        *http.Client
+	callTimeout time.Duration
 }
 
-// Options are the options of a client. The zero value is ready for use.
+// Options configure a client. The zero value selects the defaults.
 type Options struct {
-	// Call is the longest time of a short call, such as a cancel; 500 ms.
-	Call time.Duration
-	// DialContext makes connections; that of net.Dialer.
+	// CallTimeout limits a short call, such as a cancel. The default is 500 ms.
+	CallTimeout time.Duration
+	// DialContext opens connections. The default is that of net.Dialer with a
+	// timeout of 1 s.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 const (
-	defaultCall = 500 * time.Millisecond
-	dialTimeout = time.Second
-	idleConns   = 256
-	idleTimeout = 30 * time.Second
+	defaultCallTimeout  = 500 * time.Millisecond
+	dialTimeout         = time.Second
+	maxIdleConnsPerHost = 256
+	idleConnTimeout     = 30 * time.Second
 )
 
-// NewClient returns a client and a function that closes its connections.
+// NewClient returns a client, and a function that closes its idle connections.
 func NewClient(opts Options) (*Client, func()) {
-	if opts.Call <= 0 {
-		opts.Call = defaultCall
+	if opts.CallTimeout <= 0 {
+		opts.CallTimeout = defaultCallTimeout
 	}
 	if opts.DialContext == nil {
 		opts.DialContext = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	tr := &http.Transport{
 		DialContext:         opts.DialContext,
-		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: tr}, call: opts.Call}, tr.CloseIdleConnections
+	return &Client{http: &http.Client{Transport: tr}, callTimeout: opts.CallTimeout}, tr.CloseIdleConnections
 }
 
-// Start sends one attempt to the engine at address. On success the answer's
-// stream is open. Every failure is a *StartError.
+// Start sends one attempt to the engine at address and returns the open stream
+// of its answer. Every error is a *StartError.
 func (c *Client) Start(ctx context.Context, address string, req Request) (*Stream, error) {
-	w := watchEngine(ctx, req.Idle, c.aliveAt(address))
-	sent, err := newStart(w.trace(), address, req)
+	w := newProbingWatchdog(ctx, req.IdleTimeout, c.livenessProbe(address))
+	sent, err := newStartRequest(w.traceContext(), address, req)
 	if err != nil {
 		w.stop()
 		return nil, &StartError{NotRun: true, Err: err}
@@ -153,20 +156,21 @@
 	res, err := c.http.Do(sent)
 	if err != nil {
 		w.stop()
-		return nil, &StartError{NotRun: !w.wrote.Load(), Dead: ctx.Err() == nil, Err: err}
+		return nil, &StartError{NotRun: !w.gotConn.Load(), NoResponse: ctx.Err() == nil, Err: err}
 	}
 	if res.StatusCode != http.StatusOK {
 		defer w.stop()
-		return nil, refusal(res)
+		return nil, responseError(res)
 	}
 	return newStream(res.Body, w, req.Attempt, req.Offset), nil
 }
 
-// aliveAt returns a function that tells whether the engine answers a short call
-// at all, whatever the answer.
-func (c *Client) aliveAt(address string) func(context.Context) bool {
+// livenessProbe returns a function that reports whether the engine responds to
+// a short call, regardless of the status. It also returns true if its context
+// is canceled.
+func (c *Client) livenessProbe(address string) func(context.Context) bool {
 	return func(ctx context.Context) bool {
-		call, cancel := context.WithTimeout(ctx, c.call)
+		call, cancel := context.WithTimeout(ctx, c.callTimeout)
 		defer cancel()
 		req, err := http.NewRequestWithContext(call, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), nil)
 		if err != nil {
@@ -177,13 +181,14 @@
 			return ctx.Err() != nil
 		}
 		defer res.Body.Close()
-		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxReplyBytes)) // so that the connection is kept
+		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxReplyBytes)) // drain the body so that the connection can be reused
 		return true
 	}
 }
 
-// refusal turns an answer other than OK into an error and closes it.
-func refusal(res *http.Response) *StartError {
+// responseError converts a response with a status other than 200 OK to an error
+// and closes its body.
+func responseError(res *http.Response) *StartError {
 	defer res.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(res.Body, 512))
 	return &StartError{
@@ -194,12 +199,15 @@
 	}
 }
 
-// Resume opens the rest of an attempt's stream behind token Offset of req,
-// whose body it does not need. The stream has to open within the time of a
-// short call: on a frozen engine each try would wait for the whole limit.
+// Resume reopens the stream of the attempt after token req.Offset; it does not
+// use req.Body. The response headers must arrive within the call timeout,
+// because with a frozen engine every try would otherwise last for the whole
+// idle timeout. The error is ErrTimeout if they do not, ErrNotFound if the
+// engine does not have the attempt, and a *StartError for any other unexpected
+// status.
 func (c *Client) Resume(ctx context.Context, address string, req Request) (*Stream, error) {
-	w := watchEngine(ctx, req.Idle, c.aliveAt(address))
-	opening := time.AfterFunc(c.call, w.cancel)
+	w := newProbingWatchdog(ctx, req.IdleTimeout, c.livenessProbe(address))
+	opening := time.AfterFunc(c.callTimeout, w.cancel)
 	defer opening.Stop()
 	url := fmt.Sprintf("http://%s/v1/attempts/%s/stream?after=%d", address, req.Attempt, req.Offset)
 	get, err := http.NewRequestWithContext(w.ctx, http.MethodGet, url, nil)
@@ -212,45 +220,47 @@
 		silent := w.ctx.Err() != nil && ctx.Err() == nil
 		w.stop()
 		if silent {
-			return nil, ErrSilent
+			return nil, ErrTimeout
 		}
 		return nil, fmt.Errorf("engine: resume: %w", err)
 	}
 	if res.StatusCode == http.StatusNotFound {
 		w.stop()
 		res.Body.Close()
-		return nil, ErrGone
+		return nil, ErrNotFound
 	}
 	if res.StatusCode != http.StatusOK {
 		w.stop()
-		return nil, refusal(res)
+		return nil, responseError(res)
 	}
 	return newStream(res.Body, w, req.Attempt, req.Offset), nil
 }
 
-// Cancel tells the engine to stop an attempt, so that nobody is billed for
-// what nobody reads. It returns how many tokens the attempt had generated.
+// Cancel stops an attempt, so that tokens that nobody reads are not billed. It
+// returns the number of tokens that the attempt has generated. The error is
+// ErrNotFound if the engine does not have the attempt.
 func (c *Client) Cancel(ctx context.Context, address string, id coordination.Attempt) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	var reply struct {
 		Generated int `json:"generated"`
 	}
-	err := c.json(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/attempts/%s/cancel", address, id), &reply)
+	err := c.callJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/attempts/%s/cancel", address, id), &reply)
 	return reply.Generated, err
 }
 
-// Load reads the engine's report.
+// Load reads the engine's load report.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	var l Load
-	err := c.json(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), &l)
+	err := c.callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/load", address), &l)
 	return l, err
 }
 
-// json makes one short call and decodes its answer into v.
-func (c *Client) json(ctx context.Context, method, url string, v any) error {
+// callJSON makes one call and decodes the JSON response into v. The error is
+// ErrNotFound if the status is 404.
+func (c *Client) callJSON(ctx context.Context, method, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return fmt.Errorf("engine: %w", err)
@@ -261,10 +271,10 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusNotFound {
-		return ErrGone
+		return ErrNotFound
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("engine: %s answers %s", req.URL.Path, res.Status)
+		return fmt.Errorf("engine: %s: unexpected status %s", req.URL.Path, res.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(v); err != nil {
 		return fmt.Errorf("engine: %w", err)
@@ -272,4 +282,4 @@
 	return nil
 }
 
-func priorityText(p coordination.Priority) string { return strconv.Itoa(int(p)) }
+func formatPriority(p coordination.Priority) string { return strconv.Itoa(int(p)) }
--- a/wisteriarouter/engine/silence.go
+++ b/wisteriarouter/engine/silence.go
@@ -10,117 +10,125 @@
 	"wisteriaspool/coordination"
 )
 
-// silence ends a request whose engine stays silent for too long. A frozen
-// engine keeps its connections open, so that without it a caller would wait
-// for ever.
+// idleWatchdog cancels a request whose engine sends no event for too long. A
+// frozen engine keeps its connections open, so without a limit the caller would
+// wait forever.
 //
-// The limit has to allow for a long prompt, so a caller would see its answer
-// stand still for all of it when the engine freezes. Therefore an engine that
-// has been quiet for much longer than its own pace is asked for its load
-// beside the stream: one that is only busy answers, and is waited for.
-type silence struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	mu     sync.Mutex // guards the setting of timer
-	timer  *time.Timer
-	idle   time.Duration
-	alive  func(context.Context) bool // nil for no question
-	wrote  atomic.Bool
-	last   coordination.MonotonicTime // of the last event
-	pace   atomic.Int64               // nanoseconds between two events, as a moving mean
-	events atomic.Int32
-	asked  atomic.Int32 // questions since the last event
+// The timeout has to allow for the processing of a long prompt, so it alone
+// would detect a frozen engine late. Therefore, when the engine has been silent
+// for much longer than its usual gap between events, the watchdog also requests
+// its load report. If that call fails, the request is canceled at once; a busy
+// engine responds and is given the whole timeout.
+type idleWatchdog struct {
+	ctx       context.Context
+	cancel    context.CancelFunc
+	mu        sync.Mutex // guards the assignment of timer
+	timer     *time.Timer
+	timeout   time.Duration
+	probe     func(context.Context) bool // reports whether the engine responds; nil for no probes
+	gotConn   atomic.Bool                // the engine may have received a part of the request
+	lastEvent coordination.MonotonicTime // time of the last event, or of the start
+	meanGap   atomic.Int64               // moving average of the time between events, in nanoseconds
+	events    atomic.Int32
+	probes    atomic.Int32 // probes since the last event
 }
 
 const (
-	// defaultIdle is the limit of a request that names none.
-	defaultIdle = 10 * time.Second
+	// defaultIdleTimeout is the timeout of a request that sets none.
+	defaultIdleTimeout = 10 * time.Second
 
-	// leastQuiet and quietGaps tell after what silence an engine is asked;
-	// earlyQuiet goes for one whose pace is not known yet.
-	leastQuiet = 500 * time.Millisecond
-	earlyQuiet = time.Second
-	quietGaps  = 20
+	// An engine is probed after a silence of probeDelayGaps mean gaps, but of
+	// at least minProbeDelay. initialProbeDelay applies while the mean gap is
+	// unknown.
+	minProbeDelay     = 500 * time.Millisecond
+	initialProbeDelay = time.Second
+	probeDelayGaps    = 20
 
-	// knownEvents is after how many events the pace is known.
-	knownEvents = 4
+	// minGapEvents is the number of events after which the mean gap is used.
+	minGapEvents = 4
 
-	// mostDoublings keeps the time between two questions from overflowing.
-	mostDoublings = 10
+	// maxDoublings keeps the delay between two probes from overflowing.
+	maxDoublings = 10
 
-	// paceShare is the weight of the latest gap in the pace.
-	paceShare = 0.2
+	// latestGapWeight is the weight of the latest gap in the moving average.
+	latestGapWeight = 0.2
 )
 
-// watch watches a request of which nothing but its silence is known.
-func watch(ctx context.Context, idle time.Duration) *silence {
-	return watchEngine(ctx, idle, nil)
+// newWatchdog returns a running watchdog that does not probe the engine.
+func newWatchdog(ctx context.Context, timeout time.Duration) *idleWatchdog {
+	return newProbingWatchdog(ctx, timeout, nil)
 }
 
-func watchEngine(ctx context.Context, idle time.Duration, alive func(context.Context) bool) *silence {
-	if idle <= 0 {
-		idle = defaultIdle
+// newProbingWatchdog returns a running watchdog that probes the engine with
+// probe, or only applies the timeout if probe is nil. A timeout that is not
+// positive means defaultIdleTimeout.
+func newProbingWatchdog(ctx context.Context, timeout time.Duration, probe func(context.Context) bool) *idleWatchdog {
+	if timeout <= 0 {
+		timeout = defaultIdleTimeout
 	}
-	w := &silence{idle: idle, alive: alive}
+	w := &idleWatchdog{timeout: timeout, probe: probe}
 	w.ctx, w.cancel = context.WithCancel(ctx)
-	w.last.Set(time.Now())
+	w.lastEvent.Set(time.Now())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.quiet(), w.run)
+	w.timer = time.AfterFunc(w.probeDelay(), w.onTimer)
 	return w
 }
 
-// quiet returns the silence after which the engine is asked, each time twice as
-// long: many requests may wait at one that is busy.
-func (w *silence) quiet() time.Duration {
-	if w.alive == nil {
-		return w.idle
+// probeDelay returns the silence after which the engine is probed. It doubles
+// with each probe since the last event, because many requests may be waiting
+// for the same busy engine.
+func (w *idleWatchdog) probeDelay() time.Duration {
+	if w.probe == nil {
+		return w.timeout
 	}
-	quiet := earlyQuiet
-	if w.events.Load() >= knownEvents {
-		quiet = max(leastQuiet, quietGaps*time.Duration(w.pace.Load()))
+	delay := initialProbeDelay
+	if w.events.Load() >= minGapEvents {
+		delay = max(minProbeDelay, probeDelayGaps*time.Duration(w.meanGap.Load()))
 	}
-	return min(w.idle, quiet<<min(w.asked.Load(), mostDoublings))
+	return min(w.timeout, delay<<min(w.probes.Load(), maxDoublings))
 }
 
-// run ends the request if the limit has passed or the engine is not alive.
-func (w *silence) run() {
+// onTimer cancels the request if the timeout has passed or the engine does not
+// respond to a probe. Otherwise it schedules the next check.
+func (w *idleWatchdog) onTimer() {
 	if w.ctx.Err() != nil {
 		return
 	}
-	last := w.last.Offset()
-	if w.left() <= 0 || w.alive != nil && !w.alive(w.ctx) && w.last.Offset() == last {
+	last := w.lastEvent.Offset()
+	if w.remaining() <= 0 || w.probe != nil && !w.probe(w.ctx) && w.lastEvent.Offset() == last {
 		w.cancel()
 		return
 	}
-	w.asked.Add(1)
+	w.probes.Add(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer.Reset(max(min(w.quiet(), w.left()), time.Millisecond))
+	w.timer.Reset(max(min(w.probeDelay(), w.remaining()), time.Millisecond))
 }
 
-// left returns what is left of the limit.
-func (w *silence) left() time.Duration { return w.idle - w.last.Ago(time.Now()) }
+// remaining returns the time left until the timeout.
+func (w *idleWatchdog) remaining() time.Duration { return w.timeout - w.lastEvent.Ago(time.Now()) }
 
-// trace returns a context that notes when a byte of the request may have left.
-// A connection that was made but not written to has told the engine nothing.
-func (w *silence) trace() context.Context {
+// traceContext returns a context that records when a connection is assigned to
+// the request. Before that, the engine cannot have received any part of it.
+func (w *idleWatchdog) traceContext() context.Context {
 	return httptrace.WithClientTrace(w.ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { w.wrote.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { w.gotConn.Store(true) },
 	})
 }
 
-// heard notes an event.
-func (w *silence) heard() {
-	gap := w.last.Set(time.Now())
-	if w.events.Add(1) > 1 { // the first gap is the time to the first token
-		w.pace.Store(int64((1-paceShare)*float64(w.pace.Load()) + paceShare*float64(gap)))
+// recordEvent records the arrival of an event and restarts the timer.
+func (w *idleWatchdog) recordEvent() {
+	gap := w.lastEvent.Set(time.Now())
+	if w.events.Add(1) > 1 { // the first gap is the time to the first event
+		w.meanGap.Store(int64((1-latestGapWeight)*float64(w.meanGap.Load()) + latestGapWeight*float64(gap)))
 	}
-	w.asked.Store(0)
-	w.timer.Reset(w.quiet())
+	w.probes.Store(0)
+	w.timer.Reset(w.probeDelay())
 }
 
-func (w *silence) stop() {
+// stop stops the timer and cancels the request.
+func (w *idleWatchdog) stop() {
 	w.timer.Stop()
 	w.cancel()
 }
