--- a/wisteriarouter/daemon/transfer_world_test.go
+++ b/wisteriarouter/daemon/transfer_world_test.go
@@ -94,7 +94,7 @@
 type ownsAll struct{}
 
 func (ownsAll) owns(endpoint.Info) bool { return true }
-func (ownsAll) loadBound() float64       { return 0 }
+func (ownsAll) loadBound() float64      { return 0 }
 
 func (w *evacuationEnv) join() {
 	w.next++
