--- a/wisteriarouter/config/config.go
+++ b/wisteriarouter/config/config.go
@@ -90,8 +90,8 @@
 	JSON  bool
 }
 
-// levels are the names of levels that a file may have.
-var levels = []string{"debug", "info", "warning", "error"}
+// logLevels are the names of logLevels that a file may have.
+var logLevels = []string{"debug", "info", "warning", "error"}
 
 // Schema is the table of a router's settings file.
 var Schema = schema.Schema{
@@ -144,7 +144,7 @@
 		{Name: "prefill-per-token", Kind: schema.Duration, Default: "200us", Min: "1us", Max: "1s", Doc: "Time in which an engine computes one token of a prompt."},
 	}},
 	{Name: "log", Doc: "How events are written.", Keys: []schema.Key{
-		{Name: "level", Kind: schema.Name, Default: "info", OneOf: levels, Doc: "Least level of what is written."},
+		{Name: "level", Kind: schema.Name, Default: "info", OneOf: logLevels, Doc: "Least level of what is written."},
 		{Name: "json", Kind: schema.Boolean, Default: "true", Doc: "One JSON object a line rather than text."},
 	}},
 }
@@ -166,7 +166,7 @@
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	if problem, ok := alternative(file, f); !ok {
+	if problem, ok := checkSource(file, f); !ok {
 		return nil, []schema.Problem{problem}
 	}
 	level, err := logrus.ParseLevel(f.Section("log").Text("level"))
@@ -184,13 +184,13 @@
 	if v := f.Section("relay"); v.Line > 0 {
 		c.Relay = relay(v)
 	}
-	c.identify(f.Section("router"))
+	c.setIdentity(f.Section("router"))
 	return c, nil
 }
 
-// alternative checks that the file says where the router's settings and
+// checkSource checks that the file says where the router's settings and
 // endpoints come from, and says it once.
-func alternative(file string, f *schema.File) (schema.Problem, bool) {
+func checkSource(file string, f *schema.File) (schema.Problem, bool) {
 	onPlatform, relays := f.Section("platform").Line > 0, f.Section("relay").Line > 0
 	p := schema.Problem{File: file, Section: "platform"}
 	switch {
@@ -215,7 +215,7 @@
 	}
 }
 
-func (c *Config) identify(v schema.Values) {
+func (c *Config) setIdentity(v schema.Values) {
 	c.Instance = coordination.Instance(v.Text("instance"))
 	c.Zone = coordination.Zone(v.Text("availability-zone"))
 	c.Region = v.Text("region")
--- a/wisteriarouter/config/config_test.go
+++ b/wisteriarouter/config/config_test.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/wisteriarouter/config"
 )
 
-const least = `
+const minimalConfig = `
 [router]
 instance = r1
 availability-zone = a
@@ -23,7 +23,7 @@
 `
 
 func TestDefaults(t *testing.T) {
-	c, problems := config.Parse("router.ini", []byte(least))
+	c, problems := config.Parse("router.ini", []byte(minimalConfig))
 	assert.Equal(t, len(problems), 0)
 	golden.Assert(t, fmt.Sprintf("%+v\n", *c), "defaults.golden")
 }
@@ -31,7 +31,7 @@
 // An operator mistypes several keys at once and mixes up units. All faults
 // come back in one go, each with its line and with what would be right.
 func TestProblems(t *testing.T) {
-	text := strings.Replace(least, "instance = r1", "instance = r 1\nzone = a", 1) +
+	text := strings.Replace(minimalConfig, "instance = r1", "instance = r 1\nzone = a", 1) +
 		"\n[limits]\nbody = 1MB\nheader-wait = 5\nstop-within = 2h\n\n[log]\nlevel = loud\n\n[extra]\n"
 	_, problems := config.Parse("router.ini", []byte(text))
 	var b strings.Builder
@@ -43,7 +43,7 @@
 
 // The page is what operators read, so it holds exactly the keys of the table.
 // WISTERIA_UPDATE=1 writes it anew.
-func TestPageHoldsTable(t *testing.T) {
+func TestPageMatchesSchema(t *testing.T) {
 	const page = "../../docs/ROUTER-INI.md"
 	want := "# router.ini\n\nThe settings file of one router. `wisteriarouter check -config F` validates it;\na test holds this page and the table in package config together.\n\n" +
 		config.Schema.Markdown(2)
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -43,16 +43,16 @@
 	p.Node.Handle(topic, fn)
 }
 
-// real is a router with real connections to its peers, on loopback, and the
+// testRouter is a router with testRouter connections to its peers, on loopback, and the
 // fake platform.
-type real struct {
+type testRouter struct {
 	node    *peer.Node
 	replica *settings.Replica
 	sync    *settings.Sync
 	url     string
 }
 
-func startReal(t testing.TB, store *kvtest.Store, i int, seeds []string) (*real, string) {
+func startRouter(t testing.TB, store *kvtest.Store, i int, seeds []string) (*testRouter, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -72,7 +72,7 @@
 	links.Handle(peer.Path, node)
 	peerServer := &http.Server{Handler: links, ReadHeaderTimeout: time.Second}
 	go func() { _ = peerServer.Serve(l) }()
-	r := &real{node: node, replica: &settings.Replica{}}
+	r := &testRouter{node: node, replica: &settings.Replica{}}
 	var stopSync func()
 	r.sync, stopSync = settings.NewSync(settings.Config{Self: self, Zone: zone}, r.replica, store, nodePeers{node})
 	mux := http.NewServeMux()
@@ -94,12 +94,12 @@
 
 // startFleet starts n routers and returns when all know each other and are
 // ready.
-func startFleet(t testing.TB, store *kvtest.Store, n int) []*real {
+func startFleet(t testing.TB, store *kvtest.Store, n int) []*testRouter {
 	t.Helper()
-	var routers []*real
+	var routers []*testRouter
 	var seeds []string
 	for i := range n {
-		r, address := startReal(t, store, i, seeds)
+		r, address := startRouter(t, store, i, seeds)
 		routers = append(routers, r)
 		if len(seeds) < 2 {
 			seeds = append(seeds, address)
@@ -120,7 +120,7 @@
 // one router and is told by another that they are in force on all.
 func TestChangeOverRealPeers(t *testing.T) {
 	routers := startFleet(t, kvtest.New(), 5)
-	b := &bench{}
+	b := &fixture{}
 	for _, r := range routers {
 		b.apis = append(b.apis, proxyTo(r.url))
 	}
@@ -160,17 +160,17 @@
 	for _, n := range []int{7, 15, 30, 60} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			store := kvtest.New()
-			first := &real{replica: &settings.Replica{}}
+			first := &testRouter{replica: &settings.Replica{}}
 			for i := range 70 {
 				first.change(b, store, i)
 			}
 			routers := startFleet(b, store, n)
-			writes, start := store.Calls("cas"), sent(routers)
+			writes, start := store.Calls("cas"), totalSent(routers)
 			var times []time.Duration
 			for i := 0; b.Loop(); i++ {
-				times = append(times, spread(b, store, routers, i))
+				times = append(times, measurePropagation(b, store, routers, i))
 			}
-			end := sent(routers)
+			end := totalSent(routers)
 			slices.Sort(times)
 			perRouter := func(bytes uint64) float64 { return float64(bytes) / float64(n) }
 			b.ReportMetric(times[len(times)/2].Seconds()*1000, "p50-ms")
@@ -189,7 +189,7 @@
 	at             time.Time
 }
 
-func sent(routers []*real) bytesSent {
+func totalSent(routers []*testRouter) bytesSent {
 	s := bytesSent{at: time.Now()}
 	for _, r := range routers {
 		for _, t := range r.node.Stats().Traffic {
@@ -206,7 +206,7 @@
 }
 
 // change makes the change i through r and returns its position.
-func (r *real) change(b *testing.B, store *kvtest.Store, i int) settings.Position {
+func (r *testRouter) change(b *testing.B, store *kvtest.Store, i int) settings.Position {
 	base := settings.Position{}
 	if in, ok := r.replica.Snapshot("solco"); ok {
 		base = in.Position
@@ -219,11 +219,11 @@
 	return out.Position
 }
 
-// spread makes the change i and returns after how long it is in force on all.
-func spread(b *testing.B, store *kvtest.Store, routers []*real, i int) time.Duration {
+// measurePropagation makes the change i and returns after how long it is in force on all.
+func measurePropagation(b *testing.B, store *kvtest.Store, routers []*testRouter, i int) time.Duration {
 	p := routers[i*5%len(routers)].change(b, store, i)
 	start := time.Now()
-	for !lo.EveryBy(routers, func(r *real) bool {
+	for !lo.EveryBy(routers, func(r *testRouter) bool {
 		in, ok := r.replica.Snapshot("solco")
 		return ok && !in.Position.Before(p)
 	}) {
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -19,10 +19,10 @@
 const topicInForce = "settings-in-force"
 
 const (
-	maxAsked  = 32 // routers asked at a time
+	maxConcurrentCalls  = 32 // routers asked at a time
 	maxWait   = 10 * time.Second
-	askSlack  = time.Second // for the way to the router and back
-	lookEvery = 50 * time.Millisecond
+	callMargin  = time.Second // for the way to the router and back
+	pollInterval = 50 * time.Millisecond
 )
 
 // inForceRequest asks what a router has in force, and to wait until that is at
@@ -33,7 +33,7 @@
 	WaitMs int64             `cbor:"3,keyasint,omitempty"`
 }
 
-type inForceAnswer struct {
+type inForceResponse struct {
 	Position settings.Position `cbor:"1,keyasint"`
 	Refused  kv.Revision       `cbor:"2,keyasint,omitempty"`
 }
@@ -74,8 +74,8 @@
 	if !settings.ValidTeam(req.Team) {
 		return nil, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	c := &census{s: s, req: req, slots: make(chan struct{}, maxAsked)}
-	return &inForceOutput{Body: c.take(ctx)}, nil
+	c := &inForceQuery{s: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
+	return &inForceOutput{Body: c.collect(ctx)}, nil
 }
 
 // reached reports whether in is want or later. Without a sequence, revisions
@@ -87,8 +87,8 @@
 	return !in.Before(want)
 }
 
-// census asks all routers the same question.
-type census struct {
+// inForceQuery asks all routers the same question.
+type inForceQuery struct {
 	s     *Server
 	req   inForceRequest
 	slots chan struct{}
@@ -98,9 +98,9 @@
 	result InForce
 }
 
-func (c *census) take(ctx context.Context) InForce {
+func (c *inForceQuery) collect(ctx context.Context) InForce {
 	wait := min(time.Duration(c.req.WaitMs)*time.Millisecond, maxWait)
-	ctx, cancel := context.WithTimeout(ctx, wait+askSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
 	members := c.s.Peers.Members()
 	c.result = InForce{
@@ -110,7 +110,7 @@
 	deadline := time.Now().Add(wait)
 	for _, m := range members {
 		c.group.Add(1)
-		go c.run(ctx, m.Instance, deadline)
+		go c.queryRouter(ctx, m.Instance, deadline)
 	}
 	c.group.Wait()
 	slices.SortFunc(c.result.Behind, func(a, b RouterInForce) int { return cmp.Compare(a.Instance, b.Instance) })
@@ -118,14 +118,14 @@
 	return c.result
 }
 
-// run asks one router.
-func (c *census) run(ctx context.Context, to coordination.Instance, deadline time.Time) {
+// queryRouter asks one router.
+func (c *inForceQuery) queryRouter(ctx context.Context, to coordination.Instance, deadline time.Time) {
 	defer c.group.Done()
 	c.slots <- struct{}{}
 	defer func() { <-c.slots }()
 	req := c.req
 	req.WaitMs = max(time.Until(deadline).Milliseconds(), 0)
-	a, err := c.ask(ctx, to, req)
+	a, err := c.call(ctx, to, req)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -140,9 +140,9 @@
 	}
 }
 
-func (c *census) ask(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceAnswer, err error) {
+func (c *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceResponse, err error) {
 	if to == c.s.Self {
-		return c.s.await(ctx, req), nil
+		return c.s.waitInForce(ctx, req), nil
 	}
 	payload, err := cbor.Marshal(req)
 	if err != nil {
@@ -158,26 +158,26 @@
 	return a, nil
 }
 
-// answerInForce answers another router.
-func (s *Server) answerInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
+// handleInForce answers another router.
+func (s *Server) handleInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req inForceRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
 		return nil, fmt.Errorf("operator: question about settings: %w", err)
 	}
-	data, err := cbor.Marshal(s.await(ctx, req))
+	data, err := cbor.Marshal(s.waitInForce(ctx, req))
 	if err != nil {
 		return nil, fmt.Errorf("operator: encoding an answer: %w", err)
 	}
 	return data, nil
 }
 
-// await returns what is in force here once that is what req wants, or its time
+// waitInForce returns what is in force here once that is what req wants, or its time
 // is over.
-func (s *Server) await(ctx context.Context, req inForceRequest) inForceAnswer {
+func (s *Server) waitInForce(ctx context.Context, req inForceRequest) inForceResponse {
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		a := s.inForce(req.Team)
@@ -192,16 +192,16 @@
 	}
 }
 
-func (s *Server) inForce(team coordination.Team) inForceAnswer {
+func (s *Server) inForce(team coordination.Team) inForceResponse {
 	for _, st := range s.Replica.Status() {
 		if st.Team != team {
 			continue
 		}
-		a := inForceAnswer{Position: st.Position}
+		a := inForceResponse{Position: st.Position}
 		if st.Refused != nil {
 			a.Refused = st.Refused.Revision
 		}
 		return a
 	}
-	return inForceAnswer{}
+	return inForceResponse{}
 }
--- a/wisteriarouter/operator/operator.go
+++ b/wisteriarouter/operator/operator.go
@@ -51,7 +51,7 @@
 // Register adds the operators' operations to api and answers the questions of
 // other routers about what is in force here.
 func (s *Server) Register(api huma.API) {
-	s.Peers.Handle(topicInForce, s.answerInForce)
+	s.Peers.Handle(topicInForce, s.handleInForce)
 	tags := []string{"operators"}
 	huma.Register(api, huma.Operation{
 		OperationID: "get-settings", Method: http.MethodGet, Path: "/operator/v1/settings/{team}", Tags: tags,
--- a/wisteriarouter/operator/operator_test.go
+++ b/wisteriarouter/operator/operator_test.go
@@ -23,22 +23,22 @@
 	"wisteriaspool/wisteriarouter/operator"
 )
 
-var errGone = errors.New("peer is gone")
+var errUnreachable = errors.New("peer is gone")
 
-// links connects routers within a test.
-type links struct {
+// peerNetwork connects routers within a test.
+type peerNetwork struct {
 	handlers map[coordination.Instance]func(context.Context, coordination.Instance, []byte) ([]byte, error)
 	names    []coordination.Instance
-	gone     coordination.Instance
+	unreachable     coordination.Instance
 }
 
-// link is one router's end.
-type link struct {
-	*links
+// peerLink is one router's end.
+type peerLink struct {
+	*peerNetwork
 	self coordination.Instance
 }
 
-func (l link) Members() []settings.Member {
+func (l peerLink) Members() []settings.Member {
 	var all []settings.Member
 	for _, n := range l.names {
 		all = append(all, settings.Member{Instance: n, Zone: "a"})
@@ -46,36 +46,36 @@
 	return all
 }
 
-func (l link) Call(ctx context.Context, to coordination.Instance, _ string, payload []byte) ([]byte, error) {
-	if to == l.gone {
-		return nil, errGone
+func (l peerLink) Call(ctx context.Context, to coordination.Instance, _ string, payload []byte) ([]byte, error) {
+	if to == l.unreachable {
+		return nil, errUnreachable
 	}
 	return l.handlers[to](ctx, l.self, payload)
 }
 
-func (l link) Handle(_ string, fn func(context.Context, coordination.Instance, []byte) ([]byte, error)) {
+func (l peerLink) Handle(_ string, fn func(context.Context, coordination.Instance, []byte) ([]byte, error)) {
 	l.handlers[l.self] = fn
 }
 
-// bench is some routers' operator APIs on one platform, without any gossip.
-type bench struct {
+// fixture is some routers' operator APIs on one platform, without any gossip.
+type fixture struct {
 	store    *kvtest.Store
-	links    *links
+	network    *peerNetwork
 	apis     []http.Handler
 	replicas []*settings.Replica
 }
 
-func newBench(n int) *bench {
-	b := &bench{store: kvtest.New(), links: &links{
+func newFixture(n int) *fixture {
+	b := &fixture{store: kvtest.New(), network: &peerNetwork{
 		handlers: make(map[coordination.Instance]func(context.Context, coordination.Instance, []byte) ([]byte, error)),
 	}}
 	for i := range n {
 		self := coordination.Instance("r" + strconv.Itoa(i))
-		b.links.names = append(b.links.names, self)
+		b.network.names = append(b.network.names, self)
 		replica := &settings.Replica{}
 		mux := http.NewServeMux()
 		s := &operator.Server{
-			Self: self, Editor: settings.NewEditor(b.store, replica), Replica: replica, Peers: link{b.links, self},
+			Self: self, Editor: settings.NewEditor(b.store, replica), Replica: replica, Peers: peerLink{b.network, self},
 			Status: func() operator.Status { return operator.Status{Instance: self, State: "ready"} },
 		}
 		s.Register(humago.New(mux, huma.DefaultConfig("test", "1")))
@@ -86,7 +86,7 @@
 }
 
 // do calls the router at i and decodes its answer.
-func (b *bench) do(t *testing.T, i int, method, path string, body, answer any) *http.Response {
+func (b *fixture) do(t *testing.T, i int, method, path string, body, answer any) *http.Response {
 	t.Helper()
 	data, err := json.Marshal(body)
 	assert.NilError(t, err)
@@ -110,15 +110,15 @@
 	return change{Text: text, BaseRevision: base, ChangeID: string(settings.NewChangeID()), Author: "ada", Reason: "test"}
 }
 
-type failed struct{ Error operator.Failure }
+type errorResponse struct{ Error operator.Failure }
 
 const path = "/operator/v1/settings/solco"
 
-func (b *bench) put(t *testing.T, text string, base int64) operator.Accepted {
+func (b *fixture) put(t *testing.T, text string, base int64) operator.Accepted {
 	t.Helper()
 	var a struct {
 		operator.Accepted
-		failed
+		errorResponse
 	}
 	res := b.do(t, 0, http.MethodPut, path, newChange(text, base), &a)
 	assert.Equal(t, res.StatusCode, http.StatusOK, "%+v", a.Error)
@@ -126,8 +126,8 @@
 }
 
 func TestSettings(t *testing.T) {
-	b := newBench(2)
-	var f failed
+	b := newFixture(2)
+	var f errorResponse
 	assert.Equal(t, b.do(t, 0, http.MethodGet, path, nil, &f).StatusCode, http.StatusNotFound)
 	assert.Equal(t, f.Error.Code, operator.CodeUnknownTeam)
 
@@ -152,23 +152,23 @@
 }
 
 func TestPutFailures(t *testing.T) {
-	b := newBench(1)
+	b := newFixture(1)
 	first := b.put(t, "", 0)
 	b.put(t, "[team]\npriority-cap = 2\n", int64(first.Revision))
 
-	var conflict failed
+	var conflict errorResponse
 	res := b.do(t, 0, http.MethodPut, path, newChange("[team]\npriority-cap = 3\n", int64(first.Revision)), &conflict)
 	assert.Equal(t, res.StatusCode, http.StatusConflict)
 	assert.Equal(t, conflict.Error.Diff, "-priority-cap = 2\n+priority-cap = 3\n")
-	assert.Equal(t, conflict.Error.Standing.Text, "[team]\npriority-cap = 2\n")
+	assert.Equal(t, conflict.Error.Current.Text, "[team]\npriority-cap = 2\n")
 
-	var invalid failed
+	var invalid errorResponse
 	res = b.do(t, 0, http.MethodPut, path, newChange("[team]\npriority-cap = x\n", 0), &invalid)
 	assert.Equal(t, res.StatusCode, http.StatusUnprocessableEntity)
 	assert.Equal(t, invalid.Error.Problems[0].Line, 2)
 
 	b.store.SetFaults(kvtest.Faults{Down: true})
-	var down failed
+	var down errorResponse
 	res = b.do(t, 0, http.MethodPut, path, newChange("", 0), &down)
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, res.Header.Get("Retry-After"), "1")
@@ -183,9 +183,9 @@
 // one refuses to answer, one never learns of it; each has to be named.
 func TestInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(4)
+		b := newFixture(4)
 		a := b.put(t, "", 0)
-		b.links.gone = "r2"
+		b.network.unreachable = "r2"
 		pair := b.store.Get(t.Context(), settings.Key("solco")).Pairs[0]
 		time.AfterFunc(time.Second, func() { b.replicas[1].Offer("solco", pair) })
 		ask := path + "/in-force?revision=" + strconv.Itoa(int(a.Revision))
@@ -205,7 +205,7 @@
 		})
 
 		b.replicas[3].Offer("solco", pair)
-		b.links.gone = ""
+		b.network.unreachable = ""
 		b.replicas[2].Offer("solco", pair)
 		start = time.Now()
 		b.do(t, 0, http.MethodGet, ask+"&wait_ms=4000&sequence="+strconv.Itoa(int(a.Sequence)), nil, &later)
--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -32,31 +32,31 @@
 
 func (s *Server) getSettings(ctx context.Context, in *teamInput) (*settingsOutput, error) {
 	team := coordination.Team(in.Team)
-	standing, fresh, failure := s.read(ctx, team)
+	current, fresh, failure := s.readSettings(ctx, team)
 	if failure != nil {
 		return nil, failure
 	}
-	return &settingsOutput{Body: s.view(team, standing, fresh)}, nil
+	return &settingsOutput{Body: s.settingsFor(team, current, fresh)}, nil
 }
 
-func (s *Server) read(ctx context.Context, team coordination.Team) (settings.Current, bool, *Failure) {
+func (s *Server) readSettings(ctx context.Context, team coordination.Team) (settings.Current, bool, *Failure) {
 	if !settings.ValidTeam(team) {
 		return settings.Current{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	standing, fresh := s.Editor.Read(ctx, team)
+	current, fresh := s.Editor.Read(ctx, team)
 	switch {
-	case standing.Revision == 0 && fresh:
-		return standing, fresh, &Failure{Code: CodeUnknownTeam, Message: "the team has no settings; put the first ones with base revision 0"}
-	case standing.Revision == 0:
-		return standing, fresh, &Failure{Code: CodeUnavailable, Message: "the platform does not answer, and nothing is in force here", RetryAfterMs: 1000}
+	case current.Revision == 0 && fresh:
+		return current, fresh, &Failure{Code: CodeUnknownTeam, Message: "the team has no settings; put the first ones with base revision 0"}
+	case current.Revision == 0:
+		return current, fresh, &Failure{Code: CodeUnavailable, Message: "the platform does not answer, and nothing is in force here", RetryAfterMs: 1000}
 	}
-	return standing, fresh, nil
+	return current, fresh, nil
 }
 
-func (s *Server) view(team coordination.Team, standing settings.Current, fresh bool) Settings {
-	v := Settings{Team: team, Text: standing.Text, Revision: standing.Revision, Fresh: fresh}
-	if standing.Value != nil {
-		v.Change = &standing.Value.Change
+func (s *Server) settingsFor(team coordination.Team, current settings.Current, fresh bool) Settings {
+	v := Settings{Team: team, Text: current.Text, Revision: current.Revision, Fresh: fresh}
+	if current.Value != nil {
+		v.Change = &current.Value.Change
 	}
 	for _, st := range s.Replica.Status() {
 		if st.Team == team {
@@ -113,8 +113,8 @@
 	f := &Failure{RetryAfterMs: out.RetryAfter.Milliseconds()}
 	switch out.Status {
 	case settings.Conflict:
-		standing := s.view(p.Team, out.Current, true)
-		f.Code, f.Standing, f.Diff = CodeConflict, &standing, out.Diff
+		current := s.settingsFor(p.Team, out.Current, true)
+		f.Code, f.Current, f.Diff = CodeConflict, &current, out.Diff
 		f.Message = "another change stands; nothing was written. The difference leads from it to yours"
 	case settings.Rejected:
 		f.Code, f.Problems = CodeInvalid, out.Problems
@@ -151,22 +151,22 @@
 
 func (s *Server) getHistory(ctx context.Context, in *teamInput) (*historyOutput, error) {
 	team := coordination.Team(in.Team)
-	standing, fresh, failure := s.read(ctx, team)
+	current, fresh, failure := s.readSettings(ctx, team)
 	if failure != nil {
 		return nil, failure
 	}
 	h := History{Team: team, Fresh: fresh}
-	if standing.Value != nil {
-		h.Entries = standing.Value.History(standing.Revision)
+	if current.Value != nil {
+		h.Entries = current.Value.History(current.Revision)
 	}
 	// An old or unreadable value that was put in past the routers hides later
 	// changes, which the settings in force still know of.
-	if in, ok := s.Replica.Snapshot(team); ok && hides(standing, in) {
+	if in, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, in) {
 		h.Entries = in.Value.History(in.Position.Revision)
 	}
 	return &historyOutput{Body: h}, nil
 }
 
-func hides(standing settings.Current, in *settings.Snapshot) bool {
-	return standing.Value == nil || standing.Value.Change.Sequence < in.Position.Sequence
+func olderOrUnreadable(current settings.Current, in *settings.Snapshot) bool {
+	return current.Value == nil || current.Value.Change.Sequence < in.Position.Sequence
 }
--- a/wisteriarouter/platform/call.go
+++ b/wisteriarouter/platform/call.go
@@ -15,8 +15,8 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// maxAnswer bounds the bytes read of one answer.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the bytes read of one answer.
+const maxResponseBytes = 64 << 20
 
 const contentType = "application/json"
 
@@ -63,25 +63,25 @@
 	for i := range n {
 		at := (first + i) % n
 		c.current.Store(at)
-		res = c.try(ctx, op, c.endpoints[at]+path, body, out)
-		if !triesNext(op, res.Status) || ctx.Err() != nil {
+		res = c.callEndpoint(ctx, op, c.endpoints[at]+path, body, out)
+		if !mayTryNext(op, res.Status) || ctx.Err() != nil {
 			break
 		}
 	}
-	c.prefer(res.Status)
+	c.skipUnresponsive(res.Status)
 	return res
 }
 
-// prefer moves on to the next endpoint after one that gave no answer: one that
+// skipUnresponsive moves on to the next endpoint after one that gave no answer: one that
 // takes connections but hangs would else spoil every write.
-func (c *Client) prefer(status kv.Status) {
+func (c *Client) skipUnresponsive(status kv.Status) {
 	if status == kv.Unknown {
 		c.current.Store((c.current.Load() + 1) % uint32(len(c.endpoints)))
 	}
 }
 
-// triesNext tells whether another endpoint may be asked after status.
-func triesNext(op Op, status kv.Status) bool {
+// mayTryNext tells whether another endpoint may be asked after status.
+func mayTryNext(op Op, status kv.Status) bool {
 	switch status {
 	case kv.Unavailable:
 		return true
@@ -92,21 +92,21 @@
 	}
 }
 
-// try makes one call of one endpoint.
-func (c *Client) try(ctx context.Context, op Op, url string, body []byte, out any) kv.Result {
+// callEndpoint makes one call of one endpoint.
+func (c *Client) callEndpoint(ctx context.Context, op Op, url string, body []byte, out any) kv.Result {
 	start := time.Now()
-	res := c.exchange(ctx, url, body, out)
+	res := c.roundTrip(ctx, url, body, out)
 	c.observe(op, res.Status, start)
 	return res
 }
 
-func (c *Client) exchange(ctx context.Context, url string, body []byte, out any) kv.Result {
+func (c *Client) roundTrip(ctx context.Context, url string, body []byte, out any) kv.Result {
 	resp, res := c.send(ctx, url, body)
 	if res.Status != kv.Applied {
 		return res
 	}
-	defer closeAnswer(resp)
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out); err != nil {
+	defer drainAndClose(resp)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
 		return kv.Result{Status: kv.Unknown, Err: fmt.Errorf("platform: answer cut off: %w", err)}
 	}
 	return res
@@ -123,20 +123,20 @@
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", contentType)
-	resp, err := c.hc.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, kv.Result{Status: withoutAnswer(connected.Load()), Err: err}
+		return nil, kv.Result{Status: statusWithoutResponse(connected.Load()), Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		defer closeAnswer(resp)
-		return nil, refusedAnswer(resp)
+		defer drainAndClose(resp)
+		return nil, errorResult(resp)
 	}
 	return resp, kv.Result{Status: kv.Applied}
 }
 
-// closeAnswer reads what little is left, so that the connection can be used
+// drainAndClose reads what little is left, so that the connection can be used
 // again.
-func closeAnswer(resp *http.Response) {
+func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
 	_ = resp.Body.Close()
 }
--- a/wisteriarouter/platform/client.go
+++ b/wisteriarouter/platform/client.go
@@ -63,8 +63,8 @@
 type Client struct {
 	cfg       Config
 	endpoints []string
-	instances string
-	hc        *http.Client
+	instancesURL string
+	httpClient        *http.Client
 	current   atomic.Uint32 // index of the endpoint that answered last
 }
 
@@ -82,7 +82,7 @@
 	if cfg.DialTimeout <= 0 {
 		cfg.DialTimeout = DefaultDialTimeout
 	}
-	c := &Client{cfg: cfg, instances: cfg.InstancesURL}
+	c := &Client{cfg: cfg, instancesURL: cfg.InstancesURL}
 	for _, e := range cfg.Endpoints {
 		base, err := baseURL(e)
 		if err != nil {
@@ -90,16 +90,16 @@
 		}
 		c.endpoints = append(c.endpoints, base)
 	}
-	if c.instances == "" {
-		c.instances = c.endpoints[0]
+	if c.instancesURL == "" {
+		c.instancesURL = c.endpoints[0]
 	}
-	base, err := baseURL(c.instances)
+	base, err := baseURL(c.instancesURL)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.instances = base
+	c.instancesURL = base
 	transport := newTransport(cfg)
-	c.hc = &http.Client{Transport: transport, CheckRedirect: refuseRedirect}
+	c.httpClient = &http.Client{Transport: transport, CheckRedirect: refuseRedirect}
 	return c, transport.CloseIdleConnections, nil
 }
 
--- a/wisteriarouter/platform/client_test.go
+++ b/wisteriarouter/platform/client_test.go
@@ -46,7 +46,7 @@
 	return "http://" + l.Addr().String()
 }
 
-func TestNewRefusesBadURLs(t *testing.T) {
+func TestNewRejectsInvalidURLs(t *testing.T) {
 	for _, e := range []string{"", "127.0.0.1:2379", "ftp://x"} {
 		_, _, err := platform.New(platform.Config{Endpoints: []string{e}})
 		assert.ErrorContains(t, err, "not an http or https URL")
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestLapsedLeaseIsNamed(t *testing.T) {
+func TestExpiredLeaseReturnsErrLeaseNotFound(t *testing.T) {
 	c := newClient(t, serve(t, 404, `{"code":5,"message":"etcdserver: requested lease not found"}`))
 	res := c.CompareAndSwap(t.Context(), "k", nil, 0, 9)
 	assert.ErrorIs(t, res.Err, platform.ErrLeaseNotFound)
@@ -131,7 +131,7 @@
 }
 
 // A read whose answer is lost has no effect, so the next endpoint is asked.
-func TestBrokenReadGoesOn(t *testing.T) {
+func TestBrokenReadTriesNextEndpoint(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/wisteriarouter/platform/instances.go
+++ b/wisteriarouter/platform/instances.go
@@ -72,18 +72,18 @@
 
 func (c *Client) readInstances(ctx context.Context) (instanceList, error) {
 	var list instanceList
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.instances+instancesPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.instancesURL+instancesPath, nil)
 	if err != nil {
 		return list, err
 	}
-	resp, err := c.hc.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return list, err
 	}
-	defer closeAnswer(resp)
+	defer drainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&list)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&list)
 	return list, err
 }
--- a/wisteriarouter/platform/standin_test.go
+++ b/wisteriarouter/platform/standin_test.go
@@ -63,7 +63,7 @@
 
 // The watch's connection breaks, and the service forgets the history that the
 // watcher has not seen. It must learn that it has missed something.
-func TestWatchOfStandinOutlastsBreaks(t *testing.T) {
+func TestWatchReconnectsToStandin(t *testing.T) {
 	s, c := newPlatform(t, standin.Options{})
 	ctx := t.Context()
 	first, err := s.Put("/a/1", []byte("1"))
--- a/wisteriarouter/platform/status.go
+++ b/wisteriarouter/platform/status.go
@@ -34,24 +34,24 @@
 	Error   string `json:"error"`
 }
 
-// withoutAnswer maps a call that got no answer. Without a connection no byte
+// statusWithoutResponse maps a call that got no answer. Without a connection no byte
 // was sent; with one, the service may have got the call and applied it.
-func withoutAnswer(connected bool) kv.Status {
+func statusWithoutResponse(connected bool) kv.Status {
 	if connected {
 		return kv.Unknown
 	}
 	return kv.Unavailable
 }
 
-// refusedAnswer maps an answer whose status is not 200.
-func refusedAnswer(resp *http.Response) kv.Result {
+// errorResult maps an answer whose status is not 200.
+func errorResult(resp *http.Response) kv.Result {
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	var body errorBody
 	if err := json.Unmarshal(raw, &body); err != nil {
 		body = errorBody{}
 	}
 	err := fmt.Errorf("platform: status %d, code %d: %s", resp.StatusCode, body.Code, body.text(raw))
-	if body.leaseLapsed() {
+	if body.leaseNotFound() {
 		err = errors.Join(ErrLeaseNotFound, err)
 	}
 	return kv.Result{Status: body.status(resp.StatusCode), Err: err}
@@ -67,7 +67,7 @@
 	return string(raw)
 }
 
-func (b errorBody) leaseLapsed() bool {
+func (b errorBody) leaseNotFound() bool {
 	return b.Code == codeNotFound && strings.Contains(b.text(nil), "lease not found")
 }
 
@@ -93,9 +93,9 @@
 	return kv.Unknown
 }
 
-// beforeEffect lists the texts with which the gateway says that it could not
+// notSentMessages lists the texts with which the gateway says that it could not
 // reach its own server, so that the call went nowhere.
-var beforeEffect = []string{
+var notSentMessages = []string{
 	"there is no address available",
 	"there is no connection available",
 	"error while dialing",
@@ -104,7 +104,7 @@
 
 func (b errorBody) unavailable() kv.Status {
 	text := b.text(nil)
-	for _, s := range beforeEffect {
+	for _, s := range notSentMessages {
 		if strings.Contains(text, s) {
 			return kv.Unavailable
 		}
--- a/wisteriarouter/platform/store.go
+++ b/wisteriarouter/platform/store.go
@@ -85,13 +85,13 @@
 	res.Revision = kv.Revision(resp.Header.Revision)
 	if !resp.Succeeded {
 		res.Status = kv.Conflict
-		res.Pairs = resp.standing()
+		res.Pairs = resp.currentPairs()
 	}
 	return res, resp
 }
 
-// standing returns what the failure branch of a transaction read.
-func (r txnResponse) standing() []kv.Pair {
+// currentPairs returns what the failure branch of a transaction read.
+func (r txnResponse) currentPairs() []kv.Pair {
 	if len(r.Responses) == 0 || r.Responses[0].Range == nil {
 		return nil
 	}
--- a/wisteriarouter/platform/watch.go
+++ b/wisteriarouter/platform/watch.go
@@ -16,9 +16,9 @@
 // Watches that break are opened again after a wait that doubles from the first
 // to the longest; after some failures in a row the channel is closed.
 const (
-	firstWatchWait = 100 * time.Millisecond
-	longestWait    = 2 * time.Second
-	watchTries     = 6
+	minReopenDelay = 100 * time.Millisecond
+	maxReopenDelay    = 2 * time.Second
+	maxReopenAttempts     = 6
 )
 
 // watch is one watch, over all its connections.
@@ -72,7 +72,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("platform: encoding a watch: %v", err))
 	}
-	resp, res := w.dial(ctx, body)
+	resp, res := w.postRequest(ctx, body)
 	if res.Status != kv.Applied {
 		return res
 	}
@@ -83,12 +83,12 @@
 		_ = w.body.Close()
 		return kv.Result{Status: kv.Unknown, Err: err}
 	}
-	w.take(first)
+	w.updateRevision(first)
 	return kv.Result{Status: kv.Applied, Revision: kv.Revision(first.Header.Revision)}
 }
 
-// dial sends the request to the first endpoint that takes it.
-func (w *watch) dial(ctx context.Context, body []byte) (resp *http.Response, res kv.Result) {
+// postRequest sends the request to the first endpoint that takes it.
+func (w *watch) postRequest(ctx context.Context, body []byte) (resp *http.Response, res kv.Result) {
 	c := w.client
 	first := c.current.Load()
 	n := uint32(len(c.endpoints))
@@ -118,10 +118,10 @@
 	return msg.Result, nil
 }
 
-// take applies what a message says about revisions. After a compaction the
+// updateRevision applies what a message says about revisions. After a compaction the
 // revisions in between are gone for good: the watcher must read again, and the
 // watch goes on from what the service still has.
-func (w *watch) take(r *watchResult) {
+func (w *watch) updateRevision(r *watchResult) {
 	if r.CompactRevision > 0 {
 		w.gap = true
 		w.revision = max(w.revision, kv.Revision(r.CompactRevision)-1)
@@ -161,7 +161,7 @@
 		if err != nil {
 			return
 		}
-		w.take(r)
+		w.updateRevision(r)
 		if r.Canceled {
 			return
 		}
@@ -185,8 +185,8 @@
 // reopen opens the watch again, with jitter so that all the watchers of an
 // outage do not come back at one moment.
 func (w *watch) reopen(ctx context.Context) bool {
-	wait := firstWatchWait
-	for range watchTries {
+	wait := minReopenDelay
+	for range maxReopenAttempts {
 		select {
 		case <-ctx.Done():
 			return false
@@ -195,7 +195,7 @@
 		if w.open(ctx).Status == kv.Applied {
 			return true
 		}
-		wait = min(2*wait, longestWait)
+		wait = min(2*wait, maxReopenDelay)
 	}
 	return false
 }
--- a/wisteriarouter/platform/watch_test.go
+++ b/wisteriarouter/platform/watch_test.go
@@ -51,7 +51,7 @@
 // The connection of a watch breaks between two changes. A watch that went on
 // from the present would miss the second one, and an accepted setting would
 // never come into force on this router.
-func TestWatchGoesOnBehindLastRevision(t *testing.T) {
+func TestWatchResumesAfterLastRevision(t *testing.T) {
 	s, url := newWatchService(t,
 		`{"result":{"header":{"revision":"9"},"created":true}}
 		 {"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"YQ==","value":"MQ==","mod_revision":"6"}}]}}`,
@@ -69,7 +69,7 @@
 
 // While a watcher was cut off the service dropped old revisions. Without a gap
 // the watcher would take what it has for current.
-func TestWatchCompactionIsGap(t *testing.T) {
+func TestWatchReportsCompactionAsGap(t *testing.T) {
 	s, url := newWatchService(t,
 		`{"result":{"header":{"revision":"40"},"created":true}}
 		 {"result":{"header":{"revision":"40"},"canceled":true,"compact_revision":"30"}}`,
