--- a/wisteriarouter/operator/failure.go
+++ b/wisteriarouter/operator/failure.go
@@ -10,10 +10,10 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// Code names a failure; it stays the same when a message changes.
+// Code identifies a kind of failure. Unlike messages, codes are stable.
 type Code string
 
-// The codes of failures.
+// Failure codes.
 const (
 	CodeUnknownTeam Code = "unknown-team"
 	CodeConflict    Code = "conflict"
@@ -30,7 +30,7 @@
 	CodeUnknown:     http.StatusGatewayTimeout,
 }
 
-// Failure is the answer to an operation that did not succeed.
+// Failure is the error response of the API.
 type Failure struct {
 	Code         Code               `json:"code"`
 	Message      string             `json:"message"`
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -15,30 +15,34 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// topicInForce is the question of a router to another.
+// topicInForce is the topic of calls by which a router asks another which
+// revision of a team's settings it has in force.
 const topicInForce = "settings-in-force"
 
 const (
-	maxConcurrentCalls  = 32 // routers asked at a time
+	maxConcurrentCalls  = 32 // concurrent calls of one query
 	maxWait   = 10 * time.Second
-	callMargin  = time.Second // for the way to the router and back
+	callMargin  = time.Second // allowance for the network round trip, beyond the wait
 	pollInterval = 50 * time.Millisecond
 )
 
-// inForceRequest asks what a router has in force, and to wait until that is at
-// least Want. Waiting there saves asking again and again.
+// inForceRequest asks which position a router has in force. The router waits up
+// to WaitMs milliseconds until it has reached Want, which saves the caller from
+// polling.
 type inForceRequest struct {
 	Team   coordination.Team `cbor:"1,keyasint"`
 	Want   settings.Position `cbor:"2,keyasint"`
 	WaitMs int64             `cbor:"3,keyasint,omitempty"`
 }
 
+// inForceResponse holds the position in force and, if the router refuses a
+// value, that value's revision.
 type inForceResponse struct {
 	Position settings.Position `cbor:"1,keyasint"`
 	Refused  kv.Revision       `cbor:"2,keyasint,omitempty"`
 }
 
-// RouterInForce is what one router has in force of a team.
+// RouterInForce holds the position of a team's settings in force on one router.
 type RouterInForce struct {
 	Instance coordination.Instance `json:"instance"`
 	Revision kv.Revision           `json:"revision"`
@@ -46,7 +50,7 @@
 	Refused  kv.Revision           `json:"refused_revision,omitempty" doc:"The revision that the router refuses, if any."`
 }
 
-// InForce tells on how many routers a change, or a later one, is in force.
+// InForce reports on how many routers a change, or a later one, is in force.
 type InForce struct {
 	Team        coordination.Team       `json:"team"`
 	Revision    kv.Revision             `json:"revision"`
@@ -78,8 +82,8 @@
 	return &inForceOutput{Body: c.collect(ctx)}, nil
 }
 
-// reached reports whether in is want or later. Without a sequence, revisions
-// are compared.
+// reached reports whether position in is want or later. It compares revisions
+// if want has no sequence.
 func reached(in, want settings.Position) bool {
 	if want.Sequence == 0 {
 		return in.Revision >= want.Revision
@@ -87,7 +91,7 @@
 	return !in.Before(want)
 }
 
-// inForceQuery asks all routers the same question.
+// inForceQuery sends the same request to all routers and collects the responses.
 type inForceQuery struct {
 	s     *Server
 	req   inForceRequest
@@ -98,6 +102,8 @@
 	result InForce
 }
 
+// collect queries all known routers, this one included, and returns once each
+// has answered or timed out.
 func (c *inForceQuery) collect(ctx context.Context) InForce {
 	wait := min(time.Duration(c.req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
@@ -118,7 +124,7 @@
 	return c.result
 }
 
-// queryRouter asks one router.
+// queryRouter queries one router and records its response.
 func (c *inForceQuery) queryRouter(ctx context.Context, to coordination.Instance, deadline time.Time) {
 	defer c.group.Done()
 	c.slots <- struct{}{}
@@ -140,39 +146,40 @@
 	}
 }
 
+// call sends req to one router, or serves it locally if to is this router.
 func (c *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceResponse, err error) {
 	if to == c.s.Self {
 		return c.s.waitInForce(ctx, req), nil
 	}
 	payload, err := cbor.Marshal(req)
 	if err != nil {
-		return a, fmt.Errorf("operator: encoding a question: %w", err)
+		return a, fmt.Errorf("operator: encoding in-force request: %w", err)
 	}
 	data, err := c.s.Peers.Call(ctx, to, topicInForce, payload)
 	if err != nil {
 		return a, err
 	}
 	if err := cbor.Unmarshal(data, &a); err != nil {
-		return a, fmt.Errorf("operator: answer of %s: %w", to, err)
+		return a, fmt.Errorf("operator: decoding in-force response from %s: %w", to, err)
 	}
 	return a, nil
 }
 
-// handleInForce answers another router.
+// handleInForce serves an inForceRequest from another router.
 func (s *Server) handleInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req inForceRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("operator: question about settings: %w", err)
+		return nil, fmt.Errorf("operator: decoding in-force request: %w", err)
 	}
 	data, err := cbor.Marshal(s.waitInForce(ctx, req))
 	if err != nil {
-		return nil, fmt.Errorf("operator: encoding an answer: %w", err)
+		return nil, fmt.Errorf("operator: encoding in-force response: %w", err)
 	}
 	return data, nil
 }
 
-// waitInForce returns what is in force here once that is what req wants, or its time
-// is over.
+// waitInForce waits until this router has reached the position that req wants,
+// req.WaitMs has passed or ctx ends, and returns the position then in force.
 func (s *Server) waitInForce(ctx context.Context, req inForceRequest) inForceResponse {
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -192,6 +199,7 @@
 	}
 }
 
+// inForce returns the position of a team's settings in force on this router.
 func (s *Server) inForce(team coordination.Team) inForceResponse {
 	for _, st := range s.Replica.Status() {
 		if st.Team != team {
--- a/wisteriarouter/operator/operator.go
+++ b/wisteriarouter/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator speaks to operators: it serves the API by which they read
-// and change their teams' settings and see what a router is doing.
+// Package operator serves the HTTP API with which operators read and change
+// their teams' settings and query the status of a router.
 package operator
 
 import (
@@ -14,42 +14,45 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Editor reads and changes the settings of teams. *settings.Editor is one.
+// Editor reads and changes the settings of teams. *settings.Editor implements
+// it.
 type Editor interface {
 	Put(ctx context.Context, p settings.Put) settings.Outcome
 	Read(ctx context.Context, team coordination.Team) (settings.Current, bool)
 }
 
-// Replica is what this router has in force. *settings.Replica is one.
+// Replica holds the settings in force on this router. *settings.Replica
+// implements it.
 type Replica interface {
 	Snapshot(team coordination.Team) (*settings.Snapshot, bool)
 	Status() []settings.TeamStatus
 }
 
-// Peers are the other routers.
+// Peers lists the routers of the fleet, this one included, and carries calls
+// between them.
 type Peers interface {
 	Members() []settings.Member
 	Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error)
 	Handle(topic string, fn func(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error))
 }
 
-// Server answers operators. All fields but Log are needed.
+// Server implements the operators' API. All fields except Log are required.
 type Server struct {
 	Self    coordination.Instance
 	Editor  Editor
 	Replica Replica
 	Peers   Peers
-	// Status tells about this router all but its settings.
+	// Status returns the status of this router; Server fills in Settings.
 	Status func() Status
 	Log    event.Log
 }
 
-// maxBody bounds the body of a change: the text, twice over for its escapes,
-// and the change's own fields.
+// maxBody limits the body of a put request, in bytes: twice the largest text, as
+// JSON escapes can double it, and 8 KiB for the other fields.
 const maxBody = 2*settings.MaxText + 8<<10
 
-// Register adds the operators' operations to api and answers the questions of
-// other routers about what is in force here.
+// Register adds the operators' operations to api and handles the in-force
+// requests of other routers.
 func (s *Server) Register(api huma.API) {
 	s.Peers.Handle(topicInForce, s.handleInForce)
 	tags := []string{"operators"}
@@ -75,7 +78,7 @@
 	}, s.getStatus)
 }
 
-// Status is what a router tells operators about itself.
+// Status is the status of a router.
 type Status struct {
 	Instance    coordination.Instance    `json:"instance"`
 	Incarnation coordination.Incarnation `json:"incarnation"`
@@ -89,20 +92,21 @@
 	Settings    []settings.TeamStatus    `json:"settings"`
 }
 
-// PlatformStatus tells how a router stands with the platform's service.
+// PlatformStatus describes a router's connection to the platform's key-value
+// service.
 type PlatformStatus struct {
 	Watching       bool  `json:"watching" doc:"Whether this router is one of those that watch the platform."`
 	ConfirmedMsAgo int64 `json:"confirmed_ms_ago" doc:"Since when no router has heard from the platform; -1 if none ever did."`
 }
 
-// PeerStatus is what a router knows of another.
+// PeerStatus is the state of another router as this router sees it.
 type PeerStatus struct {
 	Instance coordination.Instance `json:"instance"`
 	Zone     coordination.Zone     `json:"availability_zone"`
 	State    string                `json:"state"`
 }
 
-// EndpointStatus is what a router knows of an endpoint.
+// EndpointStatus is the state of an endpoint as this router sees it.
 type EndpointStatus struct {
 	Endpoint coordination.Endpoint `json:"endpoint"`
 	Pool     coordination.Pool     `json:"pool"`
--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -9,18 +9,19 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Settings is what an operator sees of a team's settings.
+// Settings holds a team's settings as stored in the platform, or those in force
+// on this router if the platform cannot be read.
 type Settings struct {
 	Team     coordination.Team `json:"team"`
 	Text     string            `json:"text"`
 	Revision kv.Revision       `json:"revision" doc:"The base of the next change."`
-	// Fresh is false if the platform did not answer or has lost the key: then
-	// the text is the one in force on the router that answered.
+	// Fresh is false if the platform did not answer or has lost the key. Text is
+	// then the one in force on the router that answered.
 	Fresh   bool              `json:"fresh"`
 	Change  *settings.Change  `json:"change,omitempty"`
 	InForce settings.Position `json:"in_force" doc:"What the router that answered has in force."`
 	Refused *settings.Refusal `json:"refused,omitempty" doc:"A value that stands in the platform and is not in force."`
-	// InForceText is what a change on top of a refused value starts from.
+	// InForceText is the text to base a change on if the stored value is refused.
 	InForceText string `json:"in_force_text,omitempty" doc:"The text in force, if a value that stands in the platform is refused."`
 }
 
@@ -39,6 +40,8 @@
 	return &settingsOutput{Body: s.settingsFor(team, current, fresh)}, nil
 }
 
+// readSettings reads a team's settings. It reports whether they come from the
+// platform rather than from this router's replica.
 func (s *Server) readSettings(ctx context.Context, team coordination.Team) (settings.Current, bool, *Failure) {
 	if !settings.ValidTeam(team) {
 		return settings.Current{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
@@ -53,6 +56,8 @@
 	return current, fresh, nil
 }
 
+// settingsFor combines the given settings with the state of this router's
+// replica.
 func (s *Server) settingsFor(team coordination.Team, current settings.Current, fresh bool) Settings {
 	v := Settings{Team: team, Text: current.Text, Revision: current.Revision, Fresh: fresh}
 	if current.Value != nil {
@@ -80,7 +85,7 @@
 	}
 }
 
-// Accepted is the answer to a change that is durable.
+// Accepted is the response to a change that has been stored durably.
 type Accepted struct {
 	Team     coordination.Team `json:"team"`
 	Revision kv.Revision       `json:"revision"`
@@ -109,6 +114,7 @@
 	}}, nil
 }
 
+// failure converts the outcome of a rejected or uncertain change to a Failure.
 func (s *Server) failure(p settings.Put, out settings.Outcome) *Failure {
 	f := &Failure{RetryAfterMs: out.RetryAfter.Milliseconds()}
 	switch out.Status {
@@ -140,7 +146,7 @@
 	s.Log.Emit(event.SettingsRejected, append(fields, event.F("outcome", out.Status.String()))...)
 }
 
-// History is the audit trail of a team's settings.
+// History is the change history of a team's settings.
 type History struct {
 	Team    coordination.Team `json:"team"`
 	Fresh   bool              `json:"fresh"`
@@ -159,14 +165,17 @@
 	if current.Value != nil {
 		h.Entries = current.Value.History(current.Revision)
 	}
-	// An old or unreadable value that was put in past the routers hides later
-	// changes, which the settings in force still know of.
+	// A value that was written without the routers may be outdated or
+	// unreadable and so lack later changes. The settings in force still have
+	// them in their history.
 	if in, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, in) {
 		h.Entries = in.Value.History(in.Position.Revision)
 	}
 	return &historyOutput{Body: h}, nil
 }
 
+// olderOrUnreadable reports whether the stored value cannot be read or is older
+// than the settings in force.
 func olderOrUnreadable(current settings.Current, in *settings.Snapshot) bool {
 	return current.Value == nil || current.Value.Change.Sequence < in.Position.Sequence
 }
--- a/wisteriarouter/platform/call.go
+++ b/wisteriarouter/platform/call.go
@@ -15,14 +15,14 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// maxResponseBytes bounds the bytes read of one answer.
+// maxResponseBytes limits the body of one response; what exceeds it is not read.
 const maxResponseBytes = 64 << 20
 
 const contentType = "application/json"
 
-// keepAlive finds out within about ten seconds that the other end of a
-// connection is gone without a word. A watch has nothing to send, and would
-// wait on such a connection for minutes while settings change.
+// keepAlive detects within about 10 s that the peer of a connection vanished
+// without closing it. A watch sends nothing after its request, and would wait on
+// such a connection for minutes while settings change.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 4 * time.Second, Interval: 2 * time.Second, Count: 3}
 
 func newTransport(cfg Config) *http.Transport {
@@ -37,26 +37,27 @@
 	}
 }
 
-// refuseRedirect keeps a redirected write from being sent a second time.
+// refuseRedirect returns the redirect response itself, so that a redirected
+// write is not sent a second time.
 func refuseRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// opaqueBody hides from net/http that a body could be rewound. A rewindable
-// body may be sent again by the transport after the connection broke: the
-// service would then apply one write twice, and the second answer, a conflict,
-// would deny the first.
+// opaqueBody hides the concrete type of a body from net/http, which then cannot
+// rewind it. The transport may resend a rewindable body after a connection
+// failure: the service would get a write twice, and answer the second one with a
+// conflict although the first was applied.
 type opaqueBody struct{ io.Reader }
 
-// call sends in to path and decodes the answer into out. It goes on to the
-// next endpoint if no connection could be made, or after any broken call if
-// the call only reads.
+// call sends in to path and decodes the response into out. It tries the next
+// endpoint if the request certainly had no effect or, for a read, also if its
+// outcome is unknown.
 func (c *Client) call(ctx context.Context, op Op, path string, in, out any) (res kv.Result) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	body, err := json.Marshal(in)
 	if err != nil {
-		panic(fmt.Sprintf("platform: encoding a %s: %v", op, err))
+		panic(fmt.Sprintf("platform: encoding %s request: %v", op, err))
 	}
 	first := c.current.Load()
 	n := uint32(len(c.endpoints))
@@ -72,15 +73,17 @@
 	return res
 }
 
-// skipUnresponsive moves on to the next endpoint after one that gave no answer: one that
-// takes connections but hangs would else spoil every write.
+// skipUnresponsive makes later calls start at the next endpoint if status is
+// Unknown. Otherwise an endpoint that accepts connections but hangs would fail
+// every write.
 func (c *Client) skipUnresponsive(status kv.Status) {
 	if status == kv.Unknown {
 		c.current.Store((c.current.Load() + 1) % uint32(len(c.endpoints)))
 	}
 }
 
-// mayTryNext tells whether another endpoint may be asked after status.
+// mayTryNext reports whether a call that ended with status may be repeated at
+// another endpoint. Only reads are repeated if their outcome is unknown.
 func mayTryNext(op Op, status kv.Status) bool {
 	switch status {
 	case kv.Unavailable:
@@ -92,7 +95,7 @@
 	}
 }
 
-// callEndpoint makes one call of one endpoint.
+// callEndpoint makes one call to one endpoint and reports it to OnCall.
 func (c *Client) callEndpoint(ctx context.Context, op Op, url string, body []byte, out any) kv.Result {
 	start := time.Now()
 	res := c.roundTrip(ctx, url, body, out)
@@ -100,6 +103,8 @@
 	return res
 }
 
+// roundTrip sends body and decodes the response into out. A response that cannot
+// be decoded makes the outcome Unknown.
 func (c *Client) roundTrip(ctx context.Context, url string, body []byte, out any) kv.Result {
 	resp, res := c.send(ctx, url, body)
 	if res.Status != kv.Applied {
@@ -107,13 +112,13 @@
 	}
 	defer drainAndClose(resp)
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
-		return kv.Result{Status: kv.Unknown, Err: fmt.Errorf("platform: answer cut off: %w", err)}
+		return kv.Result{Status: kv.Unknown, Err: fmt.Errorf("platform: decoding response: %w", err)}
 	}
 	return res
 }
 
-// send posts body. Its result is Applied if the answer's status is 200, and
-// only then is the response open.
+// send posts body to url. If the HTTP status is 200, the result is Applied and the
+// caller must close the response; otherwise the response is nil.
 func (c *Client) send(ctx context.Context, url string, body []byte) (*http.Response, kv.Result) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -134,8 +139,8 @@
 	return resp, kv.Result{Status: kv.Applied}
 }
 
-// drainAndClose reads what little is left, so that the connection can be used
-// again.
+// drainAndClose discards up to 4 KiB of the rest of the body before closing it,
+// so that the connection can be reused.
 func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
 	_ = resp.Body.Close()
--- a/wisteriarouter/platform/client.go
+++ b/wisteriarouter/platform/client.go
@@ -1,7 +1,7 @@
-// Package platform speaks to the platform: its key-value service, by etcd v3's
-// JSON gateway, and its list of instances. It decides nothing; what it must get
-// right is to tell a call that certainly had no effect from one that may have
-// had it.
+// Package platform is a client of the platform's key-value service, which it
+// calls through the JSON gateway of etcd v3, and of the platform's list of
+// instances. It distinguishes calls that certainly had no effect from those that
+// may have been applied.
 package platform
 
 import (
@@ -23,10 +23,10 @@
 	DefaultDialTimeout = 500 * time.Millisecond
 )
 
-// Op names a kind of call, as metrics show it.
+// Op is a kind of call, and the name of that kind in metrics.
 type Op string
 
-// The kinds of calls.
+// Kinds of calls.
 const (
 	OpGet       Op = "get"
 	OpList      Op = "list"
@@ -38,23 +38,25 @@
 	OpInstances Op = "instances"
 )
 
-// Config says where the platform is and how long to wait for it.
+// Config holds the addresses of the platform and the timeouts of its client.
 type Config struct {
 	// Endpoints are base URLs of the key-value service, such as
-	// http://10.0.0.1:2379. The first one that can be reached is used.
+	// http://10.0.0.1:2379. Calls start at the endpoint used last, initially
+	// the first, and move on to the next one when it fails.
 	Endpoints []string
 	// InstancesURL is the base URL of the list of instances; empty means the
 	// first endpoint.
 	InstancesURL string
-	// Timeout bounds each call with all its tries; zero means DefaultTimeout.
+	// Timeout limits each call including all its attempts; zero means
+	// DefaultTimeout. Of a watch, it limits only the opening.
 	Timeout time.Duration
-	// DialTimeout bounds the making of one connection; zero means
-	// DefaultDialTimeout.
+	// DialTimeout limits the establishing of one connection; zero means
+	// DefaultDialTimeout. It has no effect if DialContext is set.
 	DialTimeout time.Duration
-	// DialContext makes connections; nil means TCP.
+	// DialContext establishes connections; nil means TCP.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnCall, if set, is told of every call that ended, a try at a second
-	// endpoint included.
+	// OnCall, if not nil, is called after every attempt at a call, with the
+	// time that the attempt took.
 	OnCall func(op Op, status kv.Status, d time.Duration)
 }
 
@@ -65,16 +67,17 @@
 	endpoints []string
 	instancesURL string
 	httpClient        *http.Client
-	current   atomic.Uint32 // index of the endpoint that answered last
+	current   atomic.Uint32 // index of the endpoint that the next call tries first
 }
 
 var _ kv.Store = (*Client)(nil)
 
-// New returns a client, and a function that closes its idle connections. No
-// connection is made before the first call.
+// New returns a client, and a function that closes its idle connections. It
+// returns an error if cfg has no endpoint or an invalid URL. No connection is
+// established before the first call.
 func New(cfg Config) (*Client, func(), error) {
 	if len(cfg.Endpoints) == 0 {
-		return nil, nil, errors.New("platform: no endpoint given")
+		return nil, nil, errors.New("platform: no endpoint configured")
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
@@ -103,7 +106,7 @@
 	return c, transport.CloseIdleConnections, nil
 }
 
-// baseURL checks a base URL and cuts off its last slash.
+// baseURL validates a base URL and removes trailing slashes.
 func baseURL(s string) (string, error) {
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
--- a/wisteriarouter/platform/instances.go
+++ b/wisteriarouter/platform/instances.go
@@ -12,26 +12,26 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Kind tells what an instance of the list is.
+// Kind is the kind of a listed instance.
 type Kind string
 
-// The kinds of instances.
+// Kinds of instances.
 const (
 	Engine       Kind = "engine"
 	PlainService Kind = "service"
 	Router       Kind = "router"
 )
 
-// State tells whether an instance of the list takes new work.
+// State tells whether a listed instance accepts new work.
 type State string
 
-// The states of instances. Any other state is to be taken as Leaving.
+// States of instances. Any other state must be treated as Leaving.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Entry is one instance in the platform's list, which lags.
+// Entry is one instance in the platform's list. The list may be out of date.
 type Entry struct {
 	ID          coordination.Endpoint    `json:"id"`
 	Address     string                   `json:"address"` // host:port
@@ -40,7 +40,7 @@
 	Pool        coordination.Pool        `json:"pool"`
 	State       State                    `json:"state"`
 	Incarnation coordination.Incarnation `json:"incarnation"`
-	Capacity    int                      `json:"capacity"` // requests at a time; zero if unknown
+	Capacity    int                      `json:"capacity"` // concurrent requests; zero if unknown
 }
 
 type instanceList struct {
@@ -49,8 +49,8 @@
 
 const instancesPath = "/v1/instances"
 
-// Instances reads the list of instances. Entries without id or address, which
-// nobody can reach, are left out.
+// Instances reads the list of instances. It omits entries without an id or an
+// address, which cannot be reached.
 func (c *Client) Instances(ctx context.Context) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	list, err := c.readInstances(ctx)
 	if err != nil {
 		c.observe(OpInstances, kv.Unavailable, start)
-		return nil, fmt.Errorf("platform: reading the list of instances: %w", err)
+		return nil, fmt.Errorf("platform: reading list of instances: %w", err)
 	}
 	c.observe(OpInstances, kv.Applied, start)
 	entries := make([]Entry, 0, len(list.Instances))
--- a/wisteriarouter/platform/status.go
+++ b/wisteriarouter/platform/status.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// The gRPC status codes that the gateway passes on in its error bodies.
+// The gRPC status codes that the gateway reports in its error bodies.
 const (
 	codeInvalidArgument    = 3
 	codeNotFound           = 5
@@ -24,18 +24,19 @@
 	codeUnauthenticated    = 16
 )
 
-// ErrLeaseNotFound is the reason of a write that names a lapsed lease.
+// ErrLeaseNotFound is wrapped by the error of a write with an expired lease.
 var ErrLeaseNotFound = errors.New("platform: lease not found")
 
-// errorBody is the gateway's body of a failed call.
+// errorBody is the body of the gateway's error responses.
 type errorBody struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 	Error   string `json:"error"`
 }
 
-// statusWithoutResponse maps a call that got no answer. Without a connection no byte
-// was sent; with one, the service may have got the call and applied it.
+// statusWithoutResponse returns the status of a call that got no response.
+// Without a connection nothing was sent; with one, the service may have received
+// and applied the call.
 func statusWithoutResponse(connected bool) kv.Status {
 	if connected {
 		return kv.Unknown
@@ -43,7 +44,7 @@
 	return kv.Unavailable
 }
 
-// errorResult maps an answer whose status is not 200.
+// errorResult converts a response whose HTTP status is not 200.
 func errorResult(resp *http.Response) kv.Result {
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	var body errorBody
@@ -57,6 +58,7 @@
 	return kv.Result{Status: body.status(resp.StatusCode), Err: err}
 }
 
+// text returns the error message of the body, or raw if it has none.
 func (b errorBody) text(raw []byte) string {
 	if b.Message != "" {
 		return b.Message
@@ -71,12 +73,12 @@
 	return b.Code == codeNotFound && strings.Contains(b.text(nil), "lease not found")
 }
 
-// status maps the code of an error body to what is certain about the call.
-// Only codes that the service gives before it proposes a write are Unavailable
-// or Throttled. UNAVAILABLE is not among them: the service also answers it when
-// it gave up waiting for a write that it went on to apply, and a caller told
-// "not written" would write again. DEADLINE_EXCEEDED, INTERNAL, answers of a
-// proxy in between and codes we do not know are Unknown for the same reason.
+// status maps the code of an error body to the status of the call. Only codes
+// that the service returns before it proposes a write map to Unavailable or
+// Throttled. UNAVAILABLE is not one of them: the service also returns it after
+// it stopped waiting for a write that it applies later, and a caller that took
+// the write for failed would repeat it. DEADLINE_EXCEEDED, INTERNAL, responses
+// of intermediate proxies and unrecognized codes are Unknown for the same reason.
 func (b errorBody) status(httpStatus int) kv.Status {
 	switch b.Code {
 	case codeResourceExhausted:
@@ -93,8 +95,8 @@
 	return kv.Unknown
 }
 
-// notSentMessages lists the texts with which the gateway says that it could not
-// reach its own server, so that the call went nowhere.
+// notSentMessages lists parts of the gateway's messages for a failure to connect
+// to its own server. Such a call was not forwarded.
 var notSentMessages = []string{
 	"there is no address available",
 	"there is no connection available",
@@ -102,6 +104,7 @@
 	"Error while dialing",
 }
 
+// unavailable returns the status of a call that failed with UNAVAILABLE.
 func (b errorBody) unavailable() kv.Status {
 	text := b.text(nil)
 	for _, s := range notSentMessages {
--- a/wisteriarouter/platform/store.go
+++ b/wisteriarouter/platform/store.go
@@ -35,9 +35,10 @@
 	return kv.Result{Status: kv.Applied, Revision: kv.Revision(resp.Header.Revision), Pairs: resp.pairs()}
 }
 
-// prefixEnd returns the first key behind all keys with prefix: the prefix with
-// its last byte raised. One zero byte, which means the end of all keys, stands
-// for a prefix without such a key.
+// prefixEnd returns the exclusive end of the range of keys with prefix: the
+// prefix with its last byte below 0xff incremented and the rest cut off. If there
+// is no such byte it returns a single zero byte, which means the end of the key
+// space.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -66,11 +67,13 @@
 	return res
 }
 
+// deleted reports whether a delete operation removed a key.
 func (r txnResponse) deleted() bool {
 	return len(r.Responses) > 0 && r.Responses[0].Delete != nil && r.Responses[0].Delete.Deleted > 0
 }
 
-// txn does op if the key's revision is expect, and reads the key otherwise.
+// txn applies do if the key's revision is expect, and reads the key otherwise:
+// the result is then a Conflict with the current pair.
 func (c *Client) txn(ctx context.Context, op Op, key string, expect kv.Revision, do requestOp) (kv.Result, txnResponse) {
 	req := txnRequest{
 		Compare: []compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: int64(expect)}},
@@ -90,7 +93,7 @@
 	return res, resp
 }
 
-// currentPairs returns what the failure branch of a transaction read.
+// currentPairs returns the pairs that the failure branch of a transaction read.
 func (r txnResponse) currentPairs() []kv.Pair {
 	if len(r.Responses) == 0 || r.Responses[0].Range == nil {
 		return nil
@@ -98,7 +101,8 @@
 	return r.Responses[0].Range.pairs()
 }
 
-// Grant implements kv.Store. The service counts in seconds; ttl is rounded up.
+// Grant implements kv.Store. It rounds ttl up to whole seconds, the service's
+// unit.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var resp leaseResponse
@@ -110,7 +114,7 @@
 	return kv.Lease(resp.ID), res
 }
 
-// KeepAlive implements kv.Store. A lease that has lapsed is a Conflict.
+// KeepAlive implements kv.Store. It returns Conflict for an expired lease.
 func (c *Client) KeepAlive(ctx context.Context, lease kv.Lease) kv.Result {
 	var resp keepAliveResponse
 	res := c.call(ctx, OpKeepAlive, keepAlivePath, leaseRequest{ID: int64(lease)}, &resp)
--- a/wisteriarouter/platform/watch.go
+++ b/wisteriarouter/platform/watch.go
@@ -13,29 +13,30 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Watches that break are opened again after a wait that doubles from the first
-// to the longest; after some failures in a row the channel is closed.
+// A watch whose connection breaks is reopened with exponential backoff. Its
+// channel is closed after maxReopenAttempts consecutive failures.
 const (
 	minReopenDelay = 100 * time.Millisecond
 	maxReopenDelay    = 2 * time.Second
 	maxReopenAttempts     = 6
 )
 
-// watch is one watch, over all its connections.
+// watch is the state of a watch across its connections.
 type watch struct {
 	client   *Client
 	prefix   string
-	revision kv.Revision // last one reported or read past
-	gap      bool        // a gap is to be reported with the next batch
+	revision kv.Revision // last revision delivered or skipped
+	gap      bool        // whether the next batch reports a gap
 	out      chan kv.Batch
 	body     io.ReadCloser
 	stream   *json.Decoder
-	cancel   context.CancelFunc // ends the present connection
+	cancel   context.CancelFunc // closes the current connection
 }
 
-// Watch implements kv.Store. A broken connection is opened again behind the
-// last revision seen; the channel is closed when that fails several times in a
-// row. From zero, which asks for no history, starts with a gap.
+// Watch implements kv.Store. If the connection breaks, the watch is reopened
+// after the last revision seen; the channel is closed when six consecutive
+// attempts fail. A watch from revision zero gets no history, so its first batch
+// reports a gap.
 func (c *Client) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	w := &watch{client: c, prefix: prefix, revision: from, gap: from == 0, out: make(chan kv.Batch)}
 	res := w.open(ctx)
@@ -46,11 +47,12 @@
 	return w.out, res
 }
 
-// open makes a connection and waits until the service has taken the watch.
+// open connects and waits until the service has confirmed the watch.
 func (w *watch) open(ctx context.Context) kv.Result {
 	start := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
-	// The timeout covers the opening only; the stream lasts as long as ctx.
+	// The timeout applies only to opening the watch; the stream may last as
+	// long as ctx.
 	timer := time.AfterFunc(w.client.cfg.Timeout, cancel)
 	defer timer.Stop()
 	res := w.connect(ctx)
@@ -63,6 +65,7 @@
 	return res
 }
 
+// connect sends the request, reads the first message and sets the stream.
 func (w *watch) connect(ctx context.Context) kv.Result {
 	req := watchRequest{Create: watchCreate{Key: []byte(w.prefix), RangeEnd: prefixEnd(w.prefix)}}
 	if w.revision > 0 {
@@ -70,7 +73,7 @@
 	}
 	body, err := json.Marshal(req)
 	if err != nil {
-		panic(fmt.Sprintf("platform: encoding a watch: %v", err))
+		panic(fmt.Sprintf("platform: encoding watch request: %v", err))
 	}
 	resp, res := w.postRequest(ctx, body)
 	if res.Status != kv.Applied {
@@ -87,7 +90,7 @@
 	return kv.Result{Status: kv.Applied, Revision: kv.Revision(first.Header.Revision)}
 }
 
-// postRequest sends the request to the first endpoint that takes it.
+// postRequest tries the endpoints in turn until one accepts the request.
 func (w *watch) postRequest(ctx context.Context, body []byte) (resp *http.Response, res kv.Result) {
 	c := w.client
 	first := c.current.Load()
@@ -101,13 +104,14 @@
 	return resp, res
 }
 
-var errWatchEnded = errors.New("platform: the service ended the watch")
+var errWatchEnded = errors.New("platform: watch canceled by the service")
 
-// next reads one message of the stream.
+// next reads one message from the stream. It returns an error if the service
+// ended the watch, unless it did so because of a compaction.
 func (w *watch) next() (*watchResult, error) {
 	var msg watchResponse
 	if err := w.stream.Decode(&msg); err != nil {
-		return nil, fmt.Errorf("platform: watch broken: %w", err)
+		return nil, fmt.Errorf("platform: reading watch stream: %w", err)
 	}
 	if msg.Result == nil {
 		return nil, errWatchEnded
@@ -118,9 +122,9 @@
 	return msg.Result, nil
 }
 
-// updateRevision applies what a message says about revisions. After a compaction the
-// revisions in between are gone for good: the watcher must read again, and the
-// watch goes on from what the service still has.
+// updateRevision advances w.revision to what r covers. After a compaction the
+// revisions in between are lost: the watcher must read the keys again, and the
+// watch resumes at the oldest revision that the service still has.
 func (w *watch) updateRevision(r *watchResult) {
 	if r.CompactRevision > 0 {
 		w.gap = true
@@ -128,17 +132,17 @@
 		return
 	}
 	if n := len(r.Events); n > 0 {
-		// The header may be ahead of events that are still to come.
+		// The header's revision may be later than that of events not sent yet.
 		w.revision = kv.Revision(r.Events[n-1].KV.ModRevision)
 		return
 	}
 	if r.Created && w.revision > 0 {
-		return // history behind w.revision is still to come
+		return // the events after w.revision have not been sent yet
 	}
 	w.revision = max(w.revision, kv.Revision(r.Header.Revision))
 }
 
-// run delivers batches until ctx ends or the watch cannot be opened again.
+// run delivers batches until ctx ends or the watch cannot be reopened.
 func (w *watch) run(ctx context.Context) {
 	defer close(w.out)
 	for {
@@ -151,7 +155,8 @@
 	}
 }
 
-// deliver hands on what the present connection brings until it breaks.
+// deliver sends the events of the current connection to the channel until the
+// connection breaks, the service cancels the watch or ctx ends.
 func (w *watch) deliver(ctx context.Context) {
 	if w.gap && !w.send(ctx, kv.Batch{Revision: w.revision, Gap: true}) {
 		return
@@ -172,6 +177,7 @@
 	}
 }
 
+// send delivers b, and reports false if ctx ends first.
 func (w *watch) send(ctx context.Context, b kv.Batch) bool {
 	select {
 	case w.out <- b:
@@ -182,8 +188,8 @@
 	}
 }
 
-// reopen opens the watch again, with jitter so that all the watchers of an
-// outage do not come back at one moment.
+// reopen opens the watch again and reports whether that succeeded. The backoff
+// has jitter, so that the watchers do not all reconnect at once after an outage.
 func (w *watch) reopen(ctx context.Context) bool {
 	wait := minReopenDelay
 	for range maxReopenAttempts {
--- a/wisteriarouter/platform/wire.go
+++ b/wisteriarouter/platform/wire.go
@@ -4,8 +4,9 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// The messages of the JSON gateway, as far as the fleet uses them. The gateway
-// writes 64-bit integers as strings, bytes in base64, and leaves out zeroes.
+// The types below are the parts of the JSON gateway's messages that the client
+// uses. The gateway encodes 64-bit integers as strings and bytes in base64, and
+// omits zero values.
 
 type header struct {
 	Revision int64 `json:"revision,string"`
