--- a/wisteriarouter/config/config_test.go
+++ b/wisteriarouter/config/config_test.go
@@ -28,8 +28,8 @@
 	golden.Assert(t, fmt.Sprintf("%+v\n", *c), "defaults.golden")
 }
 
-// An operator mistypes several keys at once and mixes up units. All faults
-// come back in one go, each with its line and with what would be right.
+// A file has several mistyped keys and wrong units. All problems are reported at
+// once, each with its line and a valid form.
 func TestProblems(t *testing.T) {
 	text := strings.Replace(minimalConfig, "instance = r1", "instance = r 1\nzone = a", 1) +
 		"\n[limits]\nbody = 1MB\nheader-wait = 5\nstop-within = 2h\n\n[log]\nlevel = loud\n\n[extra]\n"
@@ -41,11 +41,11 @@
 	golden.Assert(t, b.String(), "problems.golden")
 }
 
-// The page is what operators read, so it holds exactly the keys of the table.
-// WISTERIA_UPDATE=1 writes it anew.
+// The documentation page must have exactly the keys of the schema.
+// WISTERIA_UPDATE=1 rewrites it.
 func TestPageMatchesSchema(t *testing.T) {
 	const page = "../../docs/ROUTER-INI.md"
-	want := "# router.ini\n\nThe settings file of one router. `wisteriarouter check -config F` validates it;\na test holds this page and the table in package config together.\n\n" +
+	want := "# router.ini\n\nThe settings file of one router. `wisteriarouter check -config F` validates it;\na test checks that this page matches the schema in package config.\n\n" +
 		config.Schema.Markdown(2)
 	if os.Getenv("WISTERIA_UPDATE") != "" {
 		assert.NilError(t, os.WriteFile(page, []byte(want), 0o644))
--- a/wisteriarouter/operator/failure.go
+++ b/wisteriarouter/operator/failure.go
@@ -35,7 +35,7 @@
 	Code         Code               `json:"code"`
 	Message      string             `json:"message"`
 	Problems     []settings.Problem `json:"problems,omitempty"`
-	Current     *Settings          `json:"standing,omitempty"`
+	Current      *Settings          `json:"standing,omitempty"`
 	Diff         string             `json:"diff,omitempty"`
 	RetryAfterMs int64              `json:"retry_after_ms,omitempty"`
 }
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -26,7 +26,8 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// nodePeers is a node as settings and the operators' API see it.
+// nodePeers adapts a peer.Node to the interfaces of packages settings and
+// operator.
 type nodePeers struct{ *peer.Node }
 
 func (p nodePeers) Members() []settings.Member {
@@ -43,8 +44,8 @@
 	p.Node.Handle(topic, fn)
 }
 
-// testRouter is a router with testRouter connections to its peers, on loopback, and the
-// fake platform.
+// testRouter is a router with real loopback connections to its peers and the
+// in-memory platform of package kvtest.
 type testRouter struct {
 	node    *peer.Node
 	replica *settings.Replica
@@ -52,6 +53,8 @@
 	url     string
 }
 
+// startRouter starts the router i, which joins the fleet through seeds. It also
+// returns the router's peer address.
 func startRouter(t testing.TB, store *kvtest.Store, i int, seeds []string) (*testRouter, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,8 +95,7 @@
 	return r, l.Addr().String()
 }
 
-// startFleet starts n routers and returns when all know each other and are
-// ready.
+// startFleet starts n routers and returns once all are ready and know each other.
 func startFleet(t testing.TB, store *kvtest.Store, n int) []*testRouter {
 	t.Helper()
 	var routers []*testRouter
@@ -116,8 +118,8 @@
 	return routers
 }
 
-// The whole way over real connections: an operator changes settings through
-// one router and is told by another that they are in force on all.
+// An operator changes settings through one router, and another one reports that
+// they are in force on all. Guards the whole path over real connections.
 func TestChangeOverRealPeers(t *testing.T) {
 	routers := startFleet(t, kvtest.New(), 5)
 	b := &fixture{}
@@ -136,7 +138,7 @@
 	}
 }
 
-// proxyTo sends what a test asks to the router at url.
+// proxyTo forwards requests to the router at url.
 func proxyTo(url string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req, _ := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.RequestURI(), r.Body)
@@ -152,10 +154,11 @@
 	})
 }
 
-// BenchmarkInForce reports the time from the acceptance of a change until it
-// is in force on the last router, over real connections on loopback in one
-// process, and the bytes that a router sends for each change and, at rest, for
-// confirmations. The team has a full history.
+// BenchmarkInForce measures the time from the acceptance of a change until it is
+// in force on the last router, over loopback connections in one process. It also
+// reports the platform writes for each change, the bytes that a router sends for
+// each change, and the bytes a second that it sends for confirmations. The team
+// has a full history.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{7, 15, 30, 60} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -183,12 +186,14 @@
 	}
 }
 
-// bytesSent is what the routers of a fleet have sent about settings.
+// bytesSent holds the bytes that the routers of a fleet have sent for settings
+// up to a point in time.
 type bytesSent struct {
 	changes, fresh uint64
 	at             time.Time
 }
 
+// totalSent sums the bytes that routers have sent for settings so far.
 func totalSent(routers []*testRouter) bytesSent {
 	s := bytesSent{at: time.Now()}
 	for _, r := range routers {
@@ -205,7 +210,7 @@
 	return s
 }
 
-// change makes the change i through r and returns its position.
+// change puts the change i through r and returns its position.
 func (r *testRouter) change(b *testing.B, store *kvtest.Store, i int) settings.Position {
 	base := settings.Position{}
 	if in, ok := r.replica.Snapshot("solco"); ok {
@@ -219,7 +224,8 @@
 	return out.Position
 }
 
-// measurePropagation makes the change i and returns after how long it is in force on all.
+// measurePropagation puts the change i and returns the time until it is in force
+// on all routers.
 func measurePropagation(b *testing.B, store *kvtest.Store, routers []*testRouter, i int) time.Duration {
 	p := routers[i*5%len(routers)].change(b, store, i)
 	start := time.Now()
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -20,10 +20,10 @@
 const topicInForce = "settings-in-force"
 
 const (
-	maxConcurrentCalls  = 32 // concurrent calls of one query
-	maxWait   = 10 * time.Second
-	callMargin  = time.Second // allowance for the network round trip, beyond the wait
-	pollInterval = 50 * time.Millisecond
+	maxConcurrentCalls = 32 // concurrent calls of one query
+	maxWait            = 10 * time.Second
+	callMargin         = time.Second // allowance for the network round trip, beyond the wait
+	pollInterval       = 50 * time.Millisecond
 )
 
 // inForceRequest asks which position a router has in force. The router waits up
--- a/wisteriarouter/operator/operator_test.go
+++ b/wisteriarouter/operator/operator_test.go
@@ -23,16 +23,17 @@
 	"wisteriaspool/wisteriarouter/operator"
 )
 
-var errUnreachable = errors.New("peer is gone")
+var errUnreachable = errors.New("peer unreachable")
 
-// peerNetwork connects routers within a test.
+// peerNetwork passes calls between the routers of a test. Calls to unreachable
+// fail.
 type peerNetwork struct {
-	handlers map[coordination.Instance]func(context.Context, coordination.Instance, []byte) ([]byte, error)
-	names    []coordination.Instance
-	unreachable     coordination.Instance
+	handlers    map[coordination.Instance]func(context.Context, coordination.Instance, []byte) ([]byte, error)
+	names       []coordination.Instance
+	unreachable coordination.Instance
 }
 
-// peerLink is one router's end.
+// peerLink is one router's view of a peerNetwork. It implements operator.Peers.
 type peerLink struct {
 	*peerNetwork
 	self coordination.Instance
@@ -57,10 +58,11 @@
 	l.handlers[l.self] = fn
 }
 
-// fixture is some routers' operator APIs on one platform, without any gossip.
+// fixture holds the operator APIs of some routers on one platform. The routers
+// do not gossip.
 type fixture struct {
 	store    *kvtest.Store
-	network    *peerNetwork
+	network  *peerNetwork
 	apis     []http.Handler
 	replicas []*settings.Replica
 }
@@ -85,7 +87,7 @@
 	return b
 }
 
-// do calls the router at i and decodes its answer.
+// do sends a request to the router i and decodes the response into answer.
 func (b *fixture) do(t *testing.T, i int, method, path string, body, answer any) *http.Response {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -179,8 +181,9 @@
 	assert.Assert(t, !s.Fresh)
 }
 
-// An operator waits until a change is in force. One router learns of it late,
-// one refuses to answer, one never learns of it; each has to be named.
+// An operator waits until a change is in force. Of the other routers, one applies
+// it after 1 s, one is unreachable and one never applies it. The response has to
+// name each router on which the change is not in force.
 func TestInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(4)
--- a/wisteriarouter/platform/call.go
+++ b/wisteriarouter/platform/call.go
@@ -50,8 +50,7 @@
 type opaqueBody struct{ io.Reader }
 
 // call sends in to path and decodes the response into out. It tries the next
-// endpoint if the request certainly had no effect or, for a read, also if its
-// outcome is unknown.
+// endpoint after a result of Unavailable or, for a read, Unknown.
 func (c *Client) call(ctx context.Context, op Op, path string, in, out any) (res kv.Result) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
--- a/wisteriarouter/platform/client.go
+++ b/wisteriarouter/platform/client.go
@@ -55,19 +55,19 @@
 	DialTimeout time.Duration
 	// DialContext establishes connections; nil means TCP.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnCall, if not nil, is called after every attempt at a call, with the
-	// time that the attempt took.
+	// OnCall, if not nil, is called after every attempt at a call and every
+	// opening of a watch, with the time that it took.
 	OnCall func(op Op, status kv.Status, d time.Duration)
 }
 
 // Client is a client of the platform. It implements kv.Store and is safe for
 // concurrent use.
 type Client struct {
-	cfg       Config
-	endpoints []string
+	cfg          Config
+	endpoints    []string
 	instancesURL string
-	httpClient        *http.Client
-	current   atomic.Uint32 // index of the endpoint that the next call tries first
+	httpClient   *http.Client
+	current      atomic.Uint32 // index of the endpoint that the next call tries first
 }
 
 var _ kv.Store = (*Client)(nil)
--- a/wisteriarouter/platform/client_test.go
+++ b/wisteriarouter/platform/client_test.go
@@ -17,7 +17,7 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// newClient returns a client of the given endpoints.
+// newClient returns a client for the given endpoints.
 func newClient(t *testing.T, endpoints ...string) *platform.Client {
 	t.Helper()
 	c, cleanup, err := platform.New(platform.Config{Endpoints: endpoints, Timeout: 5 * time.Second})
@@ -26,7 +26,8 @@
 	return c
 }
 
-// serve starts a service whose every answer is status and body.
+// serve starts a service that answers every request with status and body, and
+// returns its URL.
 func serve(t *testing.T, status int, body string) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -37,7 +38,7 @@
 	return srv.URL
 }
 
-// closedAddress returns the URL of an address where nobody listens.
+// closedAddress returns the URL of an address on which nothing listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,9 +56,9 @@
 	assert.ErrorContains(t, err, "no endpoint")
 }
 
-// The service, or a proxy before it, answers a write with an error. Some
-// errors come before the write was proposed; others come while it may still be
-// applied. Taking the second kind for the first would let an order run twice.
+// The service, or a proxy before it, answers a write with an error. Some errors
+// are returned before the write is proposed, others while it may still be
+// applied. Mapping the second kind to Unavailable would run an order twice.
 func TestWriteStatus(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -111,9 +112,9 @@
 	assert.Equal(t, res.Revision, kv.Revision(7))
 }
 
-// The service reads a write on a connection that is being reused, and the
-// connection breaks before the answer. A transport that sends it again gets a
-// conflict with its own first write, and the router would deny what it wrote.
+// The service receives a write on a reused connection, which breaks before the
+// response. If the transport resent the write, it would get a conflict with the
+// first copy, and the router would report an applied write as failed.
 func TestBrokenConnectionNeverRepeatsWrite(t *testing.T) {
 	var arrivals atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -130,7 +131,8 @@
 	assert.Equal(t, arrivals.Load(), int32(2))
 }
 
-// A read whose answer is lost has no effect, so the next endpoint is asked.
+// A read whose response is lost is repeated at the next endpoint, as reads have
+// no effect.
 func TestBrokenReadTriesNextEndpoint(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
--- a/wisteriarouter/platform/standin_test.go
+++ b/wisteriarouter/platform/standin_test.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// newPlatform starts a stand-in of the platform with a client.
+// newPlatform starts a stand-in of the platform and returns it with a client.
 func newPlatform(t *testing.T, opts standin.Options) (*standin.Server, *platform.Client) {
 	t.Helper()
 	s, cleanup := standin.New(opts)
@@ -47,8 +47,8 @@
 	assert.Equal(t, len(c.Get(ctx, "/a/1").Pairs), 0)
 }
 
-// The service applies a write and its answer never comes; or it is over its
-// rate and refuses before it does anything. Only the second is certain.
+// The response to an applied write is lost: its outcome is Unknown. A write over
+// the rate limit is rejected before it is applied: it is Throttled.
 func TestFaultsOfStandin(t *testing.T) {
 	s, c := newPlatform(t, standin.Options{WritesPerSecond: 0.001})
 	ctx := t.Context()
@@ -61,8 +61,8 @@
 	assert.Equal(t, c.CompareAndSwap(ctx, "/b", nil, 0, 0).Status, kv.Unknown)
 }
 
-// The watch's connection breaks, and the service forgets the history that the
-// watcher has not seen. It must learn that it has missed something.
+// The connection of a watch breaks, and the watch resumes. When the service also
+// compacts revisions that the watcher has not seen, the watch must report a gap.
 func TestWatchReconnectsToStandin(t *testing.T) {
 	s, c := newPlatform(t, standin.Options{})
 	ctx := t.Context()
--- a/wisteriarouter/platform/watch.go
+++ b/wisteriarouter/platform/watch.go
@@ -16,9 +16,9 @@
 // A watch whose connection breaks is reopened with exponential backoff. Its
 // channel is closed after maxReopenAttempts consecutive failures.
 const (
-	minReopenDelay = 100 * time.Millisecond
+	minReopenDelay    = 100 * time.Millisecond
 	maxReopenDelay    = 2 * time.Second
-	maxReopenAttempts     = 6
+	maxReopenAttempts = 6
 )
 
 // watch is the state of a watch across its connections.
@@ -34,8 +34,8 @@
 }
 
 // Watch implements kv.Store. If the connection breaks, the watch is reopened
-// after the last revision seen; the channel is closed when six consecutive
-// attempts fail. A watch from revision zero gets no history, so its first batch
+// after the last revision seen; the channel is closed after several
+// consecutive attempts have failed. A watch from revision zero gets no history, so its first batch
 // reports a gap.
 func (c *Client) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	w := &watch{client: c, prefix: prefix, revision: from, gap: from == 0, out: make(chan kv.Batch)}
--- a/wisteriarouter/platform/watch_test.go
+++ b/wisteriarouter/platform/watch_test.go
@@ -12,14 +12,15 @@
 	"wisteriaspool/coordination/kv"
 )
 
+// watchBody is the part of a watch request that the tests check.
 type watchBody struct {
 	Create struct {
 		Start string `json:"start_revision"`
 	} `json:"create_request"`
 }
 
-// watchService serves one script per connection, after which it breaks the
-// connection, and notes the start revision that each connection asked for.
+// watchService sends one script per connection and then breaks the connection.
+// It records the start revision that each connection requests.
 type watchService struct {
 	scripts []string
 	starts  chan string
@@ -48,8 +49,8 @@
 	return s, srv.URL
 }
 
-// The connection of a watch breaks between two changes. A watch that went on
-// from the present would miss the second one, and an accepted setting would
+// The connection of a watch breaks between two changes. A watch that resumed at
+// the current revision would miss the second one, and an accepted setting would
 // never come into force on this router.
 func TestWatchResumesAfterLastRevision(t *testing.T) {
 	s, url := newWatchService(t,
@@ -67,8 +68,8 @@
 	assert.Equal(t, <-s.starts, "7")
 }
 
-// While a watcher was cut off the service dropped old revisions. Without a gap
-// the watcher would take what it has for current.
+// The service compacts old revisions while a watcher is disconnected. Unless the
+// watch reports a gap, the watcher takes its outdated data for current.
 func TestWatchReportsCompactionAsGap(t *testing.T) {
 	s, url := newWatchService(t,
 		`{"result":{"header":{"revision":"40"},"created":true}}
