--- a/wisteriarouter/config/config.go
+++ b/wisteriarouter/config/config.go
@@ -101,7 +101,7 @@
 		{Name: "instance", Kind: schema.Name, Required: true, Doc: "Name of this instance, unique in the fleet."},
 		{Name: "availability-zone", Kind: schema.Name, Required: true, Doc: "Availability zone of this instance."},
 		{Name: "region", Kind: schema.Name, Default: "default", Doc: "Region of the availability zone."},
-		{Name: "fleet", Kind: schema.Name, Default: "wisteriaspool", Doc: "Name of the fleet. Connections from routers of other fleets are refused."},
+		{Name: "fleet", Kind: schema.Name, Default: "wisteriaspool", Doc: "Name of the fleet. Routers of other fleets are refused."},
 	}},
 	{Name: "listen", Doc: "Addresses that this router listens on.", Keys: []schema.Key{
 		{Name: "callers", Kind: schema.Address, Default: "127.0.0.1:8080", Doc: "Address for callers; the target of the load balancer."},
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -157,8 +157,8 @@
 // BenchmarkInForce measures the time from the acceptance of a change until it is
 // in force on the last router, over loopback connections in one process. It also
 // reports the platform writes for each change, the bytes that a router sends for
-// each change, and the bytes a second that it sends for confirmations. The team
-// has a full history.
+// each change, and the bytes a second that it sends for confirmations, also at
+// rest. The team has a full history.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{7, 15, 30, 60} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -16,7 +16,7 @@
 )
 
 // topicInForce is the topic of calls by which a router asks another which
-// revision of a team's settings it has in force.
+// position of a team's settings it has in force.
 const topicInForce = "settings-in-force"
 
 const (
--- a/wisteriarouter/platform/client_test.go
+++ b/wisteriarouter/platform/client_test.go
@@ -58,7 +58,7 @@
 
 // The service, or a proxy before it, answers a write with an error. Some errors
 // are returned before the write is proposed, others while it may still be
-// applied. Mapping the second kind to Unavailable would run an order twice.
+// applied. Mapping the second kind to Unavailable could run an order twice.
 func TestWriteStatus(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/wisteriarouter/platform/watch.go
+++ b/wisteriarouter/platform/watch.go
@@ -34,9 +34,9 @@
 }
 
 // Watch implements kv.Store. If the connection breaks, the watch is reopened
-// after the last revision seen; the channel is closed after several
-// consecutive attempts have failed. A watch from revision zero gets no history, so its first batch
-// reports a gap.
+// after the last revision seen; the channel is closed after several consecutive
+// attempts have failed. A watch from revision zero gets no history, so its first
+// batch reports a gap.
 func (c *Client) Watch(ctx context.Context, prefix string, from kv.Revision) (<-chan kv.Batch, kv.Result) {
 	w := &watch{client: c, prefix: prefix, revision: from, gap: from == 0, out: make(chan kv.Batch)}
 	res := w.open(ctx)
@@ -104,7 +104,7 @@
 	return resp, res
 }
 
-var errWatchEnded = errors.New("platform: watch canceled by the service")
+var errWatchEnded = errors.New("platform: watch ended by the service")
 
 // next reads one message from the stream. It returns an error if the service
 // ended the watch, unless it did so because of a compaction.
