--- a/wisteriarouter/platform/client.go
+++ b/wisteriarouter/platform/client.go
@@ -1,7 +1,7 @@
 // Package platform is a client of the platform's key-value service, which it
 // calls through the JSON gateway of etcd v3, and of the platform's list of
 // instances. It distinguishes calls that certainly had no effect from those that
-// may have been applied.
+// may have been applied, and leaves every decision to its callers.
 package platform
 
 import (
