--- a/wisteriactl/client.go
+++ b/wisteriactl/client.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	dialTimeout = 2 * time.Second
-	callTimeout = 15 * time.Second // a router settles a lost answer in 6 s and waits up to 10 s
-	maxAnswer   = 4 << 20
+	dialTimeout      = 2 * time.Second
+	callTimeout      = 15 * time.Second // a router settles a lost answer in 6 s and waits up to 10 s
+	maxResponseBytes = 4 << 20
 )
 
 // The codes of failures that the program tells apart.
@@ -33,20 +33,20 @@
 	codeUnknown     = "unknown"
 )
 
-// failure is what a router answers if it did not do what it was asked.
-type failure struct {
+// routerError is what a router answers if it did not do what it was asked.
+type routerError struct {
 	Code     string             `json:"code"`
 	Message  string             `json:"message"`
 	Problems []settings.Problem `json:"problems,omitempty"`
-	Standing *standing          `json:"standing,omitempty"`
+	Current  *teamSettings      `json:"standing,omitempty"`
 	Diff     string             `json:"diff,omitempty"`
 }
 
 // Error implements error.
-func (f *failure) Error() string { return f.Code + ": " + f.Message }
+func (f *routerError) Error() string { return f.Code + ": " + f.Message }
 
-// standing is what a router tells of a team's settings.
-type standing struct {
+// teamSettings is what a router tells of a team's settings.
+type teamSettings struct {
 	Team     coordination.Team `json:"team"`
 	Text     string            `json:"text"`
 	Revision kv.Revision       `json:"revision"`
@@ -89,13 +89,13 @@
 	lost := false
 	var last error
 	for _, router := range c.routers {
-		last = c.try(ctx, method, router+path, data, answer)
-		var f *failure
+		last = c.callRouter(ctx, method, router+path, data, answer)
+		var f *routerError
 		answered := errors.As(last, &f)
 		if last == nil || answered && f.Code != codeUnavailable && f.Code != codeUnknown {
 			return last
 		}
-		lost = lost || answered && f.Code == codeUnknown || !answered && !unconnected(last)
+		lost = lost || answered && f.Code == codeUnknown || !answered && !isDialError(last)
 	}
 	if lost && method != http.MethodGet {
 		return errUnknown.New("%v", last)
@@ -103,14 +103,14 @@
 	return errUnavailable.New("%v", last)
 }
 
-// unconnected reports whether no connection could be made, so that nothing
+// isDialError reports whether no connection could be made, so that nothing
 // can have been done.
-func unconnected(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (c *client) try(ctx context.Context, method, url string, body []byte, answer any) error {
+func (c *client) callRouter(ctx context.Context, method, url string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -123,7 +123,7 @@
 		return err
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 		return json.Unmarshal(data, answer)
 	}
 	var failed struct {
-		Error *failure `json:"error"`
+		Error *routerError `json:"error"`
 	}
 	if json.Unmarshal(data, &failed) != nil || failed.Error == nil {
 		return fmt.Errorf("%s answered %s", url, res.Status)
@@ -144,14 +144,14 @@
 }
 
 // get reads the settings of a team.
-func (c *client) get(ctx context.Context, team coordination.Team) (standing, error) {
-	var s standing
-	return s, known(c.call(ctx, http.MethodGet, settingsPath(team), nil, &s))
+func (c *client) get(ctx context.Context, team coordination.Team) (teamSettings, error) {
+	var s teamSettings
+	return s, classifyError(c.call(ctx, http.MethodGet, settingsPath(team), nil, &s))
 }
 
-// known gives a router's failure the kind that has its exit code.
-func known(err error) error {
-	var f *failure
+// classifyError gives a router's failure the kind that has its exit code.
+func classifyError(err error) error {
+	var f *routerError
 	if !errors.As(err, &f) {
 		return err
 	}
--- a/wisteriactl/command.go
+++ b/wisteriactl/command.go
@@ -25,20 +25,20 @@
 // command is one command of the program.
 type command struct {
 	app
-	name     string
-	synopsis string
-	args     string // as in "-file F TEAM"
-	team     bool   // whether it takes a team
-	request  bool   // whether it takes the id of a request
-	offline  bool   // whether it needs no router
-	flags    func(f *flag.FlagSet)
-	do       func(ctx context.Context, c *command) error
-
-	subject coordination.Team
-	attempt coordination.Attempt
-	client  *client
-	routers string
-	format  string
+	name         string
+	synopsis     string
+	args         string // as in "-file F TEAM"
+	takesTeam    bool   // whether it takes a team
+	takesRequest bool   // whether it takes the id of a request
+	offline      bool   // whether it needs no router
+	flags        func(f *flag.FlagSet)
+	do           func(ctx context.Context, c *command) error
+
+	teamName coordination.Team
+	attempt  coordination.Attempt
+	client   *client
+	routers  string
+	format   string
 }
 
 // Name implements subcommands.Command.
@@ -73,27 +73,27 @@
 	if err == nil {
 		err = c.do(ctx, c)
 	}
-	if err != nil && codeOf(err) != exitDiffers {
+	if err != nil && exitCodeOf(err) != exitDiffers {
 		fmt.Fprintf(c.err, "wisteriactl: %s\n", messageOf(err))
 	}
-	return subcommands.ExitStatus(codeOf(err))
+	return subcommands.ExitStatus(exitCodeOf(err))
 }
 
 // prepare takes the team, before or behind the flags, and makes the client.
 func (c *command) prepare(f *flag.FlagSet) error {
-	if c.team {
+	if c.takesTeam {
 		if f.NArg() == 0 {
 			return errUsage.New("%s needs a TEAM; see wisteriactl settings %s -help", c.name, c.name)
 		}
-		c.subject = coordination.Team(f.Arg(0))
+		c.teamName = coordination.Team(f.Arg(0))
 		if err := f.Parse(f.Args()[1:]); err != nil {
 			return errUsage.New("wrong flags: %v", err)
 		}
-		if !settings.ValidTeam(c.subject) {
-			return errUsage.New("%q is no name of a team", c.subject)
+		if !settings.ValidTeam(c.teamName) {
+			return errUsage.New("%q is no name of a team", c.teamName)
 		}
 	}
-	if c.request {
+	if c.takesRequest {
 		if f.NArg() == 0 {
 			return errUsage.New("%s needs the id of a REQUEST; see wisteriactl %s -help", c.name, c.name)
 		}
@@ -128,8 +128,8 @@
 	return enc.Encode(v)
 }
 
-// showWith shows v and returns err, or else what went wrong with showing.
-func (c *command) showWith(err error, v any, text func()) error {
+// showWithError shows v and returns err, or else what went wrong with showing.
+func (c *command) showWithError(err error, v any, text func()) error {
 	shown := c.show(v, text)
 	if err != nil {
 		return err
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -41,17 +41,17 @@
 
 // The kinds of errors, each with an exit code.
 var (
-	errs           = errorx.NewNamespace("wisteriactl")
-	errUsage       = errs.NewType("usage")
-	errInvalid     = errs.NewType("invalid")
-	errConflict    = errs.NewType("conflict")
-	errUnavailable = errs.NewType("unavailable")
-	errUnknown     = errs.NewType("unknown")
-	errBehind      = errs.NewType("behind")
-	errNoTeam      = errs.NewType("no_team")
-	errDiffers     = errs.NewType("differs")
+	errorNamespace = errorx.NewNamespace("wisteriactl")
+	errUsage       = errorNamespace.NewType("usage")
+	errInvalid     = errorNamespace.NewType("invalid")
+	errConflict    = errorNamespace.NewType("conflict")
+	errUnavailable = errorNamespace.NewType("unavailable")
+	errUnknown     = errorNamespace.NewType("unknown")
+	errBehind      = errorNamespace.NewType("behind")
+	errNoTeam      = errorNamespace.NewType("no_team")
+	errDiffers     = errorNamespace.NewType("differs")
 
-	codes = map[*errorx.Type]exitCode{
+	exitCodeByType = map[*errorx.Type]exitCode{
 		errUsage:       exitUsage,
 		errInvalid:     exitInvalid,
 		errConflict:    exitConflict,
@@ -63,12 +63,12 @@
 	}
 )
 
-// codeOf returns the exit code of err.
-func codeOf(err error) exitCode {
+// exitCodeOf returns the exit code of err.
+func exitCodeOf(err error) exitCode {
 	if err == nil {
 		return exitOK
 	}
-	for kind, code := range codes {
+	for kind, code := range exitCodeByType {
 		if errorx.IsOfType(err, kind) {
 			return code
 		}
--- a/wisteriactl/explain.go
+++ b/wisteriactl/explain.go
@@ -23,14 +23,14 @@
 	eventStoreBack       = 301
 	eventEndpointLeaving = 500
 	eventChatRefused     = 506
-	eventChatGone        = 511
+	eventChatCallerGone  = 511
 	eventEndpointHeld    = 512
 	eventChatPlaced      = 514
 	eventChatAttempt     = 515
 	eventRelayAttempt    = 800
 	eventRelayRefused    = 802
 	eventRelayCut        = 803
-	eventRelayGone       = 804
+	eventRelayCallerGone = 804
 	eventRelayPlaced     = 806
 )
 
@@ -101,13 +101,13 @@
 	What   string        `json:"what"`
 }
 
-// around is how long before and after a request its endpoints and routers are
+// contextWindow is how long before and after a request its endpoints and routers are
 // looked at.
-const around = 5 * time.Second
+const contextWindow = 5 * time.Second
 
 func (a app) explain() *command {
 	return &command{
-		app: a, name: "explain", args: "REQUEST < LOGS", request: true, offline: true,
+		app: a, name: "explain", args: "REQUEST < LOGS", takesRequest: true, offline: true,
 		synopsis: "tell from routers' logs what became of a request, and which belief was stale",
 		do: func(_ context.Context, c *command) error {
 			lines, err := readLines(c.in)
@@ -116,7 +116,7 @@
 			}
 			e, ok := explainRequest(string(c.attempt), lines)
 			if !ok {
-				return errs.NewType("no_request").New("no line names the request %q", c.attempt)
+				return errorNamespace.NewType("no_request").New("no line names the request %q", c.attempt)
 			}
 			return c.show(e, func() { c.printExplanation(e) })
 		},
@@ -145,36 +145,36 @@
 // explainRequest tells what lines, in the order of their times, say of a
 // request. It returns false if none names it.
 func explainRequest(id string, lines []logLine) (explanation, bool) {
-	own := slices.Collect(func(yield func(logLine) bool) {
+	requestLines := slices.Collect(func(yield func(logLine) bool) {
 		for _, l := range lines {
 			if l.Request == id && !yield(l) {
 				return
 			}
 		}
 	})
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return explanation{}, false
 	}
 	e := explanation{Request: id}
-	start := own[0].Time
-	for _, l := range own {
-		e.Steps = append(e.Steps, step{At: l.Time.Sub(start), Router: l.Router, What: l.what()})
+	start := requestLines[0].Time
+	for _, l := range requestLines {
+		e.Steps = append(e.Steps, step{At: l.Time.Sub(start), Router: l.Router, What: l.describe()})
 	}
-	near := nearby(own, lines)
-	for _, l := range near {
-		e.Around = append(e.Around, step{At: l.Time.Sub(start), Router: l.Router, What: l.what()})
+	surrounding := surroundingLines(requestLines, lines)
+	for _, l := range surrounding {
+		e.Around = append(e.Around, step{At: l.Time.Sub(start), Router: l.Router, What: l.describe()})
 	}
-	e.Stale = stale(own, lines)
-	e.Cause = cause(own, lines, e.Stale)
+	e.Stale = staleViews(requestLines, lines)
+	e.Cause = outcomeCause(requestLines, lines, e.Stale)
 	return e, true
 }
 
-// what says in words what a line tells.
-func (l logLine) what() string {
+// describe says in words describe a line tells.
+func (l logLine) describe() string {
 	switch l.Event {
 	case eventRelayPlaced:
 		return fmt.Sprintf("placed at %s, attempt %d, rank %d for key %s, after %d ms; %d ms left; by desired state %d, confirmed %d ms before%s",
-			l.Endpoint, l.Attempt, l.Rank, l.Key, l.PlaceMs, l.LeftMs, l.Version, l.AgeMs, l.fetched())
+			l.Endpoint, l.Attempt, l.Rank, l.Key, l.PlaceMs, l.LeftMs, l.Version, l.AgeMs, l.fetchNote())
 	case eventRelayAttempt:
 		return fmt.Sprintf("attempt at %s %s, status %d, after %d ms; first event after %d ms, longest pause %d ms",
 			l.Endpoint, l.Ended, l.Status, l.Ms, l.FirstMs, l.PauseMs)
@@ -185,24 +185,24 @@
 	case eventRelayRefused, eventChatRefused:
 		return fmt.Sprintf("answered %d by the router: %s", l.Status, l.Why)
 	}
-	return l.Name + l.rest()
+	return l.Name + l.otherFields()
 }
 
-func (l logLine) fetched() string {
+func (l logLine) fetchNote() string {
 	if l.Fetch == "" {
 		return ""
 	}
 	return "; fetches the cached prompt from " + l.Fetch
 }
 
-// plain are the fields that are told elsewhere or say nothing of a cause.
-var plain = []string{"time", "router", "event", "msg", "level", "request"}
+// omittedFields are the fields that are told elsewhere or say nothing of a cause.
+var omittedFields = []string{"time", "router", "event", "msg", "level", "request"}
 
-// rest lists the other fields of a line in order of their names.
-func (l logLine) rest() string {
+// otherFields lists the other fields of a line in order of their names.
+func (l logLine) otherFields() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.fields)) {
-		if !slices.Contains(plain, name) {
+		if !slices.Contains(omittedFields, name) {
 			fmt.Fprintf(&b, " %s=%v", name, l.fields[name])
 		}
 	}
@@ -217,19 +217,21 @@
 
 func (l logLine) refused() bool { return l.Event == eventRelayRefused || l.Event == eventChatRefused }
 
-func (l logLine) gone() bool { return l.Event == eventRelayGone || l.Event == eventChatGone }
+func (l logLine) callerGone() bool {
+	return l.Event == eventRelayCallerGone || l.Event == eventChatCallerGone
+}
 
-// nearby returns what happened around a request to the endpoints that it met
+// surroundingLines returns what happened around a request to the endpoints that it met
 // and to its routers' view of the store.
-func nearby(own, lines []logLine) []logLine {
+func surroundingLines(requestLines, lines []logLine) []logLine {
 	endpoints, routers := make(map[string]bool), make(map[string]bool)
-	for _, l := range own {
+	for _, l := range requestLines {
 		routers[l.Router] = true
 		if l.Endpoint != "" {
 			endpoints[l.Endpoint] = true
 		}
 	}
-	from, to := own[0].Time.Add(-around), own[len(own)-1].Time.Add(around)
+	from, to := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
 	var found []logLine
 	for _, l := range lines {
 		if l.Request != "" || l.Time.Before(from) || l.Time.After(to) {
@@ -243,11 +245,11 @@
 	return found
 }
 
-// stale tells what a request's router did not know when it placed it, though
+// staleViews tells what a request's router did not know when it placed it, though
 // another router did.
-func stale(own, lines []logLine) []string {
+func staleViews(requestLines, lines []logLine) []string {
 	var found []string
-	for _, p := range own {
+	for _, p := range requestLines {
 		if !p.placed() && !p.refused() {
 			continue
 		}
@@ -284,17 +286,17 @@
 // Delays from which on they are named as the cause of a late answer, in
 // milliseconds: the shortest that makes a request late by itself.
 const (
-	lateFirstMs = 300
-	latePlaceMs = 100
-	latePauseMs = 120
+	lateFirstEventMs = 300
+	latePlaceMs      = 100
+	latePauseMs      = 120
 )
 
-// cause says in a sentence what decided a request's end.
-func cause(own, lines []logLine, stale []string) string {
-	last := own[len(own)-1]
+// outcomeCause says in a sentence what decided a request's end.
+func outcomeCause(requestLines, lines []logLine, stale []string) string {
+	last := requestLines[len(requestLines)-1]
 	var lost []string
 	var slowest, placed logLine
-	for _, l := range own {
+	for _, l := range requestLines {
 		switch {
 		case l.attempted() && l.Ended != "delivered":
 			lost = append(lost, l.Endpoint+" "+l.Ended)
@@ -307,8 +309,8 @@
 	failed := strings.Join(lost, ", ")
 	switch {
 	case last.placed():
-		return fmt.Sprintf("no line follows: %s ended while %s was at work%s", last.Router, last.Endpoint, restarted(last, lines))
-	case last.gone():
+		return fmt.Sprintf("no line follows: %s ended while %s was at work%s", last.Router, last.Endpoint, restartNote(last, lines))
+	case last.callerGone():
 		return cmp.Or(failed, "no endpoint had answered in full") + "; the caller left after " + fmt.Sprint(last.fields["after-ms"]) + " ms"
 	case last.Event == eventRelayCut:
 		return "the answer broke off: " + failed
@@ -324,7 +326,7 @@
 		return "delivered at the second endpoint; before: " + failed
 	case slowest.PauseMs >= latePauseMs:
 		return fmt.Sprintf("late: %s sent nothing for %d ms in the middle of its answer, or a packet was lost", slowest.Endpoint, slowest.PauseMs)
-	case max(slowest.FirstMs, slowest.Ms) >= lateFirstMs:
+	case max(slowest.FirstMs, slowest.Ms) >= lateFirstEventMs:
 		return fmt.Sprintf("late: %s took %d ms to its first event, %d ms in all", slowest.Endpoint, slowest.FirstMs, slowest.Ms)
 	case len(stale) > 0:
 		return "delivered, by a stale belief"
@@ -333,8 +335,8 @@
 	}
 }
 
-// restarted tells when a router started again after its last line of a request.
-func restarted(last logLine, lines []logLine) string {
+// restartNote tells when a router started again after its last line of a request.
+func restartNote(last logLine, lines []logLine) string {
 	for _, l := range lines {
 		if l.Event == eventStarted && l.Router == last.Router && l.Time.After(last.Time) {
 			return fmt.Sprintf("; it started again %.3f s later", l.Time.Sub(last.Time).Seconds())
--- a/wisteriactl/losses.go
+++ b/wisteriactl/losses.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			rows := lossesOf(lines, every)
+			rows := countLosses(lines, every)
 			return c.show(rows, func() { c.printLosses(rows) })
 		},
 	}
@@ -67,13 +67,13 @@
 	_ = w.Flush() // as with all other output, nobody is told if it cannot be written
 }
 
-// lossesOf counts requests by route, or by spans of time if every is not zero,
+// countLosses counts requests by route, or by spans of time if every is not zero,
 // and in all.
-func lossesOf(lines []logLine, every time.Duration) []*lossRow {
+func countLosses(lines []logLine, every time.Duration) []*lossRow {
 	byRequest := make(map[string][]logLine)
 	var order []string
 	for _, l := range lines {
-		if l.Request == "" || !l.placed() && !l.attempted() && !l.refused() && !l.gone() && l.Event != eventRelayCut {
+		if l.Request == "" || !l.placed() && !l.attempted() && !l.refused() && !l.callerGone() && l.Event != eventRelayCut {
 			continue
 		}
 		if byRequest[l.Request] == nil {
@@ -84,13 +84,13 @@
 	rows := make(map[string]*lossRow)
 	all := &lossRow{Name: "all", Lost: make(map[string]int)}
 	for _, id := range order {
-		own := byRequest[id]
-		name := own[0].rowName(lines[0].Time, every)
+		requestLines := byRequest[id]
+		name := requestLines[0].rowName(lines[0].Time, every)
 		if rows[name] == nil {
 			rows[name] = &lossRow{Name: name, Lost: make(map[string]int)}
 		}
-		rows[name].add(own)
-		all.add(own)
+		rows[name].add(requestLines)
+		all.add(requestLines)
 	}
 	sorted := slices.SortedFunc(maps.Values(rows), func(a, b *lossRow) int { return strings.Compare(a.Name, b.Name) })
 	return append(sorted, all)
@@ -107,9 +107,9 @@
 	return l.Route
 }
 
-func (r *lossRow) add(own []logLine) {
+func (r *lossRow) add(requestLines []logLine) {
 	r.Requests++
-	if cause := lossCause(own); cause != "" {
+	if cause := lossCause(requestLines); cause != "" {
 		r.Lost[cause]++
 		return
 	}
@@ -118,14 +118,14 @@
 
 // lossCause returns for what reason the request of these lines was not answered
 // in full and on time, or "" if it was.
-func lossCause(own []logLine) string {
-	last := own[len(own)-1]
+func lossCause(requestLines []logLine) string {
+	last := requestLines[len(requestLines)-1]
 	waited := int64(0)
-	for _, l := range own {
+	for _, l := range requestLines {
 		waited += l.PlaceMs
 	}
 	switch {
-	case last.gone():
+	case last.callerGone():
 		return "caller-left"
 	case last.Event == eventRelayCut:
 		return "broke-off"
--- a/wisteriactl/main.go
+++ b/wisteriactl/main.go
@@ -13,7 +13,7 @@
 	"github.com/google/subcommands"
 )
 
-const about = `wisteriactl reads and changes the settings of teams and shows the state of
+const usageText = `wisteriactl reads and changes the settings of teams and shows the state of
 routers. It speaks to the operators' address of any router.
 
   wisteriactl settings get [flags] TEAM       the settings, to edit and put back
@@ -46,21 +46,21 @@
 
 // run executes the command that args name and returns its exit code.
 func run(ctx context.Context, args []string, a app) exitCode {
-	return execute(ctx, a, "wisteriactl", args, a.status(), a.explain(), a.losses(), group{a})
+	return execute(ctx, a, "wisteriactl", args, a.status(), a.explain(), a.losses(), settingsGroup{a})
 }
 
 // execute executes the one of cmds that args name.
 func execute(ctx context.Context, a app, name string, args []string, cmds ...subcommands.Command) exitCode {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(a.err)
-	flags.Usage = func() { explain(a.err) }
+	flags.Usage = func() { printUsage(a.err) }
 	if err := flags.Parse(args); err != nil {
 		return exitUsage
 	}
 	c := subcommands.NewCommander(flags, name)
 	c.Output, c.Error = a.out, a.err
-	c.Explain = explain
-	flags.Usage = func() { explain(a.err) }
+	c.Explain = printUsage
+	flags.Usage = func() { printUsage(a.err) }
 	c.Register(c.HelpCommand(), "")
 	for _, cmd := range cmds {
 		c.Register(cmd, "")
@@ -68,22 +68,22 @@
 	return exitCode(c.Execute(ctx))
 }
 
-func explain(w io.Writer) {
-	fmt.Fprint(w, about)
+func printUsage(w io.Writer) {
+	fmt.Fprint(w, usageText)
 	for _, e := range exitCodes {
 		fmt.Fprintf(w, "  %d  %s\n", e.code, e.meaning)
 	}
 }
 
-// group is the command "settings", which has commands of its own.
-type group struct{ app }
+// settingsGroup is the command "settings", which has commands of its own.
+type settingsGroup struct{ app }
 
-func (group) Name() string           { return "settings" }
-func (group) Synopsis() string       { return "read and change the settings of teams" }
-func (group) Usage() string          { return about }
-func (group) SetFlags(*flag.FlagSet) {}
+func (settingsGroup) Name() string           { return "settings" }
+func (settingsGroup) Synopsis() string       { return "read and change the settings of teams" }
+func (settingsGroup) Usage() string          { return usageText }
+func (settingsGroup) SetFlags(*flag.FlagSet) {}
 
-func (g group) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (g settingsGroup) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return subcommands.ExitStatus(execute(ctx, g.app, "wisteriactl settings", f.Args(),
 		g.get(), g.check(), g.diff(), g.put(), g.history()))
 }
--- a/wisteriactl/main_test.go
+++ b/wisteriactl/main_test.go
@@ -24,70 +24,70 @@
 	historyJSON = `{"team":"solco","fresh":true,"entries":[
 		{"change_id":"019ae0c0-0000-7000-8000-000000000002","sequence":12,"previous_revision":9,"author":"ada","reason":"new model","time":"2026-12-02T09:00:00Z","digest":"x","diff":"-version = 6\n+version = 7\n","revision":12},
 		{"change_id":"019ae0c0-0000-7000-8000-000000000001","sequence":1,"previous_revision":0,"author":"grace","reason":"first settings","time":"2026-12-01T09:00:00Z","digest":"x","diff":"+[team]\n","revision":9}]}`
-	acceptedJSON = `{"team":"solco","revision":13,"sequence":13,"repeated":false}`
-	allJSON      = `{"team":"solco","revision":13,"routers":3,"in_force":3,"behind":[],"unreachable":[]}`
-	someJSON     = `{"team":"solco","revision":13,"routers":3,"in_force":1,"behind":[{"instance":"r2","revision":12,"sequence":12,"refused_revision":13}],"unreachable":["r3"]}`
-	conflictJSON = `{"error":{"code":"conflict","message":"another change stands; nothing was written. The difference leads from it to yours","diff":"-priority-cap = 5\n+priority-cap = 7\n","standing":` + settingsJSON + `}}`
-	invalidJSON  = `{"error":{"code":"invalid","message":"the change has problems; nothing was written","problems":[{"file":"solco","line":2,"section":"team","key":"priority-cap","message":"unknown key"}]}}`
-	noTeamJSON   = `{"error":{"code":"unknown-team","message":"the team has no settings; put the first ones with base revision 0"}}`
-	downJSON     = `{"error":{"code":"platform-unavailable","message":"the platform could not be reached; nothing was written. The settings in force stay","retry_after_ms":1000}}`
-	unknownJSON  = `{"error":{"code":"unknown","message":"no answer came in time; the change may or may not be accepted. Put it again with the same change id"}}`
-	statusJSON   = `{"instance":"r1","incarnation":1,"availability_zone":"a","state":"ready","started":"2026-12-02T08:00:00Z","in_flight":3,
+	acceptedJSON    = `{"team":"solco","revision":13,"sequence":13,"repeated":false}`
+	allJSON         = `{"team":"solco","revision":13,"routers":3,"in_force":3,"behind":[],"unreachable":[]}`
+	someJSON        = `{"team":"solco","revision":13,"routers":3,"in_force":1,"behind":[{"instance":"r2","revision":12,"sequence":12,"refused_revision":13}],"unreachable":["r3"]}`
+	conflictJSON    = `{"error":{"code":"conflict","message":"another change stands; nothing was written. The difference leads from it to yours","diff":"-priority-cap = 5\n+priority-cap = 7\n","standing":` + settingsJSON + `}}`
+	invalidJSON     = `{"error":{"code":"invalid","message":"the change has problems; nothing was written","problems":[{"file":"solco","line":2,"section":"team","key":"priority-cap","message":"unknown key"}]}}`
+	noTeamJSON      = `{"error":{"code":"unknown-team","message":"the team has no settings; put the first ones with base revision 0"}}`
+	unavailableJSON = `{"error":{"code":"platform-unavailable","message":"the platform could not be reached; nothing was written. The settings in force stay","retry_after_ms":1000}}`
+	unknownJSON     = `{"error":{"code":"unknown","message":"no answer came in time; the change may or may not be accepted. Put it again with the same change id"}}`
+	statusJSON      = `{"instance":"r1","incarnation":1,"availability_zone":"a","state":"ready","started":"2026-12-02T08:00:00Z","in_flight":3,
 		"platform":{"watching":true,"confirmed_ms_ago":1500},
 		"peers":[{"instance":"r2","availability_zone":"b","state":"alive"}],
 		"endpoints":[{"endpoint":"e1","pool":"chat@7","availability_zone":"a","state":"live","running":4,"capacity":16,"owner":"r2"}],
 		"settings":[{"team":"solco","in_force":{"sequence":12,"revision":12},"since":"2026-12-02T09:00:01Z","refused":{"verdict":"older","revision":15,"time":"2026-12-02T10:00:00Z"}}]}`
 )
 
-// answer is what a fake router says to one kind of call.
-type answer struct {
+// cannedResponse is what a fake router says to one kind of call.
+type cannedResponse struct {
 	status int
 	body   string
 }
 
-// fake is a router that gives prepared answers.
-type fake struct {
+// fakeRouter is a router that gives prepared answers.
+type fakeRouter struct {
 	mu      sync.Mutex
-	answers map[string]answer
-	puts    []change
+	answers map[string]cannedResponse
+	puts    []putRequest
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.Method == http.MethodPut {
-		var c change
+		var c putRequest
 		_ = json.NewDecoder(r.Body).Decode(&c)
 		f.puts = append(f.puts, c)
 	}
 	a, ok := f.answers[r.Method+" "+strings.TrimPrefix(r.URL.Path, "/operator/v1/")]
 	if !ok {
-		a = answer{http.StatusNotFound, "no such page"}
+		a = cannedResponse{http.StatusNotFound, "no such page"}
 	}
 	w.WriteHeader(a.status)
 	_, _ = w.Write([]byte(a.body))
 }
 
-func ok(body string) answer { return answer{http.StatusOK, body} }
+func okResponse(body string) cannedResponse { return cannedResponse{http.StatusOK, body} }
 
-func start(t *testing.T, answers map[string]answer) (*fake, string) {
+func startRouter(t *testing.T, answers map[string]cannedResponse) (*fakeRouter, string) {
 	t.Helper()
-	f := &fake{answers: answers}
+	f := &fakeRouter{answers: answers}
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
 	return f, s.URL
 }
 
-// ctl runs the program and returns its code and all its output.
-func ctl(t *testing.T, args ...string) (exitCode, string) {
+// runCommand runs the program and returns its code and all its output.
+func runCommand(t *testing.T, args ...string) (exitCode, string) {
 	t.Helper()
 	var out, err bytes.Buffer
 	code := run(context.Background(), args, app{in: strings.NewReader(""), out: &out, err: &err})
 	return code, out.String() + "--- stderr\n" + err.String()
 }
 
-// closed returns the URL of a port where nobody listens.
-func closed(t *testing.T) string {
+// closedURL returns the URL of a port where nobody listens.
+func closedURL(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -95,9 +95,9 @@
 	return "http://" + l.Addr().String()
 }
 
-var put = strings.Fields("settings put -file testdata/good.ini -author ada -reason raise solco")
+var putArgs = strings.Fields("settings put -file testdata/good.ini -author ada -reason raise solco")
 
-func with(args []string, more ...string) []string {
+func appendArgs(args []string, more ...string) []string {
 	return append(append([]string{}, args...), more...)
 }
 
@@ -106,33 +106,33 @@
 	for _, tt := range []struct {
 		name    string
 		args    []string
-		answers map[string]answer
+		answers map[string]cannedResponse
 		want    exitCode
 	}{
-		{"get", strings.Fields("settings get solco"), map[string]answer{"GET " + s: ok(settingsJSON)}, exitOK},
-		{"get-json", strings.Fields("settings get solco -o json"), map[string]answer{"GET " + s: ok(settingsJSON)}, exitOK},
-		{"get-refused", strings.Fields("settings get solco"), map[string]answer{"GET " + s: ok(refusedJSON)}, exitOK},
-		{"get-standing", strings.Fields("settings get -standing solco"), map[string]answer{"GET " + s: ok(refusedJSON)}, exitOK},
-		{"get-no-team", strings.Fields("settings get solco"), map[string]answer{"GET " + s: {404, noTeamJSON}}, exitNoTeam},
-		{"history", strings.Fields("settings history solco"), map[string]answer{"GET " + s + "/history": ok(historyJSON)}, exitOK},
-		{"history-diff", strings.Fields("settings history -diff solco"), map[string]answer{"GET " + s + "/history": ok(historyJSON)}, exitOK},
-		{"diff", strings.Fields("settings diff -file testdata/good.ini solco"), map[string]answer{"GET " + s: ok(settingsJSON)}, exitDiffers},
-		{"put", put, map[string]answer{"PUT " + s: ok(acceptedJSON)}, exitOK},
-		{"put-wait", with(put, "-wait", "2s"), map[string]answer{"PUT " + s: ok(acceptedJSON), "GET " + s + "/in-force": ok(allJSON)}, exitOK},
-		{"put-behind", with(put, "-wait", "1ms"), map[string]answer{"PUT " + s: ok(acceptedJSON), "GET " + s + "/in-force": ok(someJSON)}, exitBehind},
-		{"put-behind-json", with(put, "-wait", "1ms", "-o", "json"), map[string]answer{"PUT " + s: ok(acceptedJSON), "GET " + s + "/in-force": ok(someJSON)}, exitBehind},
-		{"put-conflict", put, map[string]answer{"PUT " + s: {409, conflictJSON}}, exitConflict},
-		{"put-conflict-json", with(put, "-o", "json"), map[string]answer{"PUT " + s: {409, conflictJSON}}, exitConflict},
-		{"put-refused", put, map[string]answer{"PUT " + s: {422, invalidJSON}}, exitInvalid},
+		{"get", strings.Fields("settings get solco"), map[string]cannedResponse{"GET " + s: okResponse(settingsJSON)}, exitOK},
+		{"get-json", strings.Fields("settings get solco -o json"), map[string]cannedResponse{"GET " + s: okResponse(settingsJSON)}, exitOK},
+		{"get-refused", strings.Fields("settings get solco"), map[string]cannedResponse{"GET " + s: okResponse(refusedJSON)}, exitOK},
+		{"get-standing", strings.Fields("settings get -standing solco"), map[string]cannedResponse{"GET " + s: okResponse(refusedJSON)}, exitOK},
+		{"get-no-team", strings.Fields("settings get solco"), map[string]cannedResponse{"GET " + s: {404, noTeamJSON}}, exitNoTeam},
+		{"history", strings.Fields("settings history solco"), map[string]cannedResponse{"GET " + s + "/history": okResponse(historyJSON)}, exitOK},
+		{"history-diff", strings.Fields("settings history -diff solco"), map[string]cannedResponse{"GET " + s + "/history": okResponse(historyJSON)}, exitOK},
+		{"diff", strings.Fields("settings diff -file testdata/good.ini solco"), map[string]cannedResponse{"GET " + s: okResponse(settingsJSON)}, exitDiffers},
+		{"put", putArgs, map[string]cannedResponse{"PUT " + s: okResponse(acceptedJSON)}, exitOK},
+		{"put-wait", appendArgs(putArgs, "-wait", "2s"), map[string]cannedResponse{"PUT " + s: okResponse(acceptedJSON), "GET " + s + "/in-force": okResponse(allJSON)}, exitOK},
+		{"put-behind", appendArgs(putArgs, "-wait", "1ms"), map[string]cannedResponse{"PUT " + s: okResponse(acceptedJSON), "GET " + s + "/in-force": okResponse(someJSON)}, exitBehind},
+		{"put-behind-json", appendArgs(putArgs, "-wait", "1ms", "-o", "json"), map[string]cannedResponse{"PUT " + s: okResponse(acceptedJSON), "GET " + s + "/in-force": okResponse(someJSON)}, exitBehind},
+		{"put-conflict", putArgs, map[string]cannedResponse{"PUT " + s: {409, conflictJSON}}, exitConflict},
+		{"put-conflict-json", appendArgs(putArgs, "-o", "json"), map[string]cannedResponse{"PUT " + s: {409, conflictJSON}}, exitConflict},
+		{"put-refused", putArgs, map[string]cannedResponse{"PUT " + s: {422, invalidJSON}}, exitInvalid},
 		{"put-invalid", strings.Fields("settings put -file testdata/bad.ini -author ada -reason raise solco"), nil, exitInvalid},
 		{"put-no-reason", strings.Fields("settings put -file testdata/good.ini -author ada solco"), nil, exitUsage},
 		{"put-other-team", strings.Fields("settings put -file testdata/good.ini -author ada -reason raise msimbazi"), nil, exitUsage},
-		{"status", strings.Fields("status"), map[string]answer{"GET status": ok(statusJSON)}, exitOK},
+		{"status", strings.Fields("status"), map[string]cannedResponse{"GET status": okResponse(statusJSON)}, exitOK},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, url := start(t, tt.answers)
+			_, url := startRouter(t, tt.answers)
 			t.Setenv(routerVariable, url)
-			code, out := ctl(t, tt.args...)
+			code, out := runCommand(t, tt.args...)
 			assert.Equal(t, code, tt.want, out)
 			golden.Assert(t, out, tt.name+".golden")
 		})
@@ -159,7 +159,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Setenv("USER", "ada")
-			code, out := ctl(t, strings.Fields(tt.args)...)
+			code, out := runCommand(t, strings.Fields(tt.args)...)
 			assert.Equal(t, code, tt.want, out)
 			golden.Assert(t, out, tt.name+".golden")
 		})
@@ -170,10 +170,10 @@
 // operator's change goes through the next one, with the same change id, so
 // that it cannot be made twice.
 func TestNextRouterIsTried(t *testing.T) {
-	down, downURL := start(t, map[string]answer{"PUT settings/solco": {503, downJSON}})
-	lost, lostURL := start(t, map[string]answer{"PUT settings/solco": {504, unknownJSON}})
-	last, lastURL := start(t, map[string]answer{"PUT settings/solco": ok(acceptedJSON)})
-	code, out := ctl(t, with(put, "-router", strings.Join([]string{closed(t), downURL, lostURL, lastURL}, ","))...)
+	down, downURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {503, unavailableJSON}})
+	lost, lostURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {504, unknownJSON}})
+	last, lastURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": okResponse(acceptedJSON)})
+	code, out := runCommand(t, appendArgs(putArgs, "-router", strings.Join([]string{closedURL(t), downURL, lostURL, lastURL}, ","))...)
 	assert.Equal(t, code, exitOK, out)
 	assert.Equal(t, len(down.puts)+len(lost.puts)+len(last.puts), 3)
 	assert.Equal(t, down.puts[0].ChangeID, last.puts[0].ChangeID)
@@ -185,21 +185,21 @@
 // No router accepts the change. If none can have written it, the operator is
 // told so; if one may have, the operator is told how to settle it. To say
 // "nothing was written" in that case would have the change made twice.
-func TestNothingWrittenOnlyIfSure(t *testing.T) {
-	_, downURL := start(t, map[string]answer{"PUT settings/solco": {503, downJSON}})
-	_, lostURL := start(t, map[string]answer{"PUT settings/solco": {504, unknownJSON}})
+func TestAmbiguousWriteIsReportedUnknown(t *testing.T) {
+	_, downURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {503, unavailableJSON}})
+	_, lostURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {504, unknownJSON}})
 	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	t.Cleanup(cut.Close)
 	for _, tt := range []struct {
 		routers []string
 		want    exitCode
 	}{
-		{[]string{closed(t)}, exitUnavailable},
-		{[]string{downURL, closed(t)}, exitUnavailable},
+		{[]string{closedURL(t)}, exitUnavailable},
+		{[]string{downURL, closedURL(t)}, exitUnavailable},
 		{[]string{lostURL, downURL}, exitUnknown},
-		{[]string{cut.URL, closed(t)}, exitUnknown},
+		{[]string{cut.URL, closedURL(t)}, exitUnknown},
 	} {
-		code, out := ctl(t, with(put, "-router", strings.Join(tt.routers, ","))...)
+		code, out := runCommand(t, appendArgs(putArgs, "-router", strings.Join(tt.routers, ","))...)
 		assert.Equal(t, code, tt.want, out)
 		assert.Equal(t, strings.Contains(out, "put the same file again with -change-id"), tt.want == exitUnknown)
 	}
@@ -207,7 +207,7 @@
 
 // A team's first settings have nothing to start from.
 func TestFirstSettings(t *testing.T) {
-	f, url := start(t, map[string]answer{"GET settings/solco": {404, noTeamJSON}, "PUT settings/solco": ok(acceptedJSON)})
+	f, url := startRouter(t, map[string]cannedResponse{"GET settings/solco": {404, noTeamJSON}, "PUT settings/solco": okResponse(acceptedJSON)})
 	var out, errOut bytes.Buffer
 	code := run(context.Background(), strings.Fields("settings put -file - -author ada -reason first -router "+url+" solco"),
 		app{in: strings.NewReader("[team]\n"), out: &out, err: &errOut})
--- a/wisteriactl/page_test.go
+++ b/wisteriactl/page_test.go
@@ -10,22 +10,22 @@
 	"gotest.tools/v3/golden"
 )
 
-const page = "../docs/SETTINGS.md"
+const settingsPage = "../docs/SETTINGS.md"
 
 // Scripts are written after the page, so its exit codes have to be the ones of
 // the program.
-func TestPageHasTheExitCodes(t *testing.T) {
+func TestExitCodesMatchDocumentation(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("| code | meaning |\n| --- | --- |\n")
 	for _, e := range exitCodes {
 		fmt.Fprintf(&b, "| %d | %s |\n", e.code, e.meaning)
 	}
-	data, err := os.ReadFile(page)
+	data, err := os.ReadFile(settingsPage)
 	assert.NilError(t, err)
 	before, after, found := strings.Cut(string(data), "## Exit codes of wisteriactl\n\n")
 	assert.Assert(t, found)
 	if golden.FlagUpdate() {
-		assert.NilError(t, os.WriteFile(page, []byte(before+"## Exit codes of wisteriactl\n\n"+b.String()), 0o644))
+		assert.NilError(t, os.WriteFile(settingsPage, []byte(before+"## Exit codes of wisteriactl\n\n"+b.String()), 0o644))
 		return
 	}
 	assert.Equal(t, after, b.String())
--- a/wisteriactl/put.go
+++ b/wisteriactl/put.go
@@ -19,9 +19,9 @@
 // maxWait is the longest wait that a router allows in one call.
 const maxWait = 8 * time.Second
 
-// putter is the command put.
-type putter struct {
-	file   file
+// putCommand is the command put.
+type putCommand struct {
+	file   settingsFile
 	reason string
 	author string
 	id     string
@@ -29,8 +29,8 @@
 	wait   time.Duration
 }
 
-// change is the body of a put.
-type change struct {
+// putRequest is the body of a put.
+type putRequest struct {
 	Text         string            `json:"text"`
 	BaseRevision kv.Revision       `json:"base_revision"`
 	ChangeID     settings.ChangeID `json:"change_id"`
@@ -38,41 +38,41 @@
 	Reason       string            `json:"reason"`
 }
 
-// accepted is what a router answers to a put that it accepted.
-type accepted struct {
+// putResponse is what a router answers to a put that it putResponse.
+type putResponse struct {
 	Team     coordination.Team `json:"team"`
 	Revision kv.Revision       `json:"revision"`
 	Sequence uint64            `json:"sequence"`
 	Repeated bool              `json:"repeated"`
-	InForce  *inForce          `json:"in_force,omitempty"` // added if -wait is given
+	InForce  *rolloutStatus    `json:"in_force,omitempty"` // added if -wait is given
 }
 
-// inForce tells on how many routers a change is in force.
-type inForce struct {
+// rolloutStatus tells on how many routers a change is in force.
+type rolloutStatus struct {
 	Routers     int                     `json:"routers"`
 	InForce     int                     `json:"in_force"`
-	Behind      []behind                `json:"behind"`
+	Behind      []laggingRouter         `json:"behind"`
 	Unreachable []coordination.Instance `json:"unreachable"`
 }
 
-type behind struct {
+type laggingRouter struct {
 	Instance coordination.Instance `json:"instance"`
 	Revision kv.Revision           `json:"revision"`
 	Refused  kv.Revision           `json:"refused_revision,omitempty"`
 }
 
 func (a app) put() *command {
-	p := &putter{}
+	p := &putCommand{}
 	return &command{
-		app: a, name: "put", args: "-file F -reason R [-author A] [-base N] [-wait 4s] TEAM", team: true,
+		app: a, name: "put", args: "-file F -reason R [-author A] [-base N] [-wait 4s] TEAM", takesTeam: true,
 		synopsis: "change the settings of TEAM to those of the file",
-		flags:    p.set,
+		flags:    p.registerFlags,
 		do:       p.run,
 	}
 }
 
-func (p *putter) set(fs *flag.FlagSet) {
-	p.file.set(fs)
+func (p *putCommand) registerFlags(fs *flag.FlagSet) {
+	p.file.registerFlags(fs)
 	fs.StringVar(&p.reason, "reason", "", "`why` the change is made, for the audit trail")
 	fs.StringVar(&p.author, "author", os.Getenv("USER"), "`who` makes the change")
 	fs.StringVar(&p.id, "change-id", "", "`id` of a change whose outcome is unknown, to put it again")
@@ -80,35 +80,35 @@
 	fs.DurationVar(&p.wait, "wait", 0, "wait this `long` until the change is in force on all routers")
 }
 
-func (p *putter) run(ctx context.Context, c *command) error {
+func (p *putCommand) run(ctx context.Context, c *command) error {
 	t, err := p.file.read(c)
 	if err != nil {
 		return err
 	}
-	ch, err := p.change(ctx, c, t)
+	ch, err := p.buildRequest(ctx, c, t)
 	if err != nil {
 		return err
 	}
-	var a accepted
-	if err := c.client.call(ctx, http.MethodPut, settingsPath(c.subject), ch, &a); err != nil {
-		return p.explain(c, ch, err)
+	var a putResponse
+	if err := c.client.call(ctx, http.MethodPut, settingsPath(c.teamName), ch, &a); err != nil {
+		return p.reportError(c, ch, err)
 	}
 	if p.wait > 0 {
-		a.InForce, err = p.await(ctx, c, a)
+		a.InForce, err = p.awaitRollout(ctx, c, a)
 	}
-	return c.showWith(err, a, func() { p.print(c, a) })
+	return c.showWithError(err, a, func() { p.print(c, a) })
 }
 
-func (p *putter) change(ctx context.Context, c *command, t text) (change, error) {
+func (p *putCommand) buildRequest(ctx context.Context, c *command, t settingsText) (putRequest, error) {
 	switch {
 	case p.reason == "":
-		return change{}, errUsage.New("-reason is missing: say why the change is made")
+		return putRequest{}, errUsage.New("-reason is missing: say why the change is made")
 	case p.author == "":
-		return change{}, errUsage.New("-author is missing: say who makes the change")
+		return putRequest{}, errUsage.New("-author is missing: say who makes the change")
 	case p.id != "" && !settings.ChangeID(p.id).Valid():
-		return change{}, errUsage.New("-change-id %q is no UUIDv7", p.id)
+		return putRequest{}, errUsage.New("-change-id %q is no UUIDv7", p.id)
 	}
-	ch := change{Text: t.body, BaseRevision: kv.Revision(p.base), ChangeID: settings.ChangeID(p.id), Author: p.author, Reason: p.reason}
+	ch := putRequest{Text: t.body, BaseRevision: kv.Revision(p.base), ChangeID: settings.ChangeID(p.id), Author: p.author, Reason: p.reason}
 	if p.id == "" {
 		ch.ChangeID = settings.NewChangeID()
 	}
@@ -118,26 +118,26 @@
 	if ch.BaseRevision >= 0 {
 		return ch, nil
 	}
-	s, err := c.client.get(ctx, c.subject)
+	s, err := c.client.get(ctx, c.teamName)
 	if err != nil && !errorx.IsOfType(err, errNoTeam) {
-		return change{}, err
+		return putRequest{}, err
 	}
 	ch.BaseRevision = s.Revision
 	return ch, nil
 }
 
-// explain tells why a put was not accepted, and how to go on.
-func (p *putter) explain(c *command, ch change, err error) error {
-	var f *failure
+// reportError tells why a put was not accepted, and how to go on.
+func (p *putCommand) reportError(c *command, ch putRequest, err error) error {
+	var f *routerError
 	if errors.As(err, &f) {
 		if c.format == formatJSON {
-			return c.showWith(known(err), f, nil)
+			return c.showWithError(classifyError(err), f, nil)
 		}
-		c.problems(f.Problems)
-		if f.Standing != nil {
-			c.conflict(f)
+		c.printProblems(f.Problems)
+		if f.Current != nil {
+			c.printConflict(f)
 		}
-		return known(err)
+		return classifyError(err)
 	}
 	if errorx.IsOfType(err, errUnknown) {
 		fmt.Fprintf(c.err, "wisteriactl: to settle it, put the same file again with -change-id %s -base %d\n", ch.ChangeID, ch.BaseRevision)
@@ -145,15 +145,15 @@
 	return err
 }
 
-func (c *command) conflict(f *failure) {
-	c.printf("revision %d stands", f.Standing.Revision)
-	if ch := f.Standing.Change; ch != nil {
+func (c *command) printConflict(f *routerError) {
+	c.printf("revision %d stands", f.Current.Revision)
+	if ch := f.Current.Change; ch != nil {
 		c.printf(", by %s at %s: %s", ch.Author, ch.Time.Format(time.RFC3339), ch.Reason)
 	}
 	c.printf("\n%s", f.Diff)
 }
 
-func (p *putter) print(c *command, a accepted) {
+func (p *putCommand) print(c *command, a putResponse) {
 	again := ""
 	if a.Repeated {
 		again = ", by an earlier try"
@@ -175,14 +175,14 @@
 	}
 }
 
-// await waits until the change is in force on all routers.
-func (p *putter) await(ctx context.Context, c *command, a accepted) (*inForce, error) {
+// awaitRollout waits until the change is in force on all routers.
+func (p *putCommand) awaitRollout(ctx context.Context, c *command, a putResponse) (*rolloutStatus, error) {
 	deadline := time.Now().Add(p.wait)
 	for {
 		left := max(time.Until(deadline), 0)
 		path := fmt.Sprintf("%s/in-force?revision=%d&sequence=%d&wait_ms=%d",
 			settingsPath(a.Team), a.Revision, a.Sequence, min(left, maxWait).Milliseconds())
-		var in inForce
+		var in rolloutStatus
 		if err := c.client.call(ctx, http.MethodGet, path, nil, &in); err != nil {
 			return nil, errBehind.New("accepted, but no router tells where it is in force: %v", err)
 		}
--- a/wisteriactl/settings.go
+++ b/wisteriactl/settings.go
@@ -24,17 +24,17 @@
 func (a app) get() *command {
 	var standing bool
 	return &command{
-		app: a, name: "get", args: "[-standing] TEAM", team: true,
+		app: a, name: "get", args: "[-standing] TEAM", takesTeam: true,
 		synopsis: "print the settings of TEAM, with a first line that put takes its base from",
 		flags: func(fs *flag.FlagSet) {
 			fs.BoolVar(&standing, "standing", false, "print what stands in the platform, even if the routers refuse it")
 		},
 		do: func(ctx context.Context, c *command) error {
-			s, err := c.client.get(ctx, c.subject)
+			s, err := c.client.get(ctx, c.teamName)
 			if err != nil {
 				return err
 			}
-			c.warn(s)
+			c.printWarnings(s)
 			text := s.Text
 			if s.InForceText != "" && !standing {
 				text = s.InForceText
@@ -46,124 +46,124 @@
 	}
 }
 
-// warn tells on the error output what is odd about s.
-func (c *command) warn(s standing) {
+// printWarnings tells on the error output what is odd about s.
+func (c *command) printWarnings(s teamSettings) {
 	if !s.Fresh {
 		fmt.Fprintln(c.err, "wisteriactl: the platform did not answer or has lost the key; these settings are in force on the router that answered")
 	}
 	if s.Refused != nil {
 		fmt.Fprintf(c.err, "wisteriactl: revision %d stands in the platform but is not in force (%s); put the text in force, or a change of it, on top\n", s.Refused.Revision, s.Refused.Verdict)
-		c.problems(s.Refused.Problems)
+		c.printProblems(s.Refused.Problems)
 	}
 }
 
-func (c *command) problems(problems []settings.Problem) {
+func (c *command) printProblems(problems []settings.Problem) {
 	for _, p := range problems {
 		fmt.Fprintln(c.err, p)
 	}
 }
 
-// file is a flag for a file with settings.
-type file struct{ name string }
+// settingsFile is a flag for a settingsFile with settings.
+type settingsFile struct{ name string }
 
-func (f *file) set(fs *flag.FlagSet) {
+func (f *settingsFile) registerFlags(fs *flag.FlagSet) {
 	fs.StringVar(&f.name, "file", "", "`file` with the settings; - is the standard input")
 }
 
-// text is the settings of a file, and the base that its first line names.
-type text struct {
+// settingsText is the settings of a file, and the base that its first line names.
+type settingsText struct {
 	body string
 	base kv.Revision // -1 if there is no such line
 }
 
 // read reads and checks the file.
-func (f *file) read(c *command) (text, error) {
+func (f *settingsFile) read(c *command) (settingsText, error) {
 	if f.name == "" {
-		return text{}, errUsage.New("-file is missing")
+		return settingsText{}, errUsage.New("-file is missing")
 	}
-	data, err := f.open(c)
+	data, err := f.load(c)
 	if err != nil {
-		return text{}, errUsage.New("%v", err)
+		return settingsText{}, errUsage.New("%v", err)
 	}
 	_, problems := settings.Parse(f.name, data)
 	if c.format != formatJSON {
-		c.problems(problems)
+		c.printProblems(problems)
 	}
-	t, err := split(string(data), c.subject)
+	t, err := splitBaseLine(string(data), c.teamName)
 	if err == nil && len(problems) > 0 {
 		err = errInvalid.New("%s has %d problems", f.name, len(problems))
 	}
 	if err != nil && c.format == formatJSON {
-		err = c.showWith(err, checked{Problems: append([]settings.Problem{}, problems...)}, nil)
+		err = c.showWithError(err, checkResult{Problems: append([]settings.Problem{}, problems...)}, nil)
 	}
 	return t, err
 }
 
-func (f *file) open(c *command) ([]byte, error) {
+func (f *settingsFile) load(c *command) ([]byte, error) {
 	if f.name == "-" {
 		return io.ReadAll(c.in)
 	}
 	return os.ReadFile(f.name)
 }
 
-// split takes the first line that get printed off a text.
-func split(body string, team coordination.Team) (text, error) {
+// splitBaseLine takes the first line that get printed off a text.
+func splitBaseLine(body string, team coordination.Team) (settingsText, error) {
 	m := baseLine.FindStringSubmatch(body)
 	if m == nil {
-		return text{body: body, base: -1}, nil
+		return settingsText{body: body, base: -1}, nil
 	}
 	if team != "" && m[1] != string(team) {
-		return text{}, errUsage.New("the file was got from team %s, not %s; delete its first line to put it all the same", m[1], team)
+		return settingsText{}, errUsage.New("the file was got from team %s, not %s; delete its first line to put it all the same", m[1], team)
 	}
 	base, err := strconv.ParseInt(m[2], 10, 64)
 	if err != nil {
-		return text{}, errUsage.New("the file's first line has no right revision: %v", err)
+		return settingsText{}, errUsage.New("the file's first line has no right revision: %v", err)
 	}
-	return text{body: strings.TrimPrefix(body, m[0]), base: kv.Revision(base)}, nil
+	return settingsText{body: strings.TrimPrefix(body, m[0]), base: kv.Revision(base)}, nil
 }
 
-// checked is the result of check.
-type checked struct {
+// checkResult is the result of check.
+type checkResult struct {
 	Problems []settings.Problem `json:"problems"`
 }
 
 func (a app) check() *command {
-	f := &file{}
+	f := &settingsFile{}
 	return &command{
-		app: a, name: "check", args: "-file F", offline: true, flags: f.set,
+		app: a, name: "check", args: "-file F", offline: true, flags: f.registerFlags,
 		synopsis: "look for problems in a file, without a router",
 		do: func(_ context.Context, c *command) error {
 			if _, err := f.read(c); err != nil {
 				return err
 			}
-			return c.show(checked{Problems: []settings.Problem{}}, func() { c.printf("%s: no problems\n", f.name) })
+			return c.show(checkResult{Problems: []settings.Problem{}}, func() { c.printf("%s: no problems\n", f.name) })
 		},
 	}
 }
 
-// difference is the result of diff.
-type difference struct {
+// diffResult is the result of diff.
+type diffResult struct {
 	Team     coordination.Team `json:"team"`
 	Revision kv.Revision       `json:"revision"`
 	Diff     string            `json:"diff"`
 }
 
 func (a app) diff() *command {
-	f := &file{}
+	f := &settingsFile{}
 	return &command{
-		app: a, name: "diff", args: "-file F TEAM", team: true, flags: f.set,
+		app: a, name: "diff", args: "-file F TEAM", takesTeam: true, flags: f.registerFlags,
 		synopsis: "print what a put of the file would change; exits with 9 if there is a difference",
 		do: func(ctx context.Context, c *command) error {
 			t, err := f.read(c)
 			if err != nil {
 				return err
 			}
-			s, err := c.client.get(ctx, c.subject)
+			s, err := c.client.get(ctx, c.teamName)
 			if err != nil {
 				return err
 			}
-			c.warn(s)
-			d := difference{Team: s.Team, Revision: s.Revision, Diff: settings.Diff(s.Text, t.body)}
+			c.printWarnings(s)
+			d := diffResult{Team: s.Team, Revision: s.Revision, Diff: settings.Diff(s.Text, t.body)}
 			if err := c.show(d, func() { c.printf("%s", d.Diff) }); err != nil {
 				return err
 			}
@@ -175,8 +175,8 @@
 	}
 }
 
-// trail is the audit trail of a team.
-type trail struct {
+// auditTrail is the audit auditTrail of a team.
+type auditTrail struct {
 	Team    coordination.Team `json:"team"`
 	Fresh   bool              `json:"fresh"`
 	Entries []settings.Entry  `json:"entries"`
@@ -185,21 +185,21 @@
 func (a app) history() *command {
 	var diffs bool
 	return &command{
-		app: a, name: "history", args: "[-diff] TEAM", team: true,
+		app: a, name: "history", args: "[-diff] TEAM", takesTeam: true,
 		synopsis: "print who changed the settings of TEAM, when and why, newest first",
 		flags:    func(fs *flag.FlagSet) { fs.BoolVar(&diffs, "diff", false, "print what each change changed") },
 		do: func(ctx context.Context, c *command) error {
-			var h trail
-			err := c.client.call(ctx, http.MethodGet, settingsPath(c.subject)+"/history", nil, &h)
+			var h auditTrail
+			err := c.client.call(ctx, http.MethodGet, settingsPath(c.teamName)+"/history", nil, &h)
 			if err != nil {
-				return known(err)
+				return classifyError(err)
 			}
-			return c.show(h, func() { c.printTrail(h, diffs) })
+			return c.show(h, func() { c.printAuditTrail(h, diffs) })
 		},
 	}
 }
 
-func (c *command) printTrail(h trail, diffs bool) {
+func (c *command) printAuditTrail(h auditTrail, diffs bool) {
 	if diffs {
 		for _, e := range h.Entries {
 			c.printf("revision %d  %s  %s  %s\n%s\n", e.Revision, e.Time.Format(time.RFC3339), e.Author, e.Reason, e.Diff)
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -37,7 +37,7 @@
 	reach := do.MustInvoke[*peer.FailureDetector](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
 		Self:          node.Self().Instance,
-		Prefix:        platform.Prefix,
+		Prefix:        platform.WatchPrefix,
 		Mirror:        m,
 		Store:         do.MustInvoke[*platform.Store](i),
 		Transport:     reach,
--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -33,7 +33,7 @@
 	if !isStream(resp) {
 		x.watch.recordFirstByte(time.Now())
 	}
-	reply := platform.DecodeAnswer(resp.Status, resp.Header)
+	reply := platform.DecodeResponse(resp.Status, resp.Header)
 	end := classify(resp.Status, reply)
 	switch end {
 	case declined:
@@ -100,9 +100,9 @@
 // response. A status alone does not prove that the request has not run: the
 // endpoint must say so in its headers. A success counts only with the endpoint's
 // signature.
-func classify(status int, reply platform.Answer) attemptResult {
+func classify(status int, reply platform.Response) attemptResult {
 	switch {
-	case reply.NotRun:
+	case reply.NotExecuted:
 		return declined
 	case status < http.StatusBadRequest && !reply.Signed:
 		return broken
@@ -122,12 +122,12 @@
 		Endpoint:  p.Endpoint,
 		Deadline:  x.remaining(),
 		Account:   x.account,
-		Keyed:     x.account != "",
+		StripAuthorization:     x.account != "",
 		LastEvent: x.stream.lastEventID,
 	}
 	f.Fetch = p.CacheSource
 	if x.route.Sticky {
-		f.Urgent, f.Urgency = true, platform.Urgency(x.priority)
+		f.HasPriorityRank, f.PriorityRank = true, platform.PriorityRank(x.priority)
 	}
 	f.Apply(h)
 	return &upstream.Request{
@@ -145,7 +145,7 @@
 // matches reports whether a response belongs to this request. A refusal may lack
 // the request id, but must not carry the id of another request.
 func (x *exchange) matches(status int, h http.Header) bool {
-	reply := platform.DecodeAnswer(status, h)
+	reply := platform.DecodeResponse(status, h)
 	return reply.Attempt == x.metadata.Attempt || reply.Attempt == "" && status >= http.StatusBadRequest
 }
 
--- a/wisteriarouter/relay/relay_test.go
+++ b/wisteriarouter/relay/relay_test.go
@@ -41,23 +41,23 @@
 // A request counts as not run only if the endpoint reports it, whatever the status,
 // and a success counts only if the endpoint signed it.
 func TestClassify(t *testing.T) {
-	signed := platform.Answer{Signed: true}
+	signed := platform.Response{Signed: true}
 	tests := []struct {
 		status int
-		says   platform.Answer
+		says   platform.Response
 		want   attemptResult
 	}{
 		{200, signed, delivered},
-		{200, platform.Answer{}, broken},
+		{200, platform.Response{}, broken},
 		{404, signed, delivered},
-		{404, platform.Answer{}, delivered},
+		{404, platform.Response{}, delivered},
 		{500, signed, failed},
 		{504, signed, failed},
-		{503, platform.Answer{NotRun: true}, declined},
-		{421, platform.Answer{NotRun: true}, declined},
+		{503, platform.Response{NotExecuted: true}, declined},
+		{421, platform.Response{NotExecuted: true}, declined},
 		{503, signed, broken},
-		{429, platform.Answer{}, broken},
-		{408, platform.Answer{}, broken},
+		{429, platform.Response{}, broken},
+		{408, platform.Response{}, broken},
 	}
 	for _, test := range tests {
 		assert.Equal(t, classify(test.status, test.says), test.want, "%d %+v", test.status, test.says)
