--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -119,11 +119,11 @@
 func (x *exchange) request(p Place) *upstream.Request {
 	h := withoutHopByHop(x.r.Header)
 	f := platform.Forward{
-		Endpoint:  p.Endpoint,
-		Deadline:  x.remaining(),
-		Account:   x.account,
-		StripAuthorization:     x.account != "",
-		LastEvent: x.stream.lastEventID,
+		Endpoint:           p.Endpoint,
+		Deadline:           x.remaining(),
+		Account:            x.account,
+		StripAuthorization: x.account != "",
+		LastEvent:          x.stream.lastEventID,
 	}
 	f.Fetch = p.CacheSource
 	if x.route.Sticky {
