--- a/wisteriactl/client.go
+++ b/wisteriactl/client.go
@@ -20,11 +20,11 @@
 
 const (
 	dialTimeout      = 2 * time.Second
-	callTimeout      = 15 * time.Second // a router settles a lost answer in 6 s and waits up to 10 s
+	callTimeout      = 15 * time.Second // a router resolves a lost store reply within 6 s and waits up to 10 s
 	maxResponseBytes = 4 << 20
 )
 
-// The codes of failures that the program tells apart.
+// Error codes of routers that determine the exit code or the next router to try.
 const (
 	codeUnknownTeam = "unknown-team"
 	codeConflict    = "conflict"
@@ -33,7 +33,7 @@
 	codeUnknown     = "unknown"
 )
 
-// routerError is what a router answers if it did not do what it was asked.
+// routerError is the error in a router's response.
 type routerError struct {
 	Code     string             `json:"code"`
 	Message  string             `json:"message"`
@@ -45,7 +45,8 @@
 // Error implements error.
 func (f *routerError) Error() string { return f.Code + ": " + f.Message }
 
-// teamSettings is what a router tells of a team's settings.
+// teamSettings holds the settings of a team as returned by a router: the
+// revision stored in the platform and the position in force on the router.
 type teamSettings struct {
 	Team     coordination.Team `json:"team"`
 	Text     string            `json:"text"`
@@ -55,10 +56,10 @@
 	InForce  settings.Position `json:"in_force"`
 	Refused  *settings.Refusal `json:"refused,omitempty"`
 
-	InForceText string `json:"in_force_text,omitempty"` // if a value is refused
+	InForceText string `json:"in_force_text,omitempty"` // set if the stored revision is refused
 }
 
-// client speaks to the first router that can be reached.
+// client calls the operator API of the first of its routers that responds.
 type client struct {
 	routers []string
 	http    *http.Client
@@ -78,9 +79,11 @@
 	return c, nil
 }
 
-// call asks one router after the other until one answers. With a body that
-// changes something, an answer that got lost leaves it open what happened; the
-// next router is asked all the same, since a change has an id.
+// call tries the routers in order until one gives a definite response. If the
+// response to a write is lost, its outcome is unknown; the next router is tried
+// nevertheless, because the change ID makes a repeated write idempotent. If all
+// routers fail, the error is errUnknown if a write may have taken effect, or
+// errUnavailable.
 func (c *client) call(ctx context.Context, method, path string, body, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -103,8 +106,8 @@
 	return errUnavailable.New("%v", last)
 }
 
-// isDialError reports whether no connection could be made, so that nothing
-// can have been done.
+// isDialError reports whether err is a failure to connect, in which case the
+// request was not sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -143,13 +146,14 @@
 	return "/operator/v1/settings/" + url.PathEscape(string(team))
 }
 
-// get reads the settings of a team.
+// get returns the settings of a team.
 func (c *client) get(ctx context.Context, team coordination.Team) (teamSettings, error) {
 	var s teamSettings
 	return s, classifyError(c.call(ctx, http.MethodGet, settingsPath(team), nil, &s))
 }
 
-// classifyError gives a router's failure the kind that has its exit code.
+// classifyError converts a routerError to the error type of its exit code. It
+// returns other errors unchanged.
 func classifyError(err error) error {
 	var f *routerError
 	if !errors.As(err, &f) {
--- a/wisteriactl/command.go
+++ b/wisteriactl/command.go
@@ -22,15 +22,15 @@
 	defaultRouter  = "http://127.0.0.1:8081"
 )
 
-// command is one command of the program.
+// command implements subcommands.Command for all commands but settings.
 type command struct {
 	app
 	name         string
 	synopsis     string
-	args         string // as in "-file F TEAM"
-	takesTeam    bool   // whether it takes a team
-	takesRequest bool   // whether it takes the id of a request
-	offline      bool   // whether it needs no router
+	args         string // synopsis of the arguments, such as "-file F TEAM"
+	takesTeam    bool   // whether a team name is required
+	takesRequest bool   // whether a request ID is required
+	offline      bool   // whether it runs without a router
 	flags        func(f *flag.FlagSet)
 	do           func(ctx context.Context, c *command) error
 
@@ -79,7 +79,9 @@
 	return subcommands.ExitStatus(exitCodeOf(err))
 }
 
-// prepare takes the team, before or behind the flags, and makes the client.
+// prepare parses the positional argument and the flags, which may precede or
+// follow it, and creates the client unless the command is offline. Its errors are
+// errUsage.
 func (c *command) prepare(f *flag.FlagSet) error {
 	if c.takesTeam {
 		if f.NArg() == 0 {
@@ -116,7 +118,7 @@
 	return err
 }
 
-// show prints v as JSON if that is wanted, and calls text otherwise.
+// show prints v as JSON if the output format is JSON, or else calls text.
 func (c *command) show(v any, text func()) error {
 	if c.format != formatJSON {
 		text()
@@ -128,7 +130,7 @@
 	return enc.Encode(v)
 }
 
-// showWithError shows v and returns err, or else what went wrong with showing.
+// showWithError calls show and returns err or, if it is nil, the error of show.
 func (c *command) showWithError(err error, v any, text func()) error {
 	shown := c.show(v, text)
 	if err != nil {
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -5,10 +5,10 @@
 	"github.com/samber/lo"
 )
 
-// exitCode is what the program tells the shell.
+// exitCode is an exit status of the program.
 type exitCode int
 
-// The exit codes. They stay the same, so that scripts can rely on them.
+// Exit codes. Scripts depend on them, so they must not change.
 const (
 	exitOK          exitCode = 0
 	exitFailed      exitCode = 1
@@ -22,7 +22,7 @@
 	exitDiffers     exitCode = 9
 )
 
-// exitCodes is the reference of the exit codes.
+// exitCodes lists the exit codes with their documentation.
 var exitCodes = []struct {
 	code    exitCode
 	meaning string
@@ -39,7 +39,7 @@
 	{exitDiffers, "settings diff found a difference"},
 }
 
-// The kinds of errors, each with an exit code.
+// Error types, each with an exit code.
 var (
 	errorNamespace = errorx.NewNamespace("wisteriactl")
 	errUsage       = errorNamespace.NewType("usage")
@@ -63,7 +63,7 @@
 	}
 )
 
-// exitCodeOf returns the exit code of err.
+// exitCodeOf returns the exit code for err, or exitFailed if its type has none.
 func exitCodeOf(err error) exitCode {
 	if err == nil {
 		return exitOK
@@ -76,8 +76,8 @@
 	return exitFailed
 }
 
-// messageOf returns what to tell the operator of err. The kind of an error is
-// for the program, not for the reader.
+// messageOf returns the message of err for the operator, without the error type,
+// which is only used to select the exit code.
 func messageOf(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil {
--- a/wisteriactl/explain.go
+++ b/wisteriactl/explain.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// The numbers of the routers' events that explain reads; docs/EVENTS.md lists
-// all.
+// Numbers of the router events that explain and losses evaluate. All events are
+// listed in docs/EVENTS.md.
 const (
 	eventStarted         = 100
 	eventStateApplied    = 200
@@ -34,7 +34,8 @@
 	eventRelayPlaced     = 806
 )
 
-// logLine is one line of a router's log.
+// logLine is one entry of a router's log. Fields with names in Ms are in
+// milliseconds.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Router   string    `json:"router"`
@@ -63,9 +64,10 @@
 	fields map[string]any
 }
 
-// readLines reads the lines of routers' logs. What stands before the first
-// brace, such as the name of a file, is passed over, and so are lines that are
-// no JSON: a log may have been cut anywhere.
+// readLines reads the concatenated logs of routers and sorts their lines by
+// time. It ignores any text before the first brace of a line, such as a file
+// name. It skips lines that are not valid JSON, because a log may be truncated
+// anywhere.
 func readLines(r io.Reader) ([]logLine, error) {
 	var all []logLine
 	s := bufio.NewScanner(r)
@@ -85,24 +87,24 @@
 	return all, s.Err()
 }
 
-// explanation is what the logs tell of one request.
+// explanation is the result of explain: the history of one request.
 type explanation struct {
 	Request string   `json:"request"`
 	Steps   []step   `json:"steps"`
-	Stale   []string `json:"stale,omitempty"` // what its routers did not know, and others did
+	Stale   []string `json:"stale,omitempty"` // information that its routers lacked but other routers had
 	Around  []step   `json:"around,omitempty"`
 	Cause   string   `json:"cause"`
 }
 
-// step is one thing that happened.
+// step is one logged event.
 type step struct {
-	At     time.Duration `json:"at_ns"` // from the request's first line
+	At     time.Duration `json:"at_ns"` // time since the first log line of the request
 	Router string        `json:"router"`
 	What   string        `json:"what"`
 }
 
-// contextWindow is how long before and after a request its endpoints and routers are
-// looked at.
+// contextWindow is how long before and after a request the events of its
+// endpoints and routers are included.
 const contextWindow = 5 * time.Second
 
 func (a app) explain() *command {
@@ -142,8 +144,8 @@
 	}
 }
 
-// explainRequest tells what lines, in the order of their times, say of a
-// request. It returns false if none names it.
+// explainRequest returns the explanation of a request. The lines must be sorted
+// by time. It returns false if no line has the request ID.
 func explainRequest(id string, lines []logLine) (explanation, bool) {
 	requestLines := slices.Collect(func(yield func(logLine) bool) {
 		for _, l := range lines {
@@ -169,7 +171,7 @@
 	return e, true
 }
 
-// describe says in words describe a line tells.
+// describe returns a readable description of l.
 func (l logLine) describe() string {
 	switch l.Event {
 	case eventRelayPlaced:
@@ -195,10 +197,11 @@
 	return "; fetches the cached prompt from " + l.Fetch
 }
 
-// omittedFields are the fields that are told elsewhere or say nothing of a cause.
+// omittedFields are the fields that are printed separately or do not help to find
+// a cause.
 var omittedFields = []string{"time", "router", "event", "msg", "level", "request"}
 
-// otherFields lists the other fields of a line in order of their names.
+// otherFields formats all fields but omittedFields, sorted by name.
 func (l logLine) otherFields() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.fields)) {
@@ -209,8 +212,8 @@
 	return b.String()
 }
 
-// placed, attempted, refused and gone report of what kind a line is, on either
-// interface of a router.
+// placed, attempted, refused and callerGone report the kind of event of l, for
+// both the relay and the chat interface.
 func (l logLine) placed() bool { return l.Event == eventRelayPlaced || l.Event == eventChatPlaced }
 
 func (l logLine) attempted() bool { return l.Event == eventRelayAttempt || l.Event == eventChatAttempt }
@@ -221,8 +224,9 @@
 	return l.Event == eventRelayCallerGone || l.Event == eventChatCallerGone
 }
 
-// surroundingLines returns what happened around a request to the endpoints that it met
-// and to its routers' view of the store.
+// surroundingLines returns the events within contextWindow of a request that
+// concern its endpoints, the start of its routers, or their connection to the
+// store.
 func surroundingLines(requestLines, lines []logLine) []logLine {
 	endpoints, routers := make(map[string]bool), make(map[string]bool)
 	for _, l := range requestLines {
@@ -245,8 +249,8 @@
 	return found
 }
 
-// staleViews tells what a request's router did not know when it placed it, though
-// another router did.
+// staleViews describes what a router did not know when it placed or refused the
+// request, although another router knew it.
 func staleViews(requestLines, lines []logLine) []string {
 	var found []string
 	for _, p := range requestLines {
@@ -261,7 +265,7 @@
 
 func staleState(p logLine, lines []logLine) []string {
 	if p.Event == eventChatPlaced || p.Event == eventChatRefused {
-		return nil // teams have settings of their own
+		return nil // chat requests are routed by team settings, not by the desired state
 	}
 	for _, l := range lines {
 		if l.Event == eventStateApplied && l.Version > p.Version && l.Time.Before(p.Time) {
@@ -283,15 +287,16 @@
 	return nil
 }
 
-// Delays from which on they are named as the cause of a late answer, in
-// milliseconds: the shortest that makes a request late by itself.
+// Minimum delays, in milliseconds, that are reported as the cause of a late
+// response. Each is the shortest delay that makes a request late by itself.
 const (
 	lateFirstEventMs = 300
 	latePlaceMs      = 100
 	latePauseMs      = 120
 )
 
-// outcomeCause says in a sentence what decided a request's end.
+// outcomeCause describes in one sentence what determined the outcome of a
+// request.
 func outcomeCause(requestLines, lines []logLine, stale []string) string {
 	last := requestLines[len(requestLines)-1]
 	var lost []string
@@ -335,7 +340,7 @@
 	}
 }
 
-// restartNote tells when a router started again after its last line of a request.
+// restartNote describes when the router that wrote last started again.
 func restartNote(last logLine, lines []logLine) string {
 	for _, l := range lines {
 		if l.Event == eventStarted && l.Router == last.Router && l.Time.After(last.Time) {
--- a/wisteriactl/explain_test.go
+++ b/wisteriactl/explain_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// A user complains and names a request; the operator has the logs of all
-// routers and nothing else. Each golden file is what the operator then reads.
+// The cause of a request's outcome must be derivable from the logs of all routers
+// alone. Each golden file holds the output for one request.
 func TestExplain(t *testing.T) {
 	tests := []struct {
 		name string
--- a/wisteriactl/losses.go
+++ b/wisteriactl/losses.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// The causes for which a request is not answered in full and on time, in the
-// order in which losses prints them.
+// lossCauses are the reasons why a request was not answered completely and on
+// time, in the order of the columns printed by losses.
 var lossCauses = []string{
-	"late-waiting", // most of the time to its first byte it waited for a place
-	"late-moved",   // an attempt before had failed, or met silence
+	"late-waiting", // over half of the time to the first byte was spent waiting for placement
+	"late-moved",   // a previous attempt failed or received no response
 	"late-endpoint",
 	"late-pause",
-	"endpoint-failed", // with a status of the endpoint's own
+	"endpoint-failed", // with an error status returned by the endpoint
 	"broke-off",
-	"refused", // not run: 503, 429
+	"refused", // not executed: 503, 429
 	"router-failed",
 	"caller-left",
-	"unfinished", // no line tells of its end: its router has died
+	"unfinished", // the log has no outcome because the router terminated
 }
 
-// lossRow counts the requests of one route, or of one span of time.
+// lossRow counts the requests of one route or one time interval.
 type lossRow struct {
 	Name     string         `json:"name"`
 	Requests int            `json:"requests"`
@@ -64,11 +64,11 @@
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // as with all other output, nobody is told if it cannot be written
+	_ = w.Flush() // write errors are ignored, as for all other output
 }
 
-// countLosses counts requests by route, or by spans of time if every is not zero,
-// and in all.
+// countLosses counts requests by route, or by time intervals of length every if
+// it is not zero. The last row is the total.
 func countLosses(lines []logLine, every time.Duration) []*lossRow {
 	byRequest := make(map[string][]logLine)
 	var order []string
@@ -96,7 +96,8 @@
 	return append(sorted, all)
 }
 
-// rowName returns the row in which a request counts that begins with l.
+// rowName returns the name of the row that counts the request whose first line is
+// l.
 func (l logLine) rowName(start time.Time, every time.Duration) string {
 	if every > 0 {
 		return fmt.Sprintf("%08.1fs", l.Time.Sub(start).Truncate(every).Seconds())
@@ -116,8 +117,8 @@
 	r.OnTime++
 }
 
-// lossCause returns for what reason the request of these lines was not answered
-// in full and on time, or "" if it was.
+// lossCause returns the reason why a request was not answered completely and on
+// time, or "" if it was or if the caller's request was at fault.
 func lossCause(requestLines []logLine) string {
 	last := requestLines[len(requestLines)-1]
 	waited := int64(0)
@@ -134,7 +135,7 @@
 	case last.refused() && last.Status >= 500:
 		return "router-failed"
 	case last.refused():
-		return "" // the caller's own mistake
+		return "" // caused by the caller's request
 	case last.placed():
 		return "unfinished"
 	case last.Ended == "cut" || last.Ended == "broken":
--- a/wisteriactl/losses_test.go
+++ b/wisteriactl/losses_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// Callers complain of slow hours, and name no request. The operator counts from
-// the logs of all routers what was lost, where and for what reason.
+// Late, failed and refused requests must be countable by route, time and cause
+// from the logs of all routers alone, without a request ID.
 func TestLosses(t *testing.T) {
 	tests := []struct {
 		name string
--- a/wisteriactl/main.go
+++ b/wisteriactl/main.go
@@ -1,5 +1,6 @@
-// Command wisteriactl is the operators' command line: it reads and changes the
-// settings of teams and shows the state of routers.
+// Command wisteriactl is the command-line tool for operators. It reads and
+// changes the settings of teams, shows the state of routers and analyzes their
+// logs.
 package main
 
 import (
@@ -37,19 +38,19 @@
 	os.Exit(int(code))
 }
 
-// app is where the program reads and writes.
+// app holds the standard streams of the program.
 type app struct {
 	in  io.Reader
 	out io.Writer
 	err io.Writer
 }
 
-// run executes the command that args name and returns its exit code.
+// run executes the command named by args and returns its exit code.
 func run(ctx context.Context, args []string, a app) exitCode {
 	return execute(ctx, a, "wisteriactl", args, a.status(), a.explain(), a.losses(), settingsGroup{a})
 }
 
-// execute executes the one of cmds that args name.
+// execute executes the command of cmds that is named by args.
 func execute(ctx context.Context, a app, name string, args []string, cmds ...subcommands.Command) exitCode {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(a.err)
@@ -75,7 +76,7 @@
 	}
 }
 
-// settingsGroup is the command "settings", which has commands of its own.
+// settingsGroup is the command "settings", which has subcommands.
 type settingsGroup struct{ app }
 
 func (settingsGroup) Name() string           { return "settings" }
--- a/wisteriactl/main_test.go
+++ b/wisteriactl/main_test.go
@@ -39,13 +39,13 @@
 		"settings":[{"team":"solco","in_force":{"sequence":12,"revision":12},"since":"2026-12-02T09:00:01Z","refused":{"verdict":"older","revision":15,"time":"2026-12-02T10:00:00Z"}}]}`
 )
 
-// cannedResponse is what a fake router says to one kind of call.
+// cannedResponse is the response of a fakeRouter to one method and path.
 type cannedResponse struct {
 	status int
 	body   string
 }
 
-// fakeRouter is a router that gives prepared answers.
+// fakeRouter serves canned responses and records the bodies of PUT requests.
 type fakeRouter struct {
 	mu      sync.Mutex
 	answers map[string]cannedResponse
@@ -78,7 +78,7 @@
 	return f, s.URL
 }
 
-// runCommand runs the program and returns its code and all its output.
+// runCommand runs the program and returns its exit code and its output.
 func runCommand(t *testing.T, args ...string) (exitCode, string) {
 	t.Helper()
 	var out, err bytes.Buffer
@@ -86,7 +86,7 @@
 	return code, out.String() + "--- stderr\n" + err.String()
 }
 
-// closedURL returns the URL of a port where nobody listens.
+// closedURL returns a URL whose port has no listener.
 func closedURL(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -166,9 +166,9 @@
 	}
 }
 
-// The first router of the list is down or cannot reach the platform. The
-// operator's change goes through the next one, with the same change id, so
-// that it cannot be made twice.
+// If a router is down, cannot reach the platform or does not know the outcome of
+// a change, the next one is tried with the same change ID, so that the change
+// cannot be applied twice.
 func TestNextRouterIsTried(t *testing.T) {
 	down, downURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {503, unavailableJSON}})
 	lost, lostURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {504, unknownJSON}})
@@ -182,9 +182,9 @@
 	assert.Assert(t, !strings.Contains(last.puts[0].Text, "wisteriactl"))
 }
 
-// No router accepts the change. If none can have written it, the operator is
-// told so; if one may have, the operator is told how to settle it. To say
-// "nothing was written" in that case would have the change made twice.
+// If no router accepts a change but one may have written it, the outcome is
+// reported as unknown along with how to resolve it. Reporting that nothing was
+// written would cause the operator to apply the change twice.
 func TestAmbiguousWriteIsReportedUnknown(t *testing.T) {
 	_, downURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {503, unavailableJSON}})
 	_, lostURL := startRouter(t, map[string]cannedResponse{"PUT settings/solco": {504, unknownJSON}})
@@ -205,7 +205,7 @@
 	}
 }
 
-// A team's first settings have nothing to start from.
+// The first settings of a team have no base: the base revision is 0.
 func TestFirstSettings(t *testing.T) {
 	f, url := startRouter(t, map[string]cannedResponse{"GET settings/solco": {404, noTeamJSON}, "PUT settings/solco": okResponse(acceptedJSON)})
 	var out, errOut bytes.Buffer
--- a/wisteriactl/page_test.go
+++ b/wisteriactl/page_test.go
@@ -12,8 +12,8 @@
 
 const settingsPage = "../docs/SETTINGS.md"
 
-// Scripts are written after the page, so its exit codes have to be the ones of
-// the program.
+// Scripts rely on the documented exit codes, so the page must list those of the
+// program.
 func TestExitCodesMatchDocumentation(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("| code | meaning |\n| --- | --- |\n")
--- a/wisteriactl/put.go
+++ b/wisteriactl/put.go
@@ -16,10 +16,10 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// maxWait is the longest wait that a router allows in one call.
+// maxWait is the longest wait that a call to a router requests.
 const maxWait = 8 * time.Second
 
-// putCommand is the command put.
+// putCommand holds the flags of the command put.
 type putCommand struct {
 	file   settingsFile
 	reason string
@@ -29,7 +29,7 @@
 	wait   time.Duration
 }
 
-// putRequest is the body of a put.
+// putRequest is the body of a request to change settings.
 type putRequest struct {
 	Text         string            `json:"text"`
 	BaseRevision kv.Revision       `json:"base_revision"`
@@ -38,16 +38,16 @@
 	Reason       string            `json:"reason"`
 }
 
-// putResponse is what a router answers to a put that it putResponse.
+// putResponse is a router's response to an accepted change.
 type putResponse struct {
 	Team     coordination.Team `json:"team"`
 	Revision kv.Revision       `json:"revision"`
 	Sequence uint64            `json:"sequence"`
 	Repeated bool              `json:"repeated"`
-	InForce  *rolloutStatus    `json:"in_force,omitempty"` // added if -wait is given
+	InForce  *rolloutStatus    `json:"in_force,omitempty"` // set by the command if -wait is given
 }
 
-// rolloutStatus tells on how many routers a change is in force.
+// rolloutStatus reports on how many routers a change is in force.
 type rolloutStatus struct {
 	Routers     int                     `json:"routers"`
 	InForce     int                     `json:"in_force"`
@@ -126,7 +126,8 @@
 	return ch, nil
 }
 
-// reportError tells why a put was not accepted, and how to go on.
+// reportError prints why a change was not accepted and how to proceed. It returns
+// err with the type of its exit code.
 func (p *putCommand) reportError(c *command, ch putRequest, err error) error {
 	var f *routerError
 	if errors.As(err, &f) {
@@ -175,7 +176,8 @@
 	}
 }
 
-// awaitRollout waits until the change is in force on all routers.
+// awaitRollout waits until the change is in force on all routers. It returns
+// errBehind if that takes longer than -wait or cannot be determined.
 func (p *putCommand) awaitRollout(ctx context.Context, c *command, a putResponse) (*rolloutStatus, error) {
 	deadline := time.Now().Add(p.wait)
 	for {
--- a/wisteriactl/settings.go
+++ b/wisteriactl/settings.go
@@ -17,8 +17,8 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// baseLine is the first line of what get prints, by which put knows the
-// revision that an edited file started from.
+// baseLine matches the first line of the output of get. It tells put on which
+// revision an edited file is based.
 var baseLine = regexp.MustCompile(`^# wisteriactl: team (\S+), base revision (\d+)\r?\n`)
 
 func (a app) get() *command {
@@ -46,7 +46,7 @@
 	}
 }
 
-// printWarnings tells on the error output what is odd about s.
+// printWarnings warns on standard error if s may be stale or is refused.
 func (c *command) printWarnings(s teamSettings) {
 	if !s.Fresh {
 		fmt.Fprintln(c.err, "wisteriactl: the platform did not answer or has lost the key; these settings are in force on the router that answered")
@@ -63,20 +63,22 @@
 	}
 }
 
-// settingsFile is a flag for a settingsFile with settings.
+// settingsFile is the flag that names a file with settings.
 type settingsFile struct{ name string }
 
 func (f *settingsFile) registerFlags(fs *flag.FlagSet) {
 	fs.StringVar(&f.name, "file", "", "`file` with the settings; - is the standard input")
 }
 
-// settingsText is the settings of a file, and the base that its first line names.
+// settingsText is the text of a settings file without its base line.
 type settingsText struct {
 	body string
-	base kv.Revision // -1 if there is no such line
+	base kv.Revision // -1 if the file has no base line
 }
 
-// read reads and checks the file.
+// read reads the file and checks it. It prints the problems that it finds and
+// returns errInvalid if there are any, or errUsage if the file cannot be read or
+// belongs to another team.
 func (f *settingsFile) read(c *command) (settingsText, error) {
 	if f.name == "" {
 		return settingsText{}, errUsage.New("-file is missing")
@@ -106,7 +108,8 @@
 	return os.ReadFile(f.name)
 }
 
-// splitBaseLine takes the first line that get printed off a text.
+// splitBaseLine separates the base line from the settings. An empty team matches
+// any team; a base line of another team is an errUsage.
 func splitBaseLine(body string, team coordination.Team) (settingsText, error) {
 	m := baseLine.FindStringSubmatch(body)
 	if m == nil {
@@ -175,7 +178,7 @@
 	}
 }
 
-// auditTrail is the audit auditTrail of a team.
+// auditTrail lists the changes to the settings of a team, newest first.
 type auditTrail struct {
 	Team    coordination.Team `json:"team"`
 	Fresh   bool              `json:"fresh"`
--- a/wisteriactl/status.go
+++ b/wisteriactl/status.go
@@ -12,7 +12,7 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// routerStatus is what a router tells about itself.
+// routerStatus is the status reported by a router.
 type routerStatus struct {
 	Instance    coordination.Instance    `json:"instance"`
 	Incarnation coordination.Incarnation `json:"incarnation"`
@@ -80,7 +80,7 @@
 	})
 }
 
-// table prints n rows under a header, or nothing if there are none.
+// table prints a header and n rows. It prints nothing if n is zero.
 func (c *command) table(header string, n int, row func(w io.Writer, i int)) {
 	if n == 0 {
 		return
