--- a/wisteriactl/explain.go
+++ b/wisteriactl/explain.go
@@ -241,8 +241,8 @@
 		if l.Request != "" || l.Time.Before(from) || l.Time.After(to) {
 			continue
 		}
-		mine := routers[l.Router] && (l.Event < eventStateApplied || l.Event == eventStoreLost || l.Event == eventStoreBack)
-		if mine || l.Endpoint != "" && endpoints[l.Endpoint] {
+		routerEvent := routers[l.Router] && (l.Event < eventStateApplied || l.Event == eventStoreLost || l.Event == eventStoreBack)
+		if routerEvent || l.Endpoint != "" && endpoints[l.Endpoint] {
 			found = append(found, l)
 		}
 	}
@@ -340,7 +340,8 @@
 	}
 }
 
-// restartNote describes when the router that wrote last started again.
+// restartNote describes when the router of the last line started again, or that
+// no log shows it.
 func restartNote(last logLine, lines []logLine) string {
 	for _, l := range lines {
 		if l.Event == eventStarted && l.Router == last.Router && l.Time.After(last.Time) {
--- a/wisteriactl/put.go
+++ b/wisteriactl/put.go
@@ -55,6 +55,8 @@
 	Unreachable []coordination.Instance `json:"unreachable"`
 }
 
+// laggingRouter is a router on which a change is not in force, with its current
+// revision and the revision that it refuses, if any.
 type laggingRouter struct {
 	Instance coordination.Instance `json:"instance"`
 	Revision kv.Revision           `json:"revision"`
