--- a/wisteriactl/explain.go
+++ b/wisteriactl/explain.go
@@ -225,7 +225,7 @@
 }
 
 // surroundingLines returns the events within contextWindow of a request that
-// concern its endpoints, the start of its routers, or their connection to the
+// concern its endpoints, the life cycle of its routers, or their connection to the
 // store.
 func surroundingLines(requestLines, lines []logLine) []logLine {
 	endpoints, routers := make(map[string]bool), make(map[string]bool)
