--- a/wisteriactl/client.go
+++ b/wisteriactl/client.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	dialTimeout = 2 * time.Second
-	callTimeout = 15 * time.Second // a router settles a lost answer in 6 s and waits up to 10 s
-	maxAnswer   = 4 << 20
+	dialTimeout      = 2 * time.Second
+	callTimeout      = 15 * time.Second // a router resolves a lost store reply within 6 s and waits up to 10 s
+	maxResponseBytes = 4 << 20
 )
 
-// The codes of failures that the program tells apart.
+// Error codes of routers that determine the exit code or the next router to try.
 const (
 	codeUnknownTeam = "unknown-team"
 	codeConflict    = "conflict"
@@ -33,20 +33,21 @@
 	codeUnknown     = "unknown"
 )
 
-// failure is what a router answers if it did not do what it was asked.
-type failure struct {
+// routerError is the error in a router's response.
+type routerError struct {
 	Code     string             `json:"code"`
 	Message  string             `json:"message"`
 	Problems []settings.Problem `json:"problems,omitempty"`
-	Standing *standing          `json:"standing,omitempty"`
+	Current  *teamSettings      `json:"standing,omitempty"`
 	Diff     string             `json:"diff,omitempty"`
 }
 
 // Error implements error.
-func (f *failure) Error() string { return f.Code + ": " + f.Message }
+func (f *routerError) Error() string { return f.Code + ": " + f.Message }
 
-// standing is what a router tells of a team's settings.
-type standing struct {
+// teamSettings holds the settings of a team as returned by a router: the
+// revision stored in the platform and the position in force on the router.
+type teamSettings struct {
 	Team     coordination.Team `json:"team"`
 	Text     string            `json:"text"`
 	Revision kv.Revision       `json:"revision"`
@@ -55,10 +56,10 @@
 	InForce  settings.Position `json:"in_force"`
 	Refused  *settings.Refusal `json:"refused,omitempty"`
 
-	InForceText string `json:"in_force_text,omitempty"` // if a value is refused
+	InForceText string `json:"in_force_text,omitempty"` // set if the stored revision is refused
 }
 
-// client speaks to the first router that can be reached.
+// client calls the operator API of the first of its routers that responds.
 type client struct {
 	routers []string
 	http    *http.Client
@@ -78,9 +79,11 @@
 	return c, nil
 }
 
-// call asks one router after the other until one answers. With a body that
-// changes something, an answer that got lost leaves it open what happened; the
-// next router is asked all the same, since a change has an id.
+// call tries the routers in order until one gives a definite response. If the
+// response to a write is lost, its outcome is unknown; the next router is tried
+// nevertheless, because the change ID makes a repeated write idempotent. If all
+// routers fail, the error is errUnknown if a write may have taken effect, or
+// errUnavailable.
 func (c *client) call(ctx context.Context, method, path string, body, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -89,13 +92,13 @@
 	lost := false
 	var last error
 	for _, router := range c.routers {
-		last = c.try(ctx, method, router+path, data, answer)
-		var f *failure
+		last = c.callRouter(ctx, method, router+path, data, answer)
+		var f *routerError
 		answered := errors.As(last, &f)
 		if last == nil || answered && f.Code != codeUnavailable && f.Code != codeUnknown {
 			return last
 		}
-		lost = lost || answered && f.Code == codeUnknown || !answered && !unconnected(last)
+		lost = lost || answered && f.Code == codeUnknown || !answered && !isDialError(last)
 	}
 	if lost && method != http.MethodGet {
 		return errUnknown.New("%v", last)
@@ -103,14 +106,14 @@
 	return errUnavailable.New("%v", last)
 }
 
-// unconnected reports whether no connection could be made, so that nothing
-// can have been done.
-func unconnected(err error) bool {
+// isDialError reports whether err is a failure to connect, in which case the
+// request was not sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (c *client) try(ctx context.Context, method, url string, body []byte, answer any) error {
+func (c *client) callRouter(ctx context.Context, method, url string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -123,7 +126,7 @@
 		return err
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -131,7 +134,7 @@
 		return json.Unmarshal(data, answer)
 	}
 	var failed struct {
-		Error *failure `json:"error"`
+		Error *routerError `json:"error"`
 	}
 	if json.Unmarshal(data, &failed) != nil || failed.Error == nil {
 		return fmt.Errorf("%s answered %s", url, res.Status)
@@ -143,15 +146,16 @@
 	return "/operator/v1/settings/" + url.PathEscape(string(team))
 }
 
-// get reads the settings of a team.
-func (c *client) get(ctx context.Context, team coordination.Team) (standing, error) {
-	var s standing
-	return s, known(c.call(ctx, http.MethodGet, settingsPath(team), nil, &s))
+// get returns the settings of a team.
+func (c *client) get(ctx context.Context, team coordination.Team) (teamSettings, error) {
+	var s teamSettings
+	return s, classifyError(c.call(ctx, http.MethodGet, settingsPath(team), nil, &s))
 }
 
-// known gives a router's failure the kind that has its exit code.
-func known(err error) error {
-	var f *failure
+// classifyError converts a routerError to the error type of its exit code. It
+// returns other errors unchanged.
+func classifyError(err error) error {
+	var f *routerError
 	if !errors.As(err, &f) {
 		return err
 	}
--- a/wisteriactl/losses.go
+++ b/wisteriactl/losses.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// The causes for which a request is not answered in full and on time, in the
-// order in which losses prints them.
+// lossCauses are the reasons why a request was not answered completely and on
+// time, in the order of the columns printed by losses.
 var lossCauses = []string{
-	"late-waiting", // most of the time to its first byte it waited for a place
-	"late-moved",   // an attempt before had failed, or met silence
+	"late-waiting", // over half of the time to the first byte was spent waiting for placement
+	"late-moved",   // a previous attempt failed or received no response
 	"late-endpoint",
 	"late-pause",
-	"endpoint-failed", // with a status of the endpoint's own
+	"endpoint-failed", // with an error status returned by the endpoint
 	"broke-off",
-	"refused", // not run: 503, 429
+	"refused", // not executed: 503, 429
 	"router-failed",
 	"caller-left",
-	"unfinished", // no line tells of its end: its router has died
+	"unfinished", // the log has no outcome because the router terminated
 }
 
-// lossRow counts the requests of one route, or of one span of time.
+// lossRow counts the requests of one route or one time interval.
 type lossRow struct {
 	Name     string         `json:"name"`
 	Requests int            `json:"requests"`
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			rows := lossesOf(lines, every)
+			rows := countLosses(lines, every)
 			return c.show(rows, func() { c.printLosses(rows) })
 		},
 	}
@@ -64,16 +64,16 @@
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // as with all other output, nobody is told if it cannot be written
+	_ = w.Flush() // write errors are ignored, as for all other output
 }
 
-// lossesOf counts requests by route, or by spans of time if every is not zero,
-// and in all.
-func lossesOf(lines []logLine, every time.Duration) []*lossRow {
+// countLosses counts requests by route, or by time intervals of length every if
+// it is not zero. The last row is the total.
+func countLosses(lines []logLine, every time.Duration) []*lossRow {
 	byRequest := make(map[string][]logLine)
 	var order []string
 	for _, l := range lines {
-		if l.Request == "" || !l.placed() && !l.attempted() && !l.refused() && !l.gone() && l.Event != eventRelayCut {
+		if l.Request == "" || !l.placed() && !l.attempted() && !l.refused() && !l.callerGone() && l.Event != eventRelayCut {
 			continue
 		}
 		if byRequest[l.Request] == nil {
@@ -84,19 +84,20 @@
 	rows := make(map[string]*lossRow)
 	all := &lossRow{Name: "all", Lost: make(map[string]int)}
 	for _, id := range order {
-		own := byRequest[id]
-		name := own[0].rowName(lines[0].Time, every)
+		requestLines := byRequest[id]
+		name := requestLines[0].rowName(lines[0].Time, every)
 		if rows[name] == nil {
 			rows[name] = &lossRow{Name: name, Lost: make(map[string]int)}
 		}
-		rows[name].add(own)
-		all.add(own)
+		rows[name].add(requestLines)
+		all.add(requestLines)
 	}
 	sorted := slices.SortedFunc(maps.Values(rows), func(a, b *lossRow) int { return strings.Compare(a.Name, b.Name) })
 	return append(sorted, all)
 }
 
-// rowName returns the row in which a request counts that begins with l.
+// rowName returns the name of the row that counts the request whose first line is
+// l.
 func (l logLine) rowName(start time.Time, every time.Duration) string {
 	if every > 0 {
 		return fmt.Sprintf("%08.1fs", l.Time.Sub(start).Truncate(every).Seconds())
@@ -107,25 +108,25 @@
 	return l.Route
 }
 
-func (r *lossRow) add(own []logLine) {
+func (r *lossRow) add(requestLines []logLine) {
 	r.Requests++
-	if cause := lossCause(own); cause != "" {
+	if cause := lossCause(requestLines); cause != "" {
 		r.Lost[cause]++
 		return
 	}
 	r.OnTime++
 }
 
-// lossCause returns for what reason the request of these lines was not answered
-// in full and on time, or "" if it was.
-func lossCause(own []logLine) string {
-	last := own[len(own)-1]
+// lossCause returns the reason why a request was not answered completely and on
+// time, or "" if it was or if the caller's request was at fault.
+func lossCause(requestLines []logLine) string {
+	last := requestLines[len(requestLines)-1]
 	waited := int64(0)
-	for _, l := range own {
+	for _, l := range requestLines {
 		waited += l.PlaceMs
 	}
 	switch {
-	case last.gone():
+	case last.callerGone():
 		return "caller-left"
 	case last.Event == eventRelayCut:
 		return "broke-off"
@@ -134,7 +135,7 @@
 	case last.refused() && last.Status >= 500:
 		return "router-failed"
 	case last.refused():
-		return "" // the caller's own mistake
+		return "" // caused by the caller's request
 	case last.placed():
 		return "unfinished"
 	case last.Ended == "cut" || last.Ended == "broken":
