--- a/standin/hub/hub.go
+++ b/standin/hub/hub.go
@@ -15,38 +15,38 @@
 
 // Item is a key with its value, as the wire shows it.
 type Item struct {
-	Key      string `json:"key"`
-	Value    []byte `json:"value,omitempty"`
-	Revision int64  `json:"revision"`
-	Created  int64  `json:"created,omitempty"`
-	Deleted  bool   `json:"deleted,omitempty"`
+	Key            string `json:"key"`
+	Value          []byte `json:"value,omitempty"`
+	Revision       int64  `json:"revision"`
+	CreateRevision int64  `json:"created,omitempty"`
+	Deleted        bool   `json:"deleted,omitempty"`
 }
 
 // Faults are what goes wrong at the store.
 type Faults struct {
-	Down   bool          // every call is answered 503
-	Silent bool          // no call is answered
-	Mute   bool          // waiting watches hear nothing of changes
-	Slow   time.Duration // before each answer
+	Outage       bool          // every call is answered 503
+	Hang         bool          // no call is answered
+	StallWatches bool          // waiting watches hear nothing of changes
+	Delay        time.Duration // before each answer
 	// Refuse, if set, says which callers are turned away, by their address.
 	Refuse func(remote string) bool
 }
 
 // Store is the stand-in. It is an http.Handler.
 type Store struct {
-	mu       sync.Mutex
-	revision int64
-	items    map[string]Item
-	history  []Item // in the order of revisions
-	floor    int64  // history up to here is gone
-	changed  chan struct{}
-	faults   Faults
-	calls    int
+	mu        sync.Mutex
+	revision  int64
+	items     map[string]Item
+	history   []Item // in the order of revisions
+	compacted int64  // history up to here is gone
+	changed   chan struct{}
+	faults    Faults
+	calls     int
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{revision: 1, floor: 1, items: make(map[string]Item), changed: make(chan struct{})}
+	return &Store{revision: 1, compacted: 1, items: make(map[string]Item), changed: make(chan struct{})}
 }
 
 // Put writes a key and returns the revision.
@@ -54,12 +54,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	item := Item{Key: key, Value: slices.Clone(value), Revision: s.revision, Created: s.revision}
+	item := Item{Key: key, Value: slices.Clone(value), Revision: s.revision, CreateRevision: s.revision}
 	if old, ok := s.items[key]; ok {
-		item.Created = old.Created
+		item.CreateRevision = old.CreateRevision
 	}
 	s.items[key] = item
-	s.record(item)
+	s.recordLocked(item)
 	return s.revision
 }
 
@@ -72,34 +72,34 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	s.record(Item{Key: key, Revision: s.revision, Deleted: true})
+	s.recordLocked(Item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) record(item Item) {
+func (s *Store) recordLocked(item Item) {
 	s.history = append(s.history, item)
-	if !s.faults.Mute {
-		s.wake()
+	if !s.faults.StallWatches {
+		s.wakeWatchesLocked()
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatchesLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history.
-func (s *Store) Forget() {
+// Compact drops the history.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.floor = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 }
 
-// Fail sets what goes wrong from now on.
-func (s *Store) Fail(f Faults) {
+// SetFaults sets what goes wrong from now on.
+func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.wakeWatchesLocked()
 }
 
 // Calls returns how many calls have come.
@@ -115,18 +115,18 @@
 	s.calls++
 	f := s.faults
 	s.mu.Unlock()
-	if f.Slow > 0 {
-		time.Sleep(f.Slow)
+	if f.Delay > 0 {
+		time.Sleep(f.Delay)
 	}
 	switch {
-	case f.Silent:
+	case f.Hang:
 		<-r.Context().Done()
-	case f.Down, f.Refuse != nil && f.Refuse(r.RemoteAddr):
+	case f.Outage, f.Refuse != nil && f.Refuse(r.RemoteAddr):
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.URL.Path == "/wisteriaspool/kv-range":
-		s.list(w, r)
+		s.handleRange(w, r)
 	case r.URL.Path == "/wisteriaspool/kv-watch":
-		s.watch(w, r)
+		s.handleWatch(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -135,7 +135,7 @@
 // pageSize is small, so that tests read several pages.
 const pageSize = 50
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleRange(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
@@ -153,10 +153,10 @@
 	for _, key := range keys[:min(len(keys), pageSize)] {
 		page.Entries = append(page.Entries, s.items[key])
 	}
-	answer(w, page)
+	writeJSON(w, page)
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, errWait := strconv.ParseInt(query.Get("waitMs"), 10, 64)
@@ -166,16 +166,16 @@
 	}
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for first := true; ; first = false {
-		events, asOf, state := s.since(query.Get("prefix"), after, first)
+		events, asOf, status := s.eventsAfter(query.Get("prefix"), after, first)
 		switch {
-		case state == gone:
+		case status == historyCompacted:
 			w.WriteHeader(http.StatusGone)
 			return
-		case state == down:
+		case status == storeUnavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case len(events) > 0:
-			answer(w, changes{Events: events, AsOf: asOf})
+			writeJSON(w, watchResponse{Events: events, AsOf: asOf})
 			return
 		}
 		s.mu.Lock()
@@ -184,7 +184,7 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			answer(w, changes{Events: []Item{}, AsOf: after})
+			writeJSON(w, watchResponse{Events: []Item{}, AsOf: after})
 			return
 		case <-r.Context().Done():
 			return
@@ -192,29 +192,29 @@
 	}
 }
 
-type changes struct {
+type watchResponse struct {
 	Events []Item `json:"events"`
 	AsOf   int64  `json:"asOf"`
 }
 
-type state int
+type historyStatus int
 
 const (
-	fine state = iota
-	gone
-	down
+	historyAvailable historyStatus = iota
+	historyCompacted
+	storeUnavailable
 )
 
-func (s *Store) since(prefix string, after int64, first bool) ([]Item, int64, state) {
+func (s *Store) eventsAfter(prefix string, after int64, first bool) ([]Item, int64, historyStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.faults.Down || s.faults.Silent:
-		return nil, 0, down
-	case after < s.floor && first:
-		return nil, 0, gone
-	case s.faults.Mute && !first:
-		return nil, 0, fine
+	case s.faults.Outage || s.faults.Hang:
+		return nil, 0, storeUnavailable
+	case after < s.compacted && first:
+		return nil, 0, historyCompacted
+	case s.faults.StallWatches && !first:
+		return nil, 0, historyAvailable
 	}
 	var events []Item
 	for _, item := range s.history {
@@ -222,10 +222,10 @@
 			events = append(events, item)
 		}
 	}
-	return events, s.revision, fine
+	return events, s.revision, historyAvailable
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the caller may have gone
 }
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -1,10 +1,10 @@
 package platform
 
-// Kind names a kind of call.
-type Kind int
+// callKind names a kind of call.
+type callKind int
 
 const (
-	rangeCall Kind = iota
+	rangeCall callKind = iota
 	putCall
 	deleteCall
 	txnCall
@@ -50,7 +50,7 @@
 	return s.calls
 }
 
-func (s *Server) count(k Kind) {
+func (s *Server) countCall(k callKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &s.calls
@@ -68,7 +68,7 @@
 	s.calls.WatchEvents += n
 }
 
-func (s *Server) openWatches(n int) {
+func (s *Server) addOpenWatches(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.OpenWatches += n
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -49,14 +49,14 @@
 // faultState holds the lasting faults and the random source that picks calls.
 type faultState struct {
 	mu      sync.Mutex
-	now     Faults
+	current Faults
 	random  *rand.Rand
 	changed chan struct{} // closed at the next change
 }
 
-func newFaultState(seed uint64, first Faults) *faultState {
+func newFaultState(seed uint64, initial Faults) *faultState {
 	return &faultState{
-		now:     first,
+		current: initial,
 		random:  rand.New(rand.NewPCG(seed, seed)),
 		changed: make(chan struct{}),
 	}
@@ -66,7 +66,7 @@
 func (f *faultState) get() (Faults, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now, f.changed
+	return f.current, f.changed
 }
 
 // set replaces the lasting faults.
@@ -74,7 +74,7 @@
 	next.Restore, next.DropWatches, next.Compact = nil, false, false
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = next
+	f.current = next
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -86,32 +86,32 @@
 	return next, err
 }
 
-// fate tells what happens to one call.
-type fate int
+// callOutcome tells what happens to one call.
+type callOutcome int
 
 const (
-	answered  fate = iota
-	lostCall       // no effect, no answer
-	lostReply      // effect, no answer
+	answered  callOutcome = iota
+	lostCall              // no effect, no answer
+	lostReply             // effect, no answer
 )
 
-// draw decides the fate of a call. The counts are for writes, so that reads
+// nextOutcome decides the fate of a call. The counts are for writes, so that reads
 // that go on in the background don't use them up.
-func (f *faultState) draw(write bool) fate {
+func (f *faultState) nextOutcome(write bool) callOutcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if write && f.now.LoseCallNext > 0 {
-		f.now.LoseCallNext--
+	if write && f.current.LoseCallNext > 0 {
+		f.current.LoseCallNext--
 		return lostCall
 	}
-	if write && f.now.LoseReplyNext > 0 {
-		f.now.LoseReplyNext--
+	if write && f.current.LoseReplyNext > 0 {
+		f.current.LoseReplyNext--
 		return lostReply
 	}
-	if f.now.LoseCall > 0 && f.random.Float64() < f.now.LoseCall {
+	if f.current.LoseCall > 0 && f.random.Float64() < f.current.LoseCall {
 		return lostCall
 	}
-	if f.now.LoseReply > 0 && f.random.Float64() < f.now.LoseReply {
+	if f.current.LoseReply > 0 && f.random.Float64() < f.current.LoseReply {
 		return lostReply
 	}
 	return answered
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -11,71 +11,71 @@
 
 func (s *Server) handleRange(w http.ResponseWriter, r *http.Request) {
 	var req rangeRequest
-	s.answer(w, r, call{kind: rangeCall}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: rangeCall}, &req, func() (any, *statusError) {
 		return s.store.rangeKeys(req)
 	})
 }
 
 func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
 	var req putRequest
-	s.answer(w, r, call{kind: putCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: putCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.put(req)
 	})
 }
 
 func (s *Server) handleDelete(w http.ResponseWriter, r *http.Request) {
 	var req deleteRequest
-	s.answer(w, r, call{kind: deleteCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: deleteCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.deleteRange(req)
 	})
 }
 
 func (s *Server) handleTxn(w http.ResponseWriter, r *http.Request) {
 	var req txnRequest
-	s.answer(w, r, call{kind: txnCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: txnCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.txn(req)
 	})
 }
 
 func (s *Server) handleGrant(w http.ResponseWriter, r *http.Request) {
 	var req leaseRequest
-	s.answer(w, r, call{kind: grantCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: grantCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.grant(req)
 	})
 }
 
 func (s *Server) handleKeepAlive(w http.ResponseWriter, r *http.Request) {
 	var req leaseRequest
-	s.answer(w, r, call{kind: keepAliveCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: keepAliveCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.keepAlive(req), nil
 	})
 }
 
 func (s *Server) handleRevoke(w http.ResponseWriter, r *http.Request) {
 	var req leaseRequest
-	s.answer(w, r, call{kind: revokeCall, write: true}, &req, func() (any, *statusError) {
+	s.handleCall(w, r, call{kind: revokeCall, write: true}, &req, func() (any, *statusError) {
 		return s.store.revoke(req)
 	})
 }
 
 func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
-	s.count(listCall)
+	s.countCall(listCall)
 	faults, _ := s.faults.get()
 	if faults.ListOutage {
-		writeRefusal(w, refusal(codeUnavailable, "the list of instances is down"))
+		writeError(w, newStatusError(codeUnavailable, "the list of instances is down"))
 		return
 	}
 	if !s.sleep(r.Context(), time.Duration(faults.SlowMillis)*time.Millisecond) {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, http.StatusOK, s.directory.list(time.Duration(faults.ListLagMillis)*time.Millisecond))
+	writeJSON(w, http.StatusOK, s.instances.list(time.Duration(faults.ListLagMillis)*time.Millisecond))
 }
 
 func (s *Server) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var entry Instance
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&entry)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&entry)
 	if err != nil || entry.ID == "" {
-		writeRefusal(w, refusal(codeInvalidArgument, "an instance is JSON with an id"))
+		writeError(w, newStatusError(codeInvalidArgument, "an instance is JSON with an id"))
 		return
 	}
 	s.Register(entry)
@@ -87,25 +87,25 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var data json.RawMessage
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&data); err != nil {
-		writeRefusal(w, refusal(codeInvalidArgument, err.Error()))
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&data); err != nil {
+		writeError(w, newStatusError(codeInvalidArgument, err.Error()))
 		return
 	}
 	next, err := s.faults.merge(data)
 	if err != nil {
-		writeRefusal(w, refusal(codeInvalidArgument, err.Error()))
+		writeError(w, newStatusError(codeInvalidArgument, err.Error()))
 		return
 	}
 	if err := s.SetFaults(next); err != nil {
-		writeRefusal(w, refusal(codeInvalidArgument, err.Error()))
+		writeError(w, newStatusError(codeInvalidArgument, err.Error()))
 		return
 	}
-	s.handleShowFaults(w, r)
+	s.handleGetFaults(w, r)
 }
 
-func (s *Server) handleShowFaults(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleGetFaults(w http.ResponseWriter, _ *http.Request) {
 	faults, _ := s.faults.get()
 	writeJSON(w, http.StatusOK, faults)
 }
@@ -119,16 +119,16 @@
 	if entry.State == "" {
 		entry.State = Live
 	}
-	s.directory.update(func(m map[string]Instance) { m[entry.ID] = entry })
+	s.instances.update(func(m map[string]Instance) { m[entry.ID] = entry })
 }
 
 // Remove takes an entry off the list of instances.
 func (s *Server) Remove(id string) {
-	s.directory.update(func(m map[string]Instance) { delete(m, id) })
+	s.instances.update(func(m map[string]Instance) { delete(m, id) })
 }
 
 // Instances returns the list without its lag.
-func (s *Server) Instances() []Instance { return s.directory.list(0).Instances }
+func (s *Server) Instances() []Instance { return s.instances.list(0).Instances }
 
 // SetFaults replaces the lasting faults and makes the others happen.
 func (s *Server) SetFaults(f Faults) error {
@@ -143,8 +143,8 @@
 	}
 	if f.DropWatches {
 		s.mu.Lock()
-		close(s.dropped)
-		s.dropped = make(chan struct{})
+		close(s.watchesDropped)
+		s.watchesDropped = make(chan struct{})
 		s.mu.Unlock()
 	}
 	return nil
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -40,37 +40,37 @@
 	instances map[string]Instance
 }
 
-// directory keeps the list with enough of its past to answer late.
-type directory struct {
-	mu   sync.Mutex
-	past []snapshot // by time; the last is the current one
+// instanceList keeps the list with enough of its past to answer late.
+type instanceList struct {
+	mu        sync.Mutex
+	snapshots []snapshot // by time; the last is the current one
 }
 
-func newDirectory() *directory {
-	return &directory{past: []snapshot{{instances: map[string]Instance{}}}}
+func newInstanceList() *instanceList {
+	return &instanceList{snapshots: []snapshot{{instances: map[string]Instance{}}}}
 }
 
 // update changes a copy of the list.
-func (d *directory) update(change func(map[string]Instance)) {
+func (d *instanceList) update(change func(map[string]Instance)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := maps.Clone(d.past[len(d.past)-1].instances)
+	next := maps.Clone(d.snapshots[len(d.snapshots)-1].instances)
 	change(next)
 	now := time.Now()
-	d.past = append(d.past, snapshot{at: now, instances: next})
-	for len(d.past) > 1 && now.Sub(d.past[1].at) > maxListLag {
-		d.past = d.past[1:]
+	d.snapshots = append(d.snapshots, snapshot{at: now, instances: next})
+	for len(d.snapshots) > 1 && now.Sub(d.snapshots[1].at) > maxListLag {
+		d.snapshots = d.snapshots[1:]
 	}
 }
 
 // list returns the list as it stood lag ago, ordered by id.
-func (d *directory) list(lag time.Duration) List {
+func (d *instanceList) list(lag time.Duration) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	seen := time.Now().Add(-lag)
-	shown := d.past[0]
-	for _, s := range d.past {
-		if !s.at.After(seen) {
+	asOf := time.Now().Add(-lag)
+	shown := d.snapshots[0]
+	for _, s := range d.snapshots {
+		if !s.at.After(asOf) {
 			shown = s
 		}
 	}
--- a/standin/platform/leases.go
+++ b/standin/platform/leases.go
@@ -11,18 +11,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if req.TTL <= 0 {
-		return nil, refusal(codeInvalidArgument, "etcdserver: too small lease TTL")
+		return nil, newStatusError(codeInvalidArgument, "etcdserver: too small lease TTL")
 	}
 	id := req.ID
 	if id == 0 {
-		s.lastLease++
-		id = firstLease + s.lastLease
+		s.lastLeaseID++
+		id = leaseIDBase + s.lastLeaseID
 	}
 	if s.leases[id] != nil {
-		return nil, refusal(codeAlreadyExists, "etcdserver: lease already exists")
+		return nil, newStatusError(codeAlreadyExists, "etcdserver: lease already exists")
 	}
 	l := &lease{id: id, ttl: time.Duration(req.TTL) * time.Second, keys: make(map[string]bool)}
-	l.timer = time.AfterFunc(l.ttl, func() { s.lapse(l) })
+	l.timer = time.AfterFunc(l.ttl, func() { s.expire(l) })
 	s.leases[id] = l
 	return &leaseResponse{Header: s.headerLocked(), ID: id, TTL: req.TTL}, nil
 }
@@ -45,24 +45,24 @@
 	defer s.mu.Unlock()
 	l := s.leases[req.ID]
 	if l == nil {
-		return nil, refusal(codeNotFound, "etcdserver: requested lease not found")
+		return nil, newStatusError(codeNotFound, "etcdserver: requested lease not found")
 	}
 	l.timer.Stop()
-	s.endLocked(l)
+	s.deleteLeaseLocked(l)
 	return &leaseResponse{Header: s.headerLocked()}, nil
 }
 
-// lapse ends a lease that nobody renewed in time.
-func (s *store) lapse(l *lease) {
+// expire ends a lease that nobody renewed in time.
+func (s *store) expire(l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[l.id] == l {
-		s.endLocked(l)
+		s.deleteLeaseLocked(l)
 	}
 }
 
-// endLocked deletes the lease's keys at one revision.
-func (s *store) endLocked(l *lease) {
+// deleteLeaseLocked deletes the lease's keys at one revision.
+func (s *store) deleteLeaseLocked(l *lease) {
 	delete(s.leases, l.id)
 	if len(l.keys) == 0 {
 		return
@@ -71,5 +71,5 @@
 	for _, key := range lo.Keys(l.keys) {
 		s.removeLocked(s.current[key])
 	}
-	s.announceLocked()
+	s.trimAndNotifyLocked()
 }
--- a/standin/platform/messages.go
+++ b/standin/platform/messages.go
@@ -36,8 +36,8 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// header is etcdserverpb.ResponseHeader.
-type header struct {
+// responseHeader is etcdserverpb.ResponseHeader.
+type responseHeader struct {
 	ClusterID Int64 `json:"cluster_id"`
 	MemberID  Int64 `json:"member_id"`
 	Revision  Int64 `json:"revision"`
@@ -54,10 +54,10 @@
 }
 
 type rangeResponse struct {
-	Header *header    `json:"header,omitempty"`
-	KVs    []KeyValue `json:"kvs,omitempty"`
-	More   bool       `json:"more,omitempty"`
-	Count  Int64      `json:"count,omitempty"`
+	Header *responseHeader `json:"header,omitempty"`
+	KVs    []KeyValue      `json:"kvs,omitempty"`
+	More   bool            `json:"more,omitempty"`
+	Count  Int64           `json:"count,omitempty"`
 }
 
 type putRequest struct {
@@ -68,8 +68,8 @@
 }
 
 type putResponse struct {
-	Header *header   `json:"header,omitempty"`
-	PrevKV *KeyValue `json:"prev_kv,omitempty"`
+	Header *responseHeader `json:"header,omitempty"`
+	PrevKV *KeyValue       `json:"prev_kv,omitempty"`
 }
 
 type deleteRequest struct {
@@ -79,14 +79,14 @@
 }
 
 type deleteResponse struct {
-	Header  *header    `json:"header,omitempty"`
-	Deleted Int64      `json:"deleted,omitempty"`
-	PrevKVs []KeyValue `json:"prev_kvs,omitempty"`
+	Header  *responseHeader `json:"header,omitempty"`
+	Deleted Int64           `json:"deleted,omitempty"`
+	PrevKVs []KeyValue      `json:"prev_kvs,omitempty"`
 }
 
-// compare is etcdserverpb.Compare. An absent result means EQUAL and an absent
+// comparison is etcdserverpb.Compare. An absent result means EQUAL and an absent
 // target means VERSION, as in protobuf's JSON mapping.
-type compare struct {
+type comparison struct {
 	Result         string `json:"result"`
 	Target         string `json:"target"`
 	Key            []byte `json:"key"`
@@ -110,13 +110,13 @@
 }
 
 type txnRequest struct {
-	Compare []compare   `json:"compare"`
-	Success []operation `json:"success"`
-	Failure []operation `json:"failure"`
+	Compare []comparison `json:"compare"`
+	Success []operation  `json:"success"`
+	Failure []operation  `json:"failure"`
 }
 
 type txnResponse struct {
-	Header    *header             `json:"header"`
+	Header    *responseHeader     `json:"header"`
 	Succeeded bool                `json:"succeeded,omitempty"`
 	Responses []operationResponse `json:"responses,omitempty"`
 }
@@ -127,9 +127,9 @@
 }
 
 type leaseResponse struct {
-	Header *header `json:"header"`
-	ID     Int64   `json:"ID,omitempty"`
-	TTL    Int64   `json:"TTL,omitempty"`
+	Header *responseHeader `json:"header"`
+	ID     Int64           `json:"ID,omitempty"`
+	TTL    Int64           `json:"TTL,omitempty"`
 }
 
 type keepAliveResponse struct {
@@ -137,10 +137,10 @@
 }
 
 type watchRequest struct {
-	Create *watchCreate `json:"create_request"`
+	Create *watchCreateRequest `json:"create_request"`
 }
 
-type watchCreate struct {
+type watchCreateRequest struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end"`
 	StartRevision Int64  `json:"start_revision"`
@@ -152,13 +152,13 @@
 }
 
 type watchResult struct {
-	Header          *header      `json:"header"`
-	WatchID         Int64        `json:"watch_id,omitempty"`
-	Created         bool         `json:"created,omitempty"`
-	Canceled        bool         `json:"canceled,omitempty"`
-	CompactRevision Int64        `json:"compact_revision,omitempty"`
-	CancelReason    string       `json:"cancel_reason,omitempty"`
-	Events          []watchEvent `json:"events,omitempty"`
+	Header          *responseHeader `json:"header"`
+	WatchID         Int64           `json:"watch_id,omitempty"`
+	Created         bool            `json:"created,omitempty"`
+	Canceled        bool            `json:"canceled,omitempty"`
+	CompactRevision Int64           `json:"compact_revision,omitempty"`
+	CancelReason    string          `json:"cancel_reason,omitempty"`
+	Events          []watchEvent    `json:"events,omitempty"`
 }
 
 // watchEvent is mvccpb.Event. Type is absent for a put, which is the enum's
@@ -169,35 +169,35 @@
 	PrevKV *KeyValue `json:"prev_kv,omitempty"`
 }
 
-// code is a gRPC status code.
-type code int
+// statusCode is a gRPC status statusCode.
+type statusCode int
 
 const (
-	codeInvalidArgument   code = 3
-	codeNotFound          code = 5
-	codeAlreadyExists     code = 6
-	codeResourceExhausted code = 8
-	codeOutOfRange        code = 11
-	codeUnavailable       code = 14
+	codeInvalidArgument   statusCode = 3
+	codeNotFound          statusCode = 5
+	codeAlreadyExists     statusCode = 6
+	codeResourceExhausted statusCode = 8
+	codeOutOfRange        statusCode = 11
+	codeUnavailable       statusCode = 14
 )
 
 // statusError is the body of a refused call.
 type statusError struct {
-	Text    string `json:"error"`
-	Code    code   `json:"code"`
-	Message string `json:"message"`
+	Text    string     `json:"error"`
+	Code    statusCode `json:"code"`
+	Message string     `json:"message"`
 }
 
-func refusal(c code, message string) *statusError {
+func newStatusError(c statusCode, message string) *statusError {
 	return &statusError{Text: message, Code: c, Message: message}
 }
 
 // Error returns the message.
 func (e *statusError) Error() string { return "platform: " + e.Message }
 
-// decode reads a request of the gateway, which takes both the names of the
+// decodeRequest reads a request of the gateway, which takes both the names of the
 // proto file and their camelCase forms.
-func decode(data []byte, v any) error {
+func decodeRequest(data []byte, v any) error {
 	if len(data) == 0 {
 		return nil
 	}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -21,19 +21,19 @@
 
 const base = "http://platform"
 
-// site is a platform with a client, on a network of pipes.
-type site struct {
+// testServer is a platform with a client, on a network of pipes.
+type testServer struct {
 	*Server
 	client *http.Client
 }
 
-// newSite starts a platform, which has to end within the same bubble.
-func newSite(opts Options) (*site, func()) {
+// newTestServer starts a platform, which has to end within the same bubble.
+func newTestServer(opts Options) (*testServer, func()) {
 	network := &pipe.Network{}
 	server, cleanup := New(opts)
 	transport := network.Transport()
 	stop := network.Serve("platform:80", server)
-	return &site{Server: server, client: &http.Client{Transport: transport}}, func() {
+	return &testServer{Server: server, client: &http.Client{Transport: transport}}, func() {
 		cleanup()
 		transport.CloseIdleConnections()
 		stop()
@@ -41,17 +41,17 @@
 }
 
 // inBubble runs f with a platform under the paused clock.
-func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *site)) {
+func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *testServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s, cleanup := newSite(opts)
+		s, cleanup := newTestServer(opts)
 		defer cleanup()
 		f(t, s)
 	})
 }
 
 // post sends a body and reads the answer into v, unless the connection breaks.
-func (s *site) post(path, body string, v any) (int, error) {
+func (s *testServer) post(path, body string, v any) (int, error) {
 	res, err := s.client.Post(base+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -74,7 +74,7 @@
 		"failure":[{"request_range":{"key":%q}}]}`, b64(key), expect, b64(key), b64(value), b64(key))
 }
 
-func (s *site) cas(key, value string, expect Int64) (txnResponse, error) {
+func (s *testServer) cas(key, value string, expect Int64) (txnResponse, error) {
 	var res txnResponse
 	_, err := s.post("/v3/kv/txn", casBody(key, value, expect), &res)
 	return res, err
@@ -82,8 +82,8 @@
 
 // Two operators write the same key at once, both having read the same
 // revision. Only one may win, or a user's accepted setting would be lost.
-func TestOnlyOneOfManyWinsARevision(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestConcurrentCompareAndSwapHasOneWinner(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		won := 0
@@ -127,7 +127,7 @@
 		{`{` + key + `,"target":"VALUE","value":"Mg=="}`, true},
 		{`{"key":"eA==","target":"CREATE","create_revision":"0"}`, true},
 	} {
-		inBubble(t, Options{}, func(t *testing.T, s *site) {
+		inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 			for _, value := range []string{"1", "2"} {
 				_, err := s.Put("k", []byte(value))
 				assert.NilError(t, err)
@@ -141,8 +141,8 @@
 	}
 }
 
-func TestRangeReadsPrefixLimitAndPast(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestRangeByPrefixLimitAndRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		for _, key := range []string{"a/2", "a/1", "b", "a/1"} {
 			_, err := s.Put(key, []byte("v"))
 			assert.NilError(t, err)
@@ -165,8 +165,8 @@
 
 // A holder is paused past its lease. Its key goes, and a watch says so, so that
 // another may take its place.
-func TestLeaseLapsesWithoutKeepAlive(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestLeaseExpiresWithoutKeepAlive(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var granted leaseResponse
 		_, err := s.post("/v3/lease/grant", `{"TTL":"5"}`, &granted)
 		assert.NilError(t, err)
@@ -197,7 +197,7 @@
 	lines *bufio.Scanner
 }
 
-func (s *site) watch(ctx context.Context, t *testing.T, from Int64) watch {
+func (s *testServer) watch(ctx context.Context, t *testing.T, from Int64) watch {
 	t.Helper()
 	body := fmt.Sprintf(`{"create_request":{"key":"aw==","start_revision":"%d"}}`, from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v3/watch", strings.NewReader(body))
@@ -221,8 +221,8 @@
 	return res.Result, true
 }
 
-func TestWatchFromARevision(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestWatchFromRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		for _, value := range []string{"1", "2", "3"} {
 			_, err := s.Put("k", []byte(value))
 			assert.NilError(t, err)
@@ -246,8 +246,8 @@
 
 // A watcher loses its connection and comes back after the history that it
 // missed is gone. It has to be told, or it would serve an old setting for good.
-func TestWatchIsToldOfAGap(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestWatchReportsCompaction(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		w := s.watch(t.Context(), t, 2)
 		assert.NilError(t, s.SetFaults(Faults{DropWatches: true}))
 		_, ok := w.next(t)
@@ -268,8 +268,8 @@
 
 // An operator restores a backup, so an old value of a setting is written over
 // a newer one. It carries a new revision: only its content is old.
-func TestRestoreWritesAnOldValueAsNew(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestRestoreCreatesNewRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		first, err := s.Put("k", []byte("old"))
 		assert.NilError(t, err)
 		_, err = s.Put("k", []byte("new"))
@@ -284,13 +284,13 @@
 
 // The platform fails or answers get lost, and the caller must be able to tell
 // a write that never took effect from one that may have.
-func TestFaultsOfOneWrite(t *testing.T) {
+func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		opts    Options
 		faults  Faults
 		status  int // zero if the connection breaks
-		code    code
+		code    statusCode
 		written bool
 	}{
 		{name: "no fault", status: http.StatusOK, written: true},
@@ -301,7 +301,7 @@
 		{name: "all answers lost", faults: Faults{LoseReply: 1}, written: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, test.opts, func(t *testing.T, s *site) {
+			inBubble(t, test.opts, func(t *testing.T, s *testServer) {
 				assert.NilError(t, s.SetFaults(test.faults))
 				var refused statusError
 				status, err := s.post("/v3/kv/txn", casBody("k", "v", 0), &refused)
@@ -318,7 +318,7 @@
 // Too many writers exhaust the platform's rate. What it refuses has no effect,
 // and after a while it takes writes again.
 func TestRateCap(t *testing.T) {
-	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *site) {
+	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *testServer) {
 		var refused statusError
 		status, err := s.post("/v3/kv/txn", casBody("k", "v", 0), &refused)
 		assert.NilError(t, err)
@@ -340,7 +340,7 @@
 // The platform hangs: a call waits without effect, and a caller that is gone
 // before it goes on has written nothing.
 func TestHang(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		assert.NilError(t, s.SetFaults(Faults{Hang: true}))
 		s.client.Timeout = time.Second
 		_, err := s.cas("k", "v", 0)
@@ -355,7 +355,7 @@
 // The list of instances lags, so that routers send work to an instance that
 // has left, and miss one that has come.
 func TestListLags(t *testing.T) {
-	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *site) {
+	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *testServer) {
 		client := Client{URL: base, HTTP: s.client}
 		assert.NilError(t, client.Register(t.Context(), Instance{ID: "e1", Kind: "engine", Capacity: 16}))
 		assert.Equal(t, len(s.list(t).Instances), 0)
@@ -371,7 +371,7 @@
 	})
 }
 
-func (s *site) list(t *testing.T) List {
+func (s *testServer) list(t *testing.T) List {
 	t.Helper()
 	res, err := s.client.Get(base + "/v1/instances")
 	assert.NilError(t, err)
@@ -382,7 +382,7 @@
 }
 
 func TestFaultsMerge(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var now Faults
 		_, err := s.post("/admin/faults", `{"outage":true}`, &now)
 		assert.NilError(t, err)
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxValue          = 1 << 20 // bytes of one value
-	maxBody           = 4 << 20 // bytes of one request
-	maxListLag        = 10 * time.Minute
-	defaultHistory    = 10000
-	firstLease        = 1000
-	retryAfterSeconds = "1"
+	maxValueBytes        = 1 << 20 // bytes of one value
+	maxBodyBytes         = 4 << 20 // bytes of one request
+	maxListLag           = 10 * time.Minute
+	defaultHistoryEvents = 10000
+	leaseIDBase          = 1000
+	retryAfterSeconds    = "1"
 )
 
 // Options configure a Server. The zero value has no rate caps and no lag.
@@ -36,31 +36,31 @@
 type Server struct {
 	mux       *http.ServeMux
 	store     *store
-	directory *directory
+	instances *instanceList
 	faults    *faultState
 	writes    *rate.Limiter
 	reads     *rate.Limiter
 
-	mu      sync.Mutex
-	calls   Calls
-	dropped chan struct{} // closed when watches are to break
-	closed  chan struct{}
+	mu             sync.Mutex
+	calls          Calls
+	watchesDropped chan struct{} // closed when watches are to break
+	closed         chan struct{}
 }
 
 // New returns a server and the function that ends its watches and leases.
 func New(opts Options) (*Server, func()) {
 	if opts.History <= 0 {
-		opts.History = defaultHistory
+		opts.History = defaultHistoryEvents
 	}
 	s := &Server{
-		mux:       http.NewServeMux(),
-		store:     newStore(opts.History),
-		directory: newDirectory(),
-		faults:    newFaultState(opts.Seed, Faults{ListLagMillis: int(opts.ListLag.Milliseconds())}),
-		writes:    limiter(opts.WritesPerSecond),
-		reads:     limiter(opts.ReadsPerSecond),
-		dropped:   make(chan struct{}),
-		closed:    make(chan struct{}),
+		mux:            http.NewServeMux(),
+		store:          newStore(opts.History),
+		instances:      newInstanceList(),
+		faults:         newFaultState(opts.Seed, Faults{ListLagMillis: int(opts.ListLag.Milliseconds())}),
+		writes:         newLimiter(opts.WritesPerSecond),
+		reads:          newLimiter(opts.ReadsPerSecond),
+		watchesDropped: make(chan struct{}),
+		closed:         make(chan struct{}),
 	}
 	s.routes()
 	return s, sync.OnceFunc(func() {
@@ -69,8 +69,8 @@
 	})
 }
 
-// limiter returns a limiter with a burst of a tenth of a second.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a newLimiter with a burst of a tenth of a second.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -89,8 +89,8 @@
 	s.mux.HandleFunc("GET /v1/instances", s.handleList)
 	s.mux.HandleFunc("POST /admin/instances", s.handleRegister)
 	s.mux.HandleFunc("DELETE /admin/instances/{id}", s.handleRemove)
-	s.mux.HandleFunc("POST /admin/faults", s.handleFaults)
-	s.mux.HandleFunc("GET /admin/faults", s.handleShowFaults)
+	s.mux.HandleFunc("POST /admin/faults", s.handleSetFaults)
+	s.mux.HandleFunc("GET /admin/faults", s.handleGetFaults)
 	s.mux.HandleFunc("GET /admin/calls", s.handleCalls)
 }
 
@@ -102,36 +102,36 @@
 
 // call describes one kind of call.
 type call struct {
-	kind  Kind
+	kind  callKind
 	write bool
 }
 
-// answer runs one call of the key-value service under the faults and caps.
+// handleCall runs one call of the key-value service under the faults and caps.
 // req is filled from the body before run is called.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, c call, req any, run func() (any, *statusError)) {
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request, c call, req any, run func() (any, *statusError)) {
 	// The body is read to its end first, since net/http notices only then that
 	// the caller has gone.
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if !s.admit(w, r, c) {
 		return
 	}
 	if err == nil {
-		err = decode(data, req)
+		err = decodeRequest(data, req)
 	}
 	if err != nil {
-		writeRefusal(w, refusal(codeInvalidArgument, err.Error()))
+		writeError(w, newStatusError(codeInvalidArgument, err.Error()))
 		return
 	}
-	f := s.faults.draw(c.write)
-	if f == lostCall {
+	outcome := s.faults.nextOutcome(c.write)
+	if outcome == lostCall {
 		panic(http.ErrAbortHandler)
 	}
 	res, refused := run()
-	if f == lostReply {
+	if outcome == lostReply {
 		panic(http.ErrAbortHandler)
 	}
 	if refused != nil {
-		writeRefusal(w, refused)
+		writeError(w, refused)
 		return
 	}
 	writeJSON(w, http.StatusOK, res)
@@ -139,13 +139,13 @@
 
 // admit counts the call and holds or refuses it as caps and faults say.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, c call) bool {
-	s.count(c.kind)
+	s.countCall(c.kind)
 	if !s.delay(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	if faults, _ := s.faults.get(); faults.Outage {
-		s.count(refusedCall)
-		writeRefusal(w, refusal(codeUnavailable, "etcdserver: no leader"))
+		s.countCall(refusedCall)
+		writeError(w, newStatusError(codeUnavailable, "etcdserver: no leader"))
 		return false
 	}
 	limit := s.reads
@@ -153,8 +153,8 @@
 		limit = s.writes
 	}
 	if !limit.Allow() {
-		s.count(throttledCall)
-		writeRefusal(w, refusal(codeResourceExhausted, "etcdserver: too many requests"))
+		s.countCall(throttledCall)
+		writeError(w, newStatusError(codeResourceExhausted, "etcdserver: too many requests"))
 		return false
 	}
 	return true
@@ -197,8 +197,8 @@
 	}
 }
 
-// writeRefusal answers with the HTTP status that the gateway gives the code.
-func writeRefusal(w http.ResponseWriter, e *statusError) {
+// writeError answers with the HTTP status that the gateway gives the code.
+func writeError(w http.ResponseWriter, e *statusError) {
 	status := http.StatusBadRequest
 	switch e.Code {
 	case codeNotFound:
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -26,25 +26,25 @@
 // store holds keys with their history behind one lock, so that every call is
 // linearizable.
 type store struct {
-	mu        sync.Mutex
-	revision  Int64
-	current   map[string]KeyValue
-	sorted    []string // the keys of current, in order
-	events    []event  // by revision
-	limit     int      // events kept
-	compacted Int64    // revisions up to it are gone from events
-	leases    map[Int64]*lease
-	lastLease Int64
-	changed   chan struct{} // closed at the next change
-}
-
-func newStore(limit int) *store {
+	mu          sync.Mutex
+	revision    Int64
+	current     map[string]KeyValue
+	sorted      []string // the keys of current, in order
+	events      []event  // by revision
+	maxEvents   int      // events kept
+	compacted   Int64    // revisions up to it are gone from events
+	leases      map[Int64]*lease
+	lastLeaseID Int64
+	changed     chan struct{} // closed at the next change
+}
+
+func newStore(maxEvents int) *store {
 	return &store{
-		revision: 1,
-		current:  make(map[string]KeyValue),
-		limit:    limit,
-		leases:   make(map[Int64]*lease),
-		changed:  make(chan struct{}),
+		revision:  1,
+		current:   make(map[string]KeyValue),
+		maxEvents: maxEvents,
+		leases:    make(map[Int64]*lease),
+		changed:   make(chan struct{}),
 	}
 }
 
@@ -57,33 +57,33 @@
 	}
 }
 
-func (s *store) headerLocked() *header {
-	return &header{ClusterID: 1, MemberID: 1, Revision: s.revision, RaftTerm: 1}
+func (s *store) headerLocked() *responseHeader {
+	return &responseHeader{ClusterID: 1, MemberID: 1, Revision: s.revision, RaftTerm: 1}
 }
 
 // put runs a put of its own.
 func (s *store) put(req putRequest) (*putResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.checkPutLocked(req); err != nil {
+	if err := s.validatePutLocked(req); err != nil {
 		return nil, err
 	}
 	s.revision++
 	res := s.putLocked(req)
 	res.Header = s.headerLocked()
-	s.announceLocked()
+	s.trimAndNotifyLocked()
 	return res, nil
 }
 
-func (s *store) checkPutLocked(req putRequest) *statusError {
+func (s *store) validatePutLocked(req putRequest) *statusError {
 	if len(req.Key) == 0 {
-		return refusal(codeInvalidArgument, "etcdserver: key is not provided")
+		return newStatusError(codeInvalidArgument, "etcdserver: key is not provided")
 	}
-	if len(req.Value) > maxValue {
-		return refusal(codeInvalidArgument, "etcdserver: request is too large")
+	if len(req.Value) > maxValueBytes {
+		return newStatusError(codeInvalidArgument, "etcdserver: request is too large")
 	}
 	if req.Lease != 0 && s.leases[req.Lease] == nil {
-		return refusal(codeNotFound, "etcdserver: requested lease not found")
+		return newStatusError(codeNotFound, "etcdserver: requested lease not found")
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	if exists {
 		kv.CreateRevision = old.CreateRevision
 		kv.Version = old.Version + 1
-		s.detachLocked(old)
+		s.detachLeaseLocked(old)
 	} else {
 		at := sort.SearchStrings(s.sorted, key)
 		s.sorted = slices.Insert(s.sorted, at, key)
@@ -120,7 +120,7 @@
 	return res
 }
 
-func (s *store) detachLocked(kv KeyValue) {
+func (s *store) detachLeaseLocked(kv KeyValue) {
 	if l := s.leases[kv.Lease]; l != nil {
 		delete(l.keys, string(kv.Key))
 	}
@@ -130,22 +130,22 @@
 func (s *store) deleteRange(req deleteRequest) (*deleteResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hasLocked(req.Key, req.RangeEnd) {
+	if s.anyInRangeLocked(req.Key, req.RangeEnd) {
 		s.revision++
 	}
 	res := s.deleteLocked(req)
 	res.Header = s.headerLocked()
-	s.announceLocked()
+	s.trimAndNotifyLocked()
 	return res, nil
 }
 
-func (s *store) hasLocked(key, end []byte) bool {
-	from, to := s.spanLocked(key, end)
+func (s *store) anyInRangeLocked(key, end []byte) bool {
+	from, to := s.indexRangeLocked(key, end)
 	return from < to
 }
 
 func (s *store) deleteLocked(req deleteRequest) *deleteResponse {
-	from, to := s.spanLocked(req.Key, req.RangeEnd)
+	from, to := s.indexRangeLocked(req.Key, req.RangeEnd)
 	res := &deleteResponse{Deleted: Int64(to - from)}
 	for _, key := range slices.Clone(s.sorted[from:to]) {
 		old := s.current[key]
@@ -160,17 +160,17 @@
 // removeLocked deletes one key at the revision that the caller has begun.
 func (s *store) removeLocked(old KeyValue) {
 	key := string(old.Key)
-	s.detachLocked(old)
+	s.detachLeaseLocked(old)
 	delete(s.current, key)
 	at := sort.SearchStrings(s.sorted, key)
 	s.sorted = slices.Delete(s.sorted, at, at+1)
-	gone := KeyValue{Key: old.Key, ModRevision: s.revision}
-	s.events = append(s.events, event{kv: gone, prev: &old, deleted: true})
+	tombstone := KeyValue{Key: old.Key, ModRevision: s.revision}
+	s.events = append(s.events, event{kv: tombstone, prev: &old, deleted: true})
 }
 
-// spanLocked returns the half-open span of s.sorted that [key, end) covers. An
+// indexRangeLocked returns the half-open span of s.sorted that [key, end) covers. An
 // empty end stands for the one key, and a zero byte for all from key on.
-func (s *store) spanLocked(key, end []byte) (int, int) {
+func (s *store) indexRangeLocked(key, end []byte) (int, int) {
 	from := sort.SearchStrings(s.sorted, string(key))
 	switch {
 	case len(end) == 0:
@@ -197,9 +197,9 @@
 	return bytes.Compare(k, key) >= 0 && bytes.Compare(k, end) < 0
 }
 
-// announceLocked trims the history and wakes the watches.
-func (s *store) announceLocked() {
-	if over := len(s.events) - s.limit; over > 0 {
+// trimAndNotifyLocked trims the history and wakes the watches.
+func (s *store) trimAndNotifyLocked() {
+	if over := len(s.events) - s.maxEvents; over > 0 {
 		s.compactLocked(s.events[over-1].kv.ModRevision)
 	}
 	close(s.changed)
@@ -221,10 +221,10 @@
 	s.compactLocked(s.revision)
 }
 
-// since returns the events of [key, end) from revision on, the revision they
+// eventsSince returns the events of [key, end) from revision on, the revision they
 // reach, and a channel that is closed at the next change. A compacted result
 // above zero means that revision is gone.
-func (s *store) since(key, end []byte, revision Int64) (events []event, h *header, compacted Int64, changed <-chan struct{}) {
+func (s *store) eventsSince(key, end []byte, revision Int64) (events []event, h *responseHeader, compacted Int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h = s.headerLocked()
--- a/standin/platform/txn.go
+++ b/standin/platform/txn.go
@@ -19,7 +19,7 @@
 }
 
 func (s *store) rangeLocked(req rangeRequest) (*rangeResponse, *statusError) {
-	kvs, err := s.readLocked(req.Key, req.RangeEnd, req.Revision)
+	kvs, err := s.readAtLocked(req.Key, req.RangeEnd, req.Revision)
 	if err != nil {
 		return nil, err
 	}
@@ -39,18 +39,18 @@
 	return res, nil
 }
 
-// readLocked returns the keys of [key, end) as of revision, zero being now.
-func (s *store) readLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
+// readAtLocked returns the keys of [key, end) as of revision, zero being now.
+func (s *store) readAtLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
 	if revision > s.revision {
-		return nil, refusal(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
+		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
 	}
 	if revision > 0 && revision < s.compacted {
-		return nil, refusal(codeOutOfRange, "etcdserver: mvcc: required revision has been compacted")
+		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision has been compacted")
 	}
 	if revision > 0 && revision < s.revision {
-		return s.readBackLocked(key, end, revision), nil
+		return s.readPastLocked(key, end, revision), nil
 	}
-	from, to := s.spanLocked(key, end)
+	from, to := s.indexRangeLocked(key, end)
 	kvs := make([]KeyValue, 0, to-from)
 	for _, k := range s.sorted[from:to] {
 		kvs = append(kvs, s.current[k])
@@ -58,10 +58,10 @@
 	return kvs, nil
 }
 
-// readBackLocked undoes the history from its end down to revision.
-func (s *store) readBackLocked(key, end []byte, revision Int64) []KeyValue {
+// readPastLocked undoes the history from its end down to revision.
+func (s *store) readPastLocked(key, end []byte, revision Int64) []KeyValue {
 	at := make(map[string]KeyValue)
-	from, to := s.spanLocked(key, end)
+	from, to := s.indexRangeLocked(key, end)
 	for _, k := range s.sorted[from:to] {
 		at[k] = s.current[k]
 	}
@@ -92,7 +92,7 @@
 	defer s.mu.Unlock()
 	res := &txnResponse{Succeeded: true}
 	for _, c := range req.Compare {
-		holds, err := s.holdsLocked(c)
+		holds, err := s.evaluateLocked(c)
 		if err != nil {
 			return nil, err
 		}
@@ -102,23 +102,23 @@
 	if res.Succeeded {
 		operations = req.Success
 	}
-	if err := s.checkLocked(operations); err != nil {
+	if err := s.validateOperationsLocked(operations); err != nil {
 		return nil, err
 	}
 	if s.writesLocked(operations) {
 		s.revision++
 	}
 	for _, op := range operations {
-		res.Responses = append(res.Responses, s.runLocked(op))
+		res.Responses = append(res.Responses, s.applyOperationLocked(op))
 	}
 	res.Header = s.headerLocked()
-	s.announceLocked()
+	s.trimAndNotifyLocked()
 	return res, nil
 }
 
-// holdsLocked tells whether the comparison holds. A key that does not exist
+// evaluateLocked tells whether the comparison holds. A key that does not exist
 // has zero for each number.
-func (s *store) holdsLocked(c compare) (bool, *statusError) {
+func (s *store) evaluateLocked(c comparison) (bool, *statusError) {
 	kv := s.current[string(c.Key)]
 	var order int
 	switch c.Target {
@@ -133,7 +133,7 @@
 	case "LEASE":
 		order = cmp.Compare(kv.Lease, c.Lease)
 	default:
-		return false, refusal(codeInvalidArgument, "etcdserver: unknown compare target "+c.Target)
+		return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare target "+c.Target)
 	}
 	switch c.Result {
 	case "", "EQUAL":
@@ -145,20 +145,20 @@
 	case "NOT_EQUAL":
 		return order != 0, nil
 	}
-	return false, refusal(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
+	return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
 }
 
-// checkLocked refuses operations that could fail half-way, before the first
+// validateOperationsLocked refuses operations that could fail half-way, before the first
 // takes effect.
-func (s *store) checkLocked(operations []operation) *statusError {
+func (s *store) validateOperationsLocked(operations []operation) *statusError {
 	for _, op := range operations {
 		if op.Put != nil {
-			if err := s.checkPutLocked(*op.Put); err != nil {
+			if err := s.validatePutLocked(*op.Put); err != nil {
 				return err
 			}
 		}
 		if op.Range != nil && op.Range.Revision != 0 {
-			if _, err := s.readLocked(nil, nil, op.Range.Revision); err != nil {
+			if _, err := s.readAtLocked(nil, nil, op.Range.Revision); err != nil {
 				return err
 			}
 		}
@@ -168,11 +168,11 @@
 
 func (s *store) writesLocked(operations []operation) bool {
 	return slices.ContainsFunc(operations, func(op operation) bool {
-		return op.Put != nil || op.Delete != nil && s.hasLocked(op.Delete.Key, op.Delete.RangeEnd)
+		return op.Put != nil || op.Delete != nil && s.anyInRangeLocked(op.Delete.Key, op.Delete.RangeEnd)
 	})
 }
 
-func (s *store) runLocked(op operation) operationResponse {
+func (s *store) applyOperationLocked(op operation) operationResponse {
 	switch {
 	case op.Put != nil:
 		res := s.putLocked(*op.Put)
@@ -197,13 +197,13 @@
 // operator does who puts back a backup.
 func (s *store) restore(key string, revision Int64) *statusError {
 	s.mu.Lock()
-	kvs, err := s.readLocked([]byte(key), nil, revision)
+	kvs, err := s.readAtLocked([]byte(key), nil, revision)
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	if len(kvs) == 0 {
-		return refusal(codeNotFound, "no value of "+key+" at that revision")
+		return newStatusError(codeNotFound, "no value of "+key+" at that revision")
 	}
 	_, err = s.put(putRequest{Key: []byte(key), Value: kvs[0].Value})
 	return err
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -8,38 +8,38 @@
 
 // handleWatch streams the events of one watch as JSON messages, one a line.
 func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if !s.admit(w, r, call{kind: watchCall}) {
 		return
 	}
 	var req watchRequest
 	if err == nil {
-		err = decode(data, &req)
+		err = decodeRequest(data, &req)
 	}
 	if err != nil || req.Create == nil {
-		writeRefusal(w, refusal(codeInvalidArgument, "a watch starts with create_request"))
+		writeError(w, newStatusError(codeInvalidArgument, "a watch starts with create_request"))
 		return
 	}
-	s.openWatches(1)
-	defer s.openWatches(-1)
-	s.stream(w, r, req.Create)
+	s.addOpenWatches(1)
+	defer s.addOpenWatches(-1)
+	s.streamEvents(w, r, req.Create)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, req *watchCreate) {
+func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, req *watchCreateRequest) {
 	s.mu.Lock()
-	dropped := s.dropped
+	dropped := s.watchesDropped
 	s.mu.Unlock()
 	out := watchWriter{encoder: json.NewEncoder(w), flusher: http.NewResponseController(w)}
 	next := req.StartRevision
-	_, h, _, _ := s.store.since(req.Key, req.RangeEnd, max(next, 1))
+	_, h, _, _ := s.store.eventsSince(req.Key, req.RangeEnd, max(next, 1))
 	if next <= 0 {
 		next = h.Revision + 1
 	}
 	w.Header().Set("Content-Type", "application/json")
 	out.write(watchResult{Header: h, Created: true})
 	for {
-		faults, lifted := s.faults.get()
-		events, h, compacted, changed := s.store.since(req.Key, req.RangeEnd, next)
+		faults, faultsChanged := s.faults.get()
+		events, h, compacted, changed := s.store.eventsSince(req.Key, req.RangeEnd, next)
 		if faults.StallWatches {
 			events, compacted = nil, 0
 		} else if compacted == 0 {
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-lifted:
+		case <-faultsChanged:
 		case <-dropped:
 			panic(http.ErrAbortHandler)
 		case <-s.closed:
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -41,8 +41,8 @@
 // Address returns where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode of all connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode of all connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -64,7 +64,7 @@
 
 func (p *Proxy) stop() {
 	_ = p.listener.Close()
-	p.Set(Mode{})
+	p.SetMode(Mode{})
 	p.Reset()
 }
 
@@ -74,90 +74,90 @@
 		if err != nil {
 			return
 		}
-		if mode, _ := p.present(); mode.Refuse {
+		if mode, _ := p.currentMode(); mode.Refuse {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 			continue
 		}
-		go pair{proxy: p, caller: c}.run()
+		go connPair{proxy: p, client: c}.run()
 	}
 }
 
-func (p *Proxy) present() (Mode, <-chan struct{}) {
+func (p *Proxy) currentMode() (Mode, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
 }
 
-func (p *Proxy) add(c net.Conn) {
+func (p *Proxy) trackConn(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) closeConn(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 	_ = c.Close()
 }
 
-// pair is a caller's connection with the one to the target.
-type pair struct {
+// connPair is a caller's connection with the one to the target.
+type connPair struct {
 	proxy  *Proxy
-	caller net.Conn
+	client net.Conn
 }
 
-func (c pair) run() {
-	c.proxy.add(c.caller)
-	defer c.proxy.drop(c.caller)
+func (c connPair) run() {
+	c.proxy.trackConn(c.client)
+	defer c.proxy.closeConn(c.client)
 	target, err := net.Dial("tcp", c.proxy.target)
 	if err != nil {
-		_ = c.caller.(*net.TCPConn).SetLinger(0)
+		_ = c.client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	c.proxy.add(target)
-	defer c.proxy.drop(target)
-	back := half{proxy: c.proxy, from: target, to: c.caller, done: make(chan struct{})}
-	go back.run()
-	half{proxy: c.proxy, from: c.caller, to: target, forth: true, done: make(chan struct{})}.run()
-	<-back.done
+	c.proxy.trackConn(target)
+	defer c.proxy.closeConn(target)
+	toClient := forwarder{proxy: c.proxy, from: target, to: c.client, done: make(chan struct{})}
+	go toClient.run()
+	forwarder{proxy: c.proxy, from: c.client, to: target, toTarget: true, done: make(chan struct{})}.run()
+	<-toClient.done
 }
 
-// half is one direction of a pair.
-type half struct {
+// forwarder is one direction of a pair.
+type forwarder struct {
 	proxy    *Proxy
 	from, to net.Conn
-	forth    bool // to the target
+	toTarget bool // to the target
 	done     chan struct{}
 }
 
 // run passes on what comes until one side ends, and then ends the other.
-func (h half) run() {
+func (h forwarder) run() {
 	defer close(h.done)
 	defer func() { _ = h.to.Close() }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := h.from.Read(buf)
 		if n > 0 {
-			h.hold()
+			h.waitForMode()
 			if _, werr := h.to.Write(buf[:n]); werr != nil {
 				_ = h.from.Close()
 				return
 			}
 		}
 		if err != nil {
-			h.hold() // an end is held up like everything else
+			h.waitForMode() // an end is held up like everything else
 			return
 		}
 	}
 }
 
-// hold waits until the mode lets a piece pass.
-func (h half) hold() {
+// waitForMode waits until the mode lets a piece pass.
+func (h forwarder) waitForMode() {
 	for {
-		mode, changed := h.proxy.present()
-		if !mode.Silent && (!mode.OneWay || !h.forth) {
+		mode, changed := h.proxy.currentMode()
+		if !mode.Silent && (!mode.OneWay || !h.toTarget) {
 			time.Sleep(mode.Delay)
 			return
 		}
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -61,17 +61,17 @@
 		r.store.Reset()
 		r.peers.Reset()
 	case 7:
-		s.storeFault(hub.Faults{Down: true}, "down", lasts)
+		s.storeFault(hub.Faults{Outage: true}, "down", lasts)
 	case 8:
-		s.storeFault(hub.Faults{Silent: true}, "silent", lasts)
+		s.storeFault(hub.Faults{Hang: true}, "silent", lasts)
 	case 9:
-		s.storeFault(hub.Faults{Slow: 300 * time.Millisecond}, "slow", lasts)
+		s.storeFault(hub.Faults{Delay: 300 * time.Millisecond}, "slow", lasts)
 	case 10:
 		s.say("the store forgets its history, and a change is made that no watch hears")
-		s.store.Fail(hub.Faults{Mute: true})
+		s.store.SetFaults(hub.Faults{StallWatches: true})
 		s.putState()
-		s.store.Forget()
-		s.store.Fail(hub.Faults{})
+		s.store.Compact()
+		s.store.SetFaults(hub.Faults{})
 	case 11:
 		s.crashBack(lasts)
 	case 12:
@@ -105,18 +105,18 @@
 func (s *soak) link(r *router, p *proxy.Proxy, to string, m proxy.Mode, d time.Duration) {
 	s.say("the link of router %d with %s is %+v for %v", r.n, to, m, d)
 	r.touch()
-	p.Set(m)
+	p.SetMode(m)
 	if m.Refuse {
 		p.Reset()
 	}
-	s.later(d, func() { p.Set(proxy.Mode{}); r.touch() })
+	s.later(d, func() { p.SetMode(proxy.Mode{}); r.touch() })
 }
 
 func (s *soak) storeFault(f hub.Faults, what string, d time.Duration) {
 	s.say("the store is %s for %v", what, d)
 	s.badStore()
-	s.store.Fail(f)
-	s.later(d, func() { s.store.Fail(hub.Faults{}); s.badStore() })
+	s.store.SetFaults(f)
+	s.later(d, func() { s.store.SetFaults(hub.Faults{}); s.badStore() })
 }
 
 func (s *soak) badStore() {
@@ -221,8 +221,8 @@
 	s.say("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
 	s.harm(d)
 	b.Fail(f)
-	b.proxy.Set(m)
-	s.later(d, func() { b.Fail(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
+	b.proxy.SetMode(m)
+	s.later(d, func() { b.Fail(replica.Faults{}); b.proxy.SetMode(proxy.Mode{}) })
 }
 
 // inForce is the time within which a change of the desired state has to be in
--- a/standin/soak/router.go
+++ b/standin/soak/router.go
@@ -206,8 +206,8 @@
 // heal ends all faults of the router.
 func (r *router) heal(seeds string) {
 	r.pause(false)
-	r.peers.Set(proxy.Mode{})
-	r.store.Set(proxy.Mode{})
+	r.peers.SetMode(proxy.Mode{})
+	r.store.SetMode(proxy.Mode{})
 	r.mu.Lock()
 	ended, leaving := r.ended, r.process != nil && time.Since(r.leaving) < 10*time.Second
 	r.mu.Unlock()
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -116,7 +116,7 @@
 func (s *soak) onClose(fn func()) { s.cleanups = append(s.cleanups, fn) }
 
 func (s *soak) close() {
-	s.store.Fail(hub.Faults{Down: true})
+	s.store.SetFaults(hub.Faults{Outage: true})
 	for i := len(s.cleanups) - 1; i >= 0; i-- {
 		s.cleanups[i]()
 	}
@@ -279,7 +279,7 @@
 
 // recover ends all faults and sees whether the fleet serves again.
 func (s *soak) recover() {
-	s.store.Fail(hub.Faults{})
+	s.store.SetFaults(hub.Faults{})
 	for _, r := range s.routers {
 		r.heal(s.seeds())
 	}
@@ -288,7 +288,7 @@
 	s.mu.Unlock()
 	for _, b := range backs {
 		b.Fail(replica.Faults{})
-		b.proxy.Set(proxy.Mode{})
+		b.proxy.SetMode(proxy.Mode{})
 	}
 	time.Sleep(settled)
 	for _, r := range s.routers {
--- a/wisteriarouter/daemon/relay_site_test.go
+++ b/wisteriarouter/daemon/relay_site_test.go
@@ -60,7 +60,7 @@
 	s := &relayCluster{t: t, store: hub.New(), logs: &logs{}, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
-	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // ends pending watches
+	t.Cleanup(func() { s.store.SetFaults(hub.Faults{Outage: true}) }) // ends pending watches
 	s.address = strings.TrimPrefix(srv.URL, "http://")
 	for n := range desks {
 		s.addReplica(replica.Options{ID: fmt.Sprintf("d%d", n), Service: "desk", Zone: "a", Pause: 10 * time.Millisecond})
--- a/wisteriarouter/daemon/relay_start_test.go
+++ b/wisteriarouter/daemon/relay_start_test.go
@@ -25,7 +25,7 @@
 // known, callers would have to retry at a router that could have served them.
 func TestRelayServesRequestsReceivedBeforeFirstState(t *testing.T) {
 	s := newRelayCluster(t, 0, 3, 0)
-	s.store.Fail(hub.Faults{Down: true})
+	s.store.SetFaults(hub.Faults{Outage: true})
 	s.addRouter()
 	waiters := make([]waiter, 6)
 	var wg sync.WaitGroup
@@ -34,7 +34,7 @@
 		wg.Go(waiters[i].run)
 	}
 	time.Sleep(50 * time.Millisecond)
-	s.store.Fail(hub.Faults{})
+	s.store.SetFaults(hub.Faults{})
 	wg.Wait()
 	for _, w := range waiters {
 		assert.NilError(t, w.got.err)
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -188,12 +188,12 @@
 	for n := range s.routers {
 		assert.Equal(t, s.send(n, "/safe/1", "Authorization", "Bearer k2").status, 200)
 	}
-	s.store.Fail(hub.Faults{Mute: true}) // no watch receives the change
+	s.store.SetFaults(hub.Faults{StallWatches: true}) // no watch receives the change
 	next := plainState()
 	next.tenants = next.tenants[:1]
 	s.put(next)
-	s.store.Fail(hub.Faults{})
-	s.store.Forget()
+	s.store.SetFaults(hub.Faults{})
+	s.store.Compact()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for n := range s.routers {
 			if s.send(n, "/safe/1", "Authorization", "Bearer k2").status != 401 {
@@ -224,13 +224,13 @@
 // routers must go on serving with their last known state.
 func TestRelayServesWithoutTheStore(t *testing.T) {
 	s := newRelayCluster(t, 2, 2, 1)
-	s.store.Fail(hub.Faults{Down: true})
+	s.store.SetFaults(hub.Faults{Outage: true})
 	time.Sleep(300 * time.Millisecond)
 	for _, r := range s.replicas {
 		s.store.Delete(r.Key())
 	}
 	assert.Equal(t, s.send(0, "/safe/1").status, 200)
-	s.store.Fail(hub.Faults{})
+	s.store.SetFaults(hub.Faults{})
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, s.send(1, "/safe/1").status, 200)
 	for _, r := range s.replicas {
