--- a/standin/hub/hub.go
+++ b/standin/hub/hub.go
@@ -1,6 +1,6 @@
-// Package hub stands in for the store of the platform on which routers relay
-// plain HTTP: keys with revisions, lists and long polls over HTTP, and the ways
-// in which such a store fails. Tests and the soak share it.
+// Package hub simulates the platform's key-value store for routers that relay plain
+// HTTP: keys with revisions, paginated lists and long-poll watches over HTTP, and
+// fault injection. The tests and the soak use it.
 package hub
 
 import (
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Item is a key with its value, as the wire shows it.
+// Item is a key with its value in the JSON encoding of the store's API. It is also
+// a watch event.
 type Item struct {
 	Key            string `json:"key"`
 	Value          []byte `json:"value,omitempty"`
@@ -22,23 +23,24 @@
 	Deleted        bool   `json:"deleted,omitempty"`
 }
 
-// Faults are what goes wrong at the store.
+// Faults configures fault injection.
 type Faults struct {
-	Outage       bool          // every call is answered 503
-	Hang         bool          // no call is answered
-	StallWatches bool          // waiting watches hear nothing of changes
-	Delay        time.Duration // before each answer
-	// Refuse, if set, says which callers are turned away, by their address.
+	Outage       bool          // every call fails with status 503
+	Hang         bool          // no call gets a response
+	StallWatches bool          // pending watches are not notified of changes
+	Delay        time.Duration // delay before each response
+	// Refuse, if set, reports whether calls from a remote address fail with
+	// status 503.
 	Refuse func(remote string) bool
 }
 
-// Store is the stand-in. It is an http.Handler.
+// Store is the simulated key-value store. It is an http.Handler.
 type Store struct {
 	mu        sync.Mutex
 	revision  int64
 	items     map[string]Item
-	history   []Item // in the order of revisions
-	compacted int64  // history up to here is gone
+	history   []Item // in order of revision
+	compacted int64  // history up to this revision has been discarded
 	changed   chan struct{}
 	faults    Faults
 	calls     int
@@ -49,7 +51,7 @@
 	return &Store{revision: 1, compacted: 1, items: make(map[string]Item), changed: make(chan struct{})}
 }
 
-// Put writes a key and returns the revision.
+// Put writes a key and returns its new revision.
 func (s *Store) Put(key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +65,7 @@
 	return s.revision
 }
 
-// Delete removes a key.
+// Delete removes a key. It does nothing if the key doesn't exist.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,14 +89,15 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history.
+// Compact discards the history. A watch from an older revision then fails with
+// status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.compacted = nil, s.revision
 }
 
-// SetFaults sets what goes wrong from now on.
+// SetFaults replaces the faults and wakes the pending watches.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +105,7 @@
 	s.wakeWatchesLocked()
 }
 
-// Calls returns how many calls have come.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +135,8 @@
 	}
 }
 
-// pageSize is small, so that tests read several pages.
+// pageSize is the number of entries in a page of a list. It is small so that tests
+// read several pages.
 const pageSize = 50
 
 func (s *Store) handleRange(w http.ResponseWriter, r *http.Request) {
@@ -227,5 +231,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -1,6 +1,6 @@
-// Package pipe is a network inside one process, made of synchronous pipes, for
-// in-process tests: unlike a socket, a pipe lets testing/synctest see that a
-// goroutine waits, so that the clock can advance.
+// Package pipe provides an in-memory network of synchronous pipes for in-process
+// tests. A goroutine blocked on a pipe, unlike one blocked on a socket, counts as
+// durably blocked in testing/synctest, so that the fake clock can advance.
 package pipe
 
 import (
@@ -12,14 +12,14 @@
 	"syscall"
 )
 
-// Network connects clients with the servers that listen on it. The zero value
-// is ready for use.
+// Network connects clients to the servers that listen on it. The zero value is
+// ready to use.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
 }
 
-// Listener accepts the connections to one address. It is a net.Listener.
+// Listener accepts the connections to an address. It is a net.Listener.
 type Listener struct {
 	network *Network
 	address string
@@ -28,13 +28,13 @@
 	once    sync.Once
 }
 
-// address is a host with a port.
+// address is a net.Addr of the form host:port.
 type address string
 
 func (address) Network() string  { return "pipe" }
 func (a address) String() string { return string(a) }
 
-// Listen takes an address, which must be a host with a port. It panics if the
+// Listen listens on addr, which must have the form host:port. It panics if the
 // address is in use.
 func (n *Network) Listen(addr string) *Listener {
 	n.mu.Lock()
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection. It returns net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
@@ -60,7 +60,7 @@
 	}
 }
 
-// Close frees the address. Connections stay open.
+// Close stops listening and releases the address. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// Addr returns the address.
+// Addr returns the address that the listener listens on.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
-// DialContext connects to addr. With no listener there it fails as a refused
-// connection does.
+// DialContext connects to addr; the network name is ignored. If nothing listens on
+// addr, the error is a *net.OpError that wraps syscall.ECONNREFUSED.
 func (n *Network) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	refused := &net.OpError{Op: "dial", Net: "pipe", Addr: address(addr), Err: syscall.ECONNREFUSED}
 	n.mu.Lock()
@@ -95,20 +95,20 @@
 	}
 }
 
-// Transport returns a transport that dials on the network.
+// Transport returns an HTTP transport that connects through the network.
 func (n *Network) Transport() *http.Transport {
 	return &http.Transport{DialContext: n.DialContext, MaxIdleConnsPerHost: 64}
 }
 
-// Serve serves h at addr, a host with a port, and returns the function that
-// breaks all its connections and ends it.
+// Serve serves h on addr, which must have the form host:port. It returns a function
+// that closes the server and all its connections.
 func (n *Network) Serve(addr string, h http.Handler) func() {
 	s := &server{http: &http.Server{Handler: h}, done: make(chan struct{})}
 	go s.run(n.Listen(addr))
 	return s.close
 }
 
-// server is one HTTP server on a network.
+// server is an HTTP server that listens on a Network.
 type server struct {
 	http *http.Server
 	done chan struct{}
@@ -122,6 +122,6 @@
 }
 
 func (s *server) close() {
-	_ = s.http.Close() // its listener never fails to close
+	_ = s.http.Close() // Listener.Close never fails
 	<-s.done
 }
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -1,6 +1,6 @@
 package platform
 
-// callKind names a kind of call.
+// callKind identifies a counter of Calls.
 type callKind int
 
 const (
@@ -17,8 +17,8 @@
 	refusedCall
 )
 
-// Calls counts what arrived, by kind. Throttled and Refused calls are also
-// counted under their kind.
+// Calls holds the number of calls received, by kind. Throttled and refused calls
+// are also counted under their own kind.
 type Calls struct {
 	Range          int `json:"range"`
 	Put            int `json:"put"`
@@ -35,15 +35,15 @@
 	OpenWatches    int `json:"open_watches"`
 }
 
-// Writes returns the number of calls that count against the cap on writes.
+// Writes returns the number of calls that are subject to the write rate limit.
 func (c Calls) Writes() int {
 	return c.Put + c.DeleteRange + c.Txn + c.LeaseGrant + c.LeaseKeepAlive + c.LeaseRevoke
 }
 
-// Reads returns the number of calls that count against the cap on reads.
+// Reads returns the number of calls that are subject to the read rate limit.
 func (c Calls) Reads() int { return c.Range + c.Watch }
 
-// Calls returns the counts since the start.
+// Calls returns the call counts since the server was created.
 func (s *Server) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/client.go
+++ b/standin/platform/client.go
@@ -9,14 +9,15 @@
 	"net/url"
 )
 
-// Client keeps an entry of the list of instances, as a stand-in engine or
-// service does for itself.
+// Client registers and removes entries of the instance list. The stand-in engine
+// and service use it for their own entries.
 type Client struct {
-	URL  string       // of the platform, without a trailing slash
+	URL  string       // base URL of the platform, without a trailing slash
 	HTTP *http.Client // nil means http.DefaultClient
 }
 
-// Register adds or replaces an entry.
+// Register adds entry to the list or replaces the entry with the same ID. It
+// returns an error if the request fails or its status is not 2xx.
 func (c Client) Register(ctx context.Context, entry Instance) error {
 	body, err := json.Marshal(entry)
 	if err != nil {
@@ -25,7 +26,8 @@
 	return c.do(ctx, http.MethodPost, "/admin/instances", body)
 }
 
-// Remove takes an entry off the list.
+// Remove deletes the entry with the given ID from the list. It returns an error
+// if the request fails or its status is not 2xx.
 func (c Client) Remove(ctx context.Context, id string) error {
 	return c.do(ctx, http.MethodDelete, "/admin/instances/"+url.PathEscape(id), nil)
 }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -6,52 +6,59 @@
 	"sync"
 )
 
-// Faults are what goes wrong at the platform. The fields up to Restore last
-// until they are changed; the others happen once.
+// Faults configures fault injection. The fields before Restore stay in effect
+// until they are changed; Restore and the fields after it are one-time actions.
 type Faults struct {
-	// Outage refuses every call of the key-value service without effect.
+	// Outage rejects every call to the key-value service without applying it.
 	Outage bool `json:"outage"`
-	// Hang keeps calls waiting, without effect, until it is lifted.
+	// Hang blocks calls to the key-value service, without applying them, until
+	// it is cleared.
 	Hang bool `json:"hang"`
-	// SlowMillis delays every call of the key-value service, in milliseconds.
+	// SlowMillis delays every call to the key-value service and every read of
+	// the instance list, in milliseconds.
 	SlowMillis int `json:"slow_ms"`
-	// LoseReply is the share of calls that take effect but whose answer is
-	// lost.
+	// LoseReply is the fraction of calls, from 0 to 1, that are applied but whose
+	// response is lost.
 	LoseReply float64 `json:"lose_reply"`
-	// LoseReplyNext is the number of next writes whose answer is lost.
+	// LoseReplyNext is the number of upcoming writes that are applied but whose
+	// response is lost.
 	LoseReplyNext int `json:"lose_reply_next"`
-	// LoseCall is the share of calls that are lost before they take effect.
+	// LoseCall is the fraction of calls, from 0 to 1, that are lost before they
+	// are applied.
 	LoseCall float64 `json:"lose_call"`
-	// LoseCallNext is the number of next writes that are lost.
+	// LoseCallNext is the number of upcoming writes that are lost before they
+	// are applied.
 	LoseCallNext int `json:"lose_call_next"`
-	// StallWatches holds back all events of watches until it is lifted.
+	// StallWatches withholds all watch events until it is cleared.
 	StallWatches bool `json:"stall_watches"`
-	// ListOutage refuses reads of the list of instances.
+	// ListOutage rejects reads of the instance list.
 	ListOutage bool `json:"list_outage"`
-	// ListLagMillis delays what the list of instances shows, in milliseconds.
+	// ListLagMillis is the age of the instance list that reads return, in
+	// milliseconds.
 	ListLagMillis int `json:"list_lag_ms"`
 
-	// Restore puts back an old value as a new version.
+	// Restore writes an old value of a key as a new version.
 	Restore *Restore `json:"restore,omitempty"`
-	// DropWatches breaks the connections of all watches.
+	// DropWatches closes the connections of all watches.
 	DropWatches bool `json:"drop_watches,omitempty"`
-	// Compact forgets the history, so that a watch that was behind, or comes
-	// back behind, is told of a gap.
+	// Compact discards the event history, so that a watch at an older revision,
+	// open or resumed, is canceled with the compaction revision.
 	Compact bool `json:"compact,omitempty"`
 }
 
-// Restore names the value that an operator puts back from a backup.
+// Restore identifies the value to write back: the value of Key at Revision.
 type Restore struct {
 	Key      string `json:"key"`
 	Revision Int64  `json:"revision"`
 }
 
-// faultState holds the lasting faults and the random source that picks calls.
+// faultState holds the persistent faults and the random source that selects the
+// calls to lose.
 type faultState struct {
 	mu      sync.Mutex
 	current Faults
 	random  *rand.Rand
-	changed chan struct{} // closed at the next change
+	changed chan struct{} // closed when current is replaced
 }
 
 func newFaultState(seed uint64, initial Faults) *faultState {
@@ -62,14 +69,15 @@
 	}
 }
 
-// get returns the faults with a channel that is closed when they change.
+// get returns the persistent faults and a channel that is closed when they are
+// replaced.
 func (f *faultState) get() (Faults, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current, f.changed
 }
 
-// set replaces the lasting faults.
+// set replaces the persistent faults; one-time actions in next are ignored.
 func (f *faultState) set(next Faults) {
 	next.Restore, next.DropWatches, next.Compact = nil, false, false
 	f.mu.Lock()
@@ -79,24 +87,25 @@
 	f.changed = make(chan struct{})
 }
 
-// merge reads data over the standing faults, so that absent fields stay.
+// merge decodes the JSON in data on top of the current faults, so that absent
+// fields keep their values. It doesn't store the result.
 func (f *faultState) merge(data []byte) (Faults, error) {
 	next, _ := f.get()
 	err := json.Unmarshal(data, &next)
 	return next, err
 }
 
-// callOutcome tells what happens to one call.
+// callOutcome says whether a call is applied and whether it gets a response.
 type callOutcome int
 
 const (
 	answered  callOutcome = iota
-	lostCall              // no effect, no answer
-	lostReply             // effect, no answer
+	lostCall              // not applied, no response
+	lostReply             // applied, no response
 )
 
-// nextOutcome decides the fate of a call. The counts are for writes, so that reads
-// that go on in the background don't use them up.
+// nextOutcome decides the outcome of a call. LoseCallNext and LoseReplyNext apply
+// to writes only, so that background reads don't use them up.
 func (f *faultState) nextOutcome(write bool) callOutcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -114,7 +114,8 @@
 	writeJSON(w, http.StatusOK, s.Calls())
 }
 
-// Register adds or replaces an entry of the list of instances.
+// Register adds entry to the instance list or replaces the entry with the same
+// ID. An empty state becomes Live.
 func (s *Server) Register(entry Instance) {
 	if entry.State == "" {
 		entry.State = Live
@@ -122,15 +123,16 @@
 	s.instances.update(func(m map[string]Instance) { m[entry.ID] = entry })
 }
 
-// Remove takes an entry off the list of instances.
+// Remove deletes the entry with the given ID from the instance list.
 func (s *Server) Remove(id string) {
 	s.instances.update(func(m map[string]Instance) { delete(m, id) })
 }
 
-// Instances returns the list without its lag.
+// Instances returns the current instance list, ordered by ID, without the lag.
 func (s *Server) Instances() []Instance { return s.instances.list(0).Instances }
 
-// SetFaults replaces the lasting faults and makes the others happen.
+// SetFaults replaces the persistent faults and runs the one-time actions. It
+// returns an error if the value to restore is not available.
 func (s *Server) SetFaults(f Faults) error {
 	s.faults.set(f)
 	if f.Restore != nil {
@@ -150,14 +152,15 @@
 	return nil
 }
 
-// Faults returns the lasting faults.
+// Faults returns the persistent faults.
 func (s *Server) Faults() Faults {
 	f, _ := s.faults.get()
 	return f
 }
 
-// Put writes a key past caps and faults, as an operator with direct access
-// does. It returns the new revision.
+// Put writes a key directly to the store, without rate limits and faults, and
+// returns the new revision. It returns an error if the key is empty or the value
+// exceeds 1 MiB.
 func (s *Server) Put(key string, value []byte) (int64, error) {
 	res, err := s.store.put(putRequest{Key: []byte(key), Value: value})
 	if err != nil {
@@ -166,7 +169,8 @@
 	return int64(res.Header.Revision), nil
 }
 
-// Get reads the keys that start with prefix past caps and faults, in order.
+// Get reads the keys that start with prefix directly from the store, without rate
+// limits and faults, ordered by key.
 func (s *Server) Get(prefix string) []KeyValue {
 	end := slices.Clone([]byte(prefix))
 	for len(end) > 0 && end[len(end)-1] == 0xff {
@@ -183,7 +187,8 @@
 	return res.KVs
 }
 
-// watchEvents turns events of the history into those of a watch.
+// watchEvents converts history events to watch events, with the previous values
+// if withPrev is set.
 func watchEvents(events []event, withPrev bool) []watchEvent {
 	return lo.Map(events, func(e event, _ int) watchEvent {
 		out := watchEvent{KV: &e.kv}
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// State tells whether an instance takes new work.
+// State says whether an instance accepts new work.
 type State string
 
 // The states of an instance.
@@ -17,7 +17,7 @@
 	Leaving State = "leaving"
 )
 
-// Instance is one entry of the list of instances.
+// Instance is an entry of the instance list.
 type Instance struct {
 	ID          string `json:"id"`
 	Address     string `json:"address"`
@@ -29,28 +29,31 @@
 	Capacity    int    `json:"capacity"`
 }
 
-// List is the body of the list of instances.
+// List is the response body of GET /v1/instances.
 type List struct {
 	Instances []Instance `json:"instances"`
 }
 
-// snapshot is the list as it stood from a time on.
+// snapshot is the instance list as of a point in time, valid until the next
+// snapshot.
 type snapshot struct {
 	at        time.Time
 	instances map[string]Instance
 }
 
-// instanceList keeps the list with enough of its past to answer late.
+// instanceList holds the current list and its past versions, which are returned
+// when the list lags.
 type instanceList struct {
 	mu        sync.Mutex
-	snapshots []snapshot // by time; the last is the current one
+	snapshots []snapshot // in order of time; the last is current
 }
 
 func newInstanceList() *instanceList {
 	return &instanceList{snapshots: []snapshot{{instances: map[string]Instance{}}}}
 }
 
-// update changes a copy of the list.
+// update appends a copy of the current list, modified by change, and drops
+// the snapshots that no lag up to maxListLag can select.
 func (d *instanceList) update(change func(map[string]Instance)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +66,7 @@
 	}
 }
 
-// list returns the list as it stood lag ago, ordered by id.
+// list returns the list as of lag ago, ordered by ID.
 func (d *instanceList) list(lag time.Duration) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/standin/platform/leases.go
+++ b/standin/platform/leases.go
@@ -6,7 +6,7 @@
 	"github.com/samber/lo"
 )
 
-// grant makes a lease, with an id of the server's choice if req.ID is zero.
+// grant creates a lease. If req.ID is zero, the store assigns the ID.
 func (s *store) grant(req leaseRequest) (*leaseResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,8 @@
 	return &leaseResponse{Header: s.headerLocked(), ID: id, TTL: req.TTL}, nil
 }
 
-// keepAlive renews a lease. A lease that is gone is answered with no TTL.
+// keepAlive renews a lease. For an unknown or expired lease, the TTL in the
+// response is zero.
 func (s *store) keepAlive(req leaseRequest) *keepAliveResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +40,7 @@
 	return &keepAliveResponse{Result: res}
 }
 
-// revoke ends a lease at once.
+// revoke ends a lease and deletes its keys.
 func (s *store) revoke(req leaseRequest) (*leaseResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +53,7 @@
 	return &leaseResponse{Header: s.headerLocked()}, nil
 }
 
-// expire ends a lease that nobody renewed in time.
+// expire ends a lease whose TTL elapsed, unless it has already ended.
 func (s *store) expire(l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// deleteLeaseLocked deletes the lease's keys at one revision.
+// deleteLeaseLocked deletes a lease and, at a single revision, its keys.
 func (s *store) deleteLeaseLocked(l *lease) {
 	delete(s.leases, l.id)
 	if len(l.keys) == 0 {
--- a/standin/platform/messages.go
+++ b/standin/platform/messages.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// Int64 is a 64-bit integer in protobuf's JSON mapping: written as a string,
-// read from a string or a number.
+// Int64 is a 64-bit integer in protobuf's JSON mapping: encoded as a string,
+// decoded from a string or a number.
 type Int64 int64
 
-// MarshalJSON writes n as a string.
+// MarshalJSON encodes n as a string.
 func (n Int64) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
 }
 
-// UnmarshalJSON reads a string or a number.
+// UnmarshalJSON decodes a string or a number. It returns an error if data is not
+// a 64-bit integer.
 func (n *Int64) UnmarshalJSON(data []byte) error {
 	v, err := strconv.ParseInt(strings.Trim(string(data), `"`), 10, 64)
 	if err != nil {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// KeyValue is mvccpb.KeyValue: one version of a key.
+// KeyValue is mvccpb.KeyValue: a version of a key.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -169,7 +170,7 @@
 	PrevKV *KeyValue `json:"prev_kv,omitempty"`
 }
 
-// statusCode is a gRPC status statusCode.
+// statusCode is a gRPC status code.
 type statusCode int
 
 const (
@@ -181,7 +182,7 @@
 	codeUnavailable       statusCode = 14
 )
 
-// statusError is the body of a refused call.
+// statusError is the response body of a failed call.
 type statusError struct {
 	Text    string     `json:"error"`
 	Code    statusCode `json:"code"`
@@ -192,11 +193,12 @@
 	return &statusError{Text: message, Code: c, Message: message}
 }
 
-// Error returns the message.
+// Error implements error.
 func (e *statusError) Error() string { return "platform: " + e.Message }
 
-// decodeRequest reads a request of the gateway, which takes both the names of the
-// proto file and their camelCase forms.
+// decodeRequest decodes a JSON request. Like the etcd gateway, it accepts both the
+// field names of the proto file and their camelCase forms. An empty body leaves v
+// unchanged.
 func decodeRequest(data []byte, v any) error {
 	if len(data) == 0 {
 		return nil
@@ -215,8 +217,8 @@
 	return nil
 }
 
-// protoNames turns the names of all objects in tree into those of the proto
-// file.
+// protoNames converts the field names of all objects in tree to those of the
+// proto file.
 func protoNames(tree any) any {
 	switch t := tree.(type) {
 	case map[string]any:
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -21,13 +21,14 @@
 
 const base = "http://platform"
 
-// testServer is a platform with a client, on a network of pipes.
+// testServer is a Server with an HTTP client, connected through a pipe.Network.
 type testServer struct {
 	*Server
 	client *http.Client
 }
 
-// newTestServer starts a platform, which has to end within the same bubble.
+// newTestServer starts a server. The returned function stops it and must be called
+// in the same synctest bubble.
 func newTestServer(opts Options) (*testServer, func()) {
 	network := &pipe.Network{}
 	server, cleanup := New(opts)
@@ -40,7 +41,7 @@
 	}
 }
 
-// inBubble runs f with a platform under the paused clock.
+// inBubble runs f with a server in a synctest bubble.
 func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *testServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,7 +51,8 @@
 	})
 }
 
-// post sends a body and reads the answer into v, unless the connection breaks.
+// post sends a body and decodes the response into v. It returns the HTTP status, or
+// zero and an error if the connection breaks.
 func (s *testServer) post(path, body string, v any) (int, error) {
 	res, err := s.client.Post(base+path, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -66,7 +68,7 @@
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
-// casBody is a transaction that writes key if its revision is expect, and
+// casBody returns a transaction that writes key if its mod revision is expect and
 // otherwise reads it.
 func casBody(key, value string, expect Int64) string {
 	return fmt.Sprintf(`{"compare":[{"target":"MOD","result":"EQUAL","key":%q,"mod_revision":"%d"}],
@@ -80,8 +82,8 @@
 	return res, err
 }
 
-// Two operators write the same key at once, both having read the same
-// revision. Only one may win, or a user's accepted setting would be lost.
+// Concurrent compare-and-swap writes of a key expect the same revision. If more than
+// one succeeded, an accepted write would be lost.
 func TestConcurrentCompareAndSwapHasOneWinner(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var mu sync.Mutex
@@ -111,7 +113,7 @@
 }
 
 func TestCompareTargets(t *testing.T) {
-	const key = `"key":"aw=="` // k, written twice: create 2, mod 3, version 2
+	const key = `"key":"aw=="` // k, written twice: create revision 2, mod revision 3, version 2
 	for _, test := range []struct {
 		compare string
 		holds   bool
@@ -163,8 +165,8 @@
 	})
 }
 
-// A holder is paused past its lease. Its key goes, and a watch says so, so that
-// another may take its place.
+// If a lease holder pauses for longer than the TTL, its key must be deleted, so that
+// watches report it and another holder can take over.
 func TestLeaseExpiresWithoutKeepAlive(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var granted leaseResponse
@@ -192,7 +194,7 @@
 	})
 }
 
-// watch is an open watch.
+// watch reads the messages of an open watch.
 type watch struct {
 	lines *bufio.Scanner
 }
@@ -210,7 +212,7 @@
 	return w
 }
 
-// next is false when the connection broke.
+// next returns the next message, or false if the connection has ended.
 func (w watch) next(t *testing.T) (watchResult, bool) {
 	t.Helper()
 	if !w.lines.Scan() {
@@ -244,8 +246,9 @@
 	})
 }
 
-// A watcher loses its connection and comes back after the history that it
-// missed is gone. It has to be told, or it would serve an old setting for good.
+// A watch reconnects at a revision that has been compacted in the meantime. It must
+// be canceled with the compaction revision; otherwise the watcher would miss changes
+// and keep a stale setting indefinitely.
 func TestWatchReportsCompaction(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		w := s.watch(t.Context(), t, 2)
@@ -266,8 +269,8 @@
 	})
 }
 
-// An operator restores a backup, so an old value of a setting is written over
-// a newer one. It carries a new revision: only its content is old.
+// Restoring a backup writes an old value over a newer one. The write must get a new
+// revision and version; only the content is old.
 func TestRestoreCreatesNewRevision(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		first, err := s.Put("k", []byte("old"))
@@ -282,8 +285,9 @@
 	})
 }
 
-// The platform fails or answers get lost, and the caller must be able to tell
-// a write that never took effect from one that may have.
+// A caller must be able to distinguish a write that was rejected without effect from
+// one that may have been applied: the former gets a status, the latter loses the
+// connection.
 func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -315,8 +319,8 @@
 	}
 }
 
-// Too many writers exhaust the platform's rate. What it refuses has no effect,
-// and after a while it takes writes again.
+// A write above the rate limit must fail with status 429 and without effect, and
+// writes must succeed again once the limiter refills.
 func TestRateCap(t *testing.T) {
 	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *testServer) {
 		var refused statusError
@@ -337,23 +341,23 @@
 	})
 }
 
-// The platform hangs: a call waits without effect, and a caller that is gone
-// before it goes on has written nothing.
+// A call that blocks on Hang must not be applied if its client disconnects before
+// Hang is cleared.
 func TestHang(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		assert.NilError(t, s.SetFaults(Faults{Hang: true}))
 		s.client.Timeout = time.Second
 		_, err := s.cas("k", "v", 0)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		synctest.Wait() // until the platform has noticed
+		synctest.Wait() // until the server detects the disconnect
 		assert.NilError(t, s.SetFaults(Faults{}))
 		time.Sleep(time.Second)
 		assert.Equal(t, len(s.Get("k")), 0)
 	})
 }
 
-// The list of instances lags, so that routers send work to an instance that
-// has left, and miss one that has come.
+// With a lag, the list must show an added instance late and a removed one for longer,
+// as routers then miss new instances and send work to removed ones.
 func TestListLags(t *testing.T) {
 	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *testServer) {
 		client := Client{URL: base, HTTP: s.client}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the platform in tests and in the demo: a
-// key-value service that speaks a subset of etcd v3's JSON gateway, and the
-// lagging list of instances. It has rate caps, counts calls, and fails as told.
+// Package platform simulates the platform in tests and in the demo: a key-value
+// service with a subset of the JSON gateway of etcd v3, and an instance list that
+// may lag. It supports rate limits, call counts and fault injection.
 package platform
 
 import (
@@ -15,24 +15,24 @@
 )
 
 const (
-	maxValueBytes        = 1 << 20 // bytes of one value
-	maxBodyBytes         = 4 << 20 // bytes of one request
+	maxValueBytes        = 1 << 20 // largest value, in bytes
+	maxBodyBytes         = 4 << 20 // largest request body, in bytes
 	maxListLag           = 10 * time.Minute
 	defaultHistoryEvents = 10000
 	leaseIDBase          = 1000
 	retryAfterSeconds    = "1"
 )
 
-// Options configure a Server. The zero value has no rate caps and no lag.
+// Options configures a Server. The zero value has no rate limits and no lag.
 type Options struct {
-	WritesPerSecond float64       // 0 means no cap
-	ReadsPerSecond  float64       // 0 means no cap
-	History         int           // events kept for watches; 0 means 10,000
-	ListLag         time.Duration // of the list of instances
-	Seed            uint64        // of faults that hit a share of calls
+	WritesPerSecond float64       // 0 means no limit
+	ReadsPerSecond  float64       // 0 means no limit
+	History         int           // number of events kept for watches and reads of past revisions; 0 means 10,000
+	ListLag         time.Duration // age of the instance list that reads return
+	Seed            uint64        // seeds the random choice of the calls to lose
 }
 
-// Server is an http.Handler with all calls of the platform.
+// Server is an http.Handler that serves the platform's API and the /admin paths.
 type Server struct {
 	mux       *http.ServeMux
 	store     *store
@@ -43,11 +43,12 @@
 
 	mu             sync.Mutex
 	calls          Calls
-	watchesDropped chan struct{} // closed when watches are to break
+	watchesDropped chan struct{} // closed to abort all watches, then replaced
 	closed         chan struct{}
 }
 
-// New returns a server and the function that ends its watches and leases.
+// New returns a server and a function that ends its watches and stops its lease
+// timers. The function may be called more than once.
 func New(opts Options) (*Server, func()) {
 	if opts.History <= 0 {
 		opts.History = defaultHistoryEvents
@@ -69,7 +70,8 @@
 	})
 }
 
-// newLimiter returns a newLimiter with a burst of a tenth of a second.
+// newLimiter returns a limiter whose burst is the number of calls allowed in 100
+// ms, but at least 1. It doesn't limit if perSecond is zero or negative.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -94,23 +96,23 @@
 	s.mux.HandleFunc("GET /admin/calls", s.handleCalls)
 }
 
-// ServeHTTP answers one call. It panics with http.ErrAbortHandler to break a
-// connection when a fault says so.
+// ServeHTTP implements http.Handler. To break a connection, it panics with
+// http.ErrAbortHandler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
 
-// call describes one kind of call.
+// call describes a call for admission: the counter and the rate limit to use.
 type call struct {
 	kind  callKind
 	write bool
 }
 
-// handleCall runs one call of the key-value service under the faults and caps.
-// req is filled from the body before run is called.
+// handleCall serves a call to the key-value service, subject to the faults and
+// rate limits. It decodes the body into req and then calls run.
 func (s *Server) handleCall(w http.ResponseWriter, r *http.Request, c call, req any, run func() (any, *statusError)) {
-	// The body is read to its end first, since net/http notices only then that
-	// the caller has gone.
+	// Read the whole body first: net/http detects that the client has
+	// disconnected only after that.
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if !s.admit(w, r, c) {
 		return
@@ -137,7 +139,9 @@
 	writeJSON(w, http.StatusOK, res)
 }
 
-// admit counts the call and holds or refuses it as caps and faults say.
+// admit counts the call and then delays or rejects it according to the faults and
+// rate limits. It reports whether the call may proceed; if not, it has written the
+// response.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, c call) bool {
 	s.countCall(c.kind)
 	if !s.delay(r.Context()) {
@@ -160,8 +164,8 @@
 	return true
 }
 
-// delay waits out the faults Hang and SlowMillis. It is false if the caller
-// has gone meanwhile.
+// delay waits until Hang is cleared and then for SlowMillis. It returns false if
+// ctx is done or the server is closed before that.
 func (s *Server) delay(ctx context.Context) bool {
 	for {
 		faults, changed := s.faults.get()
@@ -197,7 +201,7 @@
 	}
 }
 
-// writeError answers with the HTTP status that the gateway gives the code.
+// writeError writes e with the HTTP status that the gateway uses for its code.
 func writeError(w http.ResponseWriter, e *statusError) {
 	status := http.StatusBadRequest
 	switch e.Code {
@@ -217,5 +221,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// event is one change in the store's history, with what stood there before.
+// event is a change of a key, with the key's previous version.
 type event struct {
 	kv      KeyValue
 	prev    *KeyValue
 	deleted bool
 }
 
-// lease holds the keys that go when it lapses.
+// lease holds the keys that are deleted when the lease expires.
 type lease struct {
 	id    Int64
 	ttl   time.Duration
@@ -23,19 +23,19 @@
 	keys  map[string]bool
 }
 
-// store holds keys with their history behind one lock, so that every call is
+// store holds the keys and their history. A single lock makes every call
 // linearizable.
 type store struct {
 	mu          sync.Mutex
 	revision    Int64
 	current     map[string]KeyValue
-	sorted      []string // the keys of current, in order
-	events      []event  // by revision
-	maxEvents   int      // events kept
-	compacted   Int64    // revisions up to it are gone from events
+	sorted      []string // keys of current, in ascending order
+	events      []event  // in order of revision
+	maxEvents   int      // number of events kept
+	compacted   Int64    // events up to this revision have been discarded
 	leases      map[Int64]*lease
 	lastLeaseID Int64
-	changed     chan struct{} // closed at the next change
+	changed     chan struct{} // closed at the next write, then replaced
 }
 
 func newStore(maxEvents int) *store {
@@ -48,7 +48,7 @@
 	}
 }
 
-// close stops the leases' timers.
+// close stops the lease timers.
 func (s *store) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 	return &responseHeader{ClusterID: 1, MemberID: 1, Revision: s.revision, RaftTerm: 1}
 }
 
-// put runs a put of its own.
+// put runs a put outside a transaction.
 func (s *store) put(req putRequest) (*putResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// putLocked writes at the revision that the caller has begun.
+// putLocked writes a key at s.revision, which the caller has already incremented.
 func (s *store) putLocked(req putRequest) *putResponse {
 	key := string(req.Key)
 	old, exists := s.current[key]
@@ -126,7 +126,8 @@
 	}
 }
 
-// deleteRange runs a delete of its own.
+// deleteRange runs a delete outside a transaction. It uses a new revision only if
+// a key is deleted.
 func (s *store) deleteRange(req deleteRequest) (*deleteResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +158,8 @@
 	return res
 }
 
-// removeLocked deletes one key at the revision that the caller has begun.
+// removeLocked deletes a key at s.revision, which the caller has already
+// incremented.
 func (s *store) removeLocked(old KeyValue) {
 	key := string(old.Key)
 	s.detachLeaseLocked(old)
@@ -168,8 +170,8 @@
 	s.events = append(s.events, event{kv: tombstone, prev: &old, deleted: true})
 }
 
-// indexRangeLocked returns the half-open span of s.sorted that [key, end) covers. An
-// empty end stands for the one key, and a zero byte for all from key on.
+// indexRangeLocked returns the half-open index range of s.sorted for [key, end). An
+// empty end selects only key; an end of one zero byte selects all keys >= key.
 func (s *store) indexRangeLocked(key, end []byte) (int, int) {
 	from := sort.SearchStrings(s.sorted, string(key))
 	switch {
@@ -186,7 +188,8 @@
 
 func isOpenEnd(end []byte) bool { return len(end) == 1 && end[0] == 0 }
 
-// inRange tells whether k lies in [key, end) as spanLocked reads it.
+// inRange reports whether k is in [key, end), with the special values of end that
+// indexRangeLocked describes.
 func inRange(k, key, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -197,7 +200,8 @@
 	return bytes.Compare(k, key) >= 0 && bytes.Compare(k, end) < 0
 }
 
-// trimAndNotifyLocked trims the history and wakes the watches.
+// trimAndNotifyLocked limits the history to maxEvents events, discarding whole
+// revisions, and wakes the watches.
 func (s *store) trimAndNotifyLocked() {
 	if over := len(s.events) - s.maxEvents; over > 0 {
 		s.compactLocked(s.events[over-1].kv.ModRevision)
@@ -206,24 +210,25 @@
 	s.changed = make(chan struct{})
 }
 
-// compactLocked forgets the history up to revision.
+// compactLocked discards the events up to and including revision.
 func (s *store) compactLocked(revision Int64) {
 	n := sort.Search(len(s.events), func(i int) bool { return s.events[i].kv.ModRevision > revision })
 	s.events = slices.Clone(s.events[n:])
 	s.compacted = max(s.compacted, revision)
 }
 
-// compact forgets the whole history, so that a watch from an older revision is
-// refused.
+// compact discards the whole history, so that a watch from an older revision is
+// canceled.
 func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactLocked(s.revision)
 }
 
-// eventsSince returns the events of [key, end) from revision on, the revision they
-// reach, and a channel that is closed at the next change. A compacted result
-// above zero means that revision is gone.
+// eventsSince returns the events in [key, end) with at least the given revision, a
+// header with the store's current revision, and a channel that is closed at the
+// next write. If the revision has been compacted, it returns no events and the
+// compaction revision; otherwise compacted is zero.
 func (s *store) eventsSince(key, end []byte, revision Int64) (events []event, h *responseHeader, compacted Int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/txn.go
+++ b/standin/platform/txn.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// rangeKeys runs a read of its own.
+// rangeKeys runs a read outside a transaction.
 func (s *store) rangeKeys(req rangeRequest) (*rangeResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,9 @@
 	return res, nil
 }
 
-// readAtLocked returns the keys of [key, end) as of revision, zero being now.
+// readAtLocked returns the keys in [key, end) as of revision, ordered by key. A
+// revision of zero means the current one. It returns an error if the revision is
+// in the future or has been compacted.
 func (s *store) readAtLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
 	if revision > s.revision {
 		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
@@ -58,7 +60,8 @@
 	return kvs, nil
 }
 
-// readPastLocked undoes the history from its end down to revision.
+// readPastLocked reconstructs the keys in [key, end) as of revision by undoing the
+// later events, newest first.
 func (s *store) readPastLocked(key, end []byte, revision Int64) []KeyValue {
 	at := make(map[string]KeyValue)
 	from, to := s.indexRangeLocked(key, end)
@@ -85,8 +88,8 @@
 	return kvs
 }
 
-// txn compares and then runs one of the two lists of operations, at one
-// revision.
+// txn evaluates the comparisons and applies req.Success if all match, otherwise
+// req.Failure. All operations are applied at a single revision.
 func (s *store) txn(req txnRequest) (*txnResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +119,8 @@
 	return res, nil
 }
 
-// evaluateLocked tells whether the comparison holds. A key that does not exist
-// has zero for each number.
+// evaluateLocked reports whether the comparison matches. The numbers of a missing
+// key are zero. It returns an error for an unknown target or result.
 func (s *store) evaluateLocked(c comparison) (bool, *statusError) {
 	kv := s.current[string(c.Key)]
 	var order int
@@ -148,8 +151,8 @@
 	return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
 }
 
-// validateOperationsLocked refuses operations that could fail half-way, before the first
-// takes effect.
+// validateOperationsLocked rejects operations that would fail, before any of them
+// is applied, so that a transaction is never applied in part.
 func (s *store) validateOperationsLocked(operations []operation) *statusError {
 	for _, op := range operations {
 		if op.Put != nil {
@@ -185,7 +188,7 @@
 	case op.Range != nil:
 		res, err := s.rangeLocked(*op.Range)
 		if err != nil {
-			panic(err.Error()) // checkLocked has tried this revision
+			panic(err.Error()) // validateOperationsLocked has checked the revision
 		}
 		res.Header = s.headerLocked()
 		return operationResponse{Range: res}
@@ -193,8 +196,9 @@
 	return operationResponse{}
 }
 
-// restore writes the value that key had at revision as a new version, as an
-// operator does who puts back a backup.
+// restore writes the value that key had at revision as a new version, which
+// simulates an operator restoring a backup. It returns an error if the key had no
+// value at that revision or the revision is not available.
 func (s *store) restore(key string, revision Int64) *statusError {
 	s.mu.Lock()
 	kvs, err := s.readAtLocked([]byte(key), nil, revision)
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// handleWatch streams the events of one watch as JSON messages, one a line.
+// handleWatch streams the events of a watch as JSON messages, one per line.
 func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if !s.admit(w, r, call{kind: watchCall}) {
@@ -72,7 +72,8 @@
 	}
 }
 
-// watchWriter writes messages of a watch and keeps the first error.
+// watchWriter writes the messages of a watch. After the first error, which it
+// keeps in err, it writes nothing.
 type watchWriter struct {
 	encoder *json.Encoder
 	flusher *http.ResponseController
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is a TCP proxy on loopback that delays, holds up and resets what
-// passes through it, as links and machines do that fail without a word.
+// Package proxy provides a TCP proxy on the loopback interface that can delay, stall
+// and reset connections, to simulate links and machines that fail silently.
 package proxy
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Mode is how a proxy treats its connections.
+// Mode sets how a proxy handles its connections.
 type Mode struct {
-	Delay  time.Duration // of each piece that passes, in both directions
-	Silent bool          // nothing passes; it does later, when the mode changes
-	OneWay bool          // as Silent, for what goes to the target only
+	Delay  time.Duration // added to each chunk of up to 16 KiB and to the close, in both directions
+	Silent bool          // data is held back in both directions until the mode changes
+	OneWay bool          // like Silent, but only toward the target
 	Refuse bool          // new connections are reset
 }
 
-// Proxy passes connections on to a target.
+// Proxy forwards TCP connections to a target.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -27,7 +27,9 @@
 	conns   map[net.Conn]struct{}
 }
 
-// New starts a proxy on loopback. The function that it returns ends it.
+// New starts a proxy on a free loopback port that forwards to target, a host:port.
+// The returned function stops it and resets its connections. New returns an error
+// if it can't listen.
 func New(target string) (*Proxy, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,10 +40,10 @@
 	return p, p.stop, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the host:port that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes the mode of all connections.
+// SetMode sets the mode for open and new connections.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +52,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset resets all open connections.
+// Reset closes all open connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +104,7 @@
 	_ = c.Close()
 }
 
-// connPair is a caller's connection with the one to the target.
+// connPair is a client connection and the matching connection to the target.
 type connPair struct {
 	proxy  *Proxy
 	client net.Conn
@@ -124,15 +126,15 @@
 	<-toClient.done
 }
 
-// forwarder is one direction of a pair.
+// forwarder copies one direction of a connPair.
 type forwarder struct {
 	proxy    *Proxy
 	from, to net.Conn
-	toTarget bool // to the target
+	toTarget bool // copies from the client to the target
 	done     chan struct{}
 }
 
-// run passes on what comes until one side ends, and then ends the other.
+// run copies data until either connection ends, and then closes the other.
 func (h forwarder) run() {
 	defer close(h.done)
 	defer func() { _ = h.to.Close() }()
@@ -147,13 +149,14 @@
 			}
 		}
 		if err != nil {
-			h.waitForMode() // an end is held up like everything else
+			h.waitForMode() // delays the close like data
 			return
 		}
 	}
 }
 
-// waitForMode waits until the mode lets a piece pass.
+// waitForMode waits until the mode allows data in this direction and then for
+// mode.Delay.
 func (h forwarder) waitForMode() {
 	for {
 		mode, changed := h.proxy.currentMode()
