--- a/standin/hub/hub.go
+++ b/standin/hub/hub.go
@@ -1,6 +1,6 @@
-// Package hub simulates the platform's key-value store for routers that relay plain
-// HTTP: keys with revisions, paginated lists and long-poll watches over HTTP, and
-// fault injection. The tests and the soak use it.
+// Package hub simulates the platform's key-value store for routers that relay
+// plain HTTP: keys with revisions, paginated lists and long-poll watches over
+// HTTP, and fault injection. The tests and the soak use it.
 package hub
 
 import (
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Item is a key with its value in the JSON encoding of the store's API. It is also
-// a watch event.
+// Item is a key with its value in the JSON encoding of the store's API. It is
+// also a watch event.
 type Item struct {
 	Key            string `json:"key"`
 	Value          []byte `json:"value,omitempty"`
@@ -25,8 +25,8 @@
 
 // Faults configures fault injection.
 type Faults struct {
-	Outage       bool          // every call fails with status 503
-	Hang         bool          // no call gets a response
+	Outage       bool          // every call and pending watch fails with status 503
+	Hang         bool          // no call gets a response, and pending watches fail with status 503
 	StallWatches bool          // pending watches are not notified of changes
 	Delay        time.Duration // delay before each response
 	// Refuse, if set, reports whether calls from a remote address fail with
@@ -135,8 +135,8 @@
 	}
 }
 
-// pageSize is the number of entries in a page of a list. It is small so that tests
-// read several pages.
+// pageSize is the number of entries in a page of a list. It is small so that
+// tests read several pages.
 const pageSize = 50
 
 func (s *Store) handleRange(w http.ResponseWriter, r *http.Request) {
@@ -209,6 +209,10 @@
 	storeUnavailable
 )
 
+// eventsAfter returns the events after a revision and the store's current
+// revision. first marks the first check of a watch: only that one reports a
+// compacted revision, and only that one returns events while StallWatches is
+// set.
 func (s *Store) eventsAfter(prefix string, after int64, first bool) ([]Item, int64, historyStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -1,6 +1,7 @@
-// Package pipe provides an in-memory network of synchronous pipes for in-process
-// tests. A goroutine blocked on a pipe, unlike one blocked on a socket, counts as
-// durably blocked in testing/synctest, so that the fake clock can advance.
+// Package pipe provides an in-memory network of synchronous pipes for
+// in-process tests. A goroutine blocked on a pipe, unlike one blocked on a
+// socket, counts as durably blocked in testing/synctest, so that the fake clock
+// can advance.
 package pipe
 
 import (
@@ -60,7 +61,8 @@
 	}
 }
 
-// Close stops listening and releases the address. Accepted connections stay open.
+// Close stops listening and releases the address. Accepted connections stay
+// open.
 func (l *Listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -74,8 +76,8 @@
 // Addr returns the address that the listener listens on.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
-// DialContext connects to addr; the network name is ignored. If nothing listens on
-// addr, the error is a *net.OpError that wraps syscall.ECONNREFUSED.
+// DialContext connects to addr; the network name is ignored. If nothing listens
+// on addr, the error is a *net.OpError that wraps syscall.ECONNREFUSED.
 func (n *Network) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	refused := &net.OpError{Op: "dial", Net: "pipe", Addr: address(addr), Err: syscall.ECONNREFUSED}
 	n.mu.Lock()
@@ -100,8 +102,8 @@
 	return &http.Transport{DialContext: n.DialContext, MaxIdleConnsPerHost: 64}
 }
 
-// Serve serves h on addr, which must have the form host:port. It returns a function
-// that closes the server and all its connections.
+// Serve serves h on addr, which must have the form host:port. It returns a
+// function that closes the server and all its connections.
 func (n *Network) Serve(addr string, h http.Handler) func() {
 	s := &server{http: &http.Server{Handler: h}, done: make(chan struct{})}
 	go s.run(n.Listen(addr))
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -17,8 +17,8 @@
 	refusedCall
 )
 
-// Calls holds the number of calls received, by kind. Throttled and refused calls
-// are also counted under their own kind.
+// Calls holds the number of calls received, by kind. Throttled and refused
+// calls are also counted under their own kind.
 type Calls struct {
 	Range          int `json:"range"`
 	Put            int `json:"put"`
--- a/standin/platform/client.go
+++ b/standin/platform/client.go
@@ -9,8 +9,8 @@
 	"net/url"
 )
 
-// Client registers and removes entries of the instance list. The stand-in engine
-// and service use it for their own entries.
+// Client registers and removes entries of the instance list. The stand-in
+// engine and service use it for their own entries.
 type Client struct {
 	URL  string       // base URL of the platform, without a trailing slash
 	HTTP *http.Client // nil means http.DefaultClient
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -104,8 +104,8 @@
 	lostReply             // applied, no response
 )
 
-// nextOutcome decides the outcome of a call. LoseCallNext and LoseReplyNext apply
-// to writes only, so that background reads don't use them up.
+// nextOutcome decides the outcome of a call. LoseCallNext and LoseReplyNext
+// apply to writes only, so that background reads don't use them up.
 func (f *faultState) nextOutcome(write bool) callOutcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -159,8 +159,8 @@
 }
 
 // Put writes a key directly to the store, without rate limits and faults, and
-// returns the new revision. It returns an error if the key is empty or the value
-// exceeds 1 MiB.
+// returns the new revision. It returns an error if the key is empty or the
+// value exceeds 1 MiB.
 func (s *Server) Put(key string, value []byte) (int64, error) {
 	res, err := s.store.put(putRequest{Key: []byte(key), Value: value})
 	if err != nil {
@@ -169,8 +169,8 @@
 	return int64(res.Header.Revision), nil
 }
 
-// Get reads the keys that start with prefix directly from the store, without rate
-// limits and faults, ordered by key.
+// Get reads the keys that start with prefix directly from the store, without
+// rate limits and faults, ordered by key.
 func (s *Server) Get(prefix string) []KeyValue {
 	end := slices.Clone([]byte(prefix))
 	for len(end) > 0 && end[len(end)-1] == 0xff {
--- a/standin/platform/messages.go
+++ b/standin/platform/messages.go
@@ -16,8 +16,8 @@
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
 }
 
-// UnmarshalJSON decodes a string or a number. It returns an error if data is not
-// a 64-bit integer.
+// UnmarshalJSON decodes a string or a number. It returns an error if data is
+// not a 64-bit integer.
 func (n *Int64) UnmarshalJSON(data []byte) error {
 	v, err := strconv.ParseInt(strings.Trim(string(data), `"`), 10, 64)
 	if err != nil {
@@ -85,8 +85,8 @@
 	PrevKVs []KeyValue      `json:"prev_kvs,omitempty"`
 }
 
-// comparison is etcdserverpb.Compare. An absent result means EQUAL and an absent
-// target means VERSION, as in protobuf's JSON mapping.
+// comparison is etcdserverpb.Compare. An absent result means EQUAL and an
+// absent target means VERSION, as in protobuf's JSON mapping.
 type comparison struct {
 	Result         string `json:"result"`
 	Target         string `json:"target"`
@@ -196,9 +196,9 @@
 // Error implements error.
 func (e *statusError) Error() string { return "platform: " + e.Message }
 
-// decodeRequest decodes a JSON request. Like the etcd gateway, it accepts both the
-// field names of the proto file and their camelCase forms. An empty body leaves v
-// unchanged.
+// decodeRequest decodes a JSON request. Like the etcd gateway, it accepts both
+// the field names of the proto file and their camelCase forms. An empty body
+// leaves v unchanged.
 func decodeRequest(data []byte, v any) error {
 	if len(data) == 0 {
 		return nil
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -27,8 +27,8 @@
 	client *http.Client
 }
 
-// newTestServer starts a server. The returned function stops it and must be called
-// in the same synctest bubble.
+// newTestServer starts a server. The returned function stops it and must be
+// called in the same synctest bubble.
 func newTestServer(opts Options) (*testServer, func()) {
 	network := &pipe.Network{}
 	server, cleanup := New(opts)
@@ -51,8 +51,8 @@
 	})
 }
 
-// post sends a body and decodes the response into v. It returns the HTTP status, or
-// zero and an error if the connection breaks.
+// post sends a body and decodes the response into v. It returns the HTTP
+// status, or zero and an error if the connection breaks.
 func (s *testServer) post(path, body string, v any) (int, error) {
 	res, err := s.client.Post(base+path, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -68,8 +68,8 @@
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
-// casBody returns a transaction that writes key if its mod revision is expect and
-// otherwise reads it.
+// casBody returns a transaction that writes key if its mod revision is expect
+// and otherwise reads it.
 func casBody(key, value string, expect Int64) string {
 	return fmt.Sprintf(`{"compare":[{"target":"MOD","result":"EQUAL","key":%q,"mod_revision":"%d"}],
 		"success":[{"request_put":{"key":%q,"value":%q}}],
@@ -82,8 +82,8 @@
 	return res, err
 }
 
-// Concurrent compare-and-swap writes of a key expect the same revision. If more than
-// one succeeded, an accepted write would be lost.
+// Concurrent compare-and-swap writes of a key expect the same revision. If more
+// than one succeeded, an accepted write would be lost.
 func TestConcurrentCompareAndSwapHasOneWinner(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var mu sync.Mutex
@@ -165,8 +165,8 @@
 	})
 }
 
-// If a lease holder pauses for longer than the TTL, its key must be deleted, so that
-// watches report it and another holder can take over.
+// If a lease holder pauses for longer than the TTL, its key must be deleted, so
+// that watches report it and another holder can take over.
 func TestLeaseExpiresWithoutKeepAlive(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var granted leaseResponse
@@ -246,9 +246,9 @@
 	})
 }
 
-// A watch reconnects at a revision that has been compacted in the meantime. It must
-// be canceled with the compaction revision; otherwise the watcher would miss changes
-// and keep a stale setting indefinitely.
+// A watch reconnects at a revision that has been compacted in the meantime. It
+// must be canceled with the compaction revision; otherwise the watcher would
+// miss changes and keep a stale setting indefinitely.
 func TestWatchReportsCompaction(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		w := s.watch(t.Context(), t, 2)
@@ -269,8 +269,8 @@
 	})
 }
 
-// Restoring a backup writes an old value over a newer one. The write must get a new
-// revision and version; only the content is old.
+// Restoring a backup writes an old value over a newer one. The write must get a
+// new revision and version; only the content is old.
 func TestRestoreCreatesNewRevision(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		first, err := s.Put("k", []byte("old"))
@@ -285,9 +285,9 @@
 	})
 }
 
-// A caller must be able to distinguish a write that was rejected without effect from
-// one that may have been applied: the former gets a status, the latter loses the
-// connection.
+// A caller must be able to distinguish a write that was rejected without effect
+// from one that may have been applied: the former gets a status, the latter
+// loses the connection.
 func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -319,8 +319,8 @@
 	}
 }
 
-// A write above the rate limit must fail with status 429 and without effect, and
-// writes must succeed again once the limiter refills.
+// A write above the rate limit must fail with status 429 and without effect,
+// and writes must succeed again once the limiter refills.
 func TestRateCap(t *testing.T) {
 	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *testServer) {
 		var refused statusError
@@ -341,8 +341,8 @@
 	})
 }
 
-// A call that blocks on Hang must not be applied if its client disconnects before
-// Hang is cleared.
+// A call that blocks on Hang must not be applied if its client disconnects
+// before Hang is cleared.
 func TestHang(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		assert.NilError(t, s.SetFaults(Faults{Hang: true}))
@@ -356,8 +356,8 @@
 	})
 }
 
-// With a lag, the list must show an added instance late and a removed one for longer,
-// as routers then miss new instances and send work to removed ones.
+// With a lag, the list must show an added instance late and a removed one for
+// longer, as routers then miss new instances and send work to removed ones.
 func TestListLags(t *testing.T) {
 	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *testServer) {
 		client := Client{URL: base, HTTP: s.client}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -1,6 +1,6 @@
 // Package platform simulates the platform in tests and in the demo: a key-value
-// service with a subset of the JSON gateway of etcd v3, and an instance list that
-// may lag. It supports rate limits, call counts and fault injection.
+// service with a subset of the JSON gateway of etcd v3, and an instance list
+// that may lag. It supports rate limits, call counts and fault injection.
 package platform
 
 import (
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxValueBytes        = 1 << 20 // largest value, in bytes
-	maxBodyBytes         = 4 << 20 // largest request body, in bytes
-	maxListLag           = 10 * time.Minute
+	maxValueBytes        = 1 << 20          // largest value, in bytes
+	maxBodyBytes         = 4 << 20          // largest request body, in bytes
+	maxListLag           = 10 * time.Minute // longest lag of the instance list
 	defaultHistoryEvents = 10000
 	leaseIDBase          = 1000
 	retryAfterSeconds    = "1"
@@ -32,7 +32,8 @@
 	Seed            uint64        // seeds the random choice of the calls to lose
 }
 
-// Server is an http.Handler that serves the platform's API and the /admin paths.
+// Server is an http.Handler that serves the platform's API and the /admin
+// paths.
 type Server struct {
 	mux       *http.ServeMux
 	store     *store
@@ -70,8 +71,8 @@
 	})
 }
 
-// newLimiter returns a limiter whose burst is the number of calls allowed in 100
-// ms, but at least 1. It doesn't limit if perSecond is zero or negative.
+// newLimiter returns a limiter whose burst is the number of calls allowed in
+// 100 ms, but at least 1. It doesn't limit if perSecond is zero or negative.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -139,9 +140,9 @@
 	writeJSON(w, http.StatusOK, res)
 }
 
-// admit counts the call and then delays or rejects it according to the faults and
-// rate limits. It reports whether the call may proceed; if not, it has written the
-// response.
+// admit counts the call and then delays or rejects it according to the faults
+// and rate limits. It reports whether the call may proceed; if not, it has
+// written the response.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, c call) bool {
 	s.countCall(c.kind)
 	if !s.delay(r.Context()) {
@@ -164,8 +165,8 @@
 	return true
 }
 
-// delay waits until Hang is cleared and then for SlowMillis. It returns false if
-// ctx is done or the server is closed before that.
+// delay waits until Hang is cleared and then for SlowMillis. It returns false
+// if ctx is done or the server is closed before that.
 func (s *Server) delay(ctx context.Context) bool {
 	for {
 		faults, changed := s.faults.get()
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// putLocked writes a key at s.revision, which the caller has already incremented.
+// putLocked writes a key at s.revision, which the caller has already
+// incremented.
 func (s *store) putLocked(req putRequest) *putResponse {
 	key := string(req.Key)
 	old, exists := s.current[key]
@@ -126,8 +127,8 @@
 	}
 }
 
-// deleteRange runs a delete outside a transaction. It uses a new revision only if
-// a key is deleted.
+// deleteRange runs a delete outside a transaction. It uses a new revision only
+// if a key is deleted.
 func (s *store) deleteRange(req deleteRequest) (*deleteResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,8 +171,9 @@
 	s.events = append(s.events, event{kv: tombstone, prev: &old, deleted: true})
 }
 
-// indexRangeLocked returns the half-open index range of s.sorted for [key, end). An
-// empty end selects only key; an end of one zero byte selects all keys >= key.
+// indexRangeLocked returns the half-open index range of s.sorted for [key,
+// end). An empty end selects only key; an end of one zero byte selects all keys
+// >= key.
 func (s *store) indexRangeLocked(key, end []byte) (int, int) {
 	from := sort.SearchStrings(s.sorted, string(key))
 	switch {
@@ -188,8 +190,8 @@
 
 func isOpenEnd(end []byte) bool { return len(end) == 1 && end[0] == 0 }
 
-// inRange reports whether k is in [key, end), with the special values of end that
-// indexRangeLocked describes.
+// inRange reports whether k is in [key, end), with the special values of end
+// that indexRangeLocked describes.
 func inRange(k, key, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -225,10 +227,10 @@
 	s.compactLocked(s.revision)
 }
 
-// eventsSince returns the events in [key, end) with at least the given revision, a
-// header with the store's current revision, and a channel that is closed at the
-// next write. If the revision has been compacted, it returns no events and the
-// compaction revision; otherwise compacted is zero.
+// eventsSince returns the events in [key, end) with at least the given
+// revision, a header with the store's current revision, and a channel that is
+// closed at the next write. If the revision has been compacted, it returns no
+// events and the compaction revision; otherwise compacted is zero.
 func (s *store) eventsSince(key, end []byte, revision Int64) (events []event, h *responseHeader, compacted Int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/txn.go
+++ b/standin/platform/txn.go
@@ -40,8 +40,8 @@
 }
 
 // readAtLocked returns the keys in [key, end) as of revision, ordered by key. A
-// revision of zero means the current one. It returns an error if the revision is
-// in the future or has been compacted.
+// revision of zero means the current one. It returns an error if the revision
+// is in the future or has been compacted.
 func (s *store) readAtLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
 	if revision > s.revision {
 		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
@@ -60,8 +60,8 @@
 	return kvs, nil
 }
 
-// readPastLocked reconstructs the keys in [key, end) as of revision by undoing the
-// later events, newest first.
+// readPastLocked reconstructs the keys in [key, end) as of revision by undoing
+// the later events, newest first.
 func (s *store) readPastLocked(key, end []byte, revision Int64) []KeyValue {
 	at := make(map[string]KeyValue)
 	from, to := s.indexRangeLocked(key, end)
@@ -119,8 +119,8 @@
 	return res, nil
 }
 
-// evaluateLocked reports whether the comparison matches. The numbers of a missing
-// key are zero. It returns an error for an unknown target or result.
+// evaluateLocked reports whether the comparison matches. The numbers of a
+// missing key are zero. It returns an error for an unknown target or result.
 func (s *store) evaluateLocked(c comparison) (bool, *statusError) {
 	kv := s.current[string(c.Key)]
 	var order int
@@ -151,8 +151,8 @@
 	return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
 }
 
-// validateOperationsLocked rejects operations that would fail, before any of them
-// is applied, so that a transaction is never applied in part.
+// validateOperationsLocked rejects operations that would fail, before any of
+// them is applied, so that a transaction is never applied in part.
 func (s *store) validateOperationsLocked(operations []operation) *statusError {
 	for _, op := range operations {
 		if op.Put != nil {
@@ -197,8 +197,8 @@
 }
 
 // restore writes the value that key had at revision as a new version, which
-// simulates an operator restoring a backup. It returns an error if the key had no
-// value at that revision or the revision is not available.
+// simulates an operator restoring a backup. It returns an error if the key had
+// no value at that revision or the revision is not available.
 func (s *store) restore(key string, revision Int64) *statusError {
 	s.mu.Lock()
 	kvs, err := s.readAtLocked([]byte(key), nil, revision)
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy provides a TCP proxy on the loopback interface that can delay, stall
-// and reset connections, to simulate links and machines that fail silently.
+// Package proxy provides a TCP proxy on the loopback interface that can delay,
+// stall and reset connections, to simulate links and machines that fail
+// silently.
 package proxy
 
 import (
@@ -27,9 +28,9 @@
 	conns   map[net.Conn]struct{}
 }
 
-// New starts a proxy on a free loopback port that forwards to target, a host:port.
-// The returned function stops it and resets its connections. New returns an error
-// if it can't listen.
+// New starts a proxy on a free loopback port that forwards to target, a
+// host:port. The returned function stops it and resets its connections. New
+// returns an error if it can't listen.
 func New(target string) (*Proxy, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
