--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// State tells whether an instance takes new work.
+// State says whether an instance accepts new work.
 type State string
 
 // The states of an instance.
@@ -17,7 +17,7 @@
 	Leaving State = "leaving"
 )
 
-// Instance is one entry of the list of instances.
+// Instance is an entry of the instance list.
 type Instance struct {
 	ID          string `json:"id"`
 	Address     string `json:"address"`
@@ -29,48 +29,51 @@
 	Capacity    int    `json:"capacity"`
 }
 
-// List is the body of the list of instances.
+// List is the response body of GET /v1/instances.
 type List struct {
 	Instances []Instance `json:"instances"`
 }
 
-// snapshot is the list as it stood from a time on.
+// snapshot is the instance list as of a point in time, valid until the next
+// snapshot.
 type snapshot struct {
 	at        time.Time
 	instances map[string]Instance
 }
 
-// directory keeps the list with enough of its past to answer late.
-type directory struct {
-	mu   sync.Mutex
-	past []snapshot // by time; the last is the current one
+// instanceList holds the current list and its past versions, which are returned
+// when the list lags.
+type instanceList struct {
+	mu        sync.Mutex
+	snapshots []snapshot // in order of time; the last is current
 }
 
-func newDirectory() *directory {
-	return &directory{past: []snapshot{{instances: map[string]Instance{}}}}
+func newInstanceList() *instanceList {
+	return &instanceList{snapshots: []snapshot{{instances: map[string]Instance{}}}}
 }
 
-// update changes a copy of the list.
-func (d *directory) update(change func(map[string]Instance)) {
+// update appends a copy of the current list, modified by change, and drops
+// the snapshots that no lag up to maxListLag can select.
+func (d *instanceList) update(change func(map[string]Instance)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := maps.Clone(d.past[len(d.past)-1].instances)
+	next := maps.Clone(d.snapshots[len(d.snapshots)-1].instances)
 	change(next)
 	now := time.Now()
-	d.past = append(d.past, snapshot{at: now, instances: next})
-	for len(d.past) > 1 && now.Sub(d.past[1].at) > maxListLag {
-		d.past = d.past[1:]
+	d.snapshots = append(d.snapshots, snapshot{at: now, instances: next})
+	for len(d.snapshots) > 1 && now.Sub(d.snapshots[1].at) > maxListLag {
+		d.snapshots = d.snapshots[1:]
 	}
 }
 
-// list returns the list as it stood lag ago, ordered by id.
-func (d *directory) list(lag time.Duration) List {
+// list returns the list as of lag ago, ordered by ID.
+func (d *instanceList) list(lag time.Duration) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	seen := time.Now().Add(-lag)
-	shown := d.past[0]
-	for _, s := range d.past {
-		if !s.at.After(seen) {
+	asOf := time.Now().Add(-lag)
+	shown := d.snapshots[0]
+	for _, s := range d.snapshots {
+		if !s.at.After(asOf) {
 			shown = s
 		}
 	}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -21,37 +21,39 @@
 
 const base = "http://platform"
 
-// site is a platform with a client, on a network of pipes.
-type site struct {
+// testServer is a Server with an HTTP client, connected through a pipe.Network.
+type testServer struct {
 	*Server
 	client *http.Client
 }
 
-// newSite starts a platform, which has to end within the same bubble.
-func newSite(opts Options) (*site, func()) {
+// newTestServer starts a server. The returned function stops it and must be
+// called in the same synctest bubble.
+func newTestServer(opts Options) (*testServer, func()) {
 	network := &pipe.Network{}
 	server, cleanup := New(opts)
 	transport := network.Transport()
 	stop := network.Serve("platform:80", server)
-	return &site{Server: server, client: &http.Client{Transport: transport}}, func() {
+	return &testServer{Server: server, client: &http.Client{Transport: transport}}, func() {
 		cleanup()
 		transport.CloseIdleConnections()
 		stop()
 	}
 }
 
-// inBubble runs f with a platform under the paused clock.
-func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *site)) {
+// inBubble runs f with a server in a synctest bubble.
+func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *testServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s, cleanup := newSite(opts)
+		s, cleanup := newTestServer(opts)
 		defer cleanup()
 		f(t, s)
 	})
 }
 
-// post sends a body and reads the answer into v, unless the connection breaks.
-func (s *site) post(path, body string, v any) (int, error) {
+// post sends a body and decodes the response into v. It returns the HTTP
+// status, or zero and an error if the connection breaks.
+func (s *testServer) post(path, body string, v any) (int, error) {
 	res, err := s.client.Post(base+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -66,24 +68,24 @@
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
-// casBody is a transaction that writes key if its revision is expect, and
-// otherwise reads it.
+// casBody returns a transaction that writes key if its mod revision is expect
+// and otherwise reads it.
 func casBody(key, value string, expect Int64) string {
 	return fmt.Sprintf(`{"compare":[{"target":"MOD","result":"EQUAL","key":%q,"mod_revision":"%d"}],
 		"success":[{"request_put":{"key":%q,"value":%q}}],
 		"failure":[{"request_range":{"key":%q}}]}`, b64(key), expect, b64(key), b64(value), b64(key))
 }
 
-func (s *site) cas(key, value string, expect Int64) (txnResponse, error) {
+func (s *testServer) cas(key, value string, expect Int64) (txnResponse, error) {
 	var res txnResponse
 	_, err := s.post("/v3/kv/txn", casBody(key, value, expect), &res)
 	return res, err
 }
 
-// Two operators write the same key at once, both having read the same
-// revision. Only one may win, or a user's accepted setting would be lost.
-func TestOnlyOneOfManyWinsARevision(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+// Concurrent compare-and-swap writes of a key expect the same revision. If more
+// than one succeeded, an accepted write would be lost.
+func TestConcurrentCompareAndSwapHasOneWinner(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		won := 0
@@ -111,7 +113,7 @@
 }
 
 func TestCompareTargets(t *testing.T) {
-	const key = `"key":"aw=="` // k, written twice: create 2, mod 3, version 2
+	const key = `"key":"aw=="` // k, written twice: create revision 2, mod revision 3, version 2
 	for _, test := range []struct {
 		compare string
 		holds   bool
@@ -127,7 +129,7 @@
 		{`{` + key + `,"target":"VALUE","value":"Mg=="}`, true},
 		{`{"key":"eA==","target":"CREATE","create_revision":"0"}`, true},
 	} {
-		inBubble(t, Options{}, func(t *testing.T, s *site) {
+		inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 			for _, value := range []string{"1", "2"} {
 				_, err := s.Put("k", []byte(value))
 				assert.NilError(t, err)
@@ -141,8 +143,8 @@
 	}
 }
 
-func TestRangeReadsPrefixLimitAndPast(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestRangeByPrefixLimitAndRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		for _, key := range []string{"a/2", "a/1", "b", "a/1"} {
 			_, err := s.Put(key, []byte("v"))
 			assert.NilError(t, err)
@@ -163,10 +165,10 @@
 	})
 }
 
-// A holder is paused past its lease. Its key goes, and a watch says so, so that
-// another may take its place.
-func TestLeaseLapsesWithoutKeepAlive(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+// If a lease holder pauses for longer than the TTL, its key must be deleted, so
+// that watches report it and another holder can take over.
+func TestLeaseExpiresWithoutKeepAlive(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var granted leaseResponse
 		_, err := s.post("/v3/lease/grant", `{"TTL":"5"}`, &granted)
 		assert.NilError(t, err)
@@ -192,12 +194,12 @@
 	})
 }
 
-// watch is an open watch.
+// watch reads the messages of an open watch.
 type watch struct {
 	lines *bufio.Scanner
 }
 
-func (s *site) watch(ctx context.Context, t *testing.T, from Int64) watch {
+func (s *testServer) watch(ctx context.Context, t *testing.T, from Int64) watch {
 	t.Helper()
 	body := fmt.Sprintf(`{"create_request":{"key":"aw==","start_revision":"%d"}}`, from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v3/watch", strings.NewReader(body))
@@ -210,7 +212,7 @@
 	return w
 }
 
-// next is false when the connection broke.
+// next returns the next message, or false if the connection has ended.
 func (w watch) next(t *testing.T) (watchResult, bool) {
 	t.Helper()
 	if !w.lines.Scan() {
@@ -221,8 +223,8 @@
 	return res.Result, true
 }
 
-func TestWatchFromARevision(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+func TestWatchFromRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		for _, value := range []string{"1", "2", "3"} {
 			_, err := s.Put("k", []byte(value))
 			assert.NilError(t, err)
@@ -244,10 +246,11 @@
 	})
 }
 
-// A watcher loses its connection and comes back after the history that it
-// missed is gone. It has to be told, or it would serve an old setting for good.
-func TestWatchIsToldOfAGap(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+// A watch reconnects at a revision that has been compacted in the meantime. It
+// must be canceled with the compaction revision; otherwise the watcher would
+// miss changes and keep a stale setting indefinitely.
+func TestWatchReportsCompaction(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		w := s.watch(t.Context(), t, 2)
 		assert.NilError(t, s.SetFaults(Faults{DropWatches: true}))
 		_, ok := w.next(t)
@@ -266,10 +269,10 @@
 	})
 }
 
-// An operator restores a backup, so an old value of a setting is written over
-// a newer one. It carries a new revision: only its content is old.
-func TestRestoreWritesAnOldValueAsNew(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+// Restoring a backup writes an old value over a newer one. The write must get a
+// new revision and version; only the content is old.
+func TestRestoreCreatesNewRevision(t *testing.T) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		first, err := s.Put("k", []byte("old"))
 		assert.NilError(t, err)
 		_, err = s.Put("k", []byte("new"))
@@ -282,15 +285,16 @@
 	})
 }
 
-// The platform fails or answers get lost, and the caller must be able to tell
-// a write that never took effect from one that may have.
-func TestFaultsOfOneWrite(t *testing.T) {
+// A caller must be able to distinguish a write that was rejected without effect
+// from one that may have been applied: the former gets a status, the latter
+// loses the connection.
+func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		opts    Options
 		faults  Faults
 		status  int // zero if the connection breaks
-		code    code
+		code    statusCode
 		written bool
 	}{
 		{name: "no fault", status: http.StatusOK, written: true},
@@ -301,7 +305,7 @@
 		{name: "all answers lost", faults: Faults{LoseReply: 1}, written: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, test.opts, func(t *testing.T, s *site) {
+			inBubble(t, test.opts, func(t *testing.T, s *testServer) {
 				assert.NilError(t, s.SetFaults(test.faults))
 				var refused statusError
 				status, err := s.post("/v3/kv/txn", casBody("k", "v", 0), &refused)
@@ -315,10 +319,10 @@
 	}
 }
 
-// Too many writers exhaust the platform's rate. What it refuses has no effect,
-// and after a while it takes writes again.
+// A write above the rate limit must fail with status 429 and without effect,
+// and writes must succeed again once the limiter refills.
 func TestRateCap(t *testing.T) {
-	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *site) {
+	inBubble(t, Options{WritesPerSecond: 10}, func(t *testing.T, s *testServer) {
 		var refused statusError
 		status, err := s.post("/v3/kv/txn", casBody("k", "v", 0), &refused)
 		assert.NilError(t, err)
@@ -337,25 +341,25 @@
 	})
 }
 
-// The platform hangs: a call waits without effect, and a caller that is gone
-// before it goes on has written nothing.
+// A call that blocks on Hang must not be applied if its client disconnects
+// before Hang is cleared.
 func TestHang(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		assert.NilError(t, s.SetFaults(Faults{Hang: true}))
 		s.client.Timeout = time.Second
 		_, err := s.cas("k", "v", 0)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		synctest.Wait() // until the platform has noticed
+		synctest.Wait() // until the server detects the disconnect
 		assert.NilError(t, s.SetFaults(Faults{}))
 		time.Sleep(time.Second)
 		assert.Equal(t, len(s.Get("k")), 0)
 	})
 }
 
-// The list of instances lags, so that routers send work to an instance that
-// has left, and miss one that has come.
+// With a lag, the list must show an added instance late and a removed one for
+// longer, as routers then miss new instances and send work to removed ones.
 func TestListLags(t *testing.T) {
-	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *site) {
+	inBubble(t, Options{ListLag: 2 * time.Second}, func(t *testing.T, s *testServer) {
 		client := Client{URL: base, HTTP: s.client}
 		assert.NilError(t, client.Register(t.Context(), Instance{ID: "e1", Kind: "engine", Capacity: 16}))
 		assert.Equal(t, len(s.list(t).Instances), 0)
@@ -371,7 +375,7 @@
 	})
 }
 
-func (s *site) list(t *testing.T) List {
+func (s *testServer) list(t *testing.T) List {
 	t.Helper()
 	res, err := s.client.Get(base + "/v1/instances")
 	assert.NilError(t, err)
@@ -382,7 +386,7 @@
 }
 
 func TestFaultsMerge(t *testing.T) {
-	inBubble(t, Options{}, func(t *testing.T, s *site) {
+	inBubble(t, Options{}, func(t *testing.T, s *testServer) {
 		var now Faults
 		_, err := s.post("/admin/faults", `{"outage":true}`, &now)
 		assert.NilError(t, err)
--- a/standin/platform/txn.go
+++ b/standin/platform/txn.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// rangeKeys runs a read of its own.
+// rangeKeys runs a read outside a transaction.
 func (s *store) rangeKeys(req rangeRequest) (*rangeResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -19,7 +19,7 @@
 }
 
 func (s *store) rangeLocked(req rangeRequest) (*rangeResponse, *statusError) {
-	kvs, err := s.readLocked(req.Key, req.RangeEnd, req.Revision)
+	kvs, err := s.readAtLocked(req.Key, req.RangeEnd, req.Revision)
 	if err != nil {
 		return nil, err
 	}
@@ -39,18 +39,20 @@
 	return res, nil
 }
 
-// readLocked returns the keys of [key, end) as of revision, zero being now.
-func (s *store) readLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
+// readAtLocked returns the keys in [key, end) as of revision, ordered by key. A
+// revision of zero means the current one. It returns an error if the revision
+// is in the future or has been compacted.
+func (s *store) readAtLocked(key, end []byte, revision Int64) ([]KeyValue, *statusError) {
 	if revision > s.revision {
-		return nil, refusal(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
+		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision is a future revision")
 	}
 	if revision > 0 && revision < s.compacted {
-		return nil, refusal(codeOutOfRange, "etcdserver: mvcc: required revision has been compacted")
+		return nil, newStatusError(codeOutOfRange, "etcdserver: mvcc: required revision has been compacted")
 	}
 	if revision > 0 && revision < s.revision {
-		return s.readBackLocked(key, end, revision), nil
+		return s.readPastLocked(key, end, revision), nil
 	}
-	from, to := s.spanLocked(key, end)
+	from, to := s.indexRangeLocked(key, end)
 	kvs := make([]KeyValue, 0, to-from)
 	for _, k := range s.sorted[from:to] {
 		kvs = append(kvs, s.current[k])
@@ -58,10 +60,11 @@
 	return kvs, nil
 }
 
-// readBackLocked undoes the history from its end down to revision.
-func (s *store) readBackLocked(key, end []byte, revision Int64) []KeyValue {
+// readPastLocked reconstructs the keys in [key, end) as of revision by undoing
+// the later events, newest first.
+func (s *store) readPastLocked(key, end []byte, revision Int64) []KeyValue {
 	at := make(map[string]KeyValue)
-	from, to := s.spanLocked(key, end)
+	from, to := s.indexRangeLocked(key, end)
 	for _, k := range s.sorted[from:to] {
 		at[k] = s.current[k]
 	}
@@ -85,14 +88,14 @@
 	return kvs
 }
 
-// txn compares and then runs one of the two lists of operations, at one
-// revision.
+// txn evaluates the comparisons and applies req.Success if all match, otherwise
+// req.Failure. All operations are applied at a single revision.
 func (s *store) txn(req txnRequest) (*txnResponse, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	res := &txnResponse{Succeeded: true}
 	for _, c := range req.Compare {
-		holds, err := s.holdsLocked(c)
+		holds, err := s.evaluateLocked(c)
 		if err != nil {
 			return nil, err
 		}
@@ -102,23 +105,23 @@
 	if res.Succeeded {
 		operations = req.Success
 	}
-	if err := s.checkLocked(operations); err != nil {
+	if err := s.validateOperationsLocked(operations); err != nil {
 		return nil, err
 	}
 	if s.writesLocked(operations) {
 		s.revision++
 	}
 	for _, op := range operations {
-		res.Responses = append(res.Responses, s.runLocked(op))
+		res.Responses = append(res.Responses, s.applyOperationLocked(op))
 	}
 	res.Header = s.headerLocked()
-	s.announceLocked()
+	s.trimAndNotifyLocked()
 	return res, nil
 }
 
-// holdsLocked tells whether the comparison holds. A key that does not exist
-// has zero for each number.
-func (s *store) holdsLocked(c compare) (bool, *statusError) {
+// evaluateLocked reports whether the comparison matches. The numbers of a
+// missing key are zero. It returns an error for an unknown target or result.
+func (s *store) evaluateLocked(c comparison) (bool, *statusError) {
 	kv := s.current[string(c.Key)]
 	var order int
 	switch c.Target {
@@ -133,7 +136,7 @@
 	case "LEASE":
 		order = cmp.Compare(kv.Lease, c.Lease)
 	default:
-		return false, refusal(codeInvalidArgument, "etcdserver: unknown compare target "+c.Target)
+		return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare target "+c.Target)
 	}
 	switch c.Result {
 	case "", "EQUAL":
@@ -145,20 +148,20 @@
 	case "NOT_EQUAL":
 		return order != 0, nil
 	}
-	return false, refusal(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
+	return false, newStatusError(codeInvalidArgument, "etcdserver: unknown compare result "+c.Result)
 }
 
-// checkLocked refuses operations that could fail half-way, before the first
-// takes effect.
-func (s *store) checkLocked(operations []operation) *statusError {
+// validateOperationsLocked rejects operations that would fail, before any of
+// them is applied, so that a transaction is never applied in part.
+func (s *store) validateOperationsLocked(operations []operation) *statusError {
 	for _, op := range operations {
 		if op.Put != nil {
-			if err := s.checkPutLocked(*op.Put); err != nil {
+			if err := s.validatePutLocked(*op.Put); err != nil {
 				return err
 			}
 		}
 		if op.Range != nil && op.Range.Revision != 0 {
-			if _, err := s.readLocked(nil, nil, op.Range.Revision); err != nil {
+			if _, err := s.readAtLocked(nil, nil, op.Range.Revision); err != nil {
 				return err
 			}
 		}
@@ -168,11 +171,11 @@
 
 func (s *store) writesLocked(operations []operation) bool {
 	return slices.ContainsFunc(operations, func(op operation) bool {
-		return op.Put != nil || op.Delete != nil && s.hasLocked(op.Delete.Key, op.Delete.RangeEnd)
+		return op.Put != nil || op.Delete != nil && s.anyInRangeLocked(op.Delete.Key, op.Delete.RangeEnd)
 	})
 }
 
-func (s *store) runLocked(op operation) operationResponse {
+func (s *store) applyOperationLocked(op operation) operationResponse {
 	switch {
 	case op.Put != nil:
 		res := s.putLocked(*op.Put)
@@ -185,7 +188,7 @@
 	case op.Range != nil:
 		res, err := s.rangeLocked(*op.Range)
 		if err != nil {
-			panic(err.Error()) // checkLocked has tried this revision
+			panic(err.Error()) // validateOperationsLocked has checked the revision
 		}
 		res.Header = s.headerLocked()
 		return operationResponse{Range: res}
@@ -193,17 +196,18 @@
 	return operationResponse{}
 }
 
-// restore writes the value that key had at revision as a new version, as an
-// operator does who puts back a backup.
+// restore writes the value that key had at revision as a new version, which
+// simulates an operator restoring a backup. It returns an error if the key had
+// no value at that revision or the revision is not available.
 func (s *store) restore(key string, revision Int64) *statusError {
 	s.mu.Lock()
-	kvs, err := s.readLocked([]byte(key), nil, revision)
+	kvs, err := s.readAtLocked([]byte(key), nil, revision)
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	if len(kvs) == 0 {
-		return refusal(codeNotFound, "no value of "+key+" at that revision")
+		return newStatusError(codeNotFound, "no value of "+key+" at that revision")
 	}
 	_, err = s.put(putRequest{Key: []byte(key), Value: kvs[0].Value})
 	return err
