--- a/standin/commands.go
+++ b/standin/commands.go
@@ -89,13 +89,13 @@
 	f.DurationVar(&c.opts.Step, "step", 0, "time of one token; 0 means 10ms")
 	f.DurationVar(&c.opts.StepPerRunning, "step-per-running", 0, "added for each further running request; 0 means a fiftieth of -step")
 	f.DurationVar(&c.opts.PrefillPerToken, "prefill-per-token", 0, "time of each uncached prompt token; 0 means 200µs")
-	f.DurationVar(&c.opts.LoadLag, "load-lag", 0, "lag of the load report")
+	f.DurationVar(&c.opts.LoadReportLag, "load-lag", 0, "lag of the load report")
 	f.DurationVar(&c.opts.EventDelay, "event-delay", 0, "delay of cache events")
 	f.Float64Var(&c.opts.EventLoss, "event-loss", 0, "share of cache events that never show")
-	f.DurationVar(&c.opts.KeepUnread, "keep-unread", 0, "how long a request lives without a reader; 0 means 10s")
+	f.DurationVar(&c.opts.UnreadTimeout, "keep-unread", 0, "how long a request lives without a reader; 0 means 10s")
 	f.BoolVar(&c.opts.IgnoreFencing, "ignore-fencing", false, "take orders with an old fencing number")
 	f.StringVar(&c.opts.Poison, "poison", "", "`text` in a message that crashes the engine; empty means POISON")
-	f.DurationVar(&c.opts.Restart, "restart", 0, "how long it is dead after a crash; 0 means 1s")
+	f.DurationVar(&c.opts.RestartDelay, "restart", 0, "how long it is dead after a crash; 0 means 1s")
 	f.Uint64Var(&c.opts.Seed, "seed", 1, "seed of faults that hit a share of calls")
 	f.BoolVar(&c.crashExit, "crash-exit", false, "exit with status 1 at a crash")
 }
@@ -131,7 +131,7 @@
 
 func (c *serviceCommand) SetFlags(f *flag.FlagSet) {
 	c.setFlags(f, "s1", "order-desk", 64)
-	f.DurationVar(&c.opts.Time, "time", 0, "time that one action takes")
+	f.DurationVar(&c.opts.ActionTime, "time", 0, "time that one action takes")
 	f.Uint64Var(&c.opts.Seed, "seed", 1, "seed of faults that hit a share of calls")
 }
 
--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	minNatural  = 8    // tokens of the shortest answer without max_tokens
-	spanNatural = 57   // natural lengths vary over so many tokens
-	maxAnswer   = 4096 // tokens of any answer
-	syllables   = 5    // of one token
+	minDefaultLength  = 8    // tokens of the shortest answer without max_tokens
+	defaultLengthSpan = 57   // natural lengths vary over so many tokens
+	maxAnswerTokens   = 4096 // tokens of any answer
+	syllablesPerToken = 5    // of one token
 )
 
 // Message is one message of a conversation.
@@ -56,17 +56,17 @@
 	ContinueFinalMessage bool      `json:"continue_final_message,omitempty"`
 }
 
-// limit returns the most new tokens that the request asks for, or zero.
-func (r Request) limit() int {
+// maxNewTokens returns the most new tokens that the request asks for, or zero.
+func (r Request) maxNewTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
 	}
 	return r.MaxTokens
 }
 
-// conversation returns the messages without a partial answer to continue, and
+// splitPartialAnswer returns the messages without a partial answer to continue, and
 // the tokens of that partial answer.
-func (r Request) conversation() ([]Message, []string) {
+func (r Request) splitPartialAnswer() ([]Message, []string) {
 	last := len(r.Messages) - 1
 	if !r.ContinueFinalMessage || last < 0 || r.Messages[last].Role != "assistant" {
 		return r.Messages, nil
@@ -93,11 +93,11 @@
 
 // answerLength returns the length of the whole answer, of which had tokens
 // were there already: exactly maxTokens new ones, or the natural length.
-func answerLength(hash uint64, had, maxTokens int) int {
+func answerLength(hash uint64, existing, maxTokens int) int {
 	if maxTokens > 0 {
-		return min(had+maxTokens, maxAnswer)
+		return min(existing+maxTokens, maxAnswerTokens)
 	}
-	return max(had, minNatural+int(hash%spanNatural))
+	return max(existing, minDefaultLength+int(hash%defaultLengthSpan))
 }
 
 // conversationHash depends on the roles and words of messages only.
@@ -121,8 +121,8 @@
 	binary.LittleEndian.PutUint64(seed[:8], hash)
 	binary.LittleEndian.PutUint64(seed[8:], uint64(i))
 	bits := xxhash.Sum64(seed[:])
-	word := make([]byte, 0, 2*syllables+1)
-	for range syllables {
+	word := make([]byte, 0, 2*syllablesPerToken+1)
+	for range syllablesPerToken {
 		word = append(word, consonants[bits%16], vowels[bits/16%4])
 		bits /= 64
 	}
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -14,9 +14,9 @@
 // blockHash names a block together with all blocks before it.
 type blockHash uint64
 
-// words returns the tokens of messages. The first word of a message carries
-// its role, so that equal words of other speakers differ.
-func words(messages []Message) []string {
+// promptWords returns the tokens of messages. The first word of a message carries
+// its role, so that equal promptWords of other speakers differ.
+func promptWords(messages []Message) []string {
 	var out []string
 	for _, m := range messages {
 		for i, word := range strings.Fields(string(m.Content)) {
@@ -29,8 +29,8 @@
 	return out
 }
 
-// blocks returns the chained hashes of the full blocks of tokens.
-func blocks(tokens []string) []blockHash {
+// chainedHashes returns the chained hashes of the full chainedHashes of tokens.
+func chainedHashes(tokens []string) []blockHash {
 	out := make([]blockHash, 0, len(tokens)/blockTokens)
 	var chain blockHash
 	for len(tokens) >= blockTokens {
@@ -46,33 +46,33 @@
 	return out
 }
 
-// entry is one block in the cache.
-type entry struct {
+// cacheEntry is one block in the cache.
+type cacheEntry struct {
 	hash blockHash
 	chat string // the chat that stored the block last
 }
 
-// cache holds a limited number of blocks and forgets the least recently used.
-type cache struct {
-	limit    int
-	order    *list.List // of *entry, the most recently used first
-	byHash   map[blockHash]*list.Element
-	chats    map[string][]blockHash // the last blocks of a chat, in order
-	resident map[string]int         // blocks of a chat in the cache
+// prefixCache holds a limited number of blocks and forgets the least recently used.
+type prefixCache struct {
+	limit         int
+	order         *list.List // of *entry, the most recently used first
+	byHash        map[blockHash]*list.Element
+	chatBlocks    map[string][]blockHash // the last blocks of a chat, in order
+	residentCount map[string]int         // blocks of a chat in the cache
 }
 
-func newCache(limit int) *cache {
-	return &cache{
-		limit:    limit,
-		order:    list.New(),
-		byHash:   make(map[blockHash]*list.Element),
-		chats:    make(map[string][]blockHash),
-		resident: make(map[string]int),
+func newPrefixCache(limit int) *prefixCache {
+	return &prefixCache{
+		limit:         limit,
+		order:         list.New(),
+		byHash:        make(map[blockHash]*list.Element),
+		chatBlocks:    make(map[string][]blockHash),
+		residentCount: make(map[string]int),
 	}
 }
 
-// match returns how many leading blocks are cached, and marks them as used.
-func (c *cache) match(hashes []blockHash) int {
+// matchPrefix returns how many leading blocks are cached, and marks them as used.
+func (c *prefixCache) matchPrefix(hashes []blockHash) int {
 	n := 0
 	for n < len(hashes) && c.byHash[hashes[n]] != nil {
 		n++
@@ -85,60 +85,60 @@
 
 // store keeps the blocks of chat and returns the chats of which nothing is
 // left. The first blocks are used last, so that a chat loses its end first.
-func (c *cache) store(chat string, hashes []blockHash) (evicted []string) {
+func (c *prefixCache) store(chat string, hashes []blockHash) (evicted []string) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		c.touch(chat, hashes[i])
 	}
 	if chat != "" {
-		c.chats[chat] = hashes
+		c.chatBlocks[chat] = hashes
 	}
 	for c.order.Len() > c.limit {
-		if gone := c.dropOldest(); gone != "" {
+		if gone := c.evictOldest(); gone != "" {
 			evicted = append(evicted, gone)
 		}
 	}
 	return evicted
 }
 
-func (c *cache) touch(chat string, hash blockHash) {
+func (c *prefixCache) touch(chat string, hash blockHash) {
 	el := c.byHash[hash]
 	if el == nil {
-		c.byHash[hash] = c.order.PushFront(&entry{hash: hash, chat: chat})
-		c.resident[chat]++
+		c.byHash[hash] = c.order.PushFront(&cacheEntry{hash: hash, chat: chat})
+		c.residentCount[chat]++
 		return
 	}
 	c.order.MoveToFront(el)
-	e := el.Value.(*entry)
-	c.leave(e.chat)
+	e := el.Value.(*cacheEntry)
+	c.decrementResident(e.chat)
 	e.chat = chat
-	c.resident[chat]++
+	c.residentCount[chat]++
 }
 
-// dropOldest evicts one block and returns its chat if that was its last.
-func (c *cache) dropOldest() string {
+// evictOldest evicts one block and returns its chat if that was its last.
+func (c *prefixCache) evictOldest() string {
 	el := c.order.Back()
-	e := el.Value.(*entry)
+	e := el.Value.(*cacheEntry)
 	c.order.Remove(el)
 	delete(c.byHash, e.hash)
-	if !c.leave(e.chat) {
+	if !c.decrementResident(e.chat) {
 		return ""
 	}
 	return e.chat
 }
 
-// leave counts one block less of chat and tells whether it was the last.
-func (c *cache) leave(chat string) bool {
-	c.resident[chat]--
-	if c.resident[chat] > 0 {
+// decrementResident counts one block less of chat and tells whether it was the last.
+func (c *prefixCache) decrementResident(chat string) bool {
+	c.residentCount[chat]--
+	if c.residentCount[chat] > 0 {
 		return false
 	}
-	delete(c.resident, chat)
-	delete(c.chats, chat)
+	delete(c.residentCount, chat)
+	delete(c.chatBlocks, chat)
 	return true
 }
 
 // export returns the leading blocks of chat that are still cached.
-func (c *cache) export(chat string) []blockHash {
-	hashes := c.chats[chat]
-	return hashes[:c.match(hashes)]
+func (c *prefixCache) export(chat string) []blockHash {
+	hashes := c.chatBlocks[chat]
+	return hashes[:c.matchPrefix(hashes)]
 }
--- a/standin/engine/cache_test.go
+++ b/standin/engine/cache_test.go
@@ -14,9 +14,9 @@
 
 // A chat returns. Where it was served before, its prompt is found in the cache
 // and the first token comes sooner; elsewhere all of it is computed again.
-func TestReturningChatIsWarm(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		req := question("a", 160, 32)
+func TestReturningChatHitsPrefixCache(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
+		req := chatRequest("a", 160, 32)
 		first := s.ask("http://one", "x", req, "X-Chat-Id", "c")
 		assert.Equal(s.t, first.usage.PromptDetails.CachedTokens, 0)
 		again := req
@@ -31,9 +31,9 @@
 	})
 }
 
-func TestExportWarmsAnotherEngine(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		req := question("a", 160, 16)
+func TestExportedCacheIsUsableAfterImport(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
+		req := chatRequest("a", 160, 16)
 		s.ask("http://one", "x", req, "X-Chat-Id", "c")
 		assert.Equal(s.t, s.post("http://one/v1/kv/export", `{"chat":"none"}`, nil), http.StatusNotFound)
 		res, err := s.client.Post("http://one/v1/kv/export", "application/json", strings.NewReader(`{"chat":"c"}`))
@@ -49,11 +49,11 @@
 
 // Other chats push a chat out of the limited cache. Its events tell so, late
 // and with gaps.
-func TestCacheIsLimited(t *testing.T) {
-	inBubble(t, Options{CacheBlocks: 12, EventDelay: time.Second}, func(s *site) {
-		s.ask("http://one", "x", question("a", 160, 1), "X-Chat-Id", "a")
-		s.ask("http://one", "y", question("b", 192, 1), "X-Chat-Id", "b")
-		got := s.ask("http://one", "z", question("a", 160, 1), "X-Chat-Id", "a")
+func TestCacheEvictsLeastRecentlyUsedChat(t *testing.T) {
+	inBubble(t, Options{CacheBlocks: 12, EventDelay: time.Second}, func(s *fixture) {
+		s.ask("http://one", "x", chatRequest("a", 160, 1), "X-Chat-Id", "a")
+		s.ask("http://one", "y", chatRequest("b", 192, 1), "X-Chat-Id", "b")
+		got := s.ask("http://one", "z", chatRequest("a", 160, 1), "X-Chat-Id", "a")
 		assert.Equal(s.t, got.usage.PromptDetails.CachedTokens, 0)
 		assert.Equal(s.t, len(s.events(0).Events), 0)
 		time.Sleep(time.Second)
@@ -64,7 +64,7 @@
 	})
 }
 
-func (s *site) events(since int) CacheEvents {
+func (s *fixture) events(since int) CacheEvents {
 	s.t.Helper()
 	res, err := s.client.Get("http://one/v1/cache-events?since=" + strconv.Itoa(since))
 	assert.NilError(s.t, err)
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// isPoison tells whether a's prompt crashes the engine that runs it.
-func (e *Engine) isPoison(a *attempt) bool {
+// hasPoisonPrompt tells whether a's prompt crashes the engine that runs it.
+func (e *Engine) hasPoisonPrompt(a *attempt) bool {
 	for _, m := range a.request.Messages {
 		if strings.Contains(string(m.Content), e.opts.Poison) {
 			return true
@@ -26,15 +26,15 @@
 func (e *Engine) crashLocked() {
 	now := time.Now()
 	e.stats.Crashes++
-	e.deadUntil = now.Add(e.restartLocked())
+	e.deadUntil = now.Add(e.restartDelayLocked())
 	e.incarnation = max(e.incarnation+1, uint64(e.deadUntil.UnixMilli()))
-	close(e.died)
-	e.died = make(chan struct{})
+	close(e.crashed)
+	e.crashed = make(chan struct{})
 	e.attempts = make(map[string]*attempt)
 	e.waiting, e.running = nil, nil
-	e.cache = newCache(e.opts.CacheBlocks)
+	e.cache = newPrefixCache(e.opts.CacheBlocks)
 	e.events, e.eventTimes, e.eventSeq = nil, nil, 0
-	e.orders = orderBook{}
+	e.orders = orderLog{}
 	e.sampleLocked()
 	time.AfterFunc(time.Until(e.deadUntil), e.sample)
 	e.checkIdleLocked()
@@ -43,9 +43,9 @@
 	}
 }
 
-func (e *Engine) restartLocked() time.Duration {
+func (e *Engine) restartDelayLocked() time.Duration {
 	if e.faults.RestartMillis > 0 {
 		return time.Duration(e.faults.RestartMillis) * time.Millisecond
 	}
-	return e.opts.Restart
+	return e.opts.RestartDelay
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -22,15 +22,15 @@
 	Step             time.Duration // time of one token for one attempt; 0 means 10ms
 	StepPerRunning   time.Duration // added for each further running attempt; 0 means Step/50
 	PrefillPerToken  time.Duration // for each uncached prompt token; 0 means 200µs
-	LoadLag          time.Duration // of the load report
+	LoadReportLag    time.Duration // of the load report
 	EventDelay       time.Duration // of cache events
 	EventLoss        float64       // share of cache events that never show
 	KVBytesPerToken  int           // simulated size of the KV cache; 0 means 131072
 	LinkBytesPerSec  float64       // of KV export and import; 0 means 1.25e9
-	KeepUnread       time.Duration // how long an attempt lives unread; 0 means 10s
+	UnreadTimeout    time.Duration // how long an attempt lives unread; 0 means 10s
 	IgnoreFencing    bool          // takes orders with an old fencing number
 	Poison           string        // a message with this text crashes the engine; empty means "POISON"
-	Restart          time.Duration // how long it is dead after a crash; 0 means 1s
+	RestartDelay     time.Duration // how long it is dead after a crash; 0 means 1s
 	Seed             uint64        // of faults that hit a share
 	OnCrash          func()        // called at a crash, for example to end the process
 	HistoryLimit     int           // kept samples of load; 0 means 100000
@@ -45,8 +45,8 @@
 	setDuration(&o.Step, 10*time.Millisecond)
 	setDuration(&o.StepPerRunning, o.Step/50)
 	setDuration(&o.PrefillPerToken, 200*time.Microsecond)
-	setDuration(&o.KeepUnread, 10*time.Second)
-	setDuration(&o.Restart, time.Second)
+	setDuration(&o.UnreadTimeout, 10*time.Second)
+	setDuration(&o.RestartDelay, time.Second)
 	if o.LinkBytesPerSec == 0 {
 		o.LinkBytesPerSec = 1.25e9
 	}
@@ -79,16 +79,16 @@
 	leaving     bool
 	incarnation uint64
 	deadUntil   time.Time
-	died        chan struct{} // closed when this incarnation crashes
+	crashed     chan struct{} // closed when this incarnation crashes
 	attempts    map[string]*attempt
-	waiting     queue
+	waiting     attemptQueue
 	running     []*attempt
 	arrivals    int
-	cache       *cache
+	cache       *prefixCache
 	events      []CacheEvent
 	eventTimes  []time.Time
 	eventSeq    int
-	orders      orderBook
+	orders      orderLog
 	stats       Stats
 	history     []Sample
 	idle        chan struct{} // closed when a leaving engine has no work left
@@ -105,8 +105,8 @@
 		mux:      http.NewServeMux(),
 		random:   rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 		attempts: make(map[string]*attempt),
-		cache:    newCache(opts.CacheBlocks),
-		died:     make(chan struct{}),
+		cache:    newPrefixCache(opts.CacheBlocks),
+		crashed:  make(chan struct{}),
 		idle:     make(chan struct{}),
 		wake:     make(chan struct{}, 1),
 		closed:   make(chan struct{}),
@@ -115,7 +115,7 @@
 	if e.incarnation == 0 {
 		e.incarnation = uint64(time.Now().UnixMilli())
 	}
-	e.faults.LoadLagMillis = int(opts.LoadLag.Milliseconds())
+	e.faults.LoadLagMillis = int(opts.LoadReportLag.Milliseconds())
 	e.sampleLocked()
 	e.routes()
 	done := make(chan struct{})
@@ -133,7 +133,7 @@
 	defer timer.Stop()
 	for {
 		e.mu.Lock()
-		pause, busy := e.pauseLocked()
+		pause, busy := e.nextStepDelayLocked()
 		e.mu.Unlock()
 		if !busy {
 			select {
@@ -153,8 +153,8 @@
 	}
 }
 
-// pauseLocked admits what it can and returns the time until the next step.
-func (e *Engine) pauseLocked() (time.Duration, bool) {
+// nextStepDelayLocked admits what it can and returns the time until the next step.
+func (e *Engine) nextStepDelayLocked() (time.Duration, bool) {
 	if frozen := time.Until(e.frozenUntil); frozen > 0 {
 		return frozen, len(e.running)+len(e.waiting) > 0
 	}
@@ -174,7 +174,7 @@
 func (e *Engine) admitLocked() {
 	for len(e.running) < e.opts.Capacity && len(e.waiting) > 0 {
 		a := heap.Pop(&e.waiting).(*attempt)
-		if e.isPoison(a) {
+		if e.hasPoisonPrompt(a) {
 			e.crashLocked()
 			return
 		}
@@ -183,14 +183,14 @@
 }
 
 func (e *Engine) startLocked(a *attempt) {
-	hashes := blocks(a.prompt)
-	a.cached = e.cache.match(hashes) * blockTokens
+	hashes := chainedHashes(a.prompt)
+	a.cachedTokens = e.cache.matchPrefix(hashes) * blockTokens
 	a.phase = running
-	a.readyAt = time.Now().Add(time.Duration(len(a.prompt)-a.cached) * e.opts.PrefillPerToken)
+	a.readyAt = time.Now().Add(time.Duration(len(a.prompt)-a.cachedTokens) * e.opts.PrefillPerToken)
 	e.running = append(e.running, a)
 	e.storeLocked(a.chat, hashes)
 	e.stats.PromptTokens += len(a.prompt)
-	e.stats.CachedTokens += a.cached
+	e.stats.CachedTokens += a.cachedTokens
 	e.stats.PeakRunning = max(e.stats.PeakRunning, len(e.running))
 	e.sampleLocked()
 }
@@ -214,7 +214,7 @@
 		if a.delivered() >= a.total {
 			e.endLocked(a, finished)
 		}
-		a.wake()
+		a.notifyReaders()
 	}
 }
 
@@ -225,7 +225,7 @@
 		return
 	}
 	if a.phase == running {
-		e.rememberLocked(a)
+		e.cacheResultLocked(a)
 	}
 	a.phase = p
 	e.waiting.remove(a)
@@ -233,20 +233,20 @@
 	if p == cancelled {
 		e.stats.Cancelled++
 	}
-	a.wake()
+	a.notifyReaders()
 	e.sampleLocked()
 	e.signal()
 	if a.readers == 0 {
-		e.expireLocked(a)
+		e.scheduleExpiryLocked(a)
 	}
 	e.checkIdleLocked()
 }
 
-// rememberLocked caches the prompt with the answer, which is the prefix of the
+// cacheResultLocked caches the prompt with the answer, which is the prefix of the
 // chat's next request.
-func (e *Engine) rememberLocked(a *attempt) {
+func (e *Engine) cacheResultLocked(a *attempt) {
 	tokens := slices.Clone(a.prompt)
-	for i := a.had; i < a.delivered(); i++ {
+	for i := a.partialLen; i < a.delivered(); i++ {
 		token := tokenAt(a.hash, i)
 		token = token[:len(token)-1]
 		if i == 0 {
@@ -254,7 +254,7 @@
 		}
 		tokens = append(tokens, token)
 	}
-	e.storeLocked(a.chat, blocks(tokens))
+	e.storeLocked(a.chat, chainedHashes(tokens))
 }
 
 // signal tells run that there may be work.
@@ -307,7 +307,7 @@
 		return
 	}
 	for _, a := range e.attempts {
-		if a.readers > 0 || a.phase == finished && !a.read {
+		if a.readers > 0 || a.phase == finished && !a.fullyRead {
 			return
 		}
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -18,8 +18,8 @@
 	"wisteriaspool/standin/pipe"
 )
 
-// site is two engines with a client, on a network of pipes.
-type site struct {
+// fixture is two engines with a client, on a network of pipes.
+type fixture struct {
 	t      *testing.T
 	client *http.Client
 	one    *Engine // at http://one
@@ -27,7 +27,7 @@
 }
 
 // inBubble runs f with two engines under the paused clock.
-func inBubble(t *testing.T, opts Options, f func(s *site)) {
+func inBubble(t *testing.T, opts Options, f func(s *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipe.Network{}
@@ -43,7 +43,7 @@
 			stopOne()
 			stopTwo()
 		}()
-		f(&site{t: t, client: &http.Client{Transport: transport}, one: one, two: two})
+		f(&fixture{t: t, client: &http.Client{Transport: transport}, one: one, two: two})
 	})
 }
 
@@ -58,7 +58,7 @@
 }
 
 // ask sends a request as attempt id and reads its answer to the end.
-func (s *site) ask(engine, id string, req Request, header ...string) answer {
+func (s *fixture) ask(engine, id string, req Request, header ...string) answer {
 	s.t.Helper()
 	body, err := json.Marshal(req)
 	assert.NilError(s.t, err)
@@ -71,26 +71,26 @@
 	return s.read(r)
 }
 
-// asking is a request that a goroutine of its own makes.
-type asking struct {
-	site   *site
-	engine string
-	id     string
-	req    Request
-	header []string
-	got    chan answer
+// pendingRequest is a request that a goroutine of its own makes.
+type pendingRequest struct {
+	fixture *fixture
+	engine  string
+	id      string
+	req     Request
+	header  []string
+	got     chan answer
 }
 
-func (a *asking) run() { a.got <- a.site.ask(a.engine, a.id, a.req, a.header...) }
+func (a *pendingRequest) run() { a.got <- a.fixture.ask(a.engine, a.id, a.req, a.header...) }
 
-// askLater asks without waiting for the answer.
-func (s *site) askLater(engine, id string, req Request, header ...string) <-chan answer {
-	a := &asking{site: s, engine: engine, id: id, req: req, header: header, got: make(chan answer, 1)}
+// askAsync asks without waiting for the answer.
+func (s *fixture) askAsync(engine, id string, req Request, header ...string) <-chan answer {
+	a := &pendingRequest{fixture: s, engine: engine, id: id, req: req, header: header, got: make(chan answer, 1)}
 	go a.run()
 	return a.got
 }
 
-func (s *site) resume(engine, id string, after int) answer {
+func (s *fixture) resume(engine, id string, after int) answer {
 	s.t.Helper()
 	r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("%s/v1/attempts/%s/stream?after=%d", engine, id, after), nil)
 	assert.NilError(s.t, err)
@@ -98,7 +98,7 @@
 }
 
 // read sends r. A connection that broke before an answer has status zero.
-func (s *site) read(r *http.Request) answer {
+func (s *fixture) read(r *http.Request) answer {
 	s.t.Helper()
 	res, err := s.client.Do(r)
 	if err != nil {
@@ -133,15 +133,15 @@
 	}
 }
 
-// question is a streamed request of n words that differ by name.
-func question(name string, n, maxTokens int) Request {
+// chatRequest is a streamed request of n words that differ by name.
+func chatRequest(name string, n, maxTokens int) Request {
 	text := strings.Repeat(name+" ", n)
 	return Request{Stream: true, MaxTokens: maxTokens, Messages: []Message{{Role: "user", Content: Content(text)}}}
 }
 
-func TestAnswerIsWholeAndItsOwn(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		req := question("a", 40, 20)
+func TestAnswerIsCompleteAndDeterministic(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
+		req := chatRequest("a", 40, 20)
 		got := s.ask("http://one", "x", req)
 		assert.Equal(s.t, got.text, Answer(req.Messages, 20))
 		assert.Check(s.t, got.done)
@@ -151,19 +151,19 @@
 			assert.Equal(s.t, id, "x."+strconv.Itoa(i+1))
 		}
 		assert.DeepEqual(s.t, got.usage, Usage{PromptTokens: 40, CompletionTokens: 20, TotalTokens: 60})
-		other := s.ask("http://two", "y", question("b", 40, 20))
+		other := s.ask("http://two", "y", chatRequest("b", 40, 20))
 		assert.Check(s.t, other.text != got.text)
 	})
 }
 
 // An engine dies in the middle of an answer and another one continues it. The
 // user must not see a seam: nothing missing, nothing twice.
-func TestContinuationJoins(t *testing.T) {
+func TestContinuationCompletesPartialAnswer(t *testing.T) {
 	for _, maxTokens := range []int{0, 30} {
-		req := question("a", 40, maxTokens)
+		req := chatRequest("a", 40, maxTokens)
 		tokens := AnswerTokens(req.Messages, maxTokens)
 		for _, had := range []int{1, len(tokens) / 2, len(tokens) - 1} {
-			inBubble(t, Options{}, func(s *site) {
+			inBubble(t, Options{}, func(s *fixture) {
 				rest := req
 				rest.ContinueFinalMessage = true
 				rest.Messages = append(req.Messages[:1:1], Message{
@@ -183,10 +183,10 @@
 
 // The connection breaks but the attempt lives on. Its reader comes back for the
 // rest, and nothing is generated twice, so nobody is billed twice.
-func TestResumeAfterACut(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
+func TestResumeAfterBrokenConnection(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 5})
-		req := question("a", 40, 20)
+		req := chatRequest("a", 40, 20)
 		first := s.ask("http://one", "x", req)
 		assert.Equal(s.t, len(first.ids), 5)
 		assert.Check(s.t, !first.done)
@@ -207,9 +207,9 @@
 // Nobody comes back for an answer. The engine stops generating after a while,
 // so that the user is not billed for what nobody reads.
 func TestUnreadAttemptIsCancelled(t *testing.T) {
-	inBubble(t, Options{Step: time.Second}, func(s *site) {
+	inBubble(t, Options{Step: time.Second}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 2})
-		s.ask("http://one", "x", question("a", 16, 100))
+		s.ask("http://one", "x", chatRequest("a", 16, 100))
 		time.Sleep(20 * time.Second)
 		stats := s.one.Stats()
 		assert.Equal(s.t, stats.Cancelled, 1)
@@ -219,21 +219,21 @@
 }
 
 func TestCancelStopsGenerating(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		done := s.askLater("http://one", "x", question("a", 16, 100))
+	inBubble(t, Options{}, func(s *fixture) {
+		done := s.askAsync("http://one", "x", chatRequest("a", 16, 100))
 		time.Sleep(105 * time.Millisecond)
-		var told Cancelled
-		assert.Equal(s.t, s.post("http://one/v1/attempts/x/cancel", "", &told), http.StatusOK)
+		var response Cancelled
+		assert.Equal(s.t, s.post("http://one/v1/attempts/x/cancel", "", &response), http.StatusOK)
 		assert.Check(s.t, !(<-done).done)
 		time.Sleep(time.Second)
-		assert.Check(s.t, told.Generated > 0)
-		assert.Equal(s.t, s.one.Stats().GeneratedTokens, told.Generated)
-		assert.Equal(s.t, s.post("http://one/v1/attempts/none/cancel", "", &told), http.StatusNotFound)
+		assert.Check(s.t, response.Generated > 0)
+		assert.Equal(s.t, s.one.Stats().GeneratedTokens, response.Generated)
+		assert.Equal(s.t, s.post("http://one/v1/attempts/none/cancel", "", &response), http.StatusNotFound)
 	})
 }
 
 // post sends a body and reads the answer into v, which may be nil.
-func (s *site) post(url, body string, v any) int {
+func (s *fixture) post(url, body string, v any) int {
 	s.t.Helper()
 	res, err := s.client.Post(url, "application/json", strings.NewReader(body))
 	assert.NilError(s.t, err)
@@ -248,11 +248,11 @@
 
 // A router sends the same attempt again because it lost the answer. Running it
 // twice would bill the user twice.
-func TestLiveAttemptIsRefusedTwice(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		done := s.askLater("http://one", "x", question("a", 16, 10))
+func TestDuplicateAttemptIsRefused(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
+		done := s.askAsync("http://one", "x", chatRequest("a", 16, 10))
 		time.Sleep(50 * time.Millisecond)
-		assert.Equal(s.t, s.ask("http://one", "x", question("a", 16, 10)).status, http.StatusConflict)
+		assert.Equal(s.t, s.ask("http://one", "x", chatRequest("a", 16, 10)).status, http.StatusConflict)
 		assert.Check(s.t, (<-done).done)
 		assert.Equal(s.t, s.one.Stats().GeneratedTokens, 10)
 	})
@@ -260,13 +260,13 @@
 
 // An engine is stopped on purpose. What it runs ends as usual; what comes new
 // is refused by its own word, so that a router may send it elsewhere.
-func TestLeavingCutsOffNothing(t *testing.T) {
-	inBubble(t, Options{Capacity: 1}, func(s *site) {
-		first := s.askLater("http://one", "x", question("a", 16, 50))
-		second := s.askLater("http://one", "y", question("b", 16, 50))
+func TestLeavingFinishesAcceptedAttempts(t *testing.T) {
+	inBubble(t, Options{Capacity: 1}, func(s *fixture) {
+		first := s.askAsync("http://one", "x", chatRequest("a", 16, 50))
+		second := s.askAsync("http://one", "y", chatRequest("b", 16, 50))
 		time.Sleep(100 * time.Millisecond)
 		s.one.Leave()
-		refused := s.ask("http://one", "z", question("c", 16, 50))
+		refused := s.ask("http://one", "z", chatRequest("c", 16, 50))
 		assert.Equal(s.t, refused.status, http.StatusServiceUnavailable)
 		assert.Equal(s.t, refused.header.Get("X-Outcome"), "not-run")
 		assert.Equal(s.t, refused.header.Get("X-State"), "leaving")
@@ -278,10 +278,10 @@
 
 // An engine is stopped while a reader has lost its connection. It waits for the
 // reader to come back, or the user would lose an answer that was paid for.
-func TestDrainWaitsForAReaderToComeBack(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
+func TestDrainWaitsForReaderToReconnect(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 5})
-		s.ask("http://one", "x", question("a", 16, 50))
+		s.ask("http://one", "x", chatRequest("a", 16, 50))
 		s.one.Leave()
 		start := time.Now()
 		rest := make(chan answer, 1)
@@ -294,13 +294,13 @@
 }
 
 // Higher priority goes first when requests wait.
-func TestPriorityOfWaiting(t *testing.T) {
-	inBubble(t, Options{Capacity: 1}, func(s *site) {
-		running := s.askLater("http://one", "running", question("a", 16, 20))
+func TestWaitingRequestsRunByPriority(t *testing.T) {
+	inBubble(t, Options{Capacity: 1}, func(s *fixture) {
+		running := s.askAsync("http://one", "running", chatRequest("a", 16, 20))
 		time.Sleep(50 * time.Millisecond)
-		low := s.askLater("http://one", "low", question("b", 16, 20))
+		low := s.askAsync("http://one", "low", chatRequest("b", 16, 20))
 		time.Sleep(50 * time.Millisecond)
-		high := s.askLater("http://one", "high", question("c", 16, 20), "X-Priority", "5")
+		high := s.askAsync("http://one", "high", chatRequest("c", 16, 20), "X-Priority", "5")
 		<-running
 		assert.Check(s.t, (<-high).done)
 		select {
@@ -315,10 +315,10 @@
 	})
 }
 
-func TestLoadLags(t *testing.T) {
-	inBubble(t, Options{LoadLag: time.Second, Step: time.Second}, func(s *site) {
+func TestLoadReportIsDelayed(t *testing.T) {
+	inBubble(t, Options{LoadReportLag: time.Second, Step: time.Second}, func(s *fixture) {
 		time.Sleep(2 * time.Second)
-		done := s.askLater("http://one", "x", question("a", 16, 10))
+		done := s.askAsync("http://one", "x", chatRequest("a", 16, 10))
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(s.t, s.load().Running, 0)
 		time.Sleep(time.Second)
@@ -327,7 +327,7 @@
 	})
 }
 
-func (s *site) load() Load {
+func (s *fixture) load() Load {
 	s.t.Helper()
 	res, err := s.client.Get("http://one/v1/load")
 	assert.NilError(s.t, err)
@@ -339,9 +339,9 @@
 
 // An old holder of the order lease wakes up and sends an order. An engine that
 // checks fencing numbers refuses it; one that ignores them takes it.
-func TestFencing(t *testing.T) {
+func TestOrdersCheckFencingNumber(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
-		inBubble(t, Options{IgnoreFencing: ignore}, func(s *site) {
+		inBubble(t, Options{IgnoreFencing: ignore}, func(s *fixture) {
 			order := func(n int) int {
 				return s.post("http://one/v1/orders", fmt.Sprintf(`{"fencing":%d,"kind":"set-version","name":"m","version":"v%d"}`, n, n), nil)
 			}
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -11,9 +11,9 @@
 type Faults struct {
 	// CutStreams is the number of next streams whose connection breaks after
 	// CutAfter tokens. The attempt lives on, unless CutLoses is set.
-	CutStreams int  `json:"cut_streams"`
-	CutAfter   int  `json:"cut_after"`
-	CutLoses   bool `json:"cut_loses"`
+	CutStreams      int  `json:"cut_streams"`
+	CutAfter        int  `json:"cut_after"`
+	CutDropsAttempt bool `json:"cut_loses"`
 	// Duplicates is the share of chunks that are sent twice.
 	Duplicates float64 `json:"duplicates"`
 	// Swaps is the share of chunks that come after their successor.
@@ -69,8 +69,8 @@
 	writeJSON(w, http.StatusOK, e.Faults())
 }
 
-// draw is true for a share of calls.
-func (e *Engine) draw(share float64) bool {
+// faultApplies is true for a share of calls.
+func (e *Engine) faultApplies(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -79,8 +79,8 @@
 	return e.random.Float64() < share
 }
 
-// refusesLocked tells whether a fault refuses the request at hand.
-func (e *Engine) refusesLocked() bool {
+// shouldRefuseLocked tells whether a fault refuses the request at hand.
+func (e *Engine) shouldRefuseLocked() bool {
 	if e.faults.RefuseNext > 0 {
 		e.faults.RefuseNext--
 		return true
@@ -88,21 +88,21 @@
 	return e.faults.Refuse > 0 && e.random.Float64() < e.faults.Refuse
 }
 
-// takeCut returns after how many tokens the stream at hand breaks; a negative
+// nextStreamCut returns after how many tokens the stream at hand breaks; a negative
 // number means never.
-func (e *Engine) takeCut() (after int, loses bool) {
+func (e *Engine) nextStreamCut() (after int, dropsAttempt bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutStreams <= 0 {
 		return -1, false
 	}
 	e.faults.CutStreams--
-	return e.faults.CutAfter, e.faults.CutLoses
+	return e.faults.CutAfter, e.faults.CutDropsAttempt
 }
 
-// thaw waits while the engine is frozen, or until gone is closed. A frozen
+// waitWhileFrozen waits while the engine is frozen, or until gone is closed. A frozen
 // engine neither reads nor writes.
-func (e *Engine) thaw(gone <-chan struct{}) {
+func (e *Engine) waitWhileFrozen(callerDone <-chan struct{}) {
 	for {
 		e.mu.Lock()
 		pause := time.Until(e.frozenUntil)
@@ -113,7 +113,7 @@
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-gone:
+		case <-callerDone:
 			timer.Stop()
 			return
 		}
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -12,17 +12,17 @@
 // One request crashes the engine that runs it. All other answers break off, and
 // the engine comes back empty, as another incarnation.
 func TestPoisonCrashesTheEngine(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
-		innocent := s.askLater("http://one", "x", question("a", 16, 100))
+	inBubble(t, Options{}, func(s *fixture) {
+		otherAnswer := s.askAsync("http://one", "x", chatRequest("a", 16, 100))
 		time.Sleep(100 * time.Millisecond)
 		before := s.one.Incarnation()
-		assert.Equal(s.t, s.ask("http://one", "p", question("POISON", 1, 1)).done, false)
-		cut := <-innocent
+		assert.Equal(s.t, s.ask("http://one", "p", chatRequest("POISON", 1, 1)).done, false)
+		cut := <-otherAnswer
 		assert.Check(s.t, len(cut.ids) > 0 && !cut.done)
-		assert.Equal(s.t, s.ask("http://one", "y", question("a", 16, 1)).status, 0)
+		assert.Equal(s.t, s.ask("http://one", "y", chatRequest("a", 16, 1)).status, 0)
 
 		time.Sleep(time.Second)
-		got := s.ask("http://one", "z", question("a", 16, 1))
+		got := s.ask("http://one", "z", chatRequest("a", 16, 1))
 		assert.Check(s.t, got.done)
 		assert.Equal(s.t, got.usage.PromptDetails.CachedTokens, 0)
 		assert.Check(s.t, s.one.Incarnation() > before)
@@ -33,15 +33,15 @@
 
 // A frozen engine neither reads nor writes, and goes on afterwards as if
 // nothing had been.
-func TestFreeze(t *testing.T) {
-	inBubble(t, Options{}, func(s *site) {
+func TestFrozenEngineResumes(t *testing.T) {
+	inBubble(t, Options{}, func(s *fixture) {
 		start := time.Now()
-		done := s.askLater("http://one", "x", question("a", 16, 10))
+		done := s.askAsync("http://one", "x", chatRequest("a", 16, 10))
 		time.Sleep(50 * time.Millisecond)
 		s.one.SetFaults(Faults{FreezeMillis: 5000})
 		got := <-done
 		assert.Check(s.t, got.done)
-		assert.Equal(s.t, got.text, Answer(question("a", 16, 10).Messages, 10))
+		assert.Equal(s.t, got.text, Answer(chatRequest("a", 16, 10).Messages, 10))
 		assert.Check(s.t, time.Since(start) > 5*time.Second)
 	})
 }
@@ -59,9 +59,9 @@
 		{"strays", Faults{Strays: 1}, "stray-x.1 x.1 stray-x.2 x.2 stray-x.3 x.3 x.3"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, Options{}, func(s *site) {
+			inBubble(t, Options{}, func(s *fixture) {
 				s.one.SetFaults(test.faults)
-				got := s.ask("http://one", "x", question("a", 16, 3))
+				got := s.ask("http://one", "x", chatRequest("a", 16, 3))
 				assert.Equal(s.t, strings.Join(got.ids, " "), test.ids)
 			})
 		})
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -44,7 +44,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	e.thaw(r.Context().Done())
+	e.waitWhileFrozen(r.Context().Done())
 	if e.dead() {
 		panic(http.ErrAbortHandler)
 	}
@@ -57,15 +57,15 @@
 	return time.Now().Before(e.deadUntil)
 }
 
-// life returns the channel that is closed when the present life ends.
-func (e *Engine) life() <-chan struct{} {
+// crashSignal returns the channel that is closed when the present crashSignal ends.
+func (e *Engine) crashSignal() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.died
+	return e.crashed
 }
 
 func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) {
-	died := e.life()
+	crashed := e.crashSignal()
 	var req Request
 	// The body is read to its end, since net/http notices only then that the
 	// caller has gone.
@@ -81,7 +81,7 @@
 	if !e.accept(w, a) {
 		return
 	}
-	e.serve(w, r, a, reader{died: died, after: a.had, stream: req.Stream})
+	e.serve(w, r, a, reader{crashed: crashed, after: a.partialLen, stream: req.Stream})
 }
 
 // newAttempt reads the headers and measures the prompt.
@@ -91,19 +91,19 @@
 		id = uuid.NewString()
 	}
 	priority, _ := strconv.Atoi(r.Header.Get("X-Priority"))
-	messages, partial := req.conversation()
+	messages, partial := req.splitPartialAnswer()
 	hash := conversationHash(messages)
 	return &attempt{
-		id:       id,
-		chat:     r.Header.Get("X-Chat-Id"),
-		priority: priority,
-		request:  req,
-		hash:     hash,
-		prompt:   words(req.Messages),
-		had:      len(partial),
-		total:    answerLength(hash, len(partial), req.limit()),
-		readers:  1,
-		changed:  make(chan struct{}),
+		id:         id,
+		chat:       r.Header.Get("X-Chat-Id"),
+		priority:   priority,
+		request:    req,
+		hash:       hash,
+		prompt:     promptWords(req.Messages),
+		partialLen: len(partial),
+		total:      answerLength(hash, len(partial), req.maxNewTokens()),
+		readers:    1,
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -128,13 +128,13 @@
 		return false
 	}
 	full := e.opts.MaxWaiting > 0 && len(e.waiting) >= e.opts.MaxWaiting
-	if full || e.refusesLocked() {
+	if full || e.shouldRefuseLocked() {
 		e.stats.Refused++
 		writeNotRun(w, http.StatusServiceUnavailable, "overloaded", "the engine takes no more requests")
 		return false
 	}
 	e.stats.Accepted++
-	e.countContinuedLocked(a)
+	e.checkPartialAnswerLocked(a)
 	e.attempts[a.id] = a
 	heap.Push(&e.waiting, a)
 	e.sampleLocked()
@@ -142,13 +142,13 @@
 	return true
 }
 
-// countContinuedLocked checks a partial answer against our own.
-func (e *Engine) countContinuedLocked(a *attempt) {
-	if a.had == 0 {
+// checkPartialAnswerLocked checks a partial answer against our own.
+func (e *Engine) checkPartialAnswerLocked(a *attempt) {
+	if a.partialLen == 0 {
 		return
 	}
 	e.stats.Continued++
-	_, partial := a.request.conversation()
+	_, partial := a.request.splitPartialAnswer()
 	for i, word := range partial {
 		if word+" " != tokenAt(a.hash, i) {
 			e.stats.WrongContinued++
@@ -185,7 +185,7 @@
 		return
 	}
 	e.mu.Lock()
-	died := e.died
+	crashed := e.crashed
 	a := e.attempts[r.PathValue("id")]
 	if a != nil {
 		a.readers++
@@ -196,39 +196,39 @@
 		writeError(w, http.StatusNotFound, "unknown-attempt", "no attempt with this id")
 		return
 	}
-	e.serve(w, r, a, reader{died: died, after: max(after, a.had), stream: true})
+	e.serve(w, r, a, reader{crashed: crashed, after: max(after, a.partialLen), stream: true})
 }
 
 // markRead notes that a reader got the whole answer.
 func (e *Engine) markRead(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a.read = true
+	a.fullyRead = true
 }
 
-// leaveReader counts one reader less. An attempt without a reader is
+// releaseReader counts one reader less. An attempt without a reader is
 // cancelled, and forgotten, after a while.
-func (e *Engine) leaveReader(a *attempt) {
+func (e *Engine) releaseReader(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a.readers--
 	if a.readers == 0 && e.attempts[a.id] == a {
-		e.expireLocked(a)
+		e.scheduleExpiryLocked(a)
 	}
 	e.checkIdleLocked()
 }
 
-// expireLocked gives a without a reader its last time.
-func (e *Engine) expireLocked(a *attempt) {
-	a.unread++
-	unread := a.unread
-	time.AfterFunc(e.opts.KeepUnread, func() { e.expire(a, unread) })
+// scheduleExpiryLocked gives a without a reader its last time.
+func (e *Engine) scheduleExpiryLocked(a *attempt) {
+	a.disconnects++
+	disconnects := a.disconnects
+	time.AfterFunc(e.opts.UnreadTimeout, func() { e.expire(a, disconnects) })
 }
 
-func (e *Engine) expire(a *attempt, unread int) {
+func (e *Engine) expire(a *attempt, disconnects int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.attempts[a.id] != a || a.readers > 0 || a.unread != unread {
+	if e.attempts[a.id] != a || a.readers > 0 || a.disconnects != disconnects {
 		return
 	}
 	if !a.ended() {
@@ -267,8 +267,8 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller has gone if it fails
 }
 
-// text returns the tokens of a from offset from up to offset to.
-func (a *attempt) text(from, to int) string {
+// answerText returns the tokens of a from offset from up to offset to.
+func (a *attempt) answerText(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
 		b.WriteString(tokenAt(a.hash, i))
--- a/standin/engine/kvcache.go
+++ b/standin/engine/kvcache.go
@@ -37,8 +37,8 @@
 	if len(hashes) == 0 {
 		return
 	}
-	for _, gone := range e.cache.store(chat, hashes) {
-		e.publishLocked(gone, "evicted")
+	for _, evicted := range e.cache.store(chat, hashes) {
+		e.publishLocked(evicted, "evicted")
 	}
 	e.publishLocked(chat, "stored")
 }
@@ -65,10 +65,10 @@
 func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.FormValue("since"))
 	e.mu.Lock()
-	shown := time.Now().Add(-e.opts.EventDelay)
+	cutoff := time.Now().Add(-e.opts.EventDelay)
 	out := CacheEvents{Events: []CacheEvent{}, Next: since}
 	for i, event := range e.events {
-		if e.eventTimes[i].After(shown) {
+		if e.eventTimes[i].After(cutoff) {
 			break
 		}
 		if event.Seq > since {
@@ -100,7 +100,7 @@
 		writeError(w, http.StatusNotFound, "cold", "no KV cache of this chat")
 		return
 	}
-	e.transfer(r, len(hashes))
+	e.simulateTransfer(r, len(hashes))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	_, _ = w.Write(encodeKV(req.Chat, hashes)) // the caller has gone if it fails
 }
@@ -117,7 +117,7 @@
 		writeError(w, http.StatusBadRequest, "malformed", err.Error())
 		return
 	}
-	e.transfer(r, len(hashes))
+	e.simulateTransfer(r, len(hashes))
 	e.mu.Lock()
 	e.stats.Imports++
 	e.storeLocked(chat, hashes)
@@ -125,8 +125,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// transfer waits for the time that n blocks take on the link.
-func (e *Engine) transfer(r *http.Request, n int) {
+// simulateTransfer waits for the time that n blocks take on the link.
+func (e *Engine) simulateTransfer(r *http.Request, n int) {
 	bytes := float64(n * blockTokens * e.opts.KVBytesPerToken)
 	timer := time.NewTimer(time.Duration(bytes / e.opts.LinkBytesPerSec * float64(time.Second)))
 	defer timer.Stop()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -17,8 +17,8 @@
 	Version string `json:"version"`
 }
 
-// orderBook holds the highest fencing number and the orders taken.
-type orderBook struct {
+// orderLog holds the highest fencing number and the orders taken.
+type orderLog struct {
 	Fencing int64   `json:"fencing"`
 	Orders  []Order `json:"orders"`
 }
@@ -41,14 +41,14 @@
 		writeError(w, http.StatusBadRequest, "malformed", "unknown kind of order")
 		return
 	}
-	if !e.take(order) {
+	if !e.acceptOrder(order) {
 		writeError(w, http.StatusConflict, "conflict", "an order with a higher fencing number came before")
 		return
 	}
 	writeJSON(w, http.StatusOK, order)
 }
 
-func (e *Engine) take(order Order) bool {
+func (e *Engine) acceptOrder(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fencing < e.orders.Fencing && !e.opts.IgnoreFencing {
@@ -62,7 +62,7 @@
 // handleOrders answers with the orders taken in this life.
 func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	book := orderBook{Fencing: e.orders.Fencing, Orders: append([]Order{}, e.orders.Orders...)}
+	accepted := orderLog{Fencing: e.orders.Fencing, Orders: append([]Order{}, e.orders.Orders...)}
 	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, book)
+	writeJSON(w, http.StatusOK, accepted)
 }
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -9,9 +9,9 @@
 
 // reader is one connection that reads an attempt's answer.
 type reader struct {
-	died   <-chan struct{}
-	after  int // offset of the last token that the reader has
-	stream bool
+	crashed <-chan struct{}
+	after   int // offset of the last token that the reader has
+	stream  bool
 }
 
 // chunk is one object of a streamed or whole answer.
@@ -52,17 +52,17 @@
 // serve answers one reader. It breaks the connection if the engine dies, if
 // the attempt is cancelled, or if a fault says so.
 func (e *Engine) serve(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
-	defer e.leaveReader(a)
+	defer e.releaseReader(a)
 	w.Header().Set("X-Attempt-Id", a.id)
 	if !rd.stream {
-		e.serveWhole(w, r, a, rd)
+		e.serveUnstreamed(w, r, a, rd)
 		return
 	}
 	out := &sse{engine: e, w: w, flusher: http.NewResponseController(w), attempt: a, cut: -1}
-	out.cut, out.loses = e.takeCut()
+	out.cut, out.dropsAttempt = e.nextStreamCut()
 	out.start()
 	for {
-		s, ok := e.await(r, a, rd)
+		s, ok := e.awaitProgress(r, a, rd)
 		if !ok {
 			return
 		}
@@ -78,23 +78,23 @@
 	}
 }
 
-// status is what a reader sees of an attempt at one time.
-type status struct {
+// readStatus is what a reader sees of an attempt at one time.
+type readStatus struct {
 	delivered int
 	phase     phase
 	usage     Usage
 }
 
-// await waits until there is more to read than rd has. It is false if the
+// awaitProgress waits until there is more to read than rd has. It is false if the
 // reader has gone, and breaks the connection if the answer never ends.
-func (e *Engine) await(r *http.Request, a *attempt, rd reader) (status, bool) {
+func (e *Engine) awaitProgress(r *http.Request, a *attempt, rd reader) (readStatus, bool) {
 	for {
 		e.mu.Lock()
-		s := status{delivered: a.delivered(), phase: a.phase, usage: a.usage()}
+		s := readStatus{delivered: a.delivered(), phase: a.phase, usage: a.usage()}
 		changed := a.changed
 		e.mu.Unlock()
 		if s.delivered > rd.after || s.phase == finished {
-			e.thaw(r.Context().Done())
+			e.waitWhileFrozen(r.Context().Done())
 			return s, true
 		}
 		if s.phase == cancelled {
@@ -102,12 +102,12 @@
 		}
 		select {
 		case <-changed:
-		case <-rd.died:
+		case <-rd.crashed:
 			panic(http.ErrAbortHandler)
 		case <-e.closed:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
-			return status{}, false
+			return readStatus{}, false
 		}
 	}
 }
@@ -117,22 +117,22 @@
 		PromptTokens:     len(a.prompt),
 		CompletionTokens: a.generated,
 		TotalTokens:      len(a.prompt) + a.generated,
-		PromptDetails:    PromptDetails{CachedTokens: a.cached},
+		PromptDetails:    PromptDetails{CachedTokens: a.cachedTokens},
 	}
 }
 
 func (a *attempt) finishReason() *string {
 	reason := "stop"
-	if a.request.limit() > 0 {
+	if a.request.maxNewTokens() > 0 {
 		reason = "length"
 	}
 	return &reason
 }
 
-// serveWhole answers without a stream, when all tokens are there.
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
+// serveUnstreamed answers without a stream, when all tokens are there.
+func (e *Engine) serveUnstreamed(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
 	for {
-		s, ok := e.await(r, a, rd)
+		s, ok := e.awaitProgress(r, a, rd)
 		if !ok {
 			return
 		}
@@ -142,7 +142,7 @@
 		}
 		w.Header().Set("X-Outcome", "ran")
 		body := a.chunk("chat.completion", choice{
-			Message:      &delta{Role: "assistant", Content: a.text(a.had, s.delivered)},
+			Message:      &delta{Role: "assistant", Content: a.answerText(a.partialLen, s.delivered)},
 			FinishReason: a.finishReason(),
 		})
 		body.Usage = &s.usage
@@ -161,14 +161,14 @@
 
 // sse writes server-sent events, with the faults that concern chunks.
 type sse struct {
-	engine  *Engine
-	w       http.ResponseWriter
-	flusher *http.ResponseController
-	attempt *attempt
-	sent    int
-	held    int // offset of a chunk that comes after its successor, or zero
-	cut     int // tokens after which the connection breaks, or negative
-	loses   bool
+	engine       *Engine
+	w            http.ResponseWriter
+	flusher      *http.ResponseController
+	attempt      *attempt
+	sent         int
+	held         int // offset of a chunk that comes after its successor, or zero
+	cut          int // tokens after which the connection breaks, or negative
+	dropsAttempt bool
 }
 
 func (s *sse) start() {
@@ -182,10 +182,10 @@
 // token sends the token at offset, counted from 1.
 func (s *sse) token(offset int) {
 	faults := s.engine.Faults()
-	if s.engine.draw(faults.Strays) {
+	if s.engine.faultApplies(faults.Strays) {
 		s.event("stray-"+s.attempt.id, ^s.attempt.hash, offset)
 	}
-	if s.held == 0 && offset < s.attempt.total && s.engine.draw(faults.Swaps) {
+	if s.held == 0 && offset < s.attempt.total && s.engine.faultApplies(faults.Swaps) {
 		s.held = offset
 		return
 	}
@@ -195,7 +195,7 @@
 		s.sent++
 		s.held = 0
 	}
-	if s.engine.draw(faults.Duplicates) {
+	if s.engine.faultApplies(faults.Duplicates) {
 		s.event(s.attempt.id, s.attempt.hash, offset)
 	}
 	s.sent++
@@ -207,8 +207,8 @@
 	if s.cut < 0 || s.sent < s.cut {
 		return
 	}
-	if s.loses {
-		s.engine.lose(s.attempt)
+	if s.dropsAttempt {
+		s.engine.dropAttempt(s.attempt)
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -242,8 +242,8 @@
 
 func (s *sse) flush() { _ = s.flusher.Flush() }
 
-// lose forgets a, as if only this attempt had died.
-func (e *Engine) lose(a *attempt) {
+// dropAttempt forgets a, as if only this attempt had died.
+func (e *Engine) dropAttempt(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.endLocked(a, cancelled)
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -25,60 +25,60 @@
 	Zone    string
 	Slots   int           // requests at a time; 8 if zero. Half as many wait for one
 	Events  int           // of a stream; 5 if zero
-	Pause   time.Duration // between two events, and for a whole answer
-	// Unlisted leaves it to the caller to list the replica.
-	Unlisted bool
+	Delay   time.Duration // between two events, and for a whole answer
+	// Unregistered leaves it to the caller to list the replica.
+	Unregistered bool
 }
 
 // Faults are what goes wrong at the replica.
 type Faults struct {
-	CutAfter int  // a stream is cut in the middle of the event behind this many; 0 is never
-	CutLate  bool // a whole answer is made and its connection is cut
-	Status   int  // of answers in place of 200
-	Times    int  // how many answers have Status; 0 is all
-	Full     bool // everything is turned away as not run
-	Mute     bool // a request is run, and no answer ever comes
-	// Slow is how much longer an answer, or the first event of one, takes.
-	Slow time.Duration
+	CutAfter    int  // a stream is cut in the middle of the event behind this many; 0 is never
+	CutResponse bool // a whole answer is made and its connection is cut
+	Status      int  // of answers in place of 200
+	StatusCount int  // how many answers have Status; 0 is all
+	RefuseAll   bool // everything is turned away as not run
+	NoResponse  bool // a request is run, and no answer ever comes
+	// ExtraDelay is how much longer an answer, or the first event of one, takes.
+	ExtraDelay time.Duration
 	// Every limits these faults to each so-manieth request; all if zero.
 	Every int
-	// Only limits these faults to requests whose path begins so; all if empty.
-	Only string
-	// Crash is a path whose requests crash the replica as they begin to run.
-	Crash string
+	// PathPrefix limits these faults to requests whose path begins so; all if empty.
+	PathPrefix string
+	// CrashPath is a path whose requests crash the replica as they begin to run.
+	CrashPath string
 }
 
 // Arrival is one request that was run.
 type Arrival struct {
-	ID     string
-	Path   string
-	Tenant string
-	From   string // id of the last event that the caller has
-	Fetch  string
-	Body   string
-	Limit  time.Duration // in which the answer is wanted; zero if none was named
-	At     time.Time     // when it came
-	Done   time.Time     // when its run ended, in whatever way; zero while it runs
-	Ended  bool          // it ran to its end
-	Left   bool          // the caller went away
+	ID           string
+	Path         string
+	Tenant       string
+	LastEventID  string // id of the last event that the caller has
+	KVFetch      string
+	Body         string
+	Timeout      time.Duration // in which the answer is wanted; zero if none was named
+	StartedAt    time.Time     // when it came
+	EndedAt      time.Time     // when its run ended, in whatever way; zero while it runs
+	Completed    bool          // it ran to its end
+	Disconnected bool          // the caller went away
 }
 
 // Replica is the stand-in.
 type Replica struct {
-	opts     Options
-	store    *hub.Store
-	listener net.Listener
-	server   *http.Server
-	born     int64
-	listed   string // address in the entry
-
-	mu       sync.Mutex
-	faults   Faults
-	met      int // requests since the start
-	running  int
-	queue    []*turn // requests that wait for a slot, the oldest first
-	arrivals []*Arrival
-	state    string
+	opts            Options
+	store           *hub.Store
+	listener        net.Listener
+	server          *http.Server
+	startedAtMillis int64
+	registeredAddr  string // address in the entry
+
+	mu           sync.Mutex
+	faults       Faults
+	requestCount int // requests since the start
+	running      int
+	queue        []*slotWaiter // requests that wait for a slot, the oldest first
+	arrivals     []*Arrival
+	state        string
 }
 
 // Start starts a replica on loopback and lists it in the store. The function
@@ -94,12 +94,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Replica{opts: o, store: store, listener: l, born: time.Now().UnixMilli(), state: "ready"}
+	r := &Replica{opts: o, store: store, listener: l, startedAtMillis: time.Now().UnixMilli(), state: "ready"}
 	r.server = &http.Server{Handler: r}
-	r.listed = r.Address()
+	r.registeredAddr = r.Address()
 	go r.run()
-	if !o.Unlisted {
-		r.List()
+	if !o.Unregistered {
+		r.Register()
 	}
 	return r, func() { _ = r.server.Close() }, nil
 }
@@ -112,22 +112,22 @@
 // Key returns the key of the replica's entry.
 func (r *Replica) Key() string { return "servers/" + r.opts.ID }
 
-// ListAt lists the replica at another address, such as that of a proxy.
-func (r *Replica) ListAt(address string) {
+// RegisterAt lists the replica at another address, such as that of a proxy.
+func (r *Replica) RegisterAt(address string) {
 	r.mu.Lock()
-	r.listed = address
+	r.registeredAddr = address
 	r.mu.Unlock()
-	r.List()
+	r.Register()
 }
 
-// List writes the replica's entry.
-func (r *Replica) List() {
+// Register writes the replica's entry.
+func (r *Replica) Register() {
 	r.mu.Lock()
-	state, address := r.state, r.listed
+	state, address := r.state, r.registeredAddr
 	r.mu.Unlock()
 	entry, err := json.Marshal(map[string]any{
 		"backend": r.opts.Service, "address": address, "zone": r.opts.Zone, "version": "v1",
-		"slots": r.opts.Slots, "state": state, "coldLeftMs": 0, "seqno": 1, "born": r.born,
+		"slots": r.opts.Slots, "state": state, "coldLeftMs": 0, "seqno": 1, "born": r.startedAtMillis,
 	})
 	if err != nil {
 		panic("replica: encoding an entry: " + err.Error())
@@ -140,11 +140,11 @@
 	r.mu.Lock()
 	r.state = "draining"
 	r.mu.Unlock()
-	r.List()
+	r.Register()
 }
 
-// Fail sets what goes wrong from now on.
-func (r *Replica) Fail(f Faults) {
+// SetFaults sets what goes wrong from now on.
+func (r *Replica) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
@@ -175,33 +175,33 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer r.end(a)
-	if f.Crash != "" && f.Crash == a.Path {
+	defer r.finish(a)
+	if f.CrashPath != "" && f.CrashPath == a.Path {
 		_ = r.server.Close() // with all its connections
 		panic(http.ErrAbortHandler)
 	}
-	r.read(req, a)
-	if f.Mute {
+	r.readBody(req, a)
+	if f.NoResponse {
 		<-req.Context().Done()
-		r.mark(func() { a.Left = true })
+		r.withLock(func() { a.Disconnected = true })
 		return
 	}
-	if f.Slow > 0 && !r.wait(req, a, f.Slow) {
+	if f.ExtraDelay > 0 && !r.wait(req, a, f.ExtraDelay) {
 		return
 	}
 	h.Set("X-Attempt-Id", a.ID)
 	h.Set("X-Server-Signature", r.opts.ID+"."+a.ID)
-	h.Set("X-Instance-Load", fmt.Sprintf("%d,0,%d", r.load(), r.opts.Slots))
+	h.Set("X-Instance-Load", fmt.Sprintf("%d,0,%d", r.runningCount(), r.opts.Slots))
 	if req.Header.Get("X-Token-Usage") != "" && f.Status == 0 {
-		r.stream(w, req, a, f)
+		r.serveStream(w, req, a, f)
 		return
 	}
-	r.whole(w, req, a, f)
+	r.serveWhole(w, req, a, f)
 }
 
-// turn is a request's wait for a slot.
-type turn struct {
-	come chan struct{} // closed when the request has a slot
+// slotWaiter is a request's wait for a slot.
+type slotWaiter struct {
+	granted chan struct{} // closed when the request has a slot
 }
 
 // admit gives a request a slot, and reports false if it is turned away as not run:
@@ -209,15 +209,15 @@
 func (r *Replica) admit(req *http.Request) (*Arrival, Faults, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.faults.Full || !r.takeSlot(req) {
+	if r.faults.RefuseAll || !r.acquireSlot(req) {
 		return nil, r.faults, false
 	}
-	return r.arrive(req)
+	return r.recordArrival(req)
 }
 
-// takeSlot takes a slot and reports whether there is one in time. The caller holds
+// acquireSlot takes a slot and reports whether there is one in time. The caller holds
 // r.mu, which is free while the request waits.
-func (r *Replica) takeSlot(req *http.Request) bool {
+func (r *Replica) acquireSlot(req *http.Request) bool {
 	if r.running < r.opts.Slots {
 		r.running++
 		return true
@@ -225,23 +225,23 @@
 	if len(r.queue) >= r.opts.Slots/2 {
 		return false
 	}
-	t := &turn{come: make(chan struct{})}
+	t := &slotWaiter{granted: make(chan struct{})}
 	r.queue = append(r.queue, t)
 	r.mu.Unlock()
 	defer r.mu.Lock()
-	return r.await(req, t)
+	return r.awaitSlot(req, t)
 }
 
-// await waits for a slot, for as long as the caller waits.
-func (r *Replica) await(req *http.Request, t *turn) bool {
-	var late <-chan time.Time
-	if left := limitOf(req); left > 0 {
-		late = time.After(left)
+// awaitSlot waits for a slot, for as long as the caller waits.
+func (r *Replica) awaitSlot(req *http.Request, t *slotWaiter) bool {
+	var expired <-chan time.Time
+	if left := callerTimeout(req); left > 0 {
+		expired = time.After(left)
 	}
 	select {
-	case <-t.come:
+	case <-t.granted:
 		return true
-	case <-late:
+	case <-expired:
 	case <-req.Context().Done():
 	}
 	r.mu.Lock()
@@ -254,72 +254,72 @@
 	return false
 }
 
-// freeSlot passes a slot on to the request that has waited longest. The caller holds
+// releaseSlot passes a slot on to the request that has waited longest. The caller holds
 // r.mu.
-func (r *Replica) freeSlot() {
+func (r *Replica) releaseSlot() {
 	if len(r.queue) == 0 {
 		r.running--
 		return
 	}
-	close(r.queue[0].come)
+	close(r.queue[0].granted)
 	r.queue = r.queue[1:]
 }
 
-// limitOf returns how long a request's caller waits; zero if it does not say.
-func limitOf(req *http.Request) time.Duration {
+// callerTimeout returns how long a request's caller waits; zero if it does not say.
+func callerTimeout(req *http.Request) time.Duration {
 	ms, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms")) // none is zero
 	return time.Duration(ms) * time.Millisecond
 }
 
-// arrive notes a request that begins to run. The caller holds r.mu.
-func (r *Replica) arrive(req *http.Request) (*Arrival, Faults, bool) {
+// recordArrival notes a request that begins to run. The caller holds r.mu.
+func (r *Replica) recordArrival(req *http.Request) (*Arrival, Faults, bool) {
 	a := &Arrival{
-		At: time.Now(), Limit: limitOf(req),
+		StartedAt: time.Now(), Timeout: callerTimeout(req),
 		ID: req.Header.Get("X-Attempt-Id"), Path: req.URL.Path, Tenant: req.Header.Get("X-Tenant"),
-		From: req.Header.Get("Last-Event-Id"), Fetch: req.Header.Get("Kv-Fetch"),
+		LastEventID: req.Header.Get("Last-Event-Id"), KVFetch: req.Header.Get("Kv-Fetch"),
 	}
 	r.arrivals = append(r.arrivals, a)
 	f := r.faults
-	r.met++
-	if !strings.HasPrefix(a.Path, f.Only) || f.Every > 0 && r.met%f.Every != 0 {
+	r.requestCount++
+	if !strings.HasPrefix(a.Path, f.PathPrefix) || f.Every > 0 && r.requestCount%f.Every != 0 {
 		return a, Faults{}, true
 	}
-	if r.faults.Times == 1 {
+	if r.faults.StatusCount == 1 {
 		r.faults = Faults{}
 	}
-	r.faults.Times = max(r.faults.Times-1, 0)
+	r.faults.StatusCount = max(r.faults.StatusCount-1, 0)
 	return a, f, true
 }
 
-func (r *Replica) load() int {
+func (r *Replica) runningCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-func (r *Replica) end(a *Arrival) {
+func (r *Replica) finish(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.freeSlot()
-	a.Done = time.Now()
+	r.releaseSlot()
+	a.EndedAt = time.Now()
 }
 
-// read reads the whole body: else the server would not notice that a caller
+// readBody reads the whole body: else the server would not notice that a caller
 // leaves. A body that breaks off is kept as far as it came.
-func (r *Replica) read(req *http.Request, a *Arrival) {
+func (r *Replica) readBody(req *http.Request, a *Arrival) {
 	body, _ := io.ReadAll(req.Body)
-	r.mark(func() { a.Body = string(body) })
+	r.withLock(func() { a.Body = string(body) })
 }
 
-func (r *Replica) mark(fn func()) {
+func (r *Replica) withLock(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fn()
 }
 
-// pause waits between two events and reports whether the caller is still there.
-func (r *Replica) pause(req *http.Request, a *Arrival) bool {
-	return r.wait(req, a, r.opts.Pause)
+// waitDelay waits between two events and reports whether the caller is still there.
+func (r *Replica) waitDelay(req *http.Request, a *Arrival) bool {
+	return r.wait(req, a, r.opts.Delay)
 }
 
 // wait waits and reports whether the caller is still there.
@@ -328,17 +328,17 @@
 	case <-time.After(d):
 		return true
 	case <-req.Context().Done():
-		r.mark(func() { a.Left = true })
+		r.withLock(func() { a.Disconnected = true })
 		return false
 	}
 }
 
-func (r *Replica) whole(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
-	if !r.pause(req, a) {
+func (r *Replica) serveWhole(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
+	if !r.waitDelay(req, a) {
 		return
 	}
-	r.mark(func() { a.Ended = true })
-	if f.CutLate {
+	r.withLock(func() { a.Completed = true })
+	if f.CutResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Status != 0 {
@@ -347,13 +347,13 @@
 	_, _ = w.Write([]byte("done " + a.ID)) // the caller may have gone
 }
 
-// stream sends events numbered from 1, behind the last one that the caller has.
-func (r *Replica) stream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
-	from, _ := strconv.Atoi(a.From) // none is zero
+// serveStream sends events numbered from 1, behind the last one that the caller has.
+func (r *Replica) serveStream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
+	lastID, _ := strconv.Atoi(a.LastEventID) // none is zero
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w).Flush
-	for n := from + 1; n <= r.opts.Events; n++ {
-		if !r.pause(req, a) {
+	for n := lastID + 1; n <= r.opts.Events; n++ {
+		if !r.waitDelay(req, a) {
 			return
 		}
 		event := fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n)
@@ -363,9 +363,9 @@
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write([]byte(event)); err != nil || flush() != nil {
-			r.mark(func() { a.Left = true })
+			r.withLock(func() { a.Disconnected = true })
 			return
 		}
 	}
-	r.mark(func() { a.Ended = true })
+	r.withLock(func() { a.Completed = true })
 }
--- a/standin/service/handlers.go
+++ b/standin/service/handlers.go
@@ -48,7 +48,7 @@
 func (s *Service) handleFaults(w http.ResponseWriter, r *http.Request) {
 	next := s.Faults()
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&next); err != nil {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeNotRun(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	s.SetFaults(next)
@@ -65,8 +65,8 @@
 	Message string `json:"message"`
 }
 
-// refuse answers with the service's word that nothing was run.
-func refuse(w http.ResponseWriter, status int, code string) {
+// writeNotRun answers with the service's word that nothing was run.
+func writeNotRun(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("X-Outcome", "not-run")
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -19,10 +19,10 @@
 
 // Options configure a Service. The zero value runs each action at once.
 type Options struct {
-	ID       string
-	Time     time.Duration // that one action takes
-	Capacity int           // shown in the load report; 0 means 64
-	Seed     uint64        // of faults that hit a share of calls
+	ID         string
+	ActionTime time.Duration // that one action takes
+	Capacity   int           // shown in the load report; 0 means 64
+	Seed       uint64        // of faults that hit a share of calls
 }
 
 // Faults are what goes wrong at the service. FreezeMillis happens once; the
@@ -46,16 +46,16 @@
 	FreezeMillis int `json:"freeze_ms,omitempty"`
 }
 
-// Fate tells what became of an arrival.
-type Fate string
+// Outcome tells what became of an arrival.
+type Outcome string
 
 // The fates of an arrival.
 const (
-	Pending   Fate = "pending"    // still running
-	Ran       Fate = "ran"        // ran and was answered
-	CutBefore Fate = "cut-before" // the connection broke before it ran
-	CutAfter  Fate = "cut-after"  // ran, and the connection broke
-	Refused   Fate = "refused"    // refused as not run
+	Pending   Outcome = "pending"    // still running
+	Ran       Outcome = "ran"        // ran and was answered
+	CutBefore Outcome = "cut-before" // the connection broke before it ran
+	CutAfter  Outcome = "cut-after"  // ran, and the connection broke
+	Refused   Outcome = "refused"    // refused as not run
 )
 
 // Arrival is one call of an action that reached the service.
@@ -64,11 +64,11 @@
 	Action    string    `json:"action"`
 	RequestID string    `json:"request_id"`
 	Key       string    `json:"key"`
-	Fate      Fate      `json:"fate"`
+	Outcome   Outcome   `json:"fate"`
 }
 
 // DidRun tells whether the action took effect.
-func (a Arrival) DidRun() bool { return a.Fate == Ran || a.Fate == CutAfter }
+func (a Arrival) DidRun() bool { return a.Outcome == Ran || a.Outcome == CutAfter }
 
 // Count tells how often something arrived and how often it ran.
 type Count struct {
@@ -137,7 +137,7 @@
 func (s *Service) handleAction(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeNotRun(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	var body struct {
@@ -146,62 +146,62 @@
 	_ = json.Unmarshal(data, &body) // a body of another form has no key
 	arrival := Arrival{
 		At: time.Now(), Action: r.PathValue("action"),
-		RequestID: r.Header.Get("X-Request-Id"), Key: body.Key, Fate: Pending,
+		RequestID: r.Header.Get("X-Request-Id"), Key: body.Key, Outcome: Pending,
 	}
-	n, fate, pause := s.arrive(arrival)
-	switch fate {
+	n, outcome, duration := s.recordArrival(arrival)
+	switch outcome {
 	case CutBefore:
 		panic(http.ErrAbortHandler)
 	case Refused:
-		refuse(w, http.StatusServiceUnavailable, "overloaded")
+		writeNotRun(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
 	// The action goes on when its caller goes: nobody can take it back.
-	s.sleep(pause)
-	receipt := s.finish(n, fate)
-	if fate == CutAfter {
+	s.sleep(duration)
+	receipt := s.finish(n, outcome)
+	if outcome == CutAfter {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Outcome", "ran")
 	writeJSON(w, http.StatusOK, receipt)
 }
 
-// arrive records an arrival and draws its fate. It returns the arrival's index
+// recordArrival records an arrival and draws its fate. It returns the arrival's index
 // and the time that the action takes.
-func (s *Service) arrive(a Arrival) (int, Fate, time.Duration) {
+func (s *Service) recordArrival(a Arrival) (int, Outcome, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fate := s.fateLocked()
-	if fate == CutBefore || fate == Refused {
-		a.Fate = fate
+	outcome := s.drawOutcomeLocked()
+	if outcome == CutBefore || outcome == Refused {
+		a.Outcome = outcome
 	} else {
 		s.running++
 	}
 	s.arrivals = append(s.arrivals, a)
-	pause := s.opts.Time
+	duration := s.opts.ActionTime
 	if s.faults.TimeMillis > 0 {
-		pause = time.Duration(s.faults.TimeMillis) * time.Millisecond
+		duration = time.Duration(s.faults.TimeMillis) * time.Millisecond
 	}
-	return len(s.arrivals) - 1, fate, pause + max(0, time.Until(s.frozenUntil))
+	return len(s.arrivals) - 1, outcome, duration + max(0, time.Until(s.frozenUntil))
 }
 
-func (s *Service) fateLocked() Fate {
+func (s *Service) drawOutcomeLocked() Outcome {
 	f := &s.faults
 	switch {
 	case s.leaving:
 		return Refused
-	case s.drawLocked(f.Refuse, &f.RefuseNext):
+	case s.faultAppliesLocked(f.Refuse, &f.RefuseNext):
 		return Refused
-	case s.drawLocked(f.CutBefore, &f.CutBeforeNext):
+	case s.faultAppliesLocked(f.CutBefore, &f.CutBeforeNext):
 		return CutBefore
-	case s.drawLocked(f.CutAfter, &f.CutAfterNext):
+	case s.faultAppliesLocked(f.CutAfter, &f.CutAfterNext):
 		return CutAfter
 	}
 	return Ran
 }
 
-// drawLocked is true for the next calls and for a share of the others.
-func (s *Service) drawLocked(share float64, next *int) bool {
+// faultAppliesLocked is true for the next calls and for a share of the others.
+func (s *Service) faultAppliesLocked(share float64, next *int) bool {
 	if *next > 0 {
 		*next--
 		return true
@@ -222,13 +222,13 @@
 }
 
 // finish records that the action ran, before anybody is told.
-func (s *Service) finish(n int, fate Fate) Receipt {
+func (s *Service) finish(n int, outcome Outcome) Receipt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 	s.runs++
 	a := &s.arrivals[n]
-	a.Fate = fate
+	a.Outcome = outcome
 	return Receipt{
 		Service: s.opts.ID, Action: a.Action, RequestID: a.RequestID, Key: a.Key, Number: s.runs,
 	}
@@ -244,13 +244,13 @@
 		ByRequest: make(map[string]Count),
 	}
 	for _, a := range out.Arrivals {
-		out.ByKey[a.Key] = out.ByKey[a.Key].plus(a)
-		out.ByRequest[a.RequestID] = out.ByRequest[a.RequestID].plus(a)
+		out.ByKey[a.Key] = out.ByKey[a.Key].add(a)
+		out.ByRequest[a.RequestID] = out.ByRequest[a.RequestID].add(a)
 	}
 	return out
 }
 
-func (c Count) plus(a Arrival) Count {
+func (c Count) add(a Arrival) Count {
 	c.Arrived++
 	if a.DidRun() {
 		c.Ran++
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -39,13 +39,13 @@
 	return client.Do(req)
 }
 
-// confirming is a call that a goroutine of its own makes.
-type confirming struct {
+// pendingConfirm is a call that a goroutine of its own makes.
+type pendingConfirm struct {
 	client *http.Client
 	done   chan error
 }
 
-func (c *confirming) run() {
+func (c *pendingConfirm) run() {
 	res, err := confirm(c.client, "r1")
 	if err == nil {
 		res.Body.Close()
@@ -55,13 +55,13 @@
 
 // The service fails before or after it ran an action. Its caller cannot tell
 // the two cuts apart, but the record of arrivals must.
-func TestFaultsAreCountedTruly(t *testing.T) {
+func TestArrivalsRecordFaultOutcomes(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		faults Faults
-		status int // zero if the connection breaks
-		fate   Fate
-		count  Count
+		name    string
+		faults  Faults
+		status  int // zero if the connection breaks
+		outcome Outcome
+		count   Count
 	}{
 		{"sound", Faults{}, http.StatusOK, Ran, Count{1, 1}},
 		{"cut before", Faults{CutBeforeNext: 1}, 0, CutBefore, Count{1, 0}},
@@ -70,7 +70,7 @@
 		{"refused", Faults{RefuseNext: 1}, http.StatusServiceUnavailable, Refused, Count{1, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, Options{Time: time.Second}, func(t *testing.T, s *Service, client *http.Client) {
+			inBubble(t, Options{ActionTime: time.Second}, func(t *testing.T, s *Service, client *http.Client) {
 				s.SetFaults(test.faults)
 				res, err := confirm(client, "r1")
 				status := 0
@@ -80,7 +80,7 @@
 				}
 				assert.Equal(t, status, test.status)
 				seen := s.Arrivals()
-				assert.Equal(t, seen.Arrivals[0].Fate, test.fate)
+				assert.Equal(t, seen.Arrivals[0].Outcome, test.outcome)
 				assert.Equal(t, seen.ByKey["k"], test.count)
 				assert.Equal(t, seen.ByRequest["r1"], test.count)
 			})
@@ -109,7 +109,7 @@
 	inBubble(t, Options{}, func(t *testing.T, s *Service, client *http.Client) {
 		s.SetFaults(Faults{FreezeMillis: 5000})
 		start := time.Now()
-		first := &confirming{client: client, done: make(chan error, 1)}
+		first := &pendingConfirm{client: client, done: make(chan error, 1)}
 		go first.run()
 		time.Sleep(time.Second)
 		s.Leave()
--- a/standin/soak/check_test.go
+++ b/standin/soak/check_test.go
@@ -33,8 +33,8 @@
 func ran(id, path string, from, to int) arrival {
 	return arrival{
 		Arrival: replica.Arrival{
-			ID: id, Path: path + id, Body: requestBody, Tenant: account, Limit: deadline,
-			At: began.Add(time.Duration(from) * time.Millisecond), Done: began.Add(time.Duration(to) * time.Millisecond),
+			ID: id, Path: path + id, Body: requestBody, Tenant: account, Timeout: deadline,
+			StartedAt: began.Add(time.Duration(from) * time.Millisecond), EndedAt: began.Add(time.Duration(to) * time.Millisecond),
 		},
 		endpoint: "e1", service: services[path],
 	}
@@ -71,8 +71,8 @@
 		{"a body that was cut", safe, changed(func(a *arrival) { a.Body = "bo" }), "changed"},
 		{"another client account", safe, changed(func(a *arrival) { a.Tenant = "zeta" }), "changed"},
 		{"the service of another route", safe, changed(func(a *arrival) { a.service = "model" }), "service model ran"},
-		{"no deadline", safe, changed(func(a *arrival) { a.Limit = 0 }), "had 0s"},
-		{"more time than its caller has", safe, changed(func(a *arrival) { a.Limit = 5 * time.Second }), "had 5s"},
+		{"no deadline", safe, changed(func(a *arrival) { a.Timeout = 0 }), "had 0s"},
+		{"more time than its caller has", safe, changed(func(a *arrival) { a.Timeout = 5 * time.Second }), "had 5s"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 	}{{70, ""}, {100, "second attempts"}} {
 		outcomes, arrivals := series(100, 10, 5, 3)
 		for i := range test.again {
-			arrivals = append(arrivals, arrivals[i].with(func(a *arrival) { a.At = a.At.Add(time.Second) }))
+			arrivals = append(arrivals, arrivals[i].with(func(a *arrival) { a.StartedAt = a.StartedAt.Add(time.Second) }))
 		}
 		h := history{outcomes: outcomes, arrivals: arrivals}
 		expectBroken(t, h.repeats(), test.want)
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -213,16 +213,16 @@
 // spoilBack has an endpoint answer wrongly, or its link fail.
 func (s *soak) spoilBack(d time.Duration) {
 	b := s.present()
-	f := []replica.Faults{{CutAfter: 2}, {CutLate: true}, {Status: http.StatusInternalServerError}, {Full: true}}[s.rng.IntN(4)]
+	f := []replica.Faults{{CutAfter: 2}, {CutResponse: true}, {Status: http.StatusInternalServerError}, {RefuseAll: true}}[s.rng.IntN(4)]
 	m := proxy.Mode{}
 	if s.rng.IntN(2) == 0 {
 		f, m = replica.Faults{}, s.mode()
 	}
 	s.say("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
 	s.harm(d)
-	b.Fail(f)
+	b.SetFaults(f)
 	b.proxy.Set(m)
-	s.later(d, func() { b.Fail(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
+	s.later(d, func() { b.SetFaults(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
 }
 
 // inForce is the time within which a change of the desired state has to be in
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -92,8 +92,8 @@
 // deadlines finds runs that were given more time than their callers have.
 func (h *history) deadlines() (broken []string) {
 	for _, a := range h.arrivals {
-		if a.Limit <= 0 || a.Limit > deadline+limitSlack {
-			broken = append(broken, fmt.Sprintf("request %s had %v at endpoint %s, of %v", a.ID, a.Limit, a.endpoint, deadline))
+		if a.Timeout <= 0 || a.Timeout > deadline+limitSlack {
+			broken = append(broken, fmt.Sprintf("request %s had %v at endpoint %s, of %v", a.ID, a.Timeout, a.endpoint, deadline))
 		}
 	}
 	return broken
@@ -116,9 +116,9 @@
 				continue
 			}
 			if seen[a.ID] {
-				again = append(again, a.At)
+				again = append(again, a.StartedAt)
 			} else {
-				all = append(all, a.At)
+				all = append(all, a.StartedAt)
 			}
 			seen[a.ID] = true
 		}
@@ -171,7 +171,7 @@
 	for _, service := range h.services() {
 		judged, over := 0, 0
 		for i, a := range h.arrivals {
-			if a.service != service || !h.calm(a.At) {
+			if a.service != service || !h.calm(a.StartedAt) {
 				continue
 			}
 			judged++
@@ -202,7 +202,7 @@
 func (h *history) running(i int) (own, total, endpoints int) {
 	a := h.arrivals[i]
 	for _, b := range h.arrivals[:i+1] {
-		if b.service != a.service || !b.Done.IsZero() && !b.Done.After(a.At) {
+		if b.service != a.service || !b.EndedAt.IsZero() && !b.EndedAt.After(a.StartedAt) {
 			continue
 		}
 		total++
@@ -211,7 +211,7 @@
 		}
 	}
 	for _, p := range h.present {
-		if p.service == a.service && !p.from.After(a.At) && (p.until.IsZero() || p.until.After(a.At)) {
+		if p.service == a.service && !p.from.After(a.StartedAt) && (p.until.IsZero() || p.until.After(a.StartedAt)) {
 			endpoints++
 		}
 	}
@@ -240,10 +240,10 @@
 		if !ok {
 			continue
 		}
-		if a.Done.IsZero() || a.Done.Sub(at) > leaveSlack {
+		if a.EndedAt.IsZero() || a.EndedAt.Sub(at) > leaveSlack {
 			worked++
 		}
-		if a.At.Sub(at) > leaveSlack {
+		if a.StartedAt.Sub(at) > leaveSlack {
 			late++
 		}
 	}
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -183,7 +183,7 @@
 	s.nextID++
 	id := fmt.Sprintf("%s-%d", service, s.nextID)
 	s.mu.Unlock()
-	o := replica.Options{ID: id, Service: service, Zone: fmt.Sprintf("z%d", s.nextID%3), Pause: 15 * time.Millisecond, Unlisted: true, Events: fewEvents}
+	o := replica.Options{ID: id, Service: service, Zone: fmt.Sprintf("z%d", s.nextID%3), Delay: 15 * time.Millisecond, Unregistered: true, Events: fewEvents}
 	if service == "long" {
 		o.Events = manyEvents
 	}
@@ -196,7 +196,7 @@
 		return nil, err
 	}
 	b := &back{Replica: r, id: id, service: service, proxy: p, kill: kill, added: time.Now()}
-	r.ListAt(p.Address())
+	r.RegisterAt(p.Address())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backs = append(s.backs, b)
@@ -287,7 +287,7 @@
 	backs := append([]*back(nil), s.backs...)
 	s.mu.Unlock()
 	for _, b := range backs {
-		b.Fail(replica.Faults{})
+		b.SetFaults(replica.Faults{})
 		b.proxy.Set(proxy.Mode{})
 	}
 	time.Sleep(settled)
@@ -315,7 +315,7 @@
 			h.arrivals = append(h.arrivals, arrival{Arrival: a, endpoint: b.id, service: b.service})
 		}
 	}
-	slices.SortFunc(h.arrivals, func(a, b arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(h.arrivals, func(a, b arrival) int { return a.StartedAt.Compare(b.StartedAt) })
 	for _, line := range h.broken() {
 		s.breaks("%s", line)
 	}
--- a/wisteriarouter/caller/caller_test.go
+++ b/wisteriarouter/caller/caller_test.go
@@ -41,7 +41,7 @@
 	f.placer = &roundRobin{fleet: f}
 	for n := range engines {
 		id := coordination.Endpoint(fmt.Sprintf("e%d", n+1))
-		e, stop := standin.New(standin.Options{ID: string(id), Restart: 300 * time.Millisecond, Seed: uint64(n + 1)})
+		e, stop := standin.New(standin.Options{ID: string(id), RestartDelay: 300 * time.Millisecond, Seed: uint64(n + 1)})
 		f.engines[id] = e
 		f.placer.ids = append(f.placer.ids, id)
 		f.stops = append(f.stops, f.network.Serve(address(id), e), stop)
--- a/wisteriarouter/caller/whole_test.go
+++ b/wisteriarouter/caller/whole_test.go
@@ -77,7 +77,7 @@
 	{name: "none"},
 	{name: "cut connections", faults: standin.Faults{CutStreams: 30, CutAfter: 5}},
 	{name: "cut before the first token", faults: standin.Faults{CutStreams: 30}},
-	{name: "lost attempts", faults: standin.Faults{CutStreams: 20, CutAfter: 4, CutLoses: true}},
+	{name: "lost attempts", faults: standin.Faults{CutStreams: 20, CutAfter: 4, CutDropsAttempt: true}},
 	{name: "late, early and foreign chunks", faults: standin.Faults{Duplicates: 0.2, Swaps: 0.2, Strays: 0.2}},
 	{name: "refusals", faults: standin.Faults{RefuseNext: 2}},
 	{name: "crashes", during: crash},
--- a/wisteriarouter/daemon/daemon_test.go
+++ b/wisteriarouter/daemon/daemon_test.go
@@ -86,7 +86,7 @@
 }
 
 func (w *testCluster) addEngine(id string) {
-	e, stop := standinengine.New(standinengine.Options{ID: id, Step: 5 * time.Millisecond, Restart: engineRestart})
+	e, stop := standinengine.New(standinengine.Options{ID: id, Step: 5 * time.Millisecond, RestartDelay: engineRestart})
 	w.t.Cleanup(stop)
 	w.engines = append(w.engines, e)
 	w.platform.Register(standinplatform.Instance{
--- a/wisteriarouter/daemon/relay_site_test.go
+++ b/wisteriarouter/daemon/relay_site_test.go
@@ -63,10 +63,10 @@
 	t.Cleanup(func() { s.store.Fail(hub.Faults{Down: true}) }) // ends pending watches
 	s.address = strings.TrimPrefix(srv.URL, "http://")
 	for n := range desks {
-		s.addReplica(replica.Options{ID: fmt.Sprintf("d%d", n), Service: "desk", Zone: "a", Pause: 10 * time.Millisecond})
+		s.addReplica(replica.Options{ID: fmt.Sprintf("d%d", n), Service: "desk", Zone: "a", Delay: 10 * time.Millisecond})
 	}
 	for n := range models {
-		s.addReplica(replica.Options{ID: fmt.Sprintf("m%d", n), Service: "model", Zone: "a", Pause: 20 * time.Millisecond})
+		s.addReplica(replica.Options{ID: fmt.Sprintf("m%d", n), Service: "model", Zone: "a", Delay: 20 * time.Millisecond})
 	}
 	s.put(plainState())
 	for range routers {
--- a/wisteriarouter/daemon/relay_stop_test.go
+++ b/wisteriarouter/daemon/relay_stop_test.go
@@ -56,7 +56,7 @@
 // because the answer would break off.
 func TestRelayRefusesRequestsItsStopWouldCutOff(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
-	s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 180, Pause: 20 * time.Millisecond})
+	s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 180, Delay: 20 * time.Millisecond})
 	plain, begun := s.beginStream("/stream/begun")
 	stream, begunToo := s.beginStream("/stream/begun")
 	assert.Equal(t, s.send(0, "/unsafe/before").status, http.StatusOK)
@@ -82,7 +82,7 @@
 func TestRelayAnswersPendingRequestsAtEndOfStop(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 0)
 	s.addReplica(replica.Options{ID: "d0", Service: "desk", Zone: "a", Slots: 1})
-	s.replicas[0].Fail(replica.Faults{Slow: 20 * time.Second})
+	s.replicas[0].SetFaults(replica.Faults{ExtraDelay: 20 * time.Second})
 	d := plainState()
 	for _, r := range d.routes {
 		r["timeoutMs"] = 15000
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, s.send(0, "/safe/1", "X-Tenant", "zeta", "Kv-Fetch", "10.0.0.1:1").status, 200)
 	a := s.replicas[0].Arrivals()[0]
 	assert.Equal(t, a.Tenant, "acme")
-	assert.Equal(t, a.Fetch, "")
+	assert.Equal(t, a.KVFetch, "")
 }
 
 // An endpoint dies in the middle of an event of a resumable stream. The caller
@@ -50,15 +50,15 @@
 func TestRelayResumesStreamAtAnotherEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutAfter: 2})
+		r.SetFaults(replica.Faults{CutAfter: 2})
 	}
 	// The endpoint that resumes the stream gets the id of the last complete
 	// event. It also cuts the stream, in the middle of the third event.
 	first := s.send(0, "/resumable/1")
 	assert.Assert(t, first.err != nil, "both endpoints cut the stream: it must not look complete")
 	assert.Assert(t, strings.HasPrefix(events(1, 5), first.body), "%q", first.body)
-	s.replicas[1].Fail(replica.Faults{})
-	s.replicas[0].Fail(replica.Faults{CutAfter: 2})
+	s.replicas[1].SetFaults(replica.Faults{})
+	s.replicas[0].SetFaults(replica.Faults{CutAfter: 2})
 	for range 8 {
 		got := s.send(0, "/resumable/2", "X-Prefix-Hash", freshID()+":50,cc:10")
 		assert.NilError(t, got.err)
@@ -71,7 +71,7 @@
 func TestRelayDoesNotRetryNonResumableStream(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutAfter: 2})
+		r.SetFaults(replica.Faults{CutAfter: 2})
 	}
 	got := s.send(0, "/stream/1")
 	assert.Assert(t, got.err != nil)
@@ -85,7 +85,7 @@
 func TestRelayNeverRetriesUnsafeRequest(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutLate: true})
+		r.SetFaults(replica.Faults{CutResponse: true})
 	}
 	assert.Equal(t, s.send(0, "/unsafe/1").status, 502)
 	assert.Equal(t, s.runs("/unsafe/1"), 1)
@@ -95,7 +95,7 @@
 
 func TestRelayRetriesSafeRequest(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
-	s.replicas[0].Fail(replica.Faults{Status: 500})
+	s.replicas[0].SetFaults(replica.Faults{Status: 500})
 	for range 8 {
 		assert.Equal(t, s.send(0, "/safe/1").status, 200)
 	}
@@ -106,12 +106,12 @@
 // response and not one made by the router.
 func TestRelayRetriesAtOnlyEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 1, 0)
-	s.replicas[0].Fail(replica.Faults{Status: 500})
+	s.replicas[0].SetFaults(replica.Faults{Status: 500})
 	got := s.send(0, "/safe/1")
 	assert.Equal(t, got.status, 500)
 	assert.Assert(t, got.header.Get("X-Server-Signature") != "")
 	assert.Equal(t, s.runs("/safe/1"), 2)
-	s.replicas[0].Fail(replica.Faults{Status: 500, Times: 1})
+	s.replicas[0].SetFaults(replica.Faults{Status: 500, StatusCount: 1})
 	assert.Equal(t, s.send(0, "/safe/2").status, 200)
 	assert.Equal(t, s.send(0, "/unsafe/3").status, 200)
 }
@@ -132,7 +132,7 @@
 func TestRelayRefusesAtOnceIfAllEndpointsAreFull(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{Full: true})
+		r.SetFaults(replica.Faults{RefuseAll: true})
 	}
 	start := time.Now()
 	got := s.send(0, "/unsafe/1")
@@ -158,7 +158,7 @@
 // because nobody reads its output and the work is still paid for.
 func TestRelayCancelsAttemptIfCallerDisconnects(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 1)
-	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Pause: 20 * time.Millisecond})
+	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Delay: 20 * time.Millisecond})
 	s.kill[0]()
 	s.store.Delete(s.replicas[0].Key())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -173,7 +173,7 @@
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, a := range slow.Arrivals() {
-			if a.Left {
+			if a.Disconnected {
 				return poll.Success()
 			}
 		}
@@ -234,7 +234,7 @@
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, s.send(1, "/safe/1").status, 200)
 	for _, r := range s.replicas {
-		r.List()
+		r.Register()
 	}
 	time.Sleep(2500 * time.Millisecond)
 	assert.Equal(t, s.send(1, "/safe/1").status, 200)
@@ -300,7 +300,7 @@
 	next := plainState()
 	next.routes[0]["timeoutMs"] = 300
 	s.put(next)
-	slow := s.addReplica(replica.Options{ID: "slow", Service: "desk", Zone: "a", Pause: 5 * time.Second})
+	slow := s.addReplica(replica.Options{ID: "slow", Service: "desk", Zone: "a", Delay: 5 * time.Second})
 	s.replicas[0].Drain()
 	time.Sleep(300 * time.Millisecond)
 	start := time.Now()
@@ -308,7 +308,7 @@
 	assert.Equal(t, got.status, 504)
 	assert.Assert(t, time.Since(start) < 800*time.Millisecond, "%v", time.Since(start))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if a := slow.Arrivals(); len(a) == 1 && a[0].Left {
+		if a := slow.Arrivals(); len(a) == 1 && a[0].Disconnected {
 			return poll.Success()
 		}
 		return poll.Continue("the endpoint is still running")
@@ -349,7 +349,7 @@
 func TestRelayRefusesRequestThatCrashesEndpoints(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 5)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{Crash: "/resumable/poison"})
+		r.SetFaults(replica.Faults{CrashPath: "/resumable/poison"})
 	}
 	for n := range 6 {
 		s.send(n%2, "/resumable/poison")
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -61,7 +61,7 @@
 	s.platform = server
 	s.cleanups = append(s.cleanups, s.network.Serve("platform:80", server), stop)
 	for i := range clusterDesks {
-		desk, stop := service.New(service.Options{Seed: seed + uint64(i), Time: 20 * time.Millisecond})
+		desk, stop := service.New(service.Options{Seed: seed + uint64(i), ActionTime: 20 * time.Millisecond})
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.2})
 		s.desks = append(s.desks, desk)
 		s.addresses = append(s.addresses, deskAddress(i))
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -189,7 +189,7 @@
 	s := &cluster{random: rand.New(rand.NewPCG(1, 1)), results: map[string][]callResult{}}
 	var desks []string
 	for i := range clusterDesks {
-		desk, stop := service.New(service.Options{Seed: uint64(i), Time: 20 * time.Millisecond})
+		desk, stop := service.New(service.Options{Seed: uint64(i), ActionTime: 20 * time.Millisecond})
 		defer stop()
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.1})
 		srv := httptest.NewServer(desk)
