--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	minDefaultLength  = 8    // tokens of the shortest answer without max_tokens
-	defaultLengthSpan = 57   // natural lengths vary over so many tokens
-	maxAnswerTokens   = 4096 // tokens of any answer
-	syllablesPerToken = 5    // of one token
+	minDefaultLength  = 8    // minimum length in tokens of an answer without max_tokens
+	defaultLengthSpan = 57   // number of possible lengths in tokens of an answer without max_tokens
+	maxAnswerTokens   = 4096 // limit in tokens on every answer
+	syllablesPerToken = 5    // each is a consonant and a vowel
 )
 
-// Message is one message of a conversation.
+// Message is one message of a conversation, with the role of its author.
 type Message struct {
 	Role    string  `json:"role"`
 	Content Content `json:"content"`
 }
 
-// Content is the text of a message. In JSON it is a string or a list of parts.
+// Content is the text of a message. Its JSON form is a string or a list of
+// parts.
 type Content string
 
-// UnmarshalJSON reads a string, null, or a list of parts with text.
+// UnmarshalJSON decodes a string, null, or a list of parts whose texts are
+// concatenated. It returns an error for any other value.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	var text *string
 	if err := json.Unmarshal(data, &text); err == nil {
@@ -38,7 +40,7 @@
 		Text string `json:"text"`
 	}
 	if err := json.Unmarshal(data, &parts); err != nil {
-		return fmt.Errorf("engine: content is neither a text nor a list of parts")
+		return fmt.Errorf("engine: content is neither a string nor a list of parts")
 	}
 	for _, part := range parts {
 		*c += Content(part.Text)
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// Request is the body of a chat completion, as far as the engine reads it.
+// Request holds the fields of a chat completion request that the engine uses.
 type Request struct {
 	Model                string    `json:"model"`
 	Messages             []Message `json:"messages"`
@@ -56,7 +58,8 @@
 	ContinueFinalMessage bool      `json:"continue_final_message,omitempty"`
 }
 
-// maxNewTokens returns the most new tokens that the request asks for, or zero.
+// maxNewTokens returns the requested limit on new tokens, or zero if there is
+// none.
 func (r Request) maxNewTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -64,8 +67,9 @@
 	return r.MaxTokens
 }
 
-// splitPartialAnswer returns the messages without a partial answer to continue, and
-// the tokens of that partial answer.
+// splitPartialAnswer returns the messages before the partial answer to continue,
+// and the tokens of that partial answer. Without a partial answer it returns all
+// messages.
 func (r Request) splitPartialAnswer() ([]Message, []string) {
 	last := len(r.Messages) - 1
 	if !r.ContinueFinalMessage || last < 0 || r.Messages[last].Role != "assistant" {
@@ -74,14 +78,14 @@
 	return r.Messages[:last], strings.Fields(string(r.Messages[last].Content))
 }
 
-// Answer returns the whole answer that every engine gives to messages, where
-// maxTokens is zero for the natural length. Each token is a word with a
-// trailing space.
+// Answer returns the complete answer that every engine gives to messages. If
+// maxTokens is zero, the length is derived from the messages. Each token is a
+// word with a trailing space.
 func Answer(messages []Message, maxTokens int) string {
 	return strings.Join(AnswerTokens(messages, maxTokens), "")
 }
 
-// AnswerTokens returns the tokens of Answer.
+// AnswerTokens returns the tokens that make up Answer.
 func AnswerTokens(messages []Message, maxTokens int) []string {
 	hash := conversationHash(messages)
 	tokens := make([]string, answerLength(hash, 0, maxTokens))
@@ -91,8 +95,9 @@
 	return tokens
 }
 
-// answerLength returns the length of the whole answer, of which had tokens
-// were there already: exactly maxTokens new ones, or the natural length.
+// answerLength returns the length in tokens of the complete answer, including
+// the existing tokens of a partial answer. A positive maxTokens sets the number
+// of new tokens; otherwise the length is derived from hash.
 func answerLength(hash uint64, existing, maxTokens int) int {
 	if maxTokens > 0 {
 		return min(existing+maxTokens, maxAnswerTokens)
@@ -100,7 +105,8 @@
 	return max(existing, minDefaultLength+int(hash%defaultLengthSpan))
 }
 
-// conversationHash depends on the roles and words of messages only.
+// conversationHash hashes the roles and words of messages. The amount of
+// whitespace between words does not matter.
 func conversationHash(messages []Message) uint64 {
 	d := xxhash.New()
 	for _, m := range messages {
@@ -113,8 +119,8 @@
 	return d.Sum64()
 }
 
-// tokenAt returns the token at index i, counted from 0, of the answer to the
-// conversation with that hash.
+// tokenAt returns the token at the zero-based index i of the answer to the
+// conversation with the given hash.
 func tokenAt(hash uint64, i int) string {
 	const consonants, vowels = "bdfgklmnprstvzhj", "aeio"
 	var seed [16]byte
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -11,11 +11,12 @@
 // blockTokens is the number of tokens in one block of the prefix cache.
 const blockTokens = 16
 
-// blockHash names a block together with all blocks before it.
+// blockHash identifies a block together with all blocks before it.
 type blockHash uint64
 
-// promptWords returns the tokens of messages. The first word of a message carries
-// its role, so that equal promptWords of other speakers differ.
+// promptWords returns the words of messages as prompt tokens. The first word of a
+// message is prefixed with its role, so that equal texts with different roles
+// yield different tokens.
 func promptWords(messages []Message) []string {
 	var out []string
 	for _, m := range messages {
@@ -29,7 +30,8 @@
 	return out
 }
 
-// chainedHashes returns the chained hashes of the full chainedHashes of tokens.
+// chainedHashes returns one hash for each full block of tokens. Each hash covers
+// its block and all blocks before it.
 func chainedHashes(tokens []string) []blockHash {
 	out := make([]blockHash, 0, len(tokens)/blockTokens)
 	var chain blockHash
@@ -46,19 +48,19 @@
 	return out
 }
 
-// cacheEntry is one block in the cache.
+// cacheEntry is one cached block.
 type cacheEntry struct {
 	hash blockHash
-	chat string // the chat that stored the block last
+	chat string // the chat that most recently stored the block
 }
 
-// prefixCache holds a limited number of blocks and forgets the least recently used.
+// prefixCache holds a limited number of blocks and evicts the least recently used.
 type prefixCache struct {
 	limit         int
-	order         *list.List // of *entry, the most recently used first
+	order         *list.List // of *cacheEntry, most recently used first
 	byHash        map[blockHash]*list.Element
-	chatBlocks    map[string][]blockHash // the last blocks of a chat, in order
-	residentCount map[string]int         // blocks of a chat in the cache
+	chatBlocks    map[string][]blockHash // by chat, the blocks that it stored last, in prompt order
+	residentCount map[string]int         // by chat, the number of its cached blocks
 }
 
 func newPrefixCache(limit int) *prefixCache {
@@ -71,7 +73,8 @@
 	}
 }
 
-// matchPrefix returns how many leading blocks are cached, and marks them as used.
+// matchPrefix returns the number of leading hashes that are cached, and marks
+// them as recently used.
 func (c *prefixCache) matchPrefix(hashes []blockHash) int {
 	n := 0
 	for n < len(hashes) && c.byHash[hashes[n]] != nil {
@@ -83,8 +86,9 @@
 	return n
 }
 
-// store keeps the blocks of chat and returns the chats of which nothing is
-// left. The first blocks are used last, so that a chat loses its end first.
+// store caches the blocks of chat and returns the chats that lost their last
+// block to eviction. Leading blocks are marked as used last, so that the end of a
+// chat is evicted first.
 func (c *prefixCache) store(chat string, hashes []blockHash) (evicted []string) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		c.touch(chat, hashes[i])
@@ -100,6 +104,7 @@
 	return evicted
 }
 
+// touch adds a block or marks it as recently used, and assigns it to chat.
 func (c *prefixCache) touch(chat string, hash blockHash) {
 	el := c.byHash[hash]
 	if el == nil {
@@ -114,7 +119,8 @@
 	c.residentCount[chat]++
 }
 
-// evictOldest evicts one block and returns its chat if that was its last.
+// evictOldest evicts the least recently used block. It returns the block's chat if
+// that was the chat's last block, and an empty string otherwise.
 func (c *prefixCache) evictOldest() string {
 	el := c.order.Back()
 	e := el.Value.(*cacheEntry)
@@ -126,7 +132,8 @@
 	return e.chat
 }
 
-// decrementResident counts one block less of chat and tells whether it was the last.
+// decrementResident subtracts one cached block of chat and reports whether it was
+// the last.
 func (c *prefixCache) decrementResident(chat string) bool {
 	c.residentCount[chat]--
 	if c.residentCount[chat] > 0 {
@@ -137,7 +144,7 @@
 	return true
 }
 
-// export returns the leading blocks of chat that are still cached.
+// export returns the hashes of the leading blocks of chat that are still cached.
 func (c *prefixCache) export(chat string) []blockHash {
 	hashes := c.chatBlocks[chat]
 	return hashes[:c.matchPrefix(hashes)]
--- a/standin/engine/cache_test.go
+++ b/standin/engine/cache_test.go
@@ -12,8 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A chat returns. Where it was served before, its prompt is found in the cache
-// and the first token comes sooner; elsewhere all of it is computed again.
+// The next request of a chat finds its prompt in the prefix cache of the engine
+// that served it before, which shortens the prefill. Another engine computes the
+// whole prompt again.
 func TestReturningChatHitsPrefixCache(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		req := chatRequest("a", 160, 32)
@@ -47,8 +48,8 @@
 	})
 }
 
-// Other chats push a chat out of the limited cache. Its events tell so, late
-// and with gaps.
+// A chat is evicted from the cache by another chat. The cache events report this
+// after Options.EventDelay.
 func TestCacheEvictsLeastRecentlyUsedChat(t *testing.T) {
 	inBubble(t, Options{CacheBlocks: 12, EventDelay: time.Second}, func(s *fixture) {
 		s.ask("http://one", "x", chatRequest("a", 160, 1), "X-Chat-Id", "a")
--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// hasPoisonPrompt tells whether a's prompt crashes the engine that runs it.
+// hasPoisonPrompt reports whether a's prompt contains the text that crashes the
+// engine.
 func (e *Engine) hasPoisonPrompt(a *attempt) bool {
 	for _, m := range a.request.Messages {
 		if strings.Contains(string(m.Content), e.opts.Poison) {
@@ -15,8 +16,9 @@
 	return false
 }
 
-// Crash ends the present life at once: connections drop, attempts and cache
-// are lost, and a new incarnation answers after the restart time.
+// Crash simulates an immediate crash and restart. Connections break, attempts,
+// orders and the cache are lost, and a new incarnation answers after the restart
+// delay.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine stands in for a model engine in tests and in the demo. It
-// batches continuously, caches prompt prefixes in limited memory, streams a
-// deterministic answer, and fails as told. All its time is the runtime's.
+// Package engine simulates a model engine for tests and the demo. It implements
+// continuous batching, a prefix cache of limited size, streaming of deterministic
+// answers, and fault injection. All delays use package time, so that tests can
+// run it under a fake clock.
 package engine
 
 import (
@@ -13,28 +14,28 @@
 	"time"
 )
 
-// Options configure an Engine. The zero value takes the defaults.
+// Options configures an Engine. Zero fields take their defaults.
 type Options struct {
 	ID               string
-	Capacity         int           // attempts that run at once; 0 means 16
-	MaxWaiting       int           // attempts that wait; 0 means no limit
-	CacheBlocks      int           // of 16 tokens; 0 means 4096
-	Step             time.Duration // time of one token for one attempt; 0 means 10ms
-	StepPerRunning   time.Duration // added for each further running attempt; 0 means Step/50
-	PrefillPerToken  time.Duration // for each uncached prompt token; 0 means 200µs
-	LoadReportLag    time.Duration // of the load report
-	EventDelay       time.Duration // of cache events
-	EventLoss        float64       // share of cache events that never show
-	KVBytesPerToken  int           // simulated size of the KV cache; 0 means 131072
-	LinkBytesPerSec  float64       // of KV export and import; 0 means 1.25e9
-	UnreadTimeout    time.Duration // how long an attempt lives unread; 0 means 10s
-	IgnoreFencing    bool          // takes orders with an old fencing number
-	Poison           string        // a message with this text crashes the engine; empty means "POISON"
-	RestartDelay     time.Duration // how long it is dead after a crash; 0 means 1s
-	Seed             uint64        // of faults that hit a share
-	OnCrash          func()        // called at a crash, for example to end the process
-	HistoryLimit     int           // kept samples of load; 0 means 100000
-	FirstIncarnation uint64        // 0 means the time in milliseconds
+	Capacity         int           // maximum number of running attempts; 0 means 16
+	MaxWaiting       int           // maximum number of waiting attempts; 0 means no limit
+	CacheBlocks      int           // size of the prefix cache in blocks of 16 tokens; 0 means 4096
+	Step             time.Duration // time to generate one token with one running attempt; 0 means 10ms
+	StepPerRunning   time.Duration // added to Step for each further running attempt; 0 means Step/50
+	PrefillPerToken  time.Duration // prefill time of each uncached prompt token; 0 means 200µs
+	LoadReportLag    time.Duration // age of the reported load
+	EventDelay       time.Duration // delay before a cache event is visible
+	EventLoss        float64       // share of cache events that are lost, from 0 to 1
+	KVBytesPerToken  int           // simulated KV cache bytes per token; 0 means 131072
+	LinkBytesPerSec  float64       // simulated bandwidth of KV export and import; 0 means 1.25e9
+	UnreadTimeout    time.Duration // how long an attempt is kept without a reader; 0 means 10s
+	IgnoreFencing    bool          // accepts orders with an outdated fencing number
+	Poison           string        // text in a message that crashes the engine; empty means "POISON"
+	RestartDelay     time.Duration // downtime after a crash; 0 means 1s
+	Seed             uint64        // seed of the random choices for faults and lost events
+	OnCrash          func()        // called on a crash with the engine's lock held, for example to exit the process
+	HistoryLimit     int           // minimum number of load samples kept; 0 means 100000
+	FirstIncarnation uint64        // 0 means the current Unix time in milliseconds
 }
 
 func (o *Options) setDefaults() {
@@ -67,7 +68,8 @@
 	}
 }
 
-// Engine is an http.Handler with all calls of a model engine.
+// Engine is an http.Handler that implements the API of a model engine. Its
+// methods are safe for concurrent use.
 type Engine struct {
 	opts Options
 	mux  *http.ServeMux
@@ -91,13 +93,13 @@
 	orders      orderLog
 	stats       Stats
 	history     []Sample
-	idle        chan struct{} // closed when a leaving engine has no work left
+	idle        chan struct{} // closed when a leaving engine has no attempt left to serve
 
 	wake   chan struct{}
 	closed chan struct{}
 }
 
-// New starts an engine and returns it with the function that ends it.
+// New starts an engine and returns it with a function that stops it.
 func New(opts Options) (*Engine, func()) {
 	opts.setDefaults()
 	e := &Engine{
@@ -126,7 +128,8 @@
 	})
 }
 
-// run does one step after another while there is work.
+// run executes generation steps while there are attempts to serve, until the
+// engine is closed.
 func (e *Engine) run(done chan<- struct{}) {
 	defer close(done)
 	timer := time.NewTimer(0)
@@ -153,7 +156,8 @@
 	}
 }
 
-// nextStepDelayLocked admits what it can and returns the time until the next step.
+// nextStepDelayLocked admits waiting attempts and returns the time until the next
+// step. It reports false if there is nothing to do.
 func (e *Engine) nextStepDelayLocked() (time.Duration, bool) {
 	if frozen := time.Until(e.frozenUntil); frozen > 0 {
 		return frozen, len(e.running)+len(e.waiting) > 0
@@ -169,8 +173,8 @@
 	return step, true
 }
 
-// admitLocked starts waiting attempts while there is capacity. A poison prompt
-// takes the engine down as soon as it starts.
+// admitLocked starts waiting attempts while there is capacity. An attempt with a
+// poison prompt crashes the engine when it starts.
 func (e *Engine) admitLocked() {
 	for len(e.running) < e.opts.Capacity && len(e.waiting) > 0 {
 		a := heap.Pop(&e.waiting).(*attempt)
@@ -182,6 +186,8 @@
 	}
 }
 
+// startLocked looks up the prompt of a in the prefix cache and starts its
+// prefill.
 func (e *Engine) startLocked(a *attempt) {
 	hashes := chainedHashes(a.prompt)
 	a.cachedTokens = e.cache.matchPrefix(hashes) * blockTokens
@@ -195,7 +201,7 @@
 	e.sampleLocked()
 }
 
-// step generates one token for each running attempt that has its prefill.
+// step generates one token for each running attempt whose prefill is complete.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -218,8 +224,9 @@
 	}
 }
 
-// endLocked takes a out of the batch. It stays known for a while, so that a
-// reader whose connection broke can come back.
+// endLocked removes a from the batch and sets its final phase. The attempt is
+// kept for Options.UnreadTimeout, so that a reader whose connection broke can
+// resume.
 func (e *Engine) endLocked(a *attempt, p phase) {
 	if a.ended() {
 		return
@@ -242,8 +249,8 @@
 	e.checkIdleLocked()
 }
 
-// cacheResultLocked caches the prompt with the answer, which is the prefix of the
-// chat's next request.
+// cacheResultLocked caches the prompt and the answer, which together are the
+// prefix of the chat's next request.
 func (e *Engine) cacheResultLocked(a *attempt) {
 	tokens := slices.Clone(a.prompt)
 	for i := a.partialLen; i < a.delivered(); i++ {
@@ -257,7 +264,7 @@
 	e.storeLocked(a.chat, chainedHashes(tokens))
 }
 
-// signal tells run that there may be work.
+// signal wakes run because there may be work.
 func (e *Engine) signal() {
 	select {
 	case e.wake <- struct{}{}:
@@ -265,14 +272,15 @@
 	}
 }
 
-// Incarnation returns the number of the present life.
+// Incarnation returns the number of the current incarnation, which grows with
+// every crash.
 func (e *Engine) Incarnation() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.incarnation
 }
 
-// Leave makes the engine refuse new requests. What it has accepted goes on.
+// Leave makes the engine refuse new requests. Accepted attempts continue.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -281,16 +289,17 @@
 	e.checkIdleLocked()
 }
 
-// Leaving tells whether Leave was called.
+// Leaving reports whether Leave was called.
 func (e *Engine) Leaving() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaving
 }
 
-// Drain waits after Leave until every accepted attempt has ended and has been
-// read to its end. An attempt whose reader lost its connection is waited for as
-// long as the engine keeps it.
+// Drain waits, after Leave, until every accepted attempt has ended and every
+// finished answer has been read completely. An attempt whose reader has
+// disconnected is waited for until it expires. Drain returns ctx.Err() if ctx is
+// done first, and nil if the engine is closed.
 func (e *Engine) Drain(ctx context.Context) error {
 	select {
 	case <-e.idle:
@@ -302,6 +311,7 @@
 	}
 }
 
+// checkIdleLocked closes e.idle once a leaving engine has nothing left to serve.
 func (e *Engine) checkIdleLocked() {
 	if !e.leaving || len(e.running)+len(e.waiting) > 0 {
 		return
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -18,7 +18,7 @@
 	"wisteriaspool/standin/pipe"
 )
 
-// fixture is two engines with a client, on a network of pipes.
+// fixture holds two engines and a client, connected by in-memory pipes.
 type fixture struct {
 	t      *testing.T
 	client *http.Client
@@ -26,7 +26,7 @@
 	two    *Engine // at http://two
 }
 
-// inBubble runs f with two engines under the paused clock.
+// inBubble runs f with two engines under synctest's fake clock.
 func inBubble(t *testing.T, opts Options, f func(s *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// answer is a stream as far as it was read.
+// answer is the part of a streamed response that was received.
 type answer struct {
 	status int
 	header http.Header
@@ -57,7 +57,8 @@
 	done   bool
 }
 
-// ask sends a request as attempt id and reads its answer to the end.
+// ask sends a request with the attempt id and reads the response to its end. The
+// header list alternates names and values.
 func (s *fixture) ask(engine, id string, req Request, header ...string) answer {
 	s.t.Helper()
 	body, err := json.Marshal(req)
@@ -71,7 +72,7 @@
 	return s.read(r)
 }
 
-// pendingRequest is a request that a goroutine of its own makes.
+// pendingRequest is a request that runs in its own goroutine.
 type pendingRequest struct {
 	fixture *fixture
 	engine  string
@@ -83,7 +84,7 @@
 
 func (a *pendingRequest) run() { a.got <- a.fixture.ask(a.engine, a.id, a.req, a.header...) }
 
-// askAsync asks without waiting for the answer.
+// askAsync sends a request without waiting for the response.
 func (s *fixture) askAsync(engine, id string, req Request, header ...string) <-chan answer {
 	a := &pendingRequest{fixture: s, engine: engine, id: id, req: req, header: header, got: make(chan answer, 1)}
 	go a.run()
@@ -97,7 +98,8 @@
 	return s.read(r)
 }
 
-// read sends r. A connection that broke before an answer has status zero.
+// read sends r and reads the response. The status is zero if the connection broke
+// before a response.
 func (s *fixture) read(r *http.Request) answer {
 	s.t.Helper()
 	res, err := s.client.Do(r)
@@ -133,7 +135,7 @@
 	}
 }
 
-// chatRequest is a streamed request of n words that differ by name.
+// chatRequest returns a streamed request whose prompt is name repeated n times.
 func chatRequest(name string, n, maxTokens int) Request {
 	text := strings.Repeat(name+" ", n)
 	return Request{Stream: true, MaxTokens: maxTokens, Messages: []Message{{Role: "user", Content: Content(text)}}}
@@ -146,7 +148,7 @@
 		assert.Equal(s.t, got.text, Answer(req.Messages, 20))
 		assert.Check(s.t, got.done)
 		assert.Equal(s.t, len(got.ids), 21)
-		assert.Equal(s.t, got.ids[20], "x.20") // the closing chunk names the total
+		assert.Equal(s.t, got.ids[20], "x.20") // the closing chunk carries the total
 		for i, id := range got.ids[:20] {
 			assert.Equal(s.t, id, "x."+strconv.Itoa(i+1))
 		}
@@ -156,8 +158,8 @@
 	})
 }
 
-// An engine dies in the middle of an answer and another one continues it. The
-// user must not see a seam: nothing missing, nothing twice.
+// An engine fails in the middle of an answer and another one continues it. Guards
+// against missing and repeated tokens where the two parts join.
 func TestContinuationCompletesPartialAnswer(t *testing.T) {
 	for _, maxTokens := range []int{0, 30} {
 		req := chatRequest("a", 40, maxTokens)
@@ -181,8 +183,8 @@
 	}
 }
 
-// The connection breaks but the attempt lives on. Its reader comes back for the
-// rest, and nothing is generated twice, so nobody is billed twice.
+// The connection breaks, the attempt continues, and its reader resumes. Guards
+// against tokens that are generated, and therefore billed, twice.
 func TestResumeAfterBrokenConnection(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 5})
@@ -204,8 +206,9 @@
 	})
 }
 
-// Nobody comes back for an answer. The engine stops generating after a while,
-// so that the user is not billed for what nobody reads.
+// No reader resumes an attempt after its connection broke. Guards against an
+// engine that keeps generating tokens, which are billed although nobody reads
+// them.
 func TestUnreadAttemptIsCancelled(t *testing.T) {
 	inBubble(t, Options{Step: time.Second}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 2})
@@ -232,7 +235,8 @@
 	})
 }
 
-// post sends a body and reads the answer into v, which may be nil.
+// post sends a body, decodes the response into v unless it is nil, and returns the
+// status.
 func (s *fixture) post(url, body string, v any) int {
 	s.t.Helper()
 	res, err := s.client.Post(url, "application/json", strings.NewReader(body))
@@ -246,8 +250,8 @@
 	return res.StatusCode
 }
 
-// A router sends the same attempt again because it lost the answer. Running it
-// twice would bill the user twice.
+// A router sends an attempt again after it lost the response. Guards against
+// running the attempt twice, which would bill the user twice.
 func TestDuplicateAttemptIsRefused(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		done := s.askAsync("http://one", "x", chatRequest("a", 16, 10))
@@ -258,8 +262,8 @@
 	})
 }
 
-// An engine is stopped on purpose. What it runs ends as usual; what comes new
-// is refused by its own word, so that a router may send it elsewhere.
+// A leaving engine finishes the attempts that it accepted. It refuses new requests
+// explicitly as not run, so that a router may send them elsewhere.
 func TestLeavingFinishesAcceptedAttempts(t *testing.T) {
 	inBubble(t, Options{Capacity: 1}, func(s *fixture) {
 		first := s.askAsync("http://one", "x", chatRequest("a", 16, 50))
@@ -276,8 +280,8 @@
 	})
 }
 
-// An engine is stopped while a reader has lost its connection. It waits for the
-// reader to come back, or the user would lose an answer that was paid for.
+// An engine is stopped while a reader is disconnected. Guards against a Drain that
+// does not wait for the reader to resume, which loses an answer that was paid for.
 func TestDrainWaitsForReaderToReconnect(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		s.one.SetFaults(Faults{CutStreams: 1, CutAfter: 5})
@@ -293,7 +297,7 @@
 	})
 }
 
-// Higher priority goes first when requests wait.
+// Waiting requests start in order of priority, not of arrival.
 func TestWaitingRequestsRunByPriority(t *testing.T) {
 	inBubble(t, Options{Capacity: 1}, func(s *fixture) {
 		running := s.askAsync("http://one", "running", chatRequest("a", 16, 20))
@@ -337,8 +341,8 @@
 	return out
 }
 
-// An old holder of the order lease wakes up and sends an order. An engine that
-// checks fencing numbers refuses it; one that ignores them takes it.
+// A former holder of the order lease sends an order after its lease expired. An
+// engine that checks fencing numbers refuses it; one that ignores them accepts it.
 func TestOrdersCheckFencingNumber(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		inBubble(t, Options{IgnoreFencing: ignore}, func(s *fixture) {
--- a/standin/engine/example_test.go
+++ b/standin/engine/example_test.go
@@ -7,8 +7,8 @@
 	"wisteriaspool/standin/engine"
 )
 
-// Every engine gives the same answer to the same conversation, so that a test
-// can tell whether an answer is whole and its own.
+// Every engine gives the same answer to the same conversation, so that a test can
+// check that an answer is complete and belongs to its conversation.
 func ExampleAnswer() {
 	messages := []engine.Message{{Role: "user", Content: "a quote for 300 copies"}}
 	answer := engine.Answer(messages, 4)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -6,39 +6,43 @@
 	"time"
 )
 
-// Faults are what goes wrong at the engine. Crash and FreezeMillis happen
-// once; the others last, or are used up by count.
+// Faults selects the faults that the engine injects. Crash and FreezeMillis take
+// effect once. The others stay in force, except that CutStreams and RefuseNext
+// count down to zero. Shares range from 0 to 1.
 type Faults struct {
-	// CutStreams is the number of next streams whose connection breaks after
-	// CutAfter tokens. The attempt lives on, unless CutLoses is set.
+	// CutStreams is the number of upcoming streams whose connection breaks
+	// after CutAfter tokens. The attempt continues, unless CutDropsAttempt is
+	// set.
 	CutStreams      int  `json:"cut_streams"`
 	CutAfter        int  `json:"cut_after"`
 	CutDropsAttempt bool `json:"cut_loses"`
 	// Duplicates is the share of chunks that are sent twice.
 	Duplicates float64 `json:"duplicates"`
-	// Swaps is the share of chunks that come after their successor.
+	// Swaps is the share of chunks that are sent after their successor.
 	Swaps float64 `json:"swaps"`
-	// Strays is the share of chunks before which a late chunk of another
-	// attempt is sent.
+	// Strays is the share of chunks that are preceded by a chunk of another
+	// attempt.
 	Strays float64 `json:"strays"`
-	// RefuseNext is the number of next requests refused as not run.
+	// RefuseNext is the number of upcoming requests refused as not run.
 	RefuseNext int `json:"refuse_next"`
 	// Refuse is the share of requests refused as not run.
 	Refuse float64 `json:"refuse"`
-	// Slow multiplies the time of a step.
+	// Slow multiplies the duration of a step if it is above 1.
 	Slow float64 `json:"slow"`
-	// LoadLagMillis delays the load report, in milliseconds.
+	// LoadLagMillis is the age of the reported load in milliseconds.
 	LoadLagMillis int `json:"load_lag_ms"`
-	// RestartMillis is how long the engine is dead after a crash.
+	// RestartMillis is the downtime after a crash in milliseconds; 0 means
+	// Options.RestartDelay.
 	RestartMillis int `json:"restart_ms"`
 
-	// Crash ends the present life at once.
+	// Crash crashes the engine immediately.
 	Crash bool `json:"crash,omitempty"`
-	// FreezeMillis stops everything for a time, as a paused process does.
+	// FreezeMillis stops all processing for a time in milliseconds, like a
+	// paused process.
 	FreezeMillis int `json:"freeze_ms,omitempty"`
 }
 
-// SetFaults replaces the lasting faults and makes the others happen.
+// SetFaults replaces the persistent faults and triggers the one-time faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,7 +56,7 @@
 	}
 }
 
-// Faults returns the lasting faults.
+// Faults returns the persistent faults.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,7 +73,7 @@
 	writeJSON(w, http.StatusOK, e.Faults())
 }
 
-// faultApplies is true for a share of calls.
+// faultApplies reports true for a random share of calls.
 func (e *Engine) faultApplies(share float64) bool {
 	if share <= 0 {
 		return false
@@ -79,7 +83,7 @@
 	return e.random.Float64() < share
 }
 
-// shouldRefuseLocked tells whether a fault refuses the request at hand.
+// shouldRefuseLocked reports whether a fault refuses the current request.
 func (e *Engine) shouldRefuseLocked() bool {
 	if e.faults.RefuseNext > 0 {
 		e.faults.RefuseNext--
@@ -88,8 +92,9 @@
 	return e.faults.Refuse > 0 && e.random.Float64() < e.faults.Refuse
 }
 
-// nextStreamCut returns after how many tokens the stream at hand breaks; a negative
-// number means never.
+// nextStreamCut returns the number of tokens after which the connection of the
+// current stream breaks, or a negative number for never, and whether the attempt
+// is dropped with it.
 func (e *Engine) nextStreamCut() (after int, dropsAttempt bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,8 +105,8 @@
 	return e.faults.CutAfter, e.faults.CutDropsAttempt
 }
 
-// waitWhileFrozen waits while the engine is frozen, or until gone is closed. A frozen
-// engine neither reads nor writes.
+// waitWhileFrozen blocks while the engine is frozen, or until callerDone is closed.
+// A frozen engine neither reads nor writes.
 func (e *Engine) waitWhileFrozen(callerDone <-chan struct{}) {
 	for {
 		e.mu.Lock()
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// One request crashes the engine that runs it. All other answers break off, and
-// the engine comes back empty, as another incarnation.
+// A poison request crashes the engine that runs it. All other answers are cut off,
+// and the engine restarts with an empty cache as a new incarnation.
 func TestPoisonCrashesTheEngine(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		otherAnswer := s.askAsync("http://one", "x", chatRequest("a", 16, 100))
@@ -31,8 +31,8 @@
 	})
 }
 
-// A frozen engine neither reads nor writes, and goes on afterwards as if
-// nothing had been.
+// A frozen engine neither reads nor writes, and afterwards completes its answers
+// unchanged.
 func TestFrozenEngineResumes(t *testing.T) {
 	inBubble(t, Options{}, func(s *fixture) {
 		start := time.Now()
@@ -46,8 +46,9 @@
 	})
 }
 
-// Chunks come twice, swapped, or from another attempt. A reader that takes them
-// as they come shows its user a wrong answer, so the stand-in must send them.
+// The engine sends chunks twice, swapped, or from another attempt. A reader that
+// does not check chunk ids shows a wrong answer, and tests rely on these faults
+// to detect that.
 func TestDisorderedChunks(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxBody   = 4 << 20  // bytes of one request
-	maxImport = 64 << 20 // bytes of one KV import
+	maxBody   = 4 << 20  // limit on a request body in bytes
+	maxImport = 64 << 20 // limit on a KV import in bytes
 )
 
 func (e *Engine) routes() {
@@ -29,8 +29,10 @@
 	e.mux.HandleFunc("GET /v1/orders", e.handleOrders)
 }
 
-// ServeHTTP answers one call. It panics with http.ErrAbortHandler to break a
-// connection when a fault says so, and while the engine is dead.
+// ServeHTTP handles one call. To break the connection it panics with
+// http.ErrAbortHandler, when a fault requires it, while the engine is dead or
+// when it is closed. The /admin calls are answered even while the engine is
+// frozen or dead.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/admin/faults":
@@ -57,7 +59,8 @@
 	return time.Now().Before(e.deadUntil)
 }
 
-// crashSignal returns the channel that is closed when the present crashSignal ends.
+// crashSignal returns the channel that is closed when this incarnation
+// crashes.
 func (e *Engine) crashSignal() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,8 +70,8 @@
 func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) {
 	crashed := e.crashSignal()
 	var req Request
-	// The body is read to its end, since net/http notices only then that the
-	// caller has gone.
+	// The body is read to its end, because net/http detects a closed connection
+	// only after that.
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
 		err = json.Unmarshal(data, &req)
@@ -84,7 +87,7 @@
 	e.serve(w, r, a, reader{crashed: crashed, after: a.partialLen, stream: req.Stream})
 }
 
-// newAttempt reads the headers and measures the prompt.
+// newAttempt returns an attempt with one reader for the request.
 func newAttempt(r *http.Request, req Request) *attempt {
 	id := r.Header.Get("X-Attempt-Id")
 	if id == "" {
@@ -107,7 +110,7 @@
 	}
 }
 
-// accept queues a, or answers with a refusal.
+// accept queues a, or writes a refusal and reports false.
 func (e *Engine) accept(w http.ResponseWriter, a *attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,7 +145,8 @@
 	return true
 }
 
-// checkPartialAnswerLocked checks a partial answer against our own.
+// checkPartialAnswerLocked counts an attempt that continues a partial answer, and
+// checks that answer against the tokens that the engine itself would generate.
 func (e *Engine) checkPartialAnswerLocked(a *attempt) {
 	if a.partialLen == 0 {
 		return
@@ -173,7 +177,8 @@
 	writeJSON(w, http.StatusOK, Cancelled{Generated: generated})
 }
 
-// Cancelled is the answer to a cancel call.
+// Cancelled is the response to a cancel call. Generated is the number of tokens
+// that the attempt had generated.
 type Cancelled struct {
 	Generated int `json:"generated"`
 }
@@ -199,15 +204,15 @@
 	e.serve(w, r, a, reader{crashed: crashed, after: max(after, a.partialLen), stream: true})
 }
 
-// markRead notes that a reader got the whole answer.
+// markRead records that a reader received the complete answer.
 func (e *Engine) markRead(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a.fullyRead = true
 }
 
-// releaseReader counts one reader less. An attempt without a reader is
-// cancelled, and forgotten, after a while.
+// releaseReader unregisters one reader. An attempt without readers is cancelled
+// and deleted after Options.UnreadTimeout.
 func (e *Engine) releaseReader(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -218,13 +223,15 @@
 	e.checkIdleLocked()
 }
 
-// scheduleExpiryLocked gives a without a reader its last time.
+// scheduleExpiryLocked schedules the expiry of a, which has no reader.
 func (e *Engine) scheduleExpiryLocked(a *attempt) {
 	a.disconnects++
 	disconnects := a.disconnects
 	time.AfterFunc(e.opts.UnreadTimeout, func() { e.expire(a, disconnects) })
 }
 
+// expire cancels and deletes a, unless a reader has connected since the expiry
+// was scheduled. The disconnects value identifies the schedule.
 func (e *Engine) expire(a *attempt, disconnects int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -238,7 +245,8 @@
 	e.checkIdleLocked()
 }
 
-// writeNotRun refuses with the engine's word that nothing was run.
+// writeNotRun refuses a request and states that nothing was run. A refusal with
+// status 503 carries a Retry-After of one second.
 func writeNotRun(w http.ResponseWriter, status int, code, message string) {
 	w.Header().Set("X-Outcome", "not-run")
 	if status == http.StatusServiceUnavailable {
@@ -247,7 +255,7 @@
 	writeError(w, status, code, message)
 }
 
-// errorBody is the body of an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -264,10 +272,11 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller disconnected
 }
 
-// answerText returns the tokens of a from offset from up to offset to.
+// answerText returns the text of the answer tokens with indices from (inclusive)
+// to to (exclusive).
 func (a *attempt) answerText(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
--- a/standin/engine/kvcache.go
+++ b/standin/engine/kvcache.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// CacheEvent tells that a chat's blocks were stored, or that the last of them
-// was evicted.
+// CacheEvent reports that blocks of a chat were stored or that the chat's last
+// block was evicted. Kind is "stored" or "evicted".
 type CacheEvent struct {
 	Seq  int    `json:"seq"`
 	Chat string `json:"chat"`
 	Kind string `json:"kind"`
 }
 
-// CacheEvents is the body of a read of cache events.
+// CacheEvents is the response to a read of cache events. Next is the sequence
+// number from which the next read continues.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   int          `json:"next"`
@@ -27,12 +28,12 @@
 const (
 	maxEvents       = 10000
 	kvMagic         = "wkv1"
-	kvBytesPerBlock = 1024 // of padding, so that an export has some size
+	kvBytesPerBlock = 1024 // padding, so that an export has a realistic size
 )
 
 var errMalformedKV = errors.New("engine: not an exported KV cache")
 
-// storeLocked caches blocks of a chat and publishes what changed.
+// storeLocked caches blocks of a chat and publishes the resulting events.
 func (e *Engine) storeLocked(chat string, hashes []blockHash) {
 	if len(hashes) == 0 {
 		return
@@ -43,7 +44,8 @@
 	e.publishLocked(chat, "stored")
 }
 
-// publishLocked adds an event, or loses it as the options say.
+// publishLocked appends an event. A share Options.EventLoss of the events is
+// dropped, which leaves a gap in the sequence numbers.
 func (e *Engine) publishLocked(chat, kind string) {
 	if chat == "" {
 		return
@@ -60,8 +62,8 @@
 	}
 }
 
-// handleCacheEvents answers with the events after since that are old enough to
-// show.
+// handleCacheEvents responds with the events after the sequence number since that
+// are at least Options.EventDelay old.
 func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.FormValue("since"))
 	e.mu.Lock()
@@ -80,8 +82,8 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// handleExport answers with the cached blocks of a chat, after the time that
-// its KV cache takes on the link.
+// handleExport responds with the cached blocks of a chat, after the simulated
+// transfer time of its KV cache.
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
 	var req struct {
 		Chat string `json:"chat"`
@@ -102,10 +104,11 @@
 	}
 	e.simulateTransfer(r, len(hashes))
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(encodeKV(req.Chat, hashes)) // the caller has gone if it fails
+	_, _ = w.Write(encodeKV(req.Chat, hashes)) // an error means that the caller disconnected
 }
 
-// handleImport stores what another engine exported.
+// handleImport stores blocks exported by another engine, after their simulated
+// transfer time.
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxImport))
 	if err != nil {
@@ -125,7 +128,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// simulateTransfer waits for the time that n blocks take on the link.
+// simulateTransfer waits for the transfer time of n blocks, or until the caller
+// disconnects.
 func (e *Engine) simulateTransfer(r *http.Request, n int) {
 	bytes := float64(n * blockTokens * e.opts.KVBytesPerToken)
 	timer := time.NewTimer(time.Duration(bytes / e.opts.LinkBytesPerSec * float64(time.Second)))
@@ -136,7 +140,8 @@
 	}
 }
 
-// encodeKV writes the magic, the chat, the hashes and padding.
+// encodeKV encodes a chat and its block hashes as the magic string, the chat, the
+// number of hashes, and each hash followed by padding.
 func encodeKV(chat string, hashes []blockHash) []byte {
 	out := []byte(kvMagic)
 	out = binary.AppendUvarint(out, uint64(len(chat)))
@@ -149,7 +154,8 @@
 	return out
 }
 
-// decodeKV reads what encodeKV wrote.
+// decodeKV decodes the output of encodeKV. It returns errMalformedKV if data is
+// anything else.
 func decodeKV(data []byte) (string, []blockHash, error) {
 	if len(data) < len(kvMagic) || string(data[:len(kvMagic)]) != kvMagic {
 		return "", nil, errMalformedKV
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// orderKinds are the kinds of order that an engine takes.
+// orderKinds lists the kinds of order that an engine accepts.
 var orderKinds = []string{"load-model", "load-adapter", "set-version", "set-role"}
 
-// Order tells the engine what to load or to be.
+// Order instructs the engine to load a model or adapter, or to change its version
+// or role. Fencing is the fencing number of the sender.
 type Order struct {
 	Fencing int64  `json:"fencing"`
 	Kind    string `json:"kind"`
@@ -17,20 +18,20 @@
 	Version string `json:"version"`
 }
 
-// orderLog holds the highest fencing number and the orders taken.
+// orderLog holds the highest fencing number seen and the accepted orders.
 type orderLog struct {
 	Fencing int64   `json:"fencing"`
 	Orders  []Order `json:"orders"`
 }
 
-// Orders returns the orders taken in this life, the oldest first.
+// Orders returns the orders accepted in this incarnation, oldest first.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders.Orders)
 }
 
-// handleOrder takes an order, unless its fencing number is old.
+// handleOrder accepts an order unless its fencing number is outdated.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil {
@@ -48,6 +49,8 @@
 	writeJSON(w, http.StatusOK, order)
 }
 
+// acceptOrder records an order. It reports false if an order with a higher fencing
+// number was accepted before and Options.IgnoreFencing is not set.
 func (e *Engine) acceptOrder(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,7 +62,7 @@
 	return true
 }
 
-// handleOrders answers with the orders taken in this life.
+// handleOrders responds with the orders accepted in this incarnation.
 func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	accepted := orderLog{Fencing: e.orders.Fencing, Orders: append([]Order{}, e.orders.Orders...)}
--- a/standin/engine/stats.go
+++ b/standin/engine/stats.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// State tells whether an engine takes new work.
+// State says whether an engine accepts new requests.
 type State string
 
-// The states of an engine. A dead one has crashed and is not back yet.
+// The states of an engine. A dead engine has crashed and not yet restarted.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 	Dead    State = "dead"
 )
 
-// Sample is the engine's load from a time on.
+// Sample is the engine's load from At until the next sample.
 type Sample struct {
 	At          time.Time `json:"at"`
 	Running     int       `json:"running"`
@@ -25,36 +25,38 @@
 	Incarnation uint64    `json:"incarnation"`
 }
 
-// Load returns the attempts that the engine has to serve.
+// Load returns the number of running and waiting attempts.
 func (s Sample) Load() int { return s.Running + s.Waiting }
 
-// Stats count what the engine saw since its start, over all its lives.
+// Stats holds counters over all incarnations since the engine was created, and
+// its current load.
 type Stats struct {
-	Arrivals        int       `json:"arrivals"` // requests for a completion
+	Arrivals        int       `json:"arrivals"` // completion requests
 	Accepted        int       `json:"accepted"`
 	Refused         int       `json:"refused"`
-	Duplicates      int       `json:"duplicates"` // refused for a live attempt id
+	Duplicates      int       `json:"duplicates"` // refused because the attempt id was in use
 	Running         int       `json:"running"`
 	Waiting         int       `json:"waiting"`
 	PeakRunning     int       `json:"peak_running"`
-	PeakLoad        int       `json:"peak_load"` // running and waiting
+	PeakLoad        int       `json:"peak_load"` // highest sum of running and waiting attempts
 	PromptTokens    int       `json:"prompt_tokens"`
 	CachedTokens    int       `json:"cached_tokens"`
 	GeneratedTokens int       `json:"generated_tokens"`
 	Cancelled       int       `json:"cancelled"`
 	Resumed         int       `json:"resumed"`
-	Continued       int       `json:"continued"`       // requests with a partial answer
-	WrongContinued  int       `json:"wrong_continued"` // whose partial answer is not ours
+	Continued       int       `json:"continued"`       // requests that continue a partial answer
+	WrongContinued  int       `json:"wrong_continued"` // of these, requests with a partial answer that this engine would not generate
 	Crashes         int       `json:"crashes"`
 	Exports         int       `json:"exports"`
 	Imports         int       `json:"imports"`
-	ArrivalsLeaving int       `json:"arrivals_leaving"` // while leaving
+	ArrivalsLeaving int       `json:"arrivals_leaving"` // completion requests received while leaving
 	LastArrival     time.Time `json:"last_arrival"`
 	Incarnation     uint64    `json:"incarnation"`
 	History         []Sample  `json:"history,omitempty"`
 }
 
-// sampleLocked records the load in the history.
+// sampleLocked appends the current load to the history. At twice
+// Options.HistoryLimit samples, the older half is dropped.
 func (e *Engine) sampleLocked() {
 	s := Sample{
 		At: time.Now(), Running: len(e.running), Waiting: len(e.waiting),
@@ -77,14 +79,14 @@
 	return Live
 }
 
-// sample records the load, when it changes without a request.
+// sample records the state after a restart, which no request triggers.
 func (e *Engine) sample() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sampleLocked()
 }
 
-// Stats returns the counts with the history of the load.
+// Stats returns the counters and the load history.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,8 +97,9 @@
 	return s
 }
 
-// handleStats answers with the counts. The query since, in RFC 3339, limits
-// the history; history=0 leaves it out.
+// handleStats responds with the counters. The query parameter since, in RFC 3339
+// format, limits the history to samples from that time on; history=0
+// omits it.
 func (e *Engine) handleStats(w http.ResponseWriter, r *http.Request) {
 	s := e.Stats()
 	if since, err := time.Parse(time.RFC3339Nano, r.FormValue("since")); err == nil {
@@ -109,7 +112,7 @@
 	writeJSON(w, http.StatusOK, s)
 }
 
-// Load is the body of a load report.
+// Load is the body of a load report. It describes the load at ObservedAt.
 type Load struct {
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
@@ -119,7 +122,7 @@
 	ObservedAt  time.Time `json:"observed_at"`
 }
 
-// handleLoad answers with the load as it stood the lag ago.
+// handleLoad responds with the load as it was LoadLagMillis ago.
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	seen := time.Now().Add(-time.Duration(e.faults.LoadLagMillis) * time.Millisecond)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// reader is one connection that reads an attempt's answer.
+// reader is one connection that reads the answer of an attempt.
 type reader struct {
 	crashed <-chan struct{}
-	after   int // offset of the last token that the reader has
+	after   int // offset of the last token that the reader has received
 	stream  bool
 }
 
-// chunk is one object of a streamed or whole answer.
+// chunk is one event of a streamed answer, or the body of an unstreamed one.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -44,13 +44,14 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how much of a prompt was in the cache.
+// PromptDetails holds the number of prompt tokens that were found in the prefix
+// cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// serve answers one reader. It breaks the connection if the engine dies, if
-// the attempt is cancelled, or if a fault says so.
+// serve writes the answer to one reader. It breaks the connection if the engine
+// crashes or is closed, if the attempt is cancelled, or if a fault requires it.
 func (e *Engine) serve(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
 	defer e.releaseReader(a)
 	w.Header().Set("X-Attempt-Id", a.id)
@@ -78,15 +79,16 @@
 	}
 }
 
-// readStatus is what a reader sees of an attempt at one time.
+// readStatus is a snapshot of an attempt for a reader.
 type readStatus struct {
 	delivered int
 	phase     phase
 	usage     Usage
 }
 
-// awaitProgress waits until there is more to read than rd has. It is false if the
-// reader has gone, and breaks the connection if the answer never ends.
+// awaitProgress waits until there are tokens after rd.after or the attempt has
+// finished. It reports false if the reader has disconnected, and breaks the
+// connection if the answer will not be completed.
 func (e *Engine) awaitProgress(r *http.Request, a *attempt, rd reader) (readStatus, bool) {
 	for {
 		e.mu.Lock()
@@ -129,7 +131,8 @@
 	return &reason
 }
 
-// serveUnstreamed answers without a stream, when all tokens are there.
+// serveUnstreamed writes the complete answer as one response once all tokens are
+// generated.
 func (e *Engine) serveUnstreamed(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
 	for {
 		s, ok := e.awaitProgress(r, a, rd)
@@ -159,15 +162,16 @@
 	}
 }
 
-// sse writes server-sent events, with the faults that concern chunks.
+// sse writes an answer as server-sent events and injects the faults that affect
+// chunks.
 type sse struct {
 	engine       *Engine
 	w            http.ResponseWriter
 	flusher      *http.ResponseController
 	attempt      *attempt
 	sent         int
-	held         int // offset of a chunk that comes after its successor, or zero
-	cut          int // tokens after which the connection breaks, or negative
+	held         int // offset of a chunk to send after its successor, or zero
+	cut          int // number of tokens after which the connection breaks, or negative for never
 	dropsAttempt bool
 }
 
@@ -179,7 +183,7 @@
 	s.checkCut()
 }
 
-// token sends the token at offset, counted from 1.
+// token sends the token at the one-based offset.
 func (s *sse) token(offset int) {
 	faults := s.engine.Faults()
 	if s.engine.faultApplies(faults.Strays) {
@@ -202,7 +206,7 @@
 	s.checkCut()
 }
 
-// checkCut breaks the connection once a fault says so.
+// checkCut breaks the connection once the number of tokens set by a fault is sent.
 func (s *sse) checkCut() {
 	if s.cut < 0 || s.sent < s.cut {
 		return
@@ -213,7 +217,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// event sends the token at offset of the answer with that hash.
+// event sends the token at the one-based offset of the answer to the conversation
+// with the given hash.
 func (s *sse) event(id string, hash uint64, offset int) {
 	data := s.attempt.chunk("chat.completion.chunk", choice{
 		Delta: &delta{Content: tokenAt(hash, offset-1)},
@@ -221,6 +226,7 @@
 	s.write(fmt.Sprintf("id: %s.%d\n", id, offset), data)
 }
 
+// finish sends the closing chunk with the token usage, and the end marker.
 func (s *sse) finish(u Usage) {
 	last := s.attempt.chunk("chat.completion.chunk", choice{
 		Delta: &delta{}, FinishReason: s.attempt.finishReason(),
@@ -242,7 +248,7 @@
 
 func (s *sse) flush() { _ = s.flusher.Flush() }
 
-// dropAttempt forgets a, as if only this attempt had died.
+// dropAttempt cancels and deletes a, which simulates the loss of a single attempt.
 func (e *Engine) dropAttempt(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -1,6 +1,7 @@
-// Package replica stands in for an endpoint behind routers that relay plain
-// HTTP: it writes its entry into the store's stand-in, answers requests whole or
-// as a series of events, counts what arrives, and fails as told.
+// Package replica simulates an endpoint behind routers that relay plain HTTP. It
+// registers itself in the simulated store, answers requests with a single response
+// or a stream of events, records the requests it runs, and injects faults on
+// request.
 package replica
 
 import (
@@ -18,71 +19,74 @@
 	"wisteriaspool/standin/hub"
 )
 
-// Options configure a Replica.
+// Options configures a Replica.
 type Options struct {
 	ID      string
 	Service string
 	Zone    string
-	Slots   int           // requests at a time; 8 if zero. Half as many wait for one
-	Events  int           // of a stream; 5 if zero
-	Delay   time.Duration // between two events, and for a whole answer
-	// Unregistered leaves it to the caller to list the replica.
+	Slots   int           // requests run at a time; 0 means 8. Half as many may wait for a slot
+	Events  int           // number of events in a stream; 0 means 5
+	Delay   time.Duration // before each event of a stream, and before a single response
+	// Unregistered leaves it to the caller to register the replica.
 	Unregistered bool
 }
 
-// Faults are what goes wrong at the replica.
+// Faults selects the faults that the replica injects.
 type Faults struct {
-	CutAfter    int  // a stream is cut in the middle of the event behind this many; 0 is never
-	CutResponse bool // a whole answer is made and its connection is cut
-	Status      int  // of answers in place of 200
-	StatusCount int  // how many answers have Status; 0 is all
-	RefuseAll   bool // everything is turned away as not run
-	NoResponse  bool // a request is run, and no answer ever comes
-	// ExtraDelay is how much longer an answer, or the first event of one, takes.
-	ExtraDelay time.Duration
-	// Every limits these faults to each so-manieth request; all if zero.
+	CutAfter int  // a stream is cut in the middle of the event after this many; 0 means never
+	CutLate  bool // a single response is completed, but the connection breaks before it is sent
+	Status   int  // replaces status 200; 0 means no change
+	Times    int  // number of requests to which these faults apply; 0 means all
+	Full     bool // every request is refused as not run
+	Mute     bool // requests run but are never answered
+	// Slow is an extra delay before a response or the first event of a stream.
+	Slow time.Duration
+	// Every limits these faults to every n-th request; 0 means all requests.
 	Every int
-	// PathPrefix limits these faults to requests whose path begins so; all if empty.
-	PathPrefix string
-	// CrashPath is a path whose requests crash the replica as they begin to run.
-	CrashPath string
+	// Only limits these faults to requests whose path has this prefix; empty
+	// means all.
+	Only string
+	// Crash is a path whose requests crash the replica when they begin to run.
+	Crash string
 }
 
-// Arrival is one request that was run.
+// Arrival records one request that began to run.
 type Arrival struct {
 	ID           string
 	Path         string
 	Tenant       string
-	LastEventID  string // id of the last event that the caller has
+	LastEventID  string // id of the last event that the caller has received, from Last-Event-Id
 	KVFetch      string
 	Body         string
-	Timeout      time.Duration // in which the answer is wanted; zero if none was named
-	StartedAt    time.Time     // when it came
-	EndedAt      time.Time     // when its run ended, in whatever way; zero while it runs
-	Completed    bool          // it ran to its end
-	Disconnected bool          // the caller went away
+	Timeout      time.Duration // time that the caller allows for the response; 0 means none given
+	StartedAt    time.Time     // when the request began to run
+	EndedAt      time.Time     // when the run ended for any reason; zero while it runs
+	Completed    bool          // the run completed
+	Disconnected bool          // the caller disconnected
 }
 
-// Replica is the stand-in.
+// Replica is a simulated endpoint. Its methods are safe for concurrent use.
 type Replica struct {
 	opts            Options
 	store           *hub.Store
 	listener        net.Listener
 	server          *http.Server
 	startedAtMillis int64
-	registeredAddr  string // address in the entry
+	registeredAddr  string // address in the store entry
 
 	mu           sync.Mutex
 	faults       Faults
-	requestCount int // requests since the start
+	requestCount int // requests that began to run
 	running      int
-	queue        []*slotWaiter // requests that wait for a slot, the oldest first
+	queue        []*slotWaiter // requests waiting for a slot, oldest first
 	arrivals     []*Arrival
 	state        string
 }
 
-// Start starts a replica on loopback and lists it in the store. The function
-// that it returns ends the process that it stands for, without a word.
+// Start starts a replica on a loopback port and registers it in the store. The
+// returned function simulates a process that ends abruptly: it closes all
+// connections and leaves the store entry in place. Start returns an error if it
+// cannot listen.
 func Start(store *hub.Store, o Options) (*Replica, func(), error) {
 	if o.Slots == 0 {
 		o.Slots = 8
@@ -106,13 +110,13 @@
 
 func (r *Replica) run() { _ = r.server.Serve(r.listener) }
 
-// Address returns where the replica listens.
+// Address returns the host and port on which the replica listens.
 func (r *Replica) Address() string { return r.listener.Addr().String() }
 
-// Key returns the key of the replica's entry.
+// Key returns the key of the replica's store entry.
 func (r *Replica) Key() string { return "servers/" + r.opts.ID }
 
-// RegisterAt lists the replica at another address, such as that of a proxy.
+// RegisterAt registers the replica at another address, such as that of a proxy.
 func (r *Replica) RegisterAt(address string) {
 	r.mu.Lock()
 	r.registeredAddr = address
@@ -120,7 +124,7 @@
 	r.Register()
 }
 
-// Register writes the replica's entry.
+// Register writes the replica's entry to the store.
 func (r *Replica) Register() {
 	r.mu.Lock()
 	state, address := r.state, r.registeredAddr
@@ -135,7 +139,7 @@
 	r.store.Put(r.Key(), entry)
 }
 
-// Drain announces that the replica stops.
+// Drain sets the replica's state to draining in its store entry.
 func (r *Replica) Drain() {
 	r.mu.Lock()
 	r.state = "draining"
@@ -143,14 +147,14 @@
 	r.Register()
 }
 
-// SetFaults sets what goes wrong from now on.
+// SetFaults replaces the faults for requests from now on.
 func (r *Replica) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Arrivals returns what was run.
+// Arrivals returns copies of the records of all requests that began to run.
 func (r *Replica) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,17 +180,17 @@
 		return
 	}
 	defer r.finish(a)
-	if f.CrashPath != "" && f.CrashPath == a.Path {
-		_ = r.server.Close() // with all its connections
+	if f.Crash != "" && f.Crash == a.Path {
+		_ = r.server.Close() // closes all connections
 		panic(http.ErrAbortHandler)
 	}
 	r.readBody(req, a)
-	if f.NoResponse {
+	if f.Mute {
 		<-req.Context().Done()
 		r.withLock(func() { a.Disconnected = true })
 		return
 	}
-	if f.ExtraDelay > 0 && !r.wait(req, a, f.ExtraDelay) {
+	if f.Slow > 0 && !r.wait(req, a, f.Slow) {
 		return
 	}
 	h.Set("X-Attempt-Id", a.ID)
@@ -199,24 +203,25 @@
 	r.serveWhole(w, req, a, f)
 }
 
-// slotWaiter is a request's wait for a slot.
+// slotWaiter is a request that waits for a slot.
 type slotWaiter struct {
-	granted chan struct{} // closed when the request has a slot
+	granted chan struct{} // closed when the request gets a slot
 }
 
-// admit gives a request a slot, and reports false if it is turned away as not run:
-// at once if too many wait, or when its time is up.
+// admit acquires a slot for a request. It reports false if the request is refused
+// as not run, either immediately because too many requests wait, or when the
+// caller's timeout expires.
 func (r *Replica) admit(req *http.Request) (*Arrival, Faults, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.faults.RefuseAll || !r.acquireSlot(req) {
+	if r.faults.Full || !r.acquireSlot(req) {
 		return nil, r.faults, false
 	}
 	return r.recordArrival(req)
 }
 
-// acquireSlot takes a slot and reports whether there is one in time. The caller holds
-// r.mu, which is free while the request waits.
+// acquireSlot acquires a slot and reports whether it got one in time. The caller
+// holds r.mu, which is unlocked while the request waits.
 func (r *Replica) acquireSlot(req *http.Request) bool {
 	if r.running < r.opts.Slots {
 		r.running++
@@ -232,7 +237,8 @@
 	return r.awaitSlot(req, t)
 }
 
-// awaitSlot waits for a slot, for as long as the caller waits.
+// awaitSlot waits for a slot until the caller's timeout expires or the caller
+// disconnects.
 func (r *Replica) awaitSlot(req *http.Request, t *slotWaiter) bool {
 	var expired <-chan time.Time
 	if left := callerTimeout(req); left > 0 {
@@ -248,14 +254,14 @@
 	defer r.mu.Unlock()
 	i := slices.Index(r.queue, t)
 	if i < 0 {
-		return true // it has got a slot meanwhile
+		return true // the slot was granted concurrently
 	}
 	r.queue = slices.Delete(r.queue, i, i+1)
 	return false
 }
 
-// releaseSlot passes a slot on to the request that has waited longest. The caller holds
-// r.mu.
+// releaseSlot passes the slot to the request that has waited longest, or frees it.
+// The caller holds r.mu.
 func (r *Replica) releaseSlot() {
 	if len(r.queue) == 0 {
 		r.running--
@@ -265,13 +271,15 @@
 	r.queue = r.queue[1:]
 }
 
-// callerTimeout returns how long a request's caller waits; zero if it does not say.
+// callerTimeout returns the timeout that a request's caller specifies, or zero if
+// there is none.
 func callerTimeout(req *http.Request) time.Duration {
-	ms, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms")) // none is zero
+	ms, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms")) // a missing header means zero
 	return time.Duration(ms) * time.Millisecond
 }
 
-// recordArrival notes a request that begins to run. The caller holds r.mu.
+// recordArrival records a request that begins to run and returns the faults that
+// apply to it. The caller holds r.mu.
 func (r *Replica) recordArrival(req *http.Request) (*Arrival, Faults, bool) {
 	a := &Arrival{
 		StartedAt: time.Now(), Timeout: callerTimeout(req),
@@ -281,13 +289,13 @@
 	r.arrivals = append(r.arrivals, a)
 	f := r.faults
 	r.requestCount++
-	if !strings.HasPrefix(a.Path, f.PathPrefix) || f.Every > 0 && r.requestCount%f.Every != 0 {
+	if !strings.HasPrefix(a.Path, f.Only) || f.Every > 0 && r.requestCount%f.Every != 0 {
 		return a, Faults{}, true
 	}
-	if r.faults.StatusCount == 1 {
+	if r.faults.Times == 1 {
 		r.faults = Faults{}
 	}
-	r.faults.StatusCount = max(r.faults.StatusCount-1, 0)
+	r.faults.Times = max(r.faults.Times-1, 0)
 	return a, f, true
 }
 
@@ -304,8 +312,9 @@
 	a.EndedAt = time.Now()
 }
 
-// readBody reads the whole body: else the server would not notice that a caller
-// leaves. A body that breaks off is kept as far as it came.
+// readBody reads the body to its end, because the server detects that a caller
+// disconnects only after that. An incomplete body is recorded as far as it was
+// received.
 func (r *Replica) readBody(req *http.Request, a *Arrival) {
 	body, _ := io.ReadAll(req.Body)
 	r.withLock(func() { a.Body = string(body) })
@@ -317,12 +326,13 @@
 	fn()
 }
 
-// waitDelay waits between two events and reports whether the caller is still there.
+// waitDelay waits for Options.Delay and reports whether the caller is still
+// connected.
 func (r *Replica) waitDelay(req *http.Request, a *Arrival) bool {
 	return r.wait(req, a, r.opts.Delay)
 }
 
-// wait waits and reports whether the caller is still there.
+// wait waits for d and reports whether the caller is still connected.
 func (r *Replica) wait(req *http.Request, a *Arrival, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -338,18 +348,19 @@
 		return
 	}
 	r.withLock(func() { a.Completed = true })
-	if f.CutResponse {
+	if f.CutLate {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Status != 0 {
 		w.WriteHeader(f.Status)
 	}
-	_, _ = w.Write([]byte("done " + a.ID)) // the caller may have gone
+	_, _ = w.Write([]byte("done " + a.ID)) // an error means that the caller disconnected
 }
 
-// serveStream sends events numbered from 1, behind the last one that the caller has.
+// serveStream sends the events after the last one that the caller has received.
+// Events are numbered from 1.
 func (r *Replica) serveStream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
-	lastID, _ := strconv.Atoi(a.LastEventID) // none is zero
+	lastID, _ := strconv.Atoi(a.LastEventID) // a missing id means zero
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w).Flush
 	for n := lastID + 1; n <= r.opts.Events; n++ {
--- a/standin/replica/replica_test.go
+++ b/standin/replica/replica_test.go
@@ -10,7 +10,7 @@
 	"wisteriaspool/standin/hub"
 )
 
-// Guards against a stand-in that lets no request wait for a slot.
+// Guards against a replica that refuses requests that could wait for a slot.
 func TestRequestsWaitForSlot(t *testing.T) {
 	const slots = 4
 	r, stop, err := Start(hub.New(), Options{ID: "d0", Service: "desk", Slots: slots, Delay: 200 * time.Millisecond})
@@ -29,7 +29,8 @@
 	assert.Equal(t, len(r.Arrivals()), slots+slots/2)
 }
 
-// Guards against a stand-in that runs requests whose time is up.
+// Guards against a replica that runs requests whose timeout expired while they
+// waited.
 func TestRequestTimesOutWaitingForSlot(t *testing.T) {
 	r, stop, err := Start(hub.New(), Options{ID: "d0", Service: "desk", Slots: 2, Delay: 500 * time.Millisecond})
 	assert.NilError(t, err)
@@ -38,7 +39,7 @@
 	for range 2 {
 		go testRequest{"http://" + r.Address(), "5000", statuses}.run()
 	}
-	time.Sleep(100 * time.Millisecond) // they run
+	time.Sleep(100 * time.Millisecond) // until both hold a slot
 	testRequest{"http://" + r.Address(), "100", statuses}.run()
 	assert.Equal(t, <-statuses, http.StatusServiceUnavailable)
 	assert.Equal(t, <-statuses, http.StatusOK)
@@ -46,7 +47,7 @@
 	assert.Equal(t, len(r.Arrivals()), 2)
 }
 
-// testRequest sends one request.
+// testRequest is one request that reports its status, or zero if it failed.
 type testRequest struct {
 	url, timeoutMillis string
 	statuses           chan<- int
--- a/standin/service/handlers.go
+++ b/standin/service/handlers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Load is the body of a load report.
+// Load is the body of a load report. State is "live" or "leaving".
 type Load struct {
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
@@ -29,7 +29,8 @@
 	}
 }
 
-// Incarnation returns the number of the service's life.
+// Incarnation returns the service's incarnation number, its start time in Unix
+// milliseconds.
 func (s *Service) Incarnation() uint64 { return s.load().Incarnation }
 
 func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
@@ -55,7 +56,7 @@
 	writeJSON(w, http.StatusOK, s.Faults())
 }
 
-// errorBody is the body of an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -65,7 +66,8 @@
 	Message string `json:"message"`
 }
 
-// writeNotRun answers with the service's word that nothing was run.
+// writeNotRun refuses a call and states that the action was not run. A refusal
+// with status 503 carries a Retry-After of one second.
 func writeNotRun(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("X-Outcome", "not-run")
 	if status == http.StatusServiceUnavailable {
@@ -77,5 +79,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller disconnected
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service stands in for a plain service, such as an order desk, in
-// tests and in the demo. It records every arrival of an action, so that a test
-// can count how often each one ran, and fails as told.
+// Package service simulates a plain HTTP service, such as an order desk, for tests
+// and the demo. It records every call of an action, so that a test can count how
+// often each action ran, and injects faults on request.
 package service
 
 import (
@@ -15,50 +15,58 @@
 	"time"
 )
 
-const maxBody = 4 << 20 // bytes of one request
+const maxBody = 4 << 20 // limit on a request body in bytes
 
-// Options configure a Service. The zero value runs each action at once.
+// Options configures a Service. With the zero value, actions take no time.
 type Options struct {
 	ID         string
-	ActionTime time.Duration // that one action takes
-	Capacity   int           // shown in the load report; 0 means 64
-	Seed       uint64        // of faults that hit a share of calls
+	ActionTime time.Duration // duration of one action
+	Capacity   int           // capacity in the load report; not enforced; 0 means 64
+	Seed       uint64        // seed of the random choices for faults
 }
 
-// Faults are what goes wrong at the service. FreezeMillis happens once; the
-// others last, or are used up by count.
+// Faults selects the faults that the service injects. FreezeMillis takes effect
+// once. The others stay in force, except that the Next counts go down to zero.
+// Shares range from 0 to 1.
 type Faults struct {
-	// CutBefore is the share of calls whose connection breaks before they run.
+	// CutBefore is the share of calls whose connection breaks before the action
+	// runs.
 	CutBefore float64 `json:"cut_before"`
-	// CutBeforeNext is the number of next calls of that fate.
+	// CutBeforeNext is the number of upcoming calls that are cut before the
+	// action runs.
 	CutBeforeNext int `json:"cut_before_next"`
-	// CutAfter is the share of calls that run but are not answered.
+	// CutAfter is the share of calls whose connection breaks after the action
+	// ran.
 	CutAfter float64 `json:"cut_after"`
-	// CutAfterNext is the number of next calls of that fate.
+	// CutAfterNext is the number of upcoming calls that are cut after the action
+	// ran.
 	CutAfterNext int `json:"cut_after_next"`
 	// Refuse is the share of calls refused as not run.
 	Refuse float64 `json:"refuse"`
-	// RefuseNext is the number of next calls of that fate.
+	// RefuseNext is the number of upcoming calls refused as not run.
 	RefuseNext int `json:"refuse_next"`
-	// TimeMillis replaces the time that one action takes, if above zero.
+	// TimeMillis, if above zero, replaces the duration of an action, in
+	// milliseconds.
 	TimeMillis int `json:"time_ms"`
-	// FreezeMillis stops everything for a time, as a paused process does.
+	// FreezeMillis delays the completion of actions that arrive within this time,
+	// in milliseconds, like a paused process.
 	FreezeMillis int `json:"freeze_ms,omitempty"`
 }
 
-// Outcome tells what became of an arrival.
+// Outcome is the result of an arrival.
 type Outcome string
 
-// The fates of an arrival.
+// The outcomes of an arrival.
 const (
 	Pending   Outcome = "pending"    // still running
 	Ran       Outcome = "ran"        // ran and was answered
 	CutBefore Outcome = "cut-before" // the connection broke before it ran
-	CutAfter  Outcome = "cut-after"  // ran, and the connection broke
+	CutAfter  Outcome = "cut-after"  // ran, and the connection broke before the response
 	Refused   Outcome = "refused"    // refused as not run
 )
 
-// Arrival is one call of an action that reached the service.
+// Arrival is one action call that reached the service. Key is the "key" field of
+// its body.
 type Arrival struct {
 	At        time.Time `json:"at"`
 	Action    string    `json:"action"`
@@ -67,24 +75,25 @@
 	Outcome   Outcome   `json:"fate"`
 }
 
-// DidRun tells whether the action took effect.
+// DidRun reports whether the action ran to completion.
 func (a Arrival) DidRun() bool { return a.Outcome == Ran || a.Outcome == CutAfter }
 
-// Count tells how often something arrived and how often it ran.
+// Count holds the number of arrivals and the number of those that ran.
 type Count struct {
 	Arrived int `json:"arrived"`
 	Ran     int `json:"ran"`
 }
 
-// Arrivals is what the service saw, in the order of arrival.
+// Arrivals lists all calls in order of arrival, with counts by key and by request
+// id.
 type Arrivals struct {
 	Arrivals  []Arrival        `json:"arrivals"`
 	ByKey     map[string]Count `json:"by_key"`
 	ByRequest map[string]Count `json:"by_request"`
 }
 
-// Receipt is the answer to an action. Number counts the service's runs, so
-// that two runs never give equal receipts.
+// Receipt is the response to an action. Number counts the actions that the service
+// has run, so that two runs never return equal receipts.
 type Receipt struct {
 	Service   string `json:"service"`
 	Action    string `json:"action"`
@@ -93,7 +102,8 @@
 	Number    int    `json:"number"`
 }
 
-// Service is an http.Handler with all calls of a plain service.
+// Service is an http.Handler that implements the API of a plain service. Its
+// methods are safe for concurrent use.
 type Service struct {
 	opts Options
 	mux  *http.ServeMux
@@ -110,7 +120,8 @@
 	closed      chan struct{}
 }
 
-// New returns a service and the function that ends its waiting calls.
+// New returns a service and a function that ends the delays of its running
+// actions.
 func New(opts Options) (*Service, func()) {
 	if opts.Capacity == 0 {
 		opts.Capacity = 64
@@ -130,8 +141,8 @@
 	return s, sync.OnceFunc(func() { close(s.closed) })
 }
 
-// ServeHTTP answers one call. It panics with http.ErrAbortHandler to break a
-// connection when a fault says so.
+// ServeHTTP handles one call. It panics with http.ErrAbortHandler to break the
+// connection when a fault requires it.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 func (s *Service) handleAction(w http.ResponseWriter, r *http.Request) {
@@ -143,7 +154,7 @@
 	var body struct {
 		Key string `json:"key"`
 	}
-	_ = json.Unmarshal(data, &body) // a body of another form has no key
+	_ = json.Unmarshal(data, &body) // a body in another format has no key
 	arrival := Arrival{
 		At: time.Now(), Action: r.PathValue("action"),
 		RequestID: r.Header.Get("X-Request-Id"), Key: body.Key, Outcome: Pending,
@@ -156,7 +167,8 @@
 		writeNotRun(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
-	// The action goes on when its caller goes: nobody can take it back.
+	// The action continues if its caller disconnects, because it cannot be
+	// cancelled.
 	s.sleep(duration)
 	receipt := s.finish(n, outcome)
 	if outcome == CutAfter {
@@ -166,8 +178,9 @@
 	writeJSON(w, http.StatusOK, receipt)
 }
 
-// recordArrival records an arrival and draws its fate. It returns the arrival's index
-// and the time that the action takes.
+// recordArrival records an arrival and selects its outcome. It returns the
+// arrival's index, its outcome, and the duration of the action including the rest
+// of a freeze.
 func (s *Service) recordArrival(a Arrival) (int, Outcome, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +213,8 @@
 	return Ran
 }
 
-// faultAppliesLocked is true for the next calls and for a share of the others.
+// faultAppliesLocked reports whether a fault applies to the current call: for the
+// next calls, counting next down, and for a random share of the calls after them.
 func (s *Service) faultAppliesLocked(share float64, next *int) bool {
 	if *next > 0 {
 		*next--
@@ -221,7 +235,8 @@
 	}
 }
 
-// finish records that the action ran, before anybody is told.
+// finish records that the action ran. It is called before the caller gets a
+// response.
 func (s *Service) finish(n int, outcome Outcome) Receipt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +249,7 @@
 	}
 }
 
-// Arrivals returns what the service saw.
+// Arrivals returns all recorded calls and their counts.
 func (s *Service) Arrivals() Arrivals {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +273,7 @@
 	return c
 }
 
-// SetFaults replaces the lasting faults and makes the others happen.
+// SetFaults replaces the persistent faults and triggers a freeze if f has one.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,21 +284,22 @@
 	s.faults = f
 }
 
-// Faults returns the lasting faults.
+// Faults returns the persistent faults.
 func (s *Service) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Leave makes the service refuse new actions. What runs goes on.
+// Leave makes the service refuse new actions. Running actions continue.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Drain waits until no action runs any more.
+// Drain waits until no action is running. It returns an error if ctx is done
+// first.
 func (s *Service) Drain(ctx context.Context) error {
 	const interval = 10 * time.Millisecond
 	for s.load().Running > 0 {
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -13,7 +13,7 @@
 	"wisteriaspool/standin/pipe"
 )
 
-// inBubble runs f with a service and a client under the paused clock.
+// inBubble runs f with a service and a client under synctest's fake clock.
 func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *Service, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	return client.Do(req)
 }
 
-// pendingConfirm is a call that a goroutine of its own makes.
+// pendingConfirm is a confirm call that runs in its own goroutine.
 type pendingConfirm struct {
 	client *http.Client
 	done   chan error
@@ -53,8 +53,8 @@
 	c.done <- err
 }
 
-// The service fails before or after it ran an action. Its caller cannot tell
-// the two cuts apart, but the record of arrivals must.
+// A connection that breaks before the action runs looks to the caller like one
+// that breaks after it. Guards against a record of arrivals that confuses the two.
 func TestArrivalsRecordFaultOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -88,8 +88,8 @@
 	}
 }
 
-// Two runs of the same action give different receipts, so that a caller who
-// gets equal ones knows that there was one run.
+// Guards against equal receipts for two runs of an action. Tests conclude from
+// equal receipts that the action ran once.
 func TestReceiptsDiffer(t *testing.T) {
 	inBubble(t, Options{ID: "s1"}, func(t *testing.T, s *Service, client *http.Client) {
 		var receipts [2]Receipt
@@ -104,7 +104,7 @@
 	})
 }
 
-// A frozen service answers late, and a planned stop waits for what runs.
+// A frozen service answers late, and Drain waits for running actions.
 func TestFreezeAndDrain(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *Service, client *http.Client) {
 		s.SetFaults(Faults{FreezeMillis: 5000})
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -213,7 +213,7 @@
 // spoilBack has an endpoint answer wrongly, or its link fail.
 func (s *soak) spoilBack(d time.Duration) {
 	b := s.present()
-	f := []replica.Faults{{CutAfter: 2}, {CutResponse: true}, {Status: http.StatusInternalServerError}, {RefuseAll: true}}[s.rng.IntN(4)]
+	f := []replica.Faults{{CutAfter: 2}, {CutLate: true}, {Status: http.StatusInternalServerError}, {Full: true}}[s.rng.IntN(4)]
 	m := proxy.Mode{}
 	if s.rng.IntN(2) == 0 {
 		f, m = replica.Faults{}, s.mode()
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -69,7 +69,7 @@
 func TestSafeRequestsAvoidSlowEndpoint(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 0)
 	s.warmUp("/safe/", 20)
-	s.replicas[0].SetFaults(replica.Faults{ExtraDelay: 400 * time.Millisecond})
+	s.replicas[0].SetFaults(replica.Faults{Slow: 400 * time.Millisecond})
 	slow := 0
 	for n := range 40 {
 		start := time.Now()
@@ -106,7 +106,7 @@
 func TestSilentResumableStreamIsRetried(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 3)
 	s.warmUp("/resumable/", 12)
-	s.busiest().SetFaults(replica.Faults{NoResponse: true})
+	s.busiest().SetFaults(replica.Faults{Mute: true})
 	for n := range 12 {
 		start := time.Now()
 		got := s.send(n%2, fmt.Sprintf("/resumable/%d", n))
@@ -122,7 +122,7 @@
 	s := newRelayCluster(t, 1, 0, 2)
 	s.warmUp("/stream/", 12)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{NoResponse: true, PathPrefix: "/stream/once"})
+		r.SetFaults(replica.Faults{Mute: true, Only: "/stream/once"})
 	}
 	got := s.send(0, "/stream/once")
 	assert.Equal(t, got.status, 504)
@@ -136,7 +136,7 @@
 	s := newRelayCluster(t, 1, 0, 3)
 	s.warmUp("/resumable/", 12)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{NoResponse: true, PathPrefix: "/resumable/silent"})
+		r.SetFaults(replica.Faults{Mute: true, Only: "/resumable/silent"})
 	}
 	const n = 12
 	done := make(chan int, n)
@@ -168,7 +168,7 @@
 	s := newRelayCluster(t, 1, 3, 0)
 	s.warmUp("/safe/", 12)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{Status: 500, PathPrefix: "/unsafe/"})
+		r.SetFaults(replica.Faults{Status: 500, Only: "/unsafe/"})
 	}
 	for n := range 60 {
 		assert.Equal(t, s.send(0, fmt.Sprintf("/unsafe/%d", n)).status, 500)
--- a/wisteriarouter/daemon/relay_stop_test.go
+++ b/wisteriarouter/daemon/relay_stop_test.go
@@ -82,7 +82,7 @@
 func TestRelayAnswersPendingRequestsAtEndOfStop(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 0)
 	s.addReplica(replica.Options{ID: "d0", Service: "desk", Zone: "a", Slots: 1})
-	s.replicas[0].SetFaults(replica.Faults{ExtraDelay: 20 * time.Second})
+	s.replicas[0].SetFaults(replica.Faults{Slow: 20 * time.Second})
 	d := plainState()
 	for _, r := range d.routes {
 		r["timeoutMs"] = 15000
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -85,7 +85,7 @@
 func TestRelayNeverRetriesUnsafeRequest(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{CutResponse: true})
+		r.SetFaults(replica.Faults{CutLate: true})
 	}
 	assert.Equal(t, s.send(0, "/unsafe/1").status, 502)
 	assert.Equal(t, s.runs("/unsafe/1"), 1)
@@ -111,7 +111,7 @@
 	assert.Equal(t, got.status, 500)
 	assert.Assert(t, got.header.Get("X-Server-Signature") != "")
 	assert.Equal(t, s.runs("/safe/1"), 2)
-	s.replicas[0].SetFaults(replica.Faults{Status: 500, StatusCount: 1})
+	s.replicas[0].SetFaults(replica.Faults{Status: 500, Times: 1})
 	assert.Equal(t, s.send(0, "/safe/2").status, 200)
 	assert.Equal(t, s.send(0, "/unsafe/3").status, 200)
 }
@@ -132,7 +132,7 @@
 func TestRelayRefusesAtOnceIfAllEndpointsAreFull(t *testing.T) {
 	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{RefuseAll: true})
+		r.SetFaults(replica.Faults{Full: true})
 	}
 	start := time.Now()
 	got := s.send(0, "/unsafe/1")
@@ -349,7 +349,7 @@
 func TestRelayRefusesRequestThatCrashesEndpoints(t *testing.T) {
 	s := newRelayCluster(t, 2, 0, 5)
 	for _, r := range s.replicas {
-		r.SetFaults(replica.Faults{CrashPath: "/resumable/poison"})
+		r.SetFaults(replica.Faults{Crash: "/resumable/poison"})
 	}
 	for n := range 6 {
 		s.send(n%2, "/resumable/poison")
