--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -23,7 +23,7 @@
 	Step             time.Duration // time to generate one token with one running attempt; 0 means 10ms
 	StepPerRunning   time.Duration // added to Step for each further running attempt; 0 means Step/50
 	PrefillPerToken  time.Duration // prefill time of each uncached prompt token; 0 means 200µs
-	LoadReportLag    time.Duration // age of the reported load
+	LoadReportLag    time.Duration // initial age of the reported load; see Faults.LoadLagMillis
 	EventDelay       time.Duration // delay before a cache event is visible
 	EventLoss        float64       // share of cache events that are lost, from 0 to 1
 	KVBytesPerToken  int           // simulated KV cache bytes per token; 0 means 131072
@@ -225,8 +225,8 @@
 }
 
 // endLocked removes a from the batch and sets its final phase. The attempt is
-// kept for Options.UnreadTimeout, so that a reader whose connection broke can
-// resume.
+// kept for Options.UnreadTimeout after its last reader has left, so that a reader
+// whose connection broke can resume.
 func (e *Engine) endLocked(a *attempt, p phase) {
 	if a.ended() {
 		return
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -341,8 +341,8 @@
 	return out
 }
 
-// A former holder of the order lease sends an order after its lease expired. An
-// engine that checks fencing numbers refuses it; one that ignores them accepts it.
+// A former holder of the order lease resumes and sends an order. An engine that
+// checks fencing numbers refuses it; one that ignores them accepts it.
 func TestOrdersCheckFencingNumber(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		inBubble(t, Options{IgnoreFencing: ignore}, func(s *fixture) {
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -73,7 +73,7 @@
 	writeJSON(w, http.StatusOK, e.Faults())
 }
 
-// faultApplies reports true for a random share of calls.
+// faultApplies reports true with probability share.
 func (e *Engine) faultApplies(share float64) bool {
 	if share <= 0 {
 		return false
--- a/standin/engine/kvcache.go
+++ b/standin/engine/kvcache.go
@@ -28,7 +28,7 @@
 const (
 	maxEvents       = 10000
 	kvMagic         = "wkv1"
-	kvBytesPerBlock = 1024 // padding, so that an export has a realistic size
+	kvBytesPerBlock = 1024 // padding, so that an export is not trivially small
 )
 
 var errMalformedKV = errors.New("engine: not an exported KV cache")
--- a/standin/engine/stats.go
+++ b/standin/engine/stats.go
@@ -98,8 +98,7 @@
 }
 
 // handleStats responds with the counters. The query parameter since, in RFC 3339
-// format, limits the history to samples from that time on; history=0
-// omits it.
+// format, limits the history to samples from that time on; history=0 omits it.
 func (e *Engine) handleStats(w http.ResponseWriter, r *http.Request) {
 	s := e.Stats()
 	if since, err := time.Parse(time.RFC3339Nano, r.FormValue("since")); err == nil {
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -233,7 +233,7 @@
 	})
 	last.Usage = &u
 	s.write(fmt.Sprintf("id: %s.%d\n", s.attempt.id, s.attempt.total), last)
-	_, _ = s.w.Write([]byte("data: [DONE]\n\n")) // the caller has gone if it fails
+	_, _ = s.w.Write([]byte("data: [DONE]\n\n")) // an error means that the caller disconnected
 	s.flush()
 }
 
@@ -242,7 +242,7 @@
 	if err != nil {
 		panic("engine: " + err.Error())
 	}
-	_, _ = fmt.Fprintf(s.w, "%sdata: %s\n\n", id, data) // the caller has gone if it fails
+	_, _ = fmt.Fprintf(s.w, "%sdata: %s\n\n", id, data) // an error means that the caller disconnected
 	s.flush()
 }
 
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -37,7 +37,7 @@
 	CutLate  bool // a single response is completed, but the connection breaks before it is sent
 	Status   int  // replaces status 200; 0 means no change
 	Times    int  // number of requests to which these faults apply; 0 means all
-	Full     bool // every request is refused as not run
+	Full     bool // every request is refused as not run, regardless of Every, Only and Times
 	Mute     bool // requests run but are never answered
 	// Slow is an extra delay before a response or the first event of a stream.
 	Slow time.Duration
@@ -305,6 +305,7 @@
 	return r.running
 }
 
+// finish records the end of a run and releases its slot.
 func (r *Replica) finish(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -343,6 +344,7 @@
 	}
 }
 
+// serveWhole sends a single response.
 func (r *Replica) serveWhole(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
 	if !r.waitDelay(req, a) {
 		return
