--- a/standin/engine/crash.go
+++ b/standin/engine/crash.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// isPoison tells whether a's prompt crashes the engine that runs it.
-func (e *Engine) isPoison(a *attempt) bool {
+// hasPoisonPrompt reports whether a's prompt contains the text that crashes the
+// engine.
+func (e *Engine) hasPoisonPrompt(a *attempt) bool {
 	for _, m := range a.request.Messages {
 		if strings.Contains(string(m.Content), e.opts.Poison) {
 			return true
@@ -15,8 +16,9 @@
 	return false
 }
 
-// Crash ends the present life at once: connections drop, attempts and cache
-// are lost, and a new incarnation answers after the restart time.
+// Crash simulates an immediate crash and restart. Connections break, attempts,
+// orders and the cache are lost, and a new incarnation answers after the restart
+// delay.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,15 +28,15 @@
 func (e *Engine) crashLocked() {
 	now := time.Now()
 	e.stats.Crashes++
-	e.deadUntil = now.Add(e.restartLocked())
+	e.deadUntil = now.Add(e.restartDelayLocked())
 	e.incarnation = max(e.incarnation+1, uint64(e.deadUntil.UnixMilli()))
-	close(e.died)
-	e.died = make(chan struct{})
+	close(e.crashed)
+	e.crashed = make(chan struct{})
 	e.attempts = make(map[string]*attempt)
 	e.waiting, e.running = nil, nil
-	e.cache = newCache(e.opts.CacheBlocks)
+	e.cache = newPrefixCache(e.opts.CacheBlocks)
 	e.events, e.eventTimes, e.eventSeq = nil, nil, 0
-	e.orders = orderBook{}
+	e.orders = orderLog{}
 	e.sampleLocked()
 	time.AfterFunc(time.Until(e.deadUntil), e.sample)
 	e.checkIdleLocked()
@@ -43,9 +45,9 @@
 	}
 }
 
-func (e *Engine) restartLocked() time.Duration {
+func (e *Engine) restartDelayLocked() time.Duration {
 	if e.faults.RestartMillis > 0 {
 		return time.Duration(e.faults.RestartMillis) * time.Millisecond
 	}
-	return e.opts.Restart
+	return e.opts.RestartDelay
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// orderKinds are the kinds of order that an engine takes.
+// orderKinds lists the kinds of order that an engine accepts.
 var orderKinds = []string{"load-model", "load-adapter", "set-version", "set-role"}
 
-// Order tells the engine what to load or to be.
+// Order instructs the engine to load a model or adapter, or to change its version
+// or role. Fencing is the fencing number of the sender.
 type Order struct {
 	Fencing int64  `json:"fencing"`
 	Kind    string `json:"kind"`
@@ -17,20 +18,20 @@
 	Version string `json:"version"`
 }
 
-// orderBook holds the highest fencing number and the orders taken.
-type orderBook struct {
+// orderLog holds the highest fencing number seen and the accepted orders.
+type orderLog struct {
 	Fencing int64   `json:"fencing"`
 	Orders  []Order `json:"orders"`
 }
 
-// Orders returns the orders taken in this life, the oldest first.
+// Orders returns the orders accepted in this incarnation, oldest first.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders.Orders)
 }
 
-// handleOrder takes an order, unless its fencing number is old.
+// handleOrder accepts an order unless its fencing number is outdated.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil {
@@ -41,14 +42,16 @@
 		writeError(w, http.StatusBadRequest, "malformed", "unknown kind of order")
 		return
 	}
-	if !e.take(order) {
+	if !e.acceptOrder(order) {
 		writeError(w, http.StatusConflict, "conflict", "an order with a higher fencing number came before")
 		return
 	}
 	writeJSON(w, http.StatusOK, order)
 }
 
-func (e *Engine) take(order Order) bool {
+// acceptOrder records an order. It reports false if an order with a higher fencing
+// number was accepted before and Options.IgnoreFencing is not set.
+func (e *Engine) acceptOrder(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fencing < e.orders.Fencing && !e.opts.IgnoreFencing {
@@ -59,10 +62,10 @@
 	return true
 }
 
-// handleOrders answers with the orders taken in this life.
+// handleOrders responds with the orders accepted in this incarnation.
 func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	book := orderBook{Fencing: e.orders.Fencing, Orders: append([]Order{}, e.orders.Orders...)}
+	accepted := orderLog{Fencing: e.orders.Fencing, Orders: append([]Order{}, e.orders.Orders...)}
 	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, book)
+	writeJSON(w, http.StatusOK, accepted)
 }
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -13,7 +13,7 @@
 	"wisteriaspool/standin/pipe"
 )
 
-// inBubble runs f with a service and a client under the paused clock.
+// inBubble runs f with a service and a client under synctest's fake clock.
 func inBubble(t *testing.T, opts Options, f func(t *testing.T, s *Service, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,13 +39,13 @@
 	return client.Do(req)
 }
 
-// confirming is a call that a goroutine of its own makes.
-type confirming struct {
+// pendingConfirm is a confirm call that runs in its own goroutine.
+type pendingConfirm struct {
 	client *http.Client
 	done   chan error
 }
 
-func (c *confirming) run() {
+func (c *pendingConfirm) run() {
 	res, err := confirm(c.client, "r1")
 	if err == nil {
 		res.Body.Close()
@@ -53,15 +53,15 @@
 	c.done <- err
 }
 
-// The service fails before or after it ran an action. Its caller cannot tell
-// the two cuts apart, but the record of arrivals must.
-func TestFaultsAreCountedTruly(t *testing.T) {
+// A connection that breaks before the action runs looks to the caller like one
+// that breaks after it. Guards against a record of arrivals that confuses the two.
+func TestArrivalsRecordFaultOutcomes(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		faults Faults
-		status int // zero if the connection breaks
-		fate   Fate
-		count  Count
+		name    string
+		faults  Faults
+		status  int // zero if the connection breaks
+		outcome Outcome
+		count   Count
 	}{
 		{"sound", Faults{}, http.StatusOK, Ran, Count{1, 1}},
 		{"cut before", Faults{CutBeforeNext: 1}, 0, CutBefore, Count{1, 0}},
@@ -70,7 +70,7 @@
 		{"refused", Faults{RefuseNext: 1}, http.StatusServiceUnavailable, Refused, Count{1, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, Options{Time: time.Second}, func(t *testing.T, s *Service, client *http.Client) {
+			inBubble(t, Options{ActionTime: time.Second}, func(t *testing.T, s *Service, client *http.Client) {
 				s.SetFaults(test.faults)
 				res, err := confirm(client, "r1")
 				status := 0
@@ -80,7 +80,7 @@
 				}
 				assert.Equal(t, status, test.status)
 				seen := s.Arrivals()
-				assert.Equal(t, seen.Arrivals[0].Fate, test.fate)
+				assert.Equal(t, seen.Arrivals[0].Outcome, test.outcome)
 				assert.Equal(t, seen.ByKey["k"], test.count)
 				assert.Equal(t, seen.ByRequest["r1"], test.count)
 			})
@@ -88,8 +88,8 @@
 	}
 }
 
-// Two runs of the same action give different receipts, so that a caller who
-// gets equal ones knows that there was one run.
+// Guards against equal receipts for two runs of an action. Tests conclude from
+// equal receipts that the action ran once.
 func TestReceiptsDiffer(t *testing.T) {
 	inBubble(t, Options{ID: "s1"}, func(t *testing.T, s *Service, client *http.Client) {
 		var receipts [2]Receipt
@@ -104,12 +104,12 @@
 	})
 }
 
-// A frozen service answers late, and a planned stop waits for what runs.
+// A frozen service answers late, and Drain waits for running actions.
 func TestFreezeAndDrain(t *testing.T) {
 	inBubble(t, Options{}, func(t *testing.T, s *Service, client *http.Client) {
 		s.SetFaults(Faults{FreezeMillis: 5000})
 		start := time.Now()
-		first := &confirming{client: client, done: make(chan error, 1)}
+		first := &pendingConfirm{client: client, done: make(chan error, 1)}
 		go first.run()
 		time.Sleep(time.Second)
 		s.Leave()
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -220,9 +220,9 @@
 	}
 	s.say("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
 	s.harm(d)
-	b.Fail(f)
+	b.SetFaults(f)
 	b.proxy.SetMode(m)
-	s.later(d, func() { b.Fail(replica.Faults{}); b.proxy.SetMode(proxy.Mode{}) })
+	s.later(d, func() { b.SetFaults(replica.Faults{}); b.proxy.SetMode(proxy.Mode{}) })
 }
 
 // inForce is the time within which a change of the desired state has to be in
