--- a/standin/caller/action.go
+++ b/standin/caller/action.go
@@ -15,16 +15,16 @@
 	"wisteriaspool/standin/service"
 )
 
-// actions sends actions that must run at most once, each through two routers
+// actionSender sends actionSender that must run at most once, each through two routers
 // at the same time.
-type actions struct {
+type actionSender struct {
 	load   *load
 	random *rand.Rand
 }
 
-func (a *actions) run(ctx context.Context) {
+func (a *actionSender) run(ctx context.Context) {
 	defer a.load.inFlight.Done()
-	mean := perSecond(a.load.opts.ActionRate)
+	mean := meanInterval(a.load.opts.ActionRate)
 	at := a.load.start
 	for {
 		at = at.Add(exponential(a.random, mean))
@@ -43,7 +43,7 @@
 	key     string
 	body    []byte
 	answers [2]actionAnswer
-	sent    sync.WaitGroup
+	pending sync.WaitGroup
 }
 
 // actionAnswer is what one of the two routers said.
@@ -54,8 +54,8 @@
 	refusal *refusal
 }
 
-// toldAction is what a caller was told of one action by both routers.
-type toldAction struct {
+// actionResult is what a caller was told of one action by both routers.
+type actionResult struct {
 	ran    bool // by one of them
 	notRun bool // by both of them
 }
@@ -77,12 +77,12 @@
 	ctx, cancel := context.WithTimeout(ctx, a.load.opts.Timeout)
 	defer cancel()
 	for i := range a.answers {
-		a.sent.Add(1)
+		a.pending.Add(1)
 		go (&actionCall{action: a, answer: &a.answers[i]}).run(ctx)
 	}
-	a.sent.Wait()
-	a.load.noteAction(a)
-	a.load.record.action(a)
+	a.pending.Wait()
+	a.load.recordAction(a)
+	a.load.recorder.addAction(a)
 }
 
 // actionCall is one of an action's two calls.
@@ -92,7 +92,7 @@
 }
 
 func (c *actionCall) run(ctx context.Context) {
-	defer c.action.sent.Done()
+	defer c.action.pending.Done()
 	*c.answer = c.action.send(ctx)
 }
 
@@ -111,7 +111,7 @@
 	req.Header.Set("Idempotency-Key", a.key)
 	res, err := l.opts.HTTP.Do(req)
 	if err != nil {
-		l.balancer.failed(router)
+		l.balancer.markFailed(router)
 		return actionAnswer{outcome: unknown}
 	}
 	defer res.Body.Close()
@@ -134,10 +134,10 @@
 	return out
 }
 
-// told sums up both answers.
-func (a *action) told() toldAction {
+// result sums up both answers.
+func (a *action) result() actionResult {
 	first, second := a.answers[0].outcome, a.answers[1].outcome
-	return toldAction{
+	return actionResult{
 		ran:    first == ran || second == ran,
 		notRun: first == notRun && second == notRun,
 	}
@@ -150,10 +150,10 @@
 	return x.outcome == ran && y.outcome == ran && x.refusal == nil && y.refusal == nil && x.body != y.body
 }
 
-func (l *load) noteAction(a *action) {
+func (l *load) recordAction(a *action) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.actions[a.key] = a.told()
+	l.actionResults[a.key] = a.result()
 }
 
 // checkActions compares what callers were told with what the services saw.
@@ -172,8 +172,8 @@
 			runs[key] += count.Ran
 		}
 	}
-	r.Actions.Checked = len(l.actions)
-	for key, told := range l.actions {
+	r.Actions.Checked = len(l.actionResults)
+	for key, told := range l.actionResults {
 		switch {
 		case runs[key] > 1:
 			r.Actions.Doubled++
--- a/standin/caller/balancer.go
+++ b/standin/caller/balancer.go
@@ -88,8 +88,8 @@
 	return from[b.count%len(from)]
 }
 
-// failed takes a router out of turn until it is seen to be ready.
-func (b *balancer) failed(router string) {
+// markFailed takes a router out of turn until it is seen to be ready.
+func (b *balancer) markFailed(router string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ready = slices.DeleteFunc(slices.Clone(b.ready), func(r string) bool { return r == router })
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -24,30 +24,30 @@
 	Requests int    // at most so many turns of chats; 0 means no limit
 	Seed     uint64 // of all arrivals, pauses and texts
 
-	Rate     float64       // new chats a second, over all accounts
-	Accounts int           // client accounts; 0 means 10
-	Surging  int           // accounts that surge in the middle third of the time
-	Surge    float64       // times their rate; 0 means 10
-	Turns    int           // mean turns of a chat; 0 means 4
-	Pause    time.Duration // mean pause before a chat returns; 0 means 2s
+	Rate            float64       // new chats a second, over all accounts
+	Accounts        int           // client accounts; 0 means 10
+	SurgingAccounts int           // accounts that surge in the middle third of the time
+	SurgeFactor     float64       // times their rate; 0 means 10
+	Turns           int           // mean turns of a chat; 0 means 4
+	Pause           time.Duration // mean pause before a chat returns; 0 means 2s
 
-	SystemWords int           // shared by an account's chats; 0 means 32
-	FirstWords  int           // of a chat's first message; 0 means 96
-	TurnWords   int           // of the later messages; 0 means 24
-	MaxTokens   int           // of an answer; 0 means its natural length
-	Whole       float64       // share of turns without a stream
-	Timeout     time.Duration // of one turn, reconnects included; 0 means 60s
-	Retries     int           // of a turn that was refused as not run
+	SystemWords    int           // shared by an account's chats; 0 means 32
+	FirstWords     int           // of a chat's first message; 0 means 96
+	TurnWords      int           // of the later messages; 0 means 24
+	MaxTokens      int           // of an answer; 0 means its natural length
+	NonStreamShare float64       // share of turns without a stream
+	Timeout        time.Duration // of one turn, reconnects included; 0 means 60s
+	Retries        int           // of a turn that was refused as not run
 
-	Poisons    int      // requests that crash each engine that runs them
-	Service    string   // plain service of the actions; empty means "order-desk"
-	Action     string   // empty means "confirm"
-	ActionRate float64  // actions a second, each sent through two routers at once
-	Services   []string // base URLs of stand-in services, read at the end to check the actions
-	Engines    []string // base URLs of stand-in engines, read at the end to measure skew
-	Counters   []string // metrics to show as rates, as name or name{label="value"}
-	Metrics    []string // base URLs of the routers' metrics; empty means Routers
-	Bound      float64  // times the mean load that an engine may carry; 0 means 1.25
+	PoisonRequests int      // requests that crash each engine that runs them
+	Service        string   // plain service of the actions; empty means "order-desk"
+	Action         string   // empty means "confirm"
+	ActionRate     float64  // actions a second, each sent through two routers at once
+	Services       []string // base URLs of stand-in services, read at the end to check the actions
+	Engines        []string // base URLs of stand-in engines, read at the end to measure skew
+	Counters       []string // metrics to show as rates, as name or name{label="value"}
+	Metrics        []string // base URLs of the routers' metrics; empty means Routers
+	LoadBound      float64  // times the mean load that an engine may carry; 0 means 1.25
 
 	HTTP *http.Client // nil means one of its own
 }
@@ -67,8 +67,8 @@
 	setNumber(&o.TurnWords, 24)
 	setDuration(&o.Pause, 2*time.Second)
 	setDuration(&o.Timeout, time.Minute)
-	setFactor(&o.Surge, 10)
-	setFactor(&o.Bound, 1.25)
+	setFactor(&o.SurgeFactor, 10)
+	setFactor(&o.LoadBound, 1.25)
 	if o.HTTP == nil {
 		o.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
@@ -103,15 +103,15 @@
 type load struct {
 	opts     Options
 	balancer *balancer
-	record   *record
+	recorder *recorder
 	start    time.Time
 	stop     time.Time // no turn starts later
 
-	mu       sync.Mutex
-	started  int // turns
-	chats    int
-	actions  map[string]toldAction // by key
-	inFlight sync.WaitGroup
+	mu            sync.Mutex
+	started       int // turns
+	chats         int
+	actionResults map[string]actionResult // by key
+	inFlight      sync.WaitGroup
 }
 
 // Run makes the load and returns what came of it. It ends when the time or the
@@ -122,8 +122,8 @@
 	}
 	now := time.Now()
 	l := &load{
-		opts: opts, record: newRecord(), start: now, stop: now.Add(opts.Duration),
-		actions: make(map[string]toldAction),
+		opts: opts, recorder: newRecorder(), start: now, stop: now.Add(opts.Duration),
+		actionResults: make(map[string]actionResult),
 	}
 	balancer, cleanup := newBalancer(opts)
 	defer cleanup()
@@ -136,14 +136,14 @@
 	}
 	if opts.ActionRate > 0 {
 		l.inFlight.Add(1)
-		go (&actions{load: l, random: source(opts.Seed, actionStream)}).run(ctx)
+		go (&actionSender{load: l, random: newRandom(opts.Seed, actionStream)}).run(ctx)
 	}
-	if opts.Poisons > 0 {
+	if opts.PoisonRequests > 0 {
 		l.inFlight.Add(1)
-		go (&poisons{load: l}).run(ctx)
+		go (&poisonSender{load: l}).run(ctx)
 	}
 	l.inFlight.Wait()
-	report := l.record.report(time.Since(l.start))
+	report := l.recorder.report(time.Since(l.start))
 	l.checkActions(ctx, &report)
 	l.countCrashes(ctx, crashes, known, &report)
 	l.measureSkew(ctx, &report)
@@ -151,8 +151,8 @@
 	return report, ctx.Err()
 }
 
-// takeTurn reserves one turn, while time and requests last.
-func (l *load) takeTurn(ctx context.Context) bool {
+// reserveTurn reserves one turn, while time and requests last.
+func (l *load) reserveTurn(ctx context.Context) bool {
 	if ctx.Err() != nil || !time.Now().Before(l.stop) {
 		return false
 	}
@@ -165,7 +165,7 @@
 	return true
 }
 
-func (l *load) nextChat() int {
+func (l *load) nextChatNumber() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.chats++
@@ -196,7 +196,7 @@
 	chatStream    = 1 << 32
 )
 
-func source(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // exponential draws a duration with the given mean.
 func exponential(random *rand.Rand, mean time.Duration) time.Duration {
@@ -216,10 +216,10 @@
 	a := &account{
 		load:   l,
 		name:   fmt.Sprintf("account-%d", n+1),
-		random: source(l.opts.Seed, accountStream+uint64(n)),
-		surges: n < l.opts.Surging,
+		random: newRandom(l.opts.Seed, accountStream+uint64(n)),
+		surges: n < l.opts.SurgingAccounts,
 	}
-	a.system = engine.Message{Role: "system", Content: text(a.random, l.opts.SystemWords)}
+	a.system = engine.Message{Role: "system", Content: randomText(a.random, l.opts.SystemWords)}
 	return a
 }
 
@@ -235,7 +235,7 @@
 		if !a.load.wait(ctx, at) {
 			return
 		}
-		n := a.load.nextChat()
+		n := a.load.nextChatNumber()
 		a.load.inFlight.Add(1)
 		go newChat(a, n, at).run(ctx)
 	}
@@ -247,11 +247,11 @@
 	opts := a.load.opts
 	rate := opts.Rate / float64(opts.Accounts)
 	if !a.surges {
-		return at.Add(exponential(a.random, perSecond(rate)))
+		return at.Add(exponential(a.random, meanInterval(rate)))
 	}
 	for {
-		at = at.Add(exponential(a.random, perSecond(rate*opts.Surge)))
-		if a.load.inSurge(at) || a.random.Float64()*opts.Surge < 1 {
+		at = at.Add(exponential(a.random, meanInterval(rate*opts.SurgeFactor)))
+		if a.load.inSurge(at) || a.random.Float64()*opts.SurgeFactor < 1 {
 			return at
 		}
 	}
@@ -264,13 +264,13 @@
 	return since > third && since < 2*third
 }
 
-// perSecond returns the mean time between events of a rate.
-func perSecond(rate float64) time.Duration {
+// meanInterval returns the mean time between events of a rate.
+func meanInterval(rate float64) time.Duration {
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// text draws n words.
-func text(random *rand.Rand, n int) engine.Content {
+// randomText draws n words.
+func randomText(random *rand.Rand, n int) engine.Content {
 	out := make([]byte, 0, 8*n)
 	for range n {
 		out = fmt.Appendf(out, "w%05x ", random.IntN(1<<20))
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -21,23 +21,23 @@
 	"wisteriaspool/standin/service"
 )
 
-// passer is as little of a router as callers need: it passes chats to one
+// fakeRouter is as little of a router as callers need: it passes chats to one
 // engine and actions to one service, and keeps nothing.
-type passer struct {
+type fakeRouter struct {
 	client  *http.Client
 	attempt atomic.Int64
 	name    string
 	// alter changes what one event of a stream says, when set. It returns false
 	// to break the connection.
 	alter func(event string) (string, bool)
-	// told replaces the outcome of actions, when set.
-	told   string
-	refuse atomic.Int64 // chats to refuse as not run
-	code   string       // of those refusals
-	down   atomic.Bool
+	// actionOutcome replaces the outcome of actions, when set.
+	actionOutcome string
+	refuse        atomic.Int64 // chats to refuse as not run
+	refusalCode   string       // of those refusals
+	down          atomic.Bool
 }
 
-func (p *passer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakeRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case p.down.Load():
 		panic(http.ErrAbortHandler)
@@ -45,32 +45,32 @@
 	case r.URL.Path == "/metrics":
 		_, _ = fmt.Fprintf(w, "# TYPE tries counter\ntries{kind=\"chat\"} %d\ntries{kind=\"action\"} 99\ntries_other 7\n", p.attempt.Load())
 	case strings.HasPrefix(r.URL.Path, "/v1/services/"):
-		p.passAction(w, r)
+		p.forwardAction(w, r)
 	case p.refuse.Add(-1) >= 0:
 		w.Header().Set("Retry-After", "1")
 		w.Header().Set("X-Outcome", "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = fmt.Fprintf(w, `{"error":{"code":%q}}`, p.code)
+		_, _ = fmt.Fprintf(w, `{"error":{"code":%q}}`, p.refusalCode)
 	default:
-		p.passChat(w, r)
+		p.forwardChat(w, r)
 	}
 }
 
-func (p *passer) passAction(w http.ResponseWriter, r *http.Request) {
+func (p *fakeRouter) forwardAction(w http.ResponseWriter, r *http.Request) {
 	res, err := p.client.Post("http://desk/actions/confirm", "application/json", r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer res.Body.Close()
 	w.Header().Set("X-Outcome", res.Header.Get("X-Outcome"))
-	if p.told != "" {
-		w.Header().Set("X-Outcome", p.told)
+	if p.actionOutcome != "" {
+		w.Header().Set("X-Outcome", p.actionOutcome)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	_, _ = io.Copy(w, res.Body)
 }
 
-func (p *passer) passChat(w http.ResponseWriter, r *http.Request) {
+func (p *fakeRouter) forwardChat(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	req, _ := http.NewRequestWithContext(r.Context(), http.MethodPost, "http://engine/v1/chat/completions", bytes.NewReader(body))
 	req.Header.Set("X-Attempt-Id", fmt.Sprintf("%s-%d", p.name, p.attempt.Add(1)))
@@ -88,10 +88,10 @@
 	w.Header().Set("X-Outcome", "ran")
 	w.WriteHeader(res.StatusCode)
 	_ = http.NewResponseController(w).Flush()
-	p.passEvents(w, res.Body)
+	p.forwardEvents(w, res.Body)
 }
 
-func (p *passer) passEvents(w http.ResponseWriter, r io.Reader) {
+func (p *fakeRouter) forwardEvents(w http.ResponseWriter, r io.Reader) {
 	flusher := http.NewResponseController(w)
 	events := newSSEReader(r)
 	for {
@@ -117,17 +117,17 @@
 	}
 }
 
-// site is two passers before one engine and one service, with the options of a
+// fixture is two passers before one engine and one service, with the options of a
 // small load on them.
-type site struct {
-	routers [2]*passer
+type fixture struct {
+	routers [2]*fakeRouter
 	engine  *engine.Engine
 	service *service.Service
 	opts    Options
 }
 
-// inBubble runs f with a site under the paused clock.
-func inBubble(t *testing.T, f func(t *testing.T, s *site)) {
+// runWithFixture runs f with a site under the paused clock.
+func runWithFixture(t *testing.T, f func(t *testing.T, s *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipe.Network{}
@@ -135,13 +135,13 @@
 		client := &http.Client{Transport: transport}
 		e, endEngine := engine.New(engine.Options{})
 		desk, endDesk := service.New(service.Options{})
-		s := &site{engine: e, service: desk, opts: Options{
+		s := &fixture{engine: e, service: desk, opts: Options{
 			Routers: []string{"http://r0", "http://r1"}, Duration: 6 * time.Second, Rate: 4, Seed: 7, MaxTokens: 12,
 			ActionRate: 1, Engines: []string{"http://engine"}, Services: []string{"http://desk"}, HTTP: client,
 		}}
 		stops := []func(){network.Serve("engine:80", e), network.Serve("desk:80", desk)}
 		for i := range s.routers {
-			s.routers[i] = &passer{client: client, name: fmt.Sprintf("r%d", i)}
+			s.routers[i] = &fakeRouter{client: client, name: fmt.Sprintf("r%d", i)}
 			stops = append(stops, network.Serve(fmt.Sprintf("r%d:80", i), s.routers[i]))
 		}
 		defer func() {
@@ -156,7 +156,7 @@
 	})
 }
 
-func (s *site) run(t *testing.T) Report {
+func (s *fixture) run(t *testing.T) Report {
 	t.Helper()
 	r, err := Run(t.Context(), s.opts)
 	assert.NilError(t, err)
@@ -166,8 +166,8 @@
 	return r
 }
 
-func TestSoundLoad(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+func TestLoadOnCorrectRouters(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate, s.opts.MaxTokens = 0, 0 // answers of their natural length
 		s.opts.Counters = []string{`tries{kind="chat"}`}
 		r := s.run(t)
@@ -177,7 +177,7 @@
 		assert.Check(t, r.Returning > 0)
 		assert.Check(t, r.Reuse.Ratio > 0.5 && r.Reuse.Ratio < 1, "reuse %v", r.Reuse)
 		assert.Equal(t, s.engine.Stats().GeneratedTokens, r.Tokens)
-		assert.Check(t, r.First.P50 > 0 && r.First.P50 <= r.First.P99)
+		assert.Check(t, r.FirstToken.P50 > 0 && r.FirstToken.P50 <= r.FirstToken.P99)
 		assert.Equal(t, r.Skew.Worst, 1.0) // there is one engine
 		assert.Equal(t, r.Counters[0].Routers, 2)
 		assert.Equal(t, math.Round(r.Counters[0].Mean*2*r.Seconds), float64(r.Requests))
@@ -187,7 +187,7 @@
 func TestLoadRepeatsWithItsSeed(t *testing.T) {
 	var tables [2]string
 	for i := range tables {
-		inBubble(t, func(t *testing.T, s *site) {
+		runWithFixture(t, func(t *testing.T, s *fixture) {
 			s.opts.ActionRate = 0
 			r := s.run(t)
 			tables[i] = fmt.Sprint(r.Requests, r.Returning, r.Tokens, r.Reuse.PromptTokens)
@@ -198,7 +198,7 @@
 
 // A router gives users answers that are not theirs, or not whole. The load is
 // worth nothing if it does not notice.
-func TestBadAnswersAreNoticed(t *testing.T) {
+func TestBadAnswersAreDetected(t *testing.T) {
 	drop := func(event string) (string, bool) {
 		if strings.Contains(event, ".3\n") {
 			return "", true
@@ -235,7 +235,7 @@
 		{"the answer ends early", endEarly, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, s *site) {
+			runWithFixture(t, func(t *testing.T, s *fixture) {
 				s.routers[0].alter = test.alter
 				r := s.run(t)
 				assert.Equal(t, r.Partial > 0, test.partial)
@@ -248,8 +248,8 @@
 
 // A router dies under its callers. They come back through the other one with
 // the last event that they saw, and get the rest, generated once.
-func TestCallersResumeElsewhere(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+func TestCallersResumeThroughAnotherRouter(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
 		timer := time.AfterFunc(3*time.Second, func() { s.routers[0].down.Store(true) })
 		defer timer.Stop()
@@ -264,7 +264,7 @@
 // A router refuses chats as not run. Callers come back when it told them to,
 // and those who may not are counted as not run.
 func TestRefusedTurns(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.routers[0].refuse.Store(4)
 		s.opts.Retries, s.opts.ActionRate = 1, 0
 		r := s.run(t)
@@ -277,24 +277,24 @@
 
 // Both routers pass on an action that must run at most once: the label gets its
 // pressing twice. Or they say that it was not run, though it was.
-func TestBadActionsAreNoticed(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+func TestBadActionsAreDetected(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		r := s.run(t)
 		assert.Check(t, r.Actions.Sent > 0)
 		assert.Equal(t, r.Actions.Doubled, r.Actions.Sent)
 		assert.Equal(t, r.Actions.Differing, r.Actions.Sent)
 	})
-	inBubble(t, func(t *testing.T, s *site) {
-		s.routers[0].told, s.routers[1].told = "not-run", "not-run"
+	runWithFixture(t, func(t *testing.T, s *fixture) {
+		s.routers[0].actionOutcome, s.routers[1].actionOutcome = "not-run", "not-run"
 		s.service.SetFaults(service.Faults{})
 		s.opts.Services = []string{"http://desk"}
 		r := s.run(t)
 		assert.Equal(t, r.Actions.NotRun, r.Actions.Sent)
 		assert.Equal(t, r.Actions.Doubled+r.Actions.FalseNotRun, r.Actions.Sent)
 	})
-	inBubble(t, func(t *testing.T, s *site) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.service.SetFaults(service.Faults{Refuse: 1})
-		s.routers[0].told, s.routers[1].told = "ran", "ran"
+		s.routers[0].actionOutcome, s.routers[1].actionOutcome = "ran", "ran"
 		r := s.run(t)
 		assert.Equal(t, r.Actions.FalseRan, r.Actions.Sent)
 	})
@@ -303,10 +303,10 @@
 // Some accounts surge in the middle of the load, and the others must not be
 // slowed in their own arrivals.
 func TestSurge(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
 		calm := s.run(t)
-		s.opts.Surging, s.opts.Seed = 3, 7
+		s.opts.SurgingAccounts, s.opts.Seed = 3, 7
 		surge := s.run(t)
 		assert.Check(t, surge.Requests > calm.Requests*3/2, "%d after %d", surge.Requests, calm.Requests)
 	})
@@ -315,10 +315,10 @@
 // A router refuses a poison request for good. Coming back cannot help, so its
 // caller stops at once.
 func TestFinalRefusal(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
 		for _, p := range s.routers {
-			p.code = codePoison
+			p.refusalCode = codePoison
 			p.refuse.Store(math.MaxInt32)
 		}
 		r := s.run(t)
@@ -331,19 +331,19 @@
 // A request crashes each engine that runs it, and its caller sends it again and
 // again. These routers pass it on every time, and the count has to show that.
 func TestPoisonIsCounted(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
-		s.opts.ActionRate, s.opts.Poisons, s.opts.Timeout = 0, 1, 3*time.Second
+	runWithFixture(t, func(t *testing.T, s *fixture) {
+		s.opts.ActionRate, s.opts.PoisonRequests, s.opts.Timeout = 0, 1, 3*time.Second
 		r := s.run(t)
 		assert.Equal(t, r.Poison.Requests, 1)
-		assert.Equal(t, r.Poison.Sent, poisonSends)
+		assert.Equal(t, r.Poison.Sent, poisonAttempts)
 		assert.Equal(t, r.Poison.Final, 0)
-		assert.Check(t, r.Poison.Crashes >= poisonSends)
+		assert.Check(t, r.Poison.Crashes >= poisonAttempts)
 		assert.Equal(t, r.Poison.Crashes, s.engine.Stats().Crashes)
 	})
 }
 
 func TestRequestsAreBounded(t *testing.T) {
-	inBubble(t, func(t *testing.T, s *site) {
+	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.Requests, s.opts.ActionRate = 21, 0
 		assert.Equal(t, s.run(t).Requests, 21)
 	})
@@ -354,7 +354,7 @@
 	assert.ErrorContains(t, err, "routers")
 }
 
-func TestSkewOf(t *testing.T) {
+func TestComputeSkew(t *testing.T) {
 	start := time.Unix(0, 0)
 	at := func(ms, running int) engine.Sample {
 		return engine.Sample{At: start.Add(time.Duration(ms) * time.Millisecond), Running: running, State: engine.Live}
@@ -366,8 +366,8 @@
 		{at(0, 2)},
 		{leaving},
 	}
-	got := SkewOf(histories, start, start.Add(80*time.Millisecond), 1.25)
-	assert.DeepEqual(t, *got, Skew{Samples: 4, P50: 1.5, P99: 1.5, Worst: 1.5, Bound: 1.25, Over: 2, Placements: 1, PlacementsOver: 1, MostOver: 1})
+	got := ComputeSkew(histories, start, start.Add(80*time.Millisecond), 1.25)
+	assert.DeepEqual(t, *got, Skew{Samples: 4, P50: 1.5, P99: 1.5, Worst: 1.5, Bound: 1.25, SamplesOver: 2, Placements: 1, PlacementsOver: 1, MaxExcess: 1})
 }
 
 func TestReportAsText(t *testing.T) {
@@ -375,9 +375,9 @@
 		Seconds: 10, Requests: 100, Returning: 70, Ran: 97, NotRun: 2, Unknown: 1, Resumes: 4, Resent: 2,
 		Codes:    CodeCounts{"overloaded": 2, "": 1},
 		Refusals: Refusals{WithRetryAfter: 4}, Reuse: Reuse{PromptTokens: 1000, CachedTokens: 750, Ratio: 0.75},
-		First: Quantiles{10, 20, 30, 40}, Gap: Quantiles{1, 2, 3, 4.5},
+		FirstToken: Quantiles{10, 20, 30, 40}, TokenGap: Quantiles{1, 2, 3, 4.5},
 		Actions:   ActionReport{Sent: 10, Ran: 9, Unknown: 1, Checked: 10},
-		Skew:      &Skew{Samples: 500, P50: 1.1, P99: 1.6, Worst: 2, Bound: 1.25, Over: 3, Placements: 100, PlacementsOver: 2, MostOver: 1},
+		Skew:      &Skew{Samples: 500, P50: 1.1, P99: 1.6, Worst: 2, Bound: 1.25, SamplesOver: 3, Placements: 100, PlacementsOver: 2, MaxExcess: 1},
 		Poison:    PoisonReport{Requests: 1, Sent: 5, Final: 4, Crashes: 2, Codes: CodeCounts{"poison": 4, "endpoint-lost": 1}},
 		Counters:  []Rate{{Name: "wisteria_peer_bytes_total", Routers: 3, Mean: 900, Highest: 1000.5}},
 		Unchecked: []string{"no engine answers"},
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -27,7 +27,7 @@
 }
 
 func newChat(a *account, n int, at time.Time) *chat {
-	random := source(a.load.opts.Seed, chatStream+uint64(n))
+	random := newRandom(a.load.opts.Seed, chatStream+uint64(n))
 	return &chat{
 		load:     a.load,
 		account:  a,
@@ -43,17 +43,17 @@
 func (c *chat) run(ctx context.Context) {
 	defer c.load.inFlight.Done()
 	for n := range c.turns {
-		if !c.load.wait(ctx, c.next) || !c.load.takeTurn(ctx) {
+		if !c.load.wait(ctx, c.next) || !c.load.reserveTurn(ctx) {
 			return
 		}
 		words := c.load.opts.TurnWords
 		if n == 0 {
 			words = c.load.opts.FirstWords
 		}
-		c.messages = append(c.messages, engine.Message{Role: "user", Content: text(c.random, words)})
+		c.messages = append(c.messages, engine.Message{Role: "user", Content: randomText(c.random, words)})
 		t := newTurn(c, n > 0)
 		t.run(ctx)
-		c.load.record.turn(t)
+		c.load.recorder.addTurn(t)
 		if t.outcome != ran {
 			return
 		}
@@ -80,9 +80,9 @@
 type fault int
 
 const (
-	sound   fault = iota
-	wrong         // not the answer to this request, or offsets out of order
-	partial       // said to be whole, but ended early
+	noFault       fault = iota
+	wrongAnswer         // not the answer to this request, or offsets out of order
+	partialAnswer       // said to be whole, but ended early
 )
 
 // turn is one request of a chat, with all its reconnects.
@@ -94,20 +94,20 @@
 	expected  string
 	due       time.Time
 
-	attempt  string // that the router named
-	offset   int    // of the last token
-	text     string
-	hint     string
-	outcome  outcome
-	fault    fault
-	code     string // of the last error
-	usage    engine.Usage
-	first    time.Duration   // from due to the first token
-	gaps     []time.Duration // between tokens
-	lastAt   time.Time
-	resumes  int // reconnects that went on with the stream
-	resent   int // requests sent again, after a refusal or before anything came
-	refusals []refusal
+	attempt    string // that the router named
+	offset     int    // of the last token
+	text       string
+	hint       string
+	outcome    outcome
+	fault      fault
+	code       string // of the last error
+	usage      engine.Usage
+	firstToken time.Duration   // from due to the first token
+	gaps       []time.Duration // between tokens
+	lastAt     time.Time
+	resumes    int // reconnects that went on with the stream
+	resent     int // requests sent again, after a refusal or before anything came
+	refusals   []refusal
 }
 
 // refusal is an answer that refused a request.
@@ -133,7 +133,7 @@
 	opts := c.load.opts
 	t := &turn{
 		chat: c, returning: returning, due: c.next,
-		stream:   c.random.Float64() >= opts.Whole,
+		stream:   c.random.Float64() >= opts.NonStreamShare,
 		expected: engine.Answer(c.messages, opts.MaxTokens),
 	}
 	t.body.Request = engine.Request{
@@ -155,20 +155,20 @@
 	return data
 }
 
-// verdict tells how one connection ended.
-type verdict int
+// connectResult tells how one connection ended.
+type connectResult int
 
 const (
-	settled verdict = iota // there is an outcome
-	broken                 // the connection broke
-	refused                // refused as not run
-	held                   // a reconnect was refused: the answer may come later
+	settled          connectResult = iota // there is an outcome
+	connectionBroken                      // the connection broke
+	requestRefused                        // refused as not run
+	resumeRefused                         // a reconnect was refused: the answer may come later
 )
 
 // The pause before a reconnect doubles between these two.
 const (
-	leastPause = 50 * time.Millisecond
-	mostPause  = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // run asks, and reconnects through other routers, until there is an outcome or
@@ -177,14 +177,14 @@
 	ctx, cancel := context.WithTimeout(ctx, t.chat.load.opts.Timeout)
 	defer cancel()
 	retries := t.chat.load.opts.Retries
-	pause := leastPause
+	pause := minBackoff
 	for ctx.Err() == nil {
 		t.outcome = "" // what a broken connection said does not count
 		switch t.connect(ctx) {
 		case settled:
 			t.check()
 			return
-		case refused:
+		case requestRefused:
 			if retries == 0 {
 				t.outcome = notRun
 				return
@@ -192,20 +192,20 @@
 			retries--
 			t.resent++
 			t.wait(ctx, t.lastRetryAfter())
-		case held:
+		case resumeRefused:
 			t.wait(ctx, max(pause, t.lastRetryAfter()))
-			pause = min(2*pause, mostPause)
-		case broken:
-			t.noteBroken()
+			pause = min(2*pause, maxBackoff)
+		case connectionBroken:
+			t.countReconnect()
 			t.wait(ctx, pause)
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxBackoff)
 		}
 	}
 	t.outcome = unknown
 }
 
-// noteBroken counts a reconnect.
-func (t *turn) noteBroken() {
+// countReconnect counts a reconnect.
+func (t *turn) countReconnect() {
 	if t.stream && t.attempt != "" {
 		t.resumes++
 		return
@@ -218,7 +218,7 @@
 // wait waits for d, and up to half as long again so that callers don't come at
 // once.
 func (t *turn) wait(ctx context.Context, d time.Duration) {
-	d = max(d, leastPause)
+	d = max(d, minBackoff)
 	timer := time.NewTimer(d + time.Duration(t.chat.random.Int64N(int64(d)/2)))
 	defer timer.Stop()
 	select {
@@ -228,7 +228,7 @@
 }
 
 // connect makes one connection.
-func (t *turn) connect(ctx context.Context) verdict {
+func (t *turn) connect(ctx context.Context) connectResult {
 	router := t.chat.load.balancer.next()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, router+"/v1/chat/completions", bytes.NewReader(t.encode()))
 	if err != nil {
@@ -237,8 +237,8 @@
 	t.setHeaders(req.Header)
 	res, err := t.chat.load.opts.HTTP.Do(req)
 	if err != nil {
-		t.chat.load.balancer.failed(router)
-		return broken
+		t.chat.load.balancer.markFailed(router)
+		return connectionBroken
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
@@ -248,7 +248,7 @@
 		t.attempt = id
 	}
 	if !t.stream {
-		return t.readWhole(res)
+		return t.readNonStream(res)
 	}
 	return t.readStream(res.Body)
 }
@@ -267,7 +267,7 @@
 }
 
 // readRefusal reads an answer that is not 200.
-func (t *turn) readRefusal(res *http.Response) verdict {
+func (t *turn) readRefusal(res *http.Response) connectResult {
 	var e errorBody
 	_ = json.NewDecoder(io.LimitReader(res.Body, maxEvent)).Decode(&e) // of another form: no code
 	t.code = e.Error.Code
@@ -282,10 +282,10 @@
 	}
 	final := t.code == codePoison
 	if told == notRun && t.attempt != "" && !final {
-		return held // what was not run is the reconnect
+		return resumeRefused // what was not run is the reconnect
 	}
 	if told == notRun && !final {
-		return refused
+		return requestRefused
 	}
 	t.outcome = unknown
 	if told == notRun && t.attempt == "" {
@@ -294,8 +294,8 @@
 	return settled
 }
 
-// readWhole reads an answer without a stream.
-func (t *turn) readWhole(res *http.Response) verdict {
+// readNonStream reads an answer without a stream.
+func (t *turn) readNonStream(res *http.Response) connectResult {
 	var answer struct {
 		Choices []struct {
 			Message struct {
@@ -305,26 +305,26 @@
 		Usage engine.Usage `json:"usage"`
 	}
 	if err := json.NewDecoder(res.Body).Decode(&answer); err != nil || len(answer.Choices) == 0 {
-		return broken
+		return connectionBroken
 	}
 	t.text = answer.Choices[0].Message.Content
 	t.usage = answer.Usage
 	t.outcome = outcome(res.Header.Get("X-Outcome"))
 	t.hint = res.Header.Get("X-Route-Hint")
-	t.first = time.Since(t.due)
+	t.firstToken = time.Since(t.due)
 	return settled
 }
 
 // check compares the answer with the one that every engine gives.
 func (t *turn) check() {
 	switch {
-	case t.fault != sound || t.outcome != ran:
+	case t.fault != noFault || t.outcome != ran:
 		return
 	case t.text == t.expected:
 		return
 	case len(t.text) < len(t.expected) && t.expected[:len(t.text)] == t.text:
-		t.fault = partial
+		t.fault = partialAnswer
 	default:
-		t.fault = wrong
+		t.fault = wrongAnswer
 	}
 }
--- a/standin/caller/poison.go
+++ b/standin/caller/poison.go
@@ -11,9 +11,9 @@
 // poisonText crashes the stand-in engine that runs it.
 const poisonText = "POISON"
 
-// poisonSends is how often a caller sends its poison request, through one
+// poisonAttempts is how often a caller sends its poison request, through one
 // router after another.
-const poisonSends = 5
+const poisonAttempts = 5
 
 // PoisonReport counts requests that crash every engine that runs them.
 type PoisonReport struct {
@@ -25,65 +25,65 @@
 	Codes    CodeCounts `json:"codes"`
 }
 
-// poisons sends poison requests at equal distances.
-type poisons struct {
+// poisonSender sends poison requests at equal distances.
+type poisonSender struct {
 	load *load
 }
 
-func (p *poisons) run(ctx context.Context) {
+func (p *poisonSender) run(ctx context.Context) {
 	defer p.load.inFlight.Done()
-	n := p.load.opts.Poisons
+	n := p.load.opts.PoisonRequests
 	interval := p.load.opts.Duration / time.Duration(n+1)
 	for i := range n {
 		if !p.load.wait(ctx, p.load.start.Add(time.Duration(i+1)*interval)) {
 			return
 		}
 		p.load.inFlight.Add(1)
-		go newPoison(p.load, i).run(ctx)
+		go newPoisonCaller(p.load, i).run(ctx)
 	}
 }
 
-// poison is one poison request, whose caller sends it again and again.
-type poison struct {
+// poisonCaller is one poisonCaller request, whose caller sends it again and again.
+type poisonCaller struct {
 	chat *chat
 }
 
-func newPoison(l *load, n int) *poison {
-	random := source(l.opts.Seed, poisonStream+uint64(n))
+func newPoisonCaller(l *load, n int) *poisonCaller {
+	random := newRandom(l.opts.Seed, poisonStream+uint64(n))
 	a := &account{load: l, name: "account-1"}
-	content := engine.Content(fmt.Sprintf("%s-%d ", poisonText, n)) + text(random, l.opts.FirstWords)
-	return &poison{chat: &chat{
+	content := engine.Content(fmt.Sprintf("%s-%d ", poisonText, n)) + randomText(random, l.opts.FirstWords)
+	return &poisonCaller{chat: &chat{
 		load: l, account: a, id: fmt.Sprintf("poison-%d-%d", l.opts.Seed, n), random: random,
 		messages: []engine.Message{{Role: "user", Content: content}},
 	}}
 }
 
-func (p *poison) run(ctx context.Context) {
+func (p *poisonCaller) run(ctx context.Context) {
 	l := p.chat.load
 	defer l.inFlight.Done()
-	l.record.poisonRequest()
-	for range poisonSends {
+	l.recorder.addPoisonRequest()
+	for range poisonAttempts {
 		p.chat.next = time.Now()
 		t := newTurn(p.chat, false)
 		t.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		l.record.poisonSent(t)
-		t.wait(ctx, leastPause)
+		l.recorder.addPoisonAttempt(t)
+		t.wait(ctx, minBackoff)
 	}
 }
 
-func (r *record) poisonRequest() {
+func (r *recorder) addPoisonRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sum.Poison.Requests++
+	r.totals.Poison.Requests++
 }
 
-func (r *record) poisonSent(t *turn) {
+func (r *recorder) addPoisonAttempt(t *turn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &r.sum.Poison
+	p := &r.totals.Poison
 	p.Sent++
 	switch {
 	case t.outcome == ran:
@@ -112,7 +112,7 @@
 
 // countCrashes notes how often engines crashed since before.
 func (l *load) countCrashes(ctx context.Context, before int, known bool, r *Report) {
-	if l.opts.Poisons == 0 || len(l.opts.Engines) == 0 {
+	if l.opts.PoisonRequests == 0 || len(l.opts.Engines) == 0 {
 		return
 	}
 	after, ok := l.readCrashes(ctx)
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -16,27 +16,27 @@
 // Report is what came of a load. Wrong, Partial, Doubled, FalseNotRun and
 // FalseRan must be zero.
 type Report struct {
-	Seconds   float64      `json:"seconds"`
-	Requests  int          `json:"requests"`  // turns of chats
-	Returning int          `json:"returning"` // of them, turns after the first
-	Ran       int          `json:"ran"`
-	NotRun    int          `json:"not_run"`
-	Unknown   int          `json:"unknown"`
-	Wrong     int          `json:"wrong"`
-	Partial   int          `json:"partial"`
-	Resumes   int          `json:"resumes"`
-	Resent    int          `json:"resent"`
-	Refusals  Refusals     `json:"refusals"`
-	Codes     CodeCounts   `json:"codes"` // last error code of turns that did not run
-	Tokens    int          `json:"tokens"`
-	Reuse     Reuse        `json:"reuse"`
-	First     Quantiles    `json:"first_token"`
-	Gap       Quantiles    `json:"per_token"`
-	Actions   ActionReport `json:"actions"`
-	Poison    PoisonReport `json:"poison"`
-	Skew      *Skew        `json:"skew,omitempty"`
-	Counters  []Rate       `json:"counters,omitempty"`
-	Unchecked []string     `json:"unchecked,omitempty"` // checks that could not be made
+	Seconds    float64      `json:"seconds"`
+	Requests   int          `json:"requests"`  // turns of chats
+	Returning  int          `json:"returning"` // of them, turns after the first
+	Ran        int          `json:"ran"`
+	NotRun     int          `json:"not_run"`
+	Unknown    int          `json:"unknown"`
+	Wrong      int          `json:"wrong"`
+	Partial    int          `json:"partial"`
+	Resumes    int          `json:"resumes"`
+	Resent     int          `json:"resent"`
+	Refusals   Refusals     `json:"refusals"`
+	Codes      CodeCounts   `json:"codes"` // last error code of turns that did not run
+	Tokens     int          `json:"tokens"`
+	Reuse      Reuse        `json:"reuse"`
+	FirstToken Quantiles    `json:"first_token"`
+	TokenGap   Quantiles    `json:"per_token"`
+	Actions    ActionReport `json:"actions"`
+	Poison     PoisonReport `json:"poison"`
+	Skew       *Skew        `json:"skew,omitempty"`
+	Counters   []Rate       `json:"counters,omitempty"`
+	Unchecked  []string     `json:"unchecked,omitempty"` // checks that could not be made
 }
 
 // CodeCounts counts error codes.
@@ -107,32 +107,32 @@
 	return r.Wrong + r.Partial + r.Poison.Ran + a.Differing + a.Doubled + a.FalseNotRun + a.FalseRan
 }
 
-// The histograms hold microseconds up to ten minutes, to three digits.
+// The histograms hold microseconds up to ten minutes, to three significantDigits.
 const (
-	maxLatency = int64(10 * time.Minute / time.Microsecond)
-	digits     = 3
+	maxLatency        = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// record collects what comes of a load while it runs.
-type record struct {
-	mu    sync.Mutex
-	sum   Report
-	first *hdrhistogram.Histogram
-	gap   *hdrhistogram.Histogram
+// recorder collects what comes of a load while it runs.
+type recorder struct {
+	mu         sync.Mutex
+	totals     Report
+	firstToken *hdrhistogram.Histogram
+	tokenGap   *hdrhistogram.Histogram
 }
 
-func newRecord() *record {
-	return &record{
-		sum:   Report{Codes: CodeCounts{}, Actions: ActionReport{Codes: CodeCounts{}}, Poison: PoisonReport{Codes: CodeCounts{}}},
-		first: hdrhistogram.New(1, maxLatency, digits),
-		gap:   hdrhistogram.New(1, maxLatency, digits),
+func newRecorder() *recorder {
+	return &recorder{
+		totals:     Report{Codes: CodeCounts{}, Actions: ActionReport{Codes: CodeCounts{}}, Poison: PoisonReport{Codes: CodeCounts{}}},
+		firstToken: hdrhistogram.New(1, maxLatency, significantDigits),
+		tokenGap:   hdrhistogram.New(1, maxLatency, significantDigits),
 	}
 }
 
-func (r *record) turn(t *turn) {
+func (r *recorder) addTurn(t *turn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &r.sum
+	s := &r.totals
 	s.Requests++
 	s.Resumes += t.resumes
 	s.Resent += t.resent
@@ -140,9 +140,9 @@
 		s.Refusals.add(x)
 	}
 	switch t.fault {
-	case wrong:
+	case wrongAnswer:
 		s.Wrong++
-	case partial:
+	case partialAnswer:
 		s.Partial++
 	}
 	if t.returning {
@@ -151,7 +151,7 @@
 	switch t.outcome {
 	case ran:
 		s.Ran++
-		r.ranLocked(t)
+		r.addRanLocked(t)
 		return
 	case notRun:
 		s.NotRun++
@@ -161,32 +161,32 @@
 	s.Codes[t.code]++
 }
 
-func (r *record) ranLocked(t *turn) {
-	r.sum.Tokens += t.offset
+func (r *recorder) addRanLocked(t *turn) {
+	r.totals.Tokens += t.offset
 	if t.returning {
-		r.sum.Reuse.PromptTokens += t.usage.PromptTokens
-		r.sum.Reuse.CachedTokens += t.usage.PromptDetails.CachedTokens
+		r.totals.Reuse.PromptTokens += t.usage.PromptTokens
+		r.totals.Reuse.CachedTokens += t.usage.PromptDetails.CachedTokens
 	}
 	if !t.stream {
 		return
 	}
-	note(r.first, t.first)
+	recordLatency(r.firstToken, t.firstToken)
 	for _, gap := range t.gaps {
-		note(r.gap, gap)
+		recordLatency(r.tokenGap, gap)
 	}
 }
 
-// note records d, or the histogram's end if it is longer.
-func note(h *hdrhistogram.Histogram, d time.Duration) {
+// recordLatency records d, or the histogram's end if it is longer.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxLatency)) // in range
 }
 
-func (r *record) action(a *action) {
+func (r *recorder) addAction(a *action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &r.sum.Actions
+	s := &r.totals.Actions
 	s.Sent++
-	switch told := a.told(); {
+	switch told := a.result(); {
 	case told.ran:
 		s.Ran++
 	case told.notRun:
@@ -205,15 +205,15 @@
 	}
 }
 
-func (r *record) report(elapsed time.Duration) Report {
+func (r *recorder) report(elapsed time.Duration) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.sum
+	out := r.totals
 	out.Seconds = elapsed.Seconds()
 	if out.Reuse.PromptTokens > 0 {
 		out.Reuse.Ratio = float64(out.Reuse.CachedTokens) / float64(out.Reuse.PromptTokens)
 	}
-	out.First, out.Gap = quantiles(r.first), quantiles(r.gap)
+	out.FirstToken, out.TokenGap = quantiles(r.firstToken), quantiles(r.tokenGap)
 	return out
 }
 
@@ -236,8 +236,8 @@
 	row("wrong answers", "%d", r.Wrong)
 	row("partial answers", "%d", r.Partial)
 	row("cache reuse", "%.3f (%d of %d prompt tokens of returning chats)", r.Reuse.Ratio, r.Reuse.CachedTokens, r.Reuse.PromptTokens)
-	row("first token", "%s", r.First)
-	row("per token", "%s", r.Gap)
+	row("first token", "%s", r.FirstToken)
+	row("per token", "%s", r.TokenGap)
 	row("resumes", "%d, resent %d", r.Resumes, r.Resent)
 	row("refusals", "%d with Retry-After, %d without", r.Refusals.WithRetryAfter, r.Refusals.WithoutRetryAfter)
 	if a := r.Actions; a.Sent > 0 {
@@ -251,7 +251,7 @@
 	}
 	if s := r.Skew; s != nil {
 		row("load skew", "max/mean p50 %.2f, p99 %.2f, worst %.2f", s.P50, s.P99, s.Worst)
-		row("over the bound", "%d of %d placements, by %d at most; %d of %d samples; bound ceil(%.2f x mean)", s.PlacementsOver, s.Placements, s.MostOver, s.Over, s.Samples, s.Bound)
+		row("over the bound", "%d of %d placements, by %d at most; %d of %d samples; bound ceil(%.2f x mean)", s.PlacementsOver, s.Placements, s.MaxExcess, s.SamplesOver, s.Samples, s.Bound)
 	}
 	for _, c := range r.Counters {
 		row(c.Name, "%.1f a second for each of %d routers, highest %.1f", c.Mean, c.Routers, c.Highest)
--- a/standin/caller/skew.go
+++ b/standin/caller/skew.go
@@ -14,19 +14,19 @@
 // Skew is the ratio of the most loaded engine to the mean, from the engines'
 // own view, over samples taken at equal distances.
 type Skew struct {
-	Samples int     `json:"samples"`
-	P50     float64 `json:"p50"`
-	P99     float64 `json:"p99"`
-	Worst   float64 `json:"worst"`
-	Bound   float64 `json:"bound"`
-	Over    int     `json:"over"` // samples with an engine above ceil(Bound x mean)
+	Samples     int     `json:"samples"`
+	P50         float64 `json:"p50"`
+	P99         float64 `json:"p99"`
+	Worst       float64 `json:"worst"`
+	Bound       float64 `json:"bound"`
+	SamplesOver int     `json:"over"` // samples with an engine above ceil(Bound x mean)
 
 	// Placements counts the requests that engines accepted, and PlacementsOver
 	// those that put their engine above ceil(Bound x mean). Samples go above it
 	// also when the load elsewhere ends, which no placement can prevent.
 	Placements     int `json:"placements"`
 	PlacementsOver int `json:"placements_over"`
-	MostOver       int `json:"most_over"` // requests by which a placement went above it
+	MaxExcess      int `json:"most_over"` // requests by which a placement went above it
 }
 
 // skewInterval is the time between two samples.
@@ -47,11 +47,11 @@
 		}
 		histories = append(histories, stats.History)
 	}
-	r.Skew = SkewOf(histories, l.start, l.stop, l.opts.Bound)
+	r.Skew = ComputeSkew(histories, l.start, l.stop, l.opts.LoadBound)
 }
 
-// SkewOf compares histories of load between two times.
-func SkewOf(histories [][]engine.Sample, from, to time.Time, bound float64) *Skew {
+// ComputeSkew compares histories of load between two times.
+func ComputeSkew(histories [][]engine.Sample, from, to time.Time, bound float64) *Skew {
 	s := &Skew{Bound: bound}
 	var ratios []float64
 	for at := from; at.Before(to); at = at.Add(skewInterval) {
@@ -61,7 +61,7 @@
 		}
 		ratios = append(ratios, float64(highest)/mean)
 		if exceeds(highest, mean, bound) {
-			s.Over++
+			s.SamplesOver++
 		}
 	}
 	s.countPlacements(histories)
@@ -86,7 +86,7 @@
 			_, mean := loadsAt(histories, h[i].At)
 			if exceeds(h[i].Load(), mean, s.Bound) {
 				s.PlacementsOver++
-				s.MostOver = max(s.MostOver, h[i].Load()-int(math.Ceil(s.Bound*mean)))
+				s.MaxExcess = max(s.MaxExcess, h[i].Load()-int(math.Ceil(s.Bound*mean)))
 			}
 		}
 	}
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -66,13 +66,13 @@
 }
 
 // readStream reads events until the answer is done or the connection breaks.
-func (t *turn) readStream(r io.Reader) verdict {
+func (t *turn) readStream(r io.Reader) connectResult {
 	events := newSSEReader(r)
 	for {
 		e, ok := events.next()
 		switch {
 		case !ok:
-			return broken
+			return connectionBroken
 		case e.data == "[DONE]":
 			return t.done()
 		case e.name == "outcome":
@@ -87,7 +87,7 @@
 
 // done settles a stream that says it is done. A stream that never told its
 // outcome leaves it unknown.
-func (t *turn) done() verdict {
+func (t *turn) done() connectResult {
 	if t.outcome == "" {
 		t.outcome = unknown
 	}
@@ -100,7 +100,7 @@
 		RouteHint string  `json:"route_hint"`
 	}
 	if err := json.Unmarshal([]byte(data), &told); err != nil {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	t.outcome, t.hint = told.Outcome, told.RouteHint
@@ -110,7 +110,7 @@
 func (t *turn) readError(data string) {
 	var e errorBody
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	t.code = e.Error.Code
@@ -126,7 +126,7 @@
 		Usage *engine.Usage `json:"usage"`
 	}
 	if err := json.Unmarshal([]byte(e.data), &c); err != nil {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	if c.Usage != nil {
@@ -136,22 +136,22 @@
 		return
 	}
 	t.text += c.Choices[0].Delta.Content
-	t.noteTokens(e.id, len(strings.Fields(c.Choices[0].Delta.Content)))
+	t.recordTokens(e.id, len(strings.Fields(c.Choices[0].Delta.Content)))
 }
 
-// noteTokens checks that the offset in id counts the n new tokens, and notes
+// recordTokens checks that the offset in id counts the n new tokens, and notes
 // the time that they came.
-func (t *turn) noteTokens(id string, n int) {
+func (t *turn) recordTokens(id string, n int) {
 	now := time.Now()
 	cut := strings.LastIndexByte(id, '.')
 	offset, err := strconv.Atoi(id[cut+1:])
 	if cut < 0 || err != nil || offset != t.offset+n {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	t.attempt, t.offset = id[:cut], offset
 	if t.lastAt.IsZero() {
-		t.first = now.Sub(t.due)
+		t.firstToken = now.Sub(t.due)
 	} else {
 		t.gaps = append(t.gaps, now.Sub(t.lastAt))
 	}
--- a/standin/chart.go
+++ b/standin/chart.go
@@ -46,7 +46,7 @@
 		fmt.Fprintln(os.Stderr, "standin: chart needs -in and -out")
 		return subcommands.ExitUsageError
 	}
-	return status(c.draw())
+	return exitStatus(c.draw())
 }
 
 func (c *chartCommand) draw() error {
--- a/standin/chart/chart.go
+++ b/standin/chart/chart.go
@@ -48,7 +48,7 @@
 		return Result{}, false
 	}
 	res := Result{Params: make(map[string]string), Values: make(map[string]float64)}
-	res.name(fields[0])
+	res.setName(fields[0])
 	for i := 2; i+1 < len(fields); i += 2 {
 		if v, err := strconv.ParseFloat(fields[i], 64); err == nil {
 			res.Values[fields[i+1]] = v
@@ -57,9 +57,9 @@
 	return res, true
 }
 
-// name splits the full name of a benchmark. The part behind the last dash is
+// setName splits the full setName of a benchmark. The part behind the last dash is
 // the number of processors.
-func (r *Result) name(full string) {
+func (r *Result) setName(full string) {
 	if i := strings.LastIndexByte(full, '-'); i > 0 {
 		full = full[:i]
 	}
@@ -105,11 +105,11 @@
 	p.Y.Label.Text = s.Y
 	p.X.Min, p.Y.Min = 0, 0
 	p.Add(plotter.NewGrid())
-	return p, s.add(p, series)
+	return p, s.addLines(p, series)
 }
 
-// add adds the lines in order of their names.
-func (s Spec) add(p *plot.Plot, series map[string]plotter.XYs) error {
+// addLines adds the lines in order of their names.
+func (s Spec) addLines(p *plot.Plot, series map[string]plotter.XYs) error {
 	var lines []any
 	for _, name := range slices.Sorted(maps.Keys(series)) {
 		points := series[name]
@@ -117,7 +117,7 @@
 		lines = append(lines, s.label(name), points)
 	}
 	if s.Limit > 0 {
-		lines = append(lines, s.Legend, plotter.XYs{{Y: s.Limit}, {X: s.widest(series), Y: s.Limit}})
+		lines = append(lines, s.Legend, plotter.XYs{{Y: s.Limit}, {X: s.maxX(series), Y: s.Limit}})
 	}
 	p.Legend.Top = true
 	p.Legend.Left = true
@@ -131,7 +131,7 @@
 	return s.By + "=" + name
 }
 
-func (s Spec) widest(series map[string]plotter.XYs) float64 {
+func (s Spec) maxX(series map[string]plotter.XYs) float64 {
 	most := 0.0
 	for _, points := range series {
 		for _, p := range points {
--- a/standin/commands.go
+++ b/standin/commands.go
@@ -49,16 +49,16 @@
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ln, err := c.listen()
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
 	h, cleanup := platform.New(c.opts)
 	s := serve(ln, h)
 	err = s.wait(ctx)
 	cleanup()
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
-	return status(s.stop())
+	return exitStatus(s.stop())
 }
 
 // engineCommand runs a model engine.
@@ -107,7 +107,7 @@
 	}
 	e, cleanup := engine.New(c.opts)
 	defer cleanup()
-	return status(c.run(ctx, e, "engine"))
+	return exitStatus(c.run(ctx, e, "engine"))
 }
 
 // serviceCommand runs a plain service.
@@ -139,5 +139,5 @@
 	c.opts.ID, c.opts.Capacity = c.id, c.capacity
 	s, cleanup := service.New(c.opts)
 	defer cleanup()
-	return status(c.run(ctx, s, "service"))
+	return exitStatus(c.run(ctx, s, "service"))
 }
--- a/standin/listen.go
+++ b/standin/listen.go
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("standin: %w", err)
 	}
 	if l.addrFile != "" {
-		if err := writeWhole(l.addrFile, ln.Addr().String()+"\n"); err != nil {
+		if err := writeFileAtomic(l.addrFile, ln.Addr().String()+"\n"); err != nil {
 			ln.Close()
 			return nil, err
 		}
@@ -44,9 +44,9 @@
 	return ln, nil
 }
 
-// writeWhole writes a file under another name first, so that who waits for the
+// writeFileAtomic writes a file under another name first, so that who waits for the
 // file never reads a part of it.
-func writeWhole(name, text string) error {
+func writeFileAtomic(name, text string) error {
 	temp, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
 	if err != nil {
 		return fmt.Errorf("standin: %w", err)
--- a/standin/load.go
+++ b/standin/load.go
@@ -51,18 +51,18 @@
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of arrivals, pauses and texts")
 	f.Float64Var(&o.Rate, "rate", 5, "new chats a second over all accounts")
 	f.IntVar(&o.Accounts, "accounts", 10, "client accounts")
-	f.IntVar(&o.Surging, "surging", 0, "accounts that surge in the middle third")
-	f.Float64Var(&o.Surge, "surge", 10, "times their rate")
+	f.IntVar(&o.SurgingAccounts, "surging", 0, "accounts that surge in the middle third")
+	f.Float64Var(&o.SurgeFactor, "surge", 10, "times their rate")
 	f.IntVar(&o.Turns, "turns", 4, "mean turns of a chat")
 	f.DurationVar(&o.Pause, "pause", 2*time.Second, "mean pause before a chat returns")
 	f.IntVar(&o.SystemWords, "system-words", 32, "words shared by an account's chats")
 	f.IntVar(&o.FirstWords, "first-words", 96, "words of a chat's first message")
 	f.IntVar(&o.TurnWords, "turn-words", 24, "words of later messages")
 	f.IntVar(&o.MaxTokens, "max-tokens", 0, "tokens of an answer; 0 means its natural length")
-	f.Float64Var(&o.Whole, "whole", 0, "share of turns without a stream")
+	f.Float64Var(&o.NonStreamShare, "whole", 0, "share of turns without a stream")
 	f.DurationVar(&o.Timeout, "timeout", time.Minute, "time of one turn with its reconnects")
 	f.IntVar(&o.Retries, "retries", 2, "times that a refused turn is sent again, after Retry-After")
-	f.IntVar(&o.Poisons, "poisons", 0, "requests that crash each stand-in engine that runs them")
+	f.IntVar(&o.PoisonRequests, "poisons", 0, "requests that crash each stand-in engine that runs them")
 	f.StringVar(&o.Service, "service", "order-desk", "plain service of the actions")
 	f.StringVar(&o.Action, "action", "confirm", "action")
 	f.Float64Var(&o.ActionRate, "action-rate", 0, "actions a second")
@@ -70,7 +70,7 @@
 	f.StringVar(&c.engines, "engines", "", "`URLs` of the stand-in engines, to measure skew")
 	f.StringVar(&c.counters, "counters", "", "`names` of metrics to show as rates, as name or name{label=\"value\"}, with commas between")
 	f.StringVar(&c.metrics, "metrics", "", "`URLs` that have the routers' /metrics; empty means those of -routers")
-	f.Float64Var(&o.Bound, "bound", 1.25, "times the mean load that an engine may carry")
+	f.Float64Var(&o.LoadBound, "bound", 1.25, "times the mean load that an engine may carry")
 }
 
 func (c *loadCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -83,13 +83,13 @@
 	}
 	report, err := caller.Run(ctx, c.opts)
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
 	if err := c.write(report); err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
 	if n := report.Failures(); n > 0 {
-		return status(fmt.Errorf("standin: %d broken promises", n))
+		return exitStatus(fmt.Errorf("standin: %d broken promises", n))
 	}
 	return subcommands.ExitSuccess
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -26,8 +26,8 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// status turns an error into an exit status, and shows it.
-func status(err error) subcommands.ExitStatus {
+// exitStatus turns an error into an exit exitStatus, and shows it.
+func exitStatus(err error) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
--- a/standin/member.go
+++ b/standin/member.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	s := serve(ln, w)
-	p := &presence{
+	p := &registration{
 		member: m, worker: w, client: platform.Client{URL: m.platform},
 		entry: m.entry(ln.Addr().String(), kind, w.Incarnation()),
 	}
@@ -66,7 +66,7 @@
 	}
 	refresh, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go p.loop(refresh, done)
+	go p.refreshLoop(refresh, done)
 	err = s.wait(ctx)
 	cancel()
 	<-done
@@ -77,7 +77,7 @@
 }
 
 // leave stops gracefully: nothing that was accepted is cut off.
-func (m *member) leave(s *server, p *presence) error {
+func (m *member) leave(s *server, p *registration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	p.worker.Leave()
@@ -89,16 +89,16 @@
 	return errors.Join(registered, drained, stopped, p.remove(ctx))
 }
 
-// presence is a member's entry on the list of instances.
-type presence struct {
+// registration is a member's entry on the list of instances.
+type registration struct {
 	member *member
 	worker worker
 	client platform.Client
 	entry  platform.Instance
 }
 
-// loop puts a new incarnation on the list when the worker has crashed.
-func (p *presence) loop(ctx context.Context, done chan<- struct{}) {
+// refreshLoop puts a new incarnation on the list when the worker has crashed.
+func (p *registration) refreshLoop(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -121,7 +121,7 @@
 }
 
 // register tries for a while, since the platform may be starting too.
-func (p *presence) register(ctx context.Context) error {
+func (p *registration) register(ctx context.Context) error {
 	const tries, interval = 25, 200 * time.Millisecond
 	if p.member.platform == "" {
 		return nil
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (p *presence) remove(ctx context.Context) error {
+func (p *registration) remove(ctx context.Context) error {
 	if p.member.platform == "" {
 		return nil
 	}
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -44,7 +44,7 @@
 func (c *soakCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.opts.Binary, "binary", "bin/wisteriarouter", "`file` of the router")
 	f.Uint64Var(&c.opts.Seed, "seed", uint64(time.Now().UnixNano()), "`seed` of the faults; a new one each time by default")
-	f.DurationVar(&c.opts.For, "for", 20*time.Second, "`time` in which faults are made")
+	f.DurationVar(&c.opts.FaultDuration, "for", 20*time.Second, "`time` in which faults are made")
 	f.IntVar(&c.opts.Routers, "routers", 4, "how many routers")
 	f.StringVar(&c.skip, "skip", "", "`numbers` of faults that are left out, with commas between")
 	f.BoolVar(&c.regressions, "regressions", false, "play the seeds that have failed once, and no other")
@@ -56,30 +56,30 @@
 	for _, n := range strings.FieldsFunc(c.skip, func(r rune) bool { return r == ',' }) {
 		number, err := strconv.Atoi(n)
 		if err != nil {
-			return status(fmt.Errorf("-skip: %w", err))
+			return exitStatus(fmt.Errorf("-skip: %w", err))
 		}
 		c.opts.Skip = append(c.opts.Skip, number)
 	}
 	if !c.regressions {
-		return c.play()
+		return c.runOnce()
 	}
 	worst := subcommands.ExitSuccess
 	for _, each := range soak.Regressions {
 		fmt.Printf("once failed: %s\n", each.Cause)
 		again := *c
-		again.opts.Seed, again.opts.For = each.Seed, each.For
-		worst = max(worst, again.play())
+		again.opts.Seed, again.opts.FaultDuration = each.Seed, each.FaultDuration
+		worst = max(worst, again.runOnce())
 	}
 	return worst
 }
 
-// play runs one soak.
-func (c *soakCommand) play() subcommands.ExitStatus {
-	made := c.opts.Dir == ""
-	if made {
+// runOnce runs one soak.
+func (c *soakCommand) runOnce() subcommands.ExitStatus {
+	createdDir := c.opts.Dir == ""
+	if createdDir {
 		dir, err := os.MkdirTemp("", "wisteria-soak-")
 		if err != nil {
-			return status(err)
+			return exitStatus(err)
 		}
 		c.opts.Dir = dir
 	}
@@ -87,13 +87,13 @@
 	fmt.Printf("seed %d, logs in %s\n", c.opts.Seed, c.opts.Dir)
 	result, err := soak.Run(c.opts)
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
 	fmt.Print(result)
-	if len(result.Broken) > 0 {
+	if len(result.Violations) > 0 {
 		return subcommands.ExitFailure
 	}
-	if made {
+	if createdDir {
 		_ = os.RemoveAll(c.opts.Dir) // what is left does no harm
 	}
 	return subcommands.ExitSuccess
--- a/standin/soak/check_test.go
+++ b/standin/soak/check_test.go
@@ -14,29 +14,29 @@
 	"wisteriaspool/standin/replica"
 )
 
-// planted is a soak with one endpoint, to which a test sends requests as a
+// newTestSoak is a soak with one endpoint, to which a test sends requests as a
 // router with a fault would.
-func planted(t *testing.T) (*soak, *replica.Replica) {
+func newTestSoak(t *testing.T) (*soak, *replica.Replica) {
 	s := &soak{store: hub.New()}
 	s.load = newLoad(s)
 	r, stop, err := replica.Start(s.store, replica.Options{ID: "r", Service: "desk", Zone: "z"})
 	assert.NilError(t, err)
 	t.Cleanup(stop)
-	s.backs = append(s.backs, &back{Replica: r, id: "r"})
+	s.endpoints = append(s.endpoints, &endpoint{Replica: r, id: "r"})
 	return s, r
 }
 
-// began is when the planted histories begin.
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// historyStart is when the planted histories begin.
+var historyStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ran returns a run as it ought to be, at some milliseconds.
-func ran(id, path string, from, to int) arrival {
+// newArrival returns a run as it ought to be, at some milliseconds.
+func newArrival(id, path string, from, to int) arrival {
 	return arrival{
 		Arrival: replica.Arrival{
-			ID: id, Path: path + id, Body: requestBody, Tenant: account, Limit: deadline,
-			At: began.Add(time.Duration(from) * time.Millisecond), Done: began.Add(time.Duration(to) * time.Millisecond),
+			ID: id, Path: path + id, Body: requestBody, Tenant: clientAccount, Limit: callerDeadline,
+			At: historyStart.Add(time.Duration(from) * time.Millisecond), Done: historyStart.Add(time.Duration(to) * time.Millisecond),
 		},
-		endpoint: "e1", service: services[path],
+		endpoint: "e1", service: routeServices[path],
 	}
 }
 
@@ -48,11 +48,13 @@
 
 // A soak that finds nothing says nothing unless it would have found something.
 // Each fault is planted as a router would commit it.
-func TestHistoryFindsWhatIsPlanted(t *testing.T) {
+func TestHistoryDetectsViolations(t *testing.T) {
 	safe, unsafe := outcome{id: "q1", path: "/safe/", status: 200}, outcome{id: "q1", path: "/unsafe/", status: 200}
-	once := func(path string) []arrival { return []arrival{ran("q1", path, 0, 20)} }
-	twice := func(path string) []arrival { return append(once(path), ran("q1", path, 30, 50)) }
-	changed := func(change func(a *arrival)) []arrival { return []arrival{ran("q1", "/safe/", 0, 20).with(change)} }
+	once := func(path string) []arrival { return []arrival{newArrival("q1", path, 0, 20)} }
+	twice := func(path string) []arrival { return append(once(path), newArrival("q1", path, 30, 50)) }
+	changed := func(change func(a *arrival)) []arrival {
+		return []arrival{newArrival("q1", "/safe/", 0, 20).with(change)}
+	}
 	tests := []struct {
 		name string
 		o    outcome
@@ -77,12 +79,12 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			h := history{outcomes: []outcome{test.o}, arrivals: test.runs}
-			expectBroken(t, h.broken(), test.want)
+			expectViolation(t, h.violations(), test.want)
 		})
 	}
 }
 
-func expectBroken(t *testing.T, broken []string, want string) {
+func expectViolation(t *testing.T, broken []string, want string) {
 	t.Helper()
 	if want == "" {
 		assert.Equal(t, len(broken), 0, "%v", broken)
@@ -98,13 +100,13 @@
 	for i := range n {
 		id := fmt.Sprintf("q%d", i)
 		outcomes = append(outcomes, outcome{id: id, path: "/safe/", status: 200})
-		arrivals = append(arrivals, ran(id, "/safe/", i*every, i*every+lasts).with(func(a *arrival) { a.endpoint = fmt.Sprintf("e%d", i%endpoints) }))
+		arrivals = append(arrivals, newArrival(id, "/safe/", i*every, i*every+lasts).with(func(a *arrival) { a.endpoint = fmt.Sprintf("e%d", i%endpoints) }))
 	}
 	return outcomes, arrivals
 }
 
 // A failing service gets each request again and again, and never recovers.
-func TestHistoryFindsAStormOfSecondAttempts(t *testing.T) {
+func TestHistoryDetectsRetryStorm(t *testing.T) {
 	for _, test := range []struct {
 		again int
 		want  string
@@ -114,30 +116,30 @@
 			arrivals = append(arrivals, arrivals[i].with(func(a *arrival) { a.At = a.At.Add(time.Second) }))
 		}
 		h := history{outcomes: outcomes, arrivals: arrivals}
-		expectBroken(t, h.repeats(), test.want)
+		expectViolation(t, h.checkRepeats(), test.want)
 	}
 }
 
 // All routers choose the same endpoint while the others idle.
-func TestHistoryFindsAnEndpointThatCarriesAll(t *testing.T) {
+func TestHistoryDetectsUnevenLoad(t *testing.T) {
 	outcomes, arrivals := series(200, 10, 200, 4)
 	h := history{outcomes: outcomes, arrivals: arrivals}
 	for range 4 {
-		h.present = append(h.present, presence{service: "desk", from: began})
+		h.servingPeriods = append(h.servingPeriods, servingPeriod{service: "desk", from: historyStart})
 	}
-	expectBroken(t, h.loads(), "")
+	expectViolation(t, h.checkLoads(), "")
 	for i := range arrivals {
 		if i%10 != 0 {
 			arrivals[i].endpoint = "e0"
 		}
 	}
-	expectBroken(t, h.loads(), "carried over")
-	h.harmed = []span{{began.Add(-time.Second), began.Add(time.Second)}}
-	expectBroken(t, h.loads(), "")
+	expectViolation(t, h.checkLoads(), "carried over")
+	h.faultSpans = []timeSpan{{historyStart.Add(-time.Second), historyStart.Add(time.Second)}}
+	expectViolation(t, h.checkLoads(), "")
 }
 
 // Callers leave, and endpoints go on working for nobody.
-func TestHistoryFindsWorkForCallersThatLeft(t *testing.T) {
+func TestHistoryDetectsWorkAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		from, to int // of each run; the caller leaves at 100 ms
@@ -151,10 +153,10 @@
 			var h history
 			for i := range 8 {
 				id := fmt.Sprintf("q%d", i)
-				h.outcomes = append(h.outcomes, outcome{id: id, path: "/long/", left: began.Add(100 * time.Millisecond)})
-				h.arrivals = append(h.arrivals, ran(id, "/long/", test.from, test.to))
+				h.outcomes = append(h.outcomes, outcome{id: id, path: "/long/", disconnectedAt: historyStart.Add(100 * time.Millisecond)})
+				h.arrivals = append(h.arrivals, newArrival(id, "/long/", test.from, test.to))
 			}
-			broken := h.leavers()
+			broken := h.checkDisconnects()
 			assert.Equal(t, len(broken) > 0, test.want != "", "%v", broken)
 			assert.Assert(t, strings.Contains(strings.Join(broken, "\n"), test.want), "%v", broken)
 		})
@@ -163,15 +165,15 @@
 
 // A router goes back to an older version of the desired state: a key that was
 // taken away is good again.
-func TestProberFindsARouterThatGoesBack(t *testing.T) {
+func TestProberDetectsVersionRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		good string // key that the router takes, behind the newest one
 		want string
-	}{{"goes on", keyOf(5), ""}, {"goes back", keyOf(3), "went back"}} {
-		s, _ := planted(t)
+	}{{"goes on", versionKey(5), ""}, {"goes back", versionKey(3), "went back"}} {
+		s, _ := newTestSoak(t)
 		s.version, s.previous = 5, 3
-		good := keyOf(5)
+		good := versionKey(5)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("Authorization") != "Bearer "+good {
 				w.WriteHeader(http.StatusUnauthorized)
@@ -181,20 +183,20 @@
 			_, _ = w.Write([]byte("done " + r.Header.Get("X-Attempt-Id")))
 		}))
 		t.Cleanup(srv.Close)
-		p := &prober{load: s.load, router: &router{callers: strings.TrimPrefix(srv.URL, "http://")}}
+		p := &prober{load: s.load, router: &router{callerAddress: strings.TrimPrefix(srv.URL, "http://")}}
 		p.probe()
-		assert.Equal(t, p.seen, 5)
+		assert.Equal(t, p.highestSeen, 5)
 		good = test.good
-		p.since = time.Now().Add(-2 * revertSlack)
+		p.seenAt = time.Now().Add(-2 * revertSlack)
 		p.probe()
-		expectBroken(t, s.broken, test.want)
+		expectViolation(t, s.violations, test.want)
 	}
 }
 
 // A caller gets a part of a stream that looks whole, an event twice, or the
 // answer to another request.
-func TestJudgeFindsWhatIsPlanted(t *testing.T) {
-	whole := streamOf(fewEvents)
+func TestCheckAnswerDetectsBadAnswers(t *testing.T) {
+	whole := streamBody(fewEvents)
 	tests := []struct {
 		name, body, id, kind string
 		broken               bool
@@ -209,22 +211,22 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s, _ := planted(t)
+			s, _ := newTestSoak(t)
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Type", test.kind)
 				w.Header().Set("X-Attempt-Id", test.id)
 				_, _ = w.Write([]byte(test.body))
 			}))
 			t.Cleanup(srv.Close)
-			o := s.load.send(srv.Client(), &router{callers: strings.TrimPrefix(srv.URL, "http://")}, "/safe/", "k")
+			o := s.load.send(srv.Client(), &router{callerAddress: strings.TrimPrefix(srv.URL, "http://")}, "/safe/", "k")
 			assert.Equal(t, o.id, "q1")
-			assert.Equal(t, len(s.broken) > 0, test.broken, "%v", s.broken)
+			assert.Equal(t, len(s.violations) > 0, test.broken, "%v", s.violations)
 			assert.Equal(t, o.served, !test.broken || test.id == "q2")
 		})
 	}
 }
 
-func TestDroppedLinesFindsWhatIsPlanted(t *testing.T) {
+func TestDroppedLinesFindsDroppedRequests(t *testing.T) {
 	log := strings.Join([]string{
 		`{"event":108,"gone":true,"time":"a","msg":"request-dropped"}`,
 		`{"event":108,"gone":false,"time":"b","msg":"request-dropped"}`,
@@ -234,6 +236,6 @@
 	found, err := droppedLines(strings.NewReader(log))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, found, []logLine{{Event: 108, Time: "b"}})
-	_, err = droppedLines(strings.NewReader(log + strings.Repeat("x", longestLine+1)))
+	_, err = droppedLines(strings.NewReader(log + strings.Repeat("x", maxLogLine+1)))
 	assert.ErrorContains(t, err, "too long")
 }
--- a/standin/soak/dropped.go
+++ b/standin/soak/dropped.go
@@ -26,27 +26,27 @@
 	for _, r := range s.routers {
 		f, err := os.Open(r.logFile())
 		if err != nil {
-			s.breaks("the log of router %d cannot be read: %v", r.n, err)
+			s.reportViolation("the log of router %d cannot be read: %v", r.n, err)
 			continue
 		}
 		found, err := droppedLines(f)
 		if err != nil {
-			s.breaks("the log of router %d cannot be read to its end: %v", r.n, err)
+			s.reportViolation("the log of router %d cannot be read to its end: %v", r.n, err)
 		}
 		for _, line := range found {
-			s.breaks("router %d read a request and dropped it at %s; see %s", r.n, line.Time, r.logFile())
+			s.reportViolation("router %d read a request and dropped it at %s; see %s", r.n, line.Time, r.logFile())
 		}
 		_ = f.Close() // it was only read
 	}
 }
 
-// longestLine is the size up to which a router's line is read.
-const longestLine = 1 << 20
+// maxLogLine is the size up to which a router's line is read.
+const maxLogLine = 1 << 20
 
 // droppedLines returns the lines of requests whose callers had not gone.
 func droppedLines(log io.Reader) (found []logLine, err error) {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		var line logLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Event == droppedEvent && !line.Gone {
@@ -56,20 +56,20 @@
 	return found, lines.Err()
 }
 
-// straggler opens a connection, lets some time pass, and sends its request in two
+// slowCaller opens a connection, lets some time pass, and sends its request in two
 // parts, as a caller behind lost packets does.
-type straggler struct {
+type slowCaller struct {
 	load *load
 	rng  *rand.Rand
 }
 
 // The longest pauses of a straggler before each part of its request.
 const (
-	stragglerOpen = 900 * time.Millisecond
-	stragglerPart = 400 * time.Millisecond
+	maxPauseAfterDial    = 900 * time.Millisecond
+	maxPauseBetweenParts = 400 * time.Millisecond
 )
 
-func (c *straggler) run() {
+func (c *slowCaller) run() {
 	for c.load.ctx.Err() == nil {
 		ready := *c.load.ready.Load()
 		c.send(ready[c.rng.IntN(len(ready))])
@@ -78,20 +78,20 @@
 
 // send sends one request, whose answer does not matter. What its router drops, the
 // router's log tells.
-func (c *straggler) send(r *router) {
-	conn, err := net.DialTimeout("tcp", r.callers, deadline)
+func (c *slowCaller) send(r *router) {
+	conn, err := net.DialTimeout("tcp", r.callerAddress, callerDeadline)
 	if err != nil {
-		time.Sleep(time.Duration(c.rng.Int64N(int64(stragglerOpen)))) // the router is down
+		time.Sleep(time.Duration(c.rng.Int64N(int64(maxPauseAfterDial)))) // the router is down
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(deadline)) // a write shows if it failed
+	_ = conn.SetDeadline(time.Now().Add(callerDeadline)) // a write shows if it failed
 	text := "GET /healthz HTTP/1.1\r\nHost: soak.example\r\n\r\n"
 	part := 1 + c.rng.IntN(len(text)-1)
 	for _, each := range []struct {
 		text  string
 		pause time.Duration
-	}{{text[:part], stragglerOpen}, {text[part:], stragglerPart}} {
+	}{{text[:part], maxPauseAfterDial}, {text[part:], maxPauseBetweenParts}} {
 		time.Sleep(time.Duration(c.rng.Int64N(int64(each.pause))))
 		if _, err := io.WriteString(conn, each.text); err != nil {
 			return // the router has closed the connection, or was killed
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -14,86 +14,86 @@
 	"wisteriaspool/standin/replica"
 )
 
-// makeFaults makes one fault after the other, some while others last. Each has
+// injectFaults makes one fault after the other, some while others last. Each has
 // random numbers of its own, so that those that are left stay as they are when
 // a schedule is shortened.
-func (s *soak) makeFaults() {
-	end := time.Now().Add(s.opts.For)
+func (s *soak) injectFaults() {
+	end := time.Now().Add(s.opts.FaultDuration)
 	for n := 1; time.Now().Before(end); n++ {
 		s.rng = rand.New(rand.NewPCG(s.opts.Seed, uint64(n)))
 		pause := time.Duration(300+s.rng.IntN(1500)) * time.Millisecond
 		if !slices.Contains(s.opts.Skip, n) {
-			s.number = n
-			s.fault()
+			s.faultNumber = n
+			s.injectFault()
 			s.faults++
 		}
 		time.Sleep(pause)
 	}
 }
 
-// fault makes a fault that ends by itself.
-func (s *soak) fault() {
+// injectFault makes a injectFault that ends by itself.
+func (s *soak) injectFault() {
 	lasts := time.Duration(500+s.rng.IntN(3000)) * time.Millisecond
 	r := s.routers[s.rng.IntN(len(s.routers))]
 	switch s.rng.IntN(15) {
 	case 0:
-		s.say("router %d is killed", r.n)
-		r.touch()
+		s.logf("router %d is killed", r.n)
+		r.markFault()
 		r.kill()
-		s.later(lasts, func() { s.restart(r) })
+		s.after(lasts, func() { s.restart(r) })
 	case 1:
 		s.stopGracefully(r)
 	case 2:
-		s.say("router %d is paused for %v", r.n, lasts)
-		r.touch()
+		s.logf("router %d is paused for %v", r.n, lasts)
+		r.markFault()
 		r.pause(true)
-		s.later(lasts, func() { r.pause(false); r.touch() })
+		s.after(lasts, func() { r.pause(false); r.markFault() })
 	case 3:
-		s.say("router %d gets SIGHUP", r.n)
+		s.logf("router %d gets SIGHUP", r.n)
 		r.signal(syscall.SIGHUP)
 	case 4:
-		s.link(r, r.store, "the store", s.mode(), lasts)
+		s.failLink(r, r.storeProxy, "the store", s.randomLinkFault(), lasts)
 	case 5:
-		s.link(r, r.peers, "other routers", s.mode(), lasts)
+		s.failLink(r, r.peerProxy, "other routers", s.randomLinkFault(), lasts)
 	case 6:
-		s.say("connections of router %d are reset", r.n)
-		r.touch()
-		r.store.Reset()
-		r.peers.Reset()
+		s.logf("connections of router %d are reset", r.n)
+		r.markFault()
+		r.storeProxy.Reset()
+		r.peerProxy.Reset()
 	case 7:
-		s.storeFault(hub.Faults{Down: true}, "down", lasts)
+		s.failStore(hub.Faults{Down: true}, "down", lasts)
 	case 8:
-		s.storeFault(hub.Faults{Silent: true}, "silent", lasts)
+		s.failStore(hub.Faults{Silent: true}, "silent", lasts)
 	case 9:
-		s.storeFault(hub.Faults{Slow: 300 * time.Millisecond}, "slow", lasts)
+		s.failStore(hub.Faults{Slow: 300 * time.Millisecond}, "slow", lasts)
 	case 10:
-		s.say("the store forgets its history, and a change is made that no watch hears")
+		s.logf("the store forgets its history, and a change is made that no watch hears")
 		s.store.Fail(hub.Faults{Mute: true})
 		s.putState()
 		s.store.Forget()
 		s.store.Fail(hub.Faults{})
 	case 11:
-		s.crashBack(lasts)
+		s.crashEndpoint(lasts)
 	case 12:
-		s.drainBack()
+		s.drainEndpoint()
 	case 13:
-		s.spoilBack(lasts)
+		s.degradeEndpoint(lasts)
 	case 14:
-		s.revoke()
+		s.toggleRevocation()
 	}
 }
 
-func (s *soak) later(d time.Duration, fn func()) { time.AfterFunc(d, fn) }
+func (s *soak) after(d time.Duration, fn func()) { time.AfterFunc(d, fn) }
 
 func (s *soak) restart(r *router) {
 	if err := r.start(s.seeds()); err != nil {
-		s.breaks("router %d does not start: %v", r.n, err)
+		s.reportViolation("router %d does not start: %v", r.n, err)
 	}
-	r.touch()
+	r.markFault()
 }
 
-// mode returns how a link fails.
-func (s *soak) mode() proxy.Mode {
+// randomLinkFault returns how a link fails.
+func (s *soak) randomLinkFault() proxy.Mode {
 	return []proxy.Mode{
 		{Delay: time.Duration(5+s.rng.IntN(60)) * time.Millisecond},
 		{Silent: true},
@@ -102,50 +102,50 @@
 	}[s.rng.IntN(4)]
 }
 
-func (s *soak) link(r *router, p *proxy.Proxy, to string, m proxy.Mode, d time.Duration) {
-	s.say("the link of router %d with %s is %+v for %v", r.n, to, m, d)
-	r.touch()
+func (s *soak) failLink(r *router, p *proxy.Proxy, to string, m proxy.Mode, d time.Duration) {
+	s.logf("the link of router %d with %s is %+v for %v", r.n, to, m, d)
+	r.markFault()
 	p.Set(m)
 	if m.Refuse {
 		p.Reset()
 	}
-	s.later(d, func() { p.Set(proxy.Mode{}); r.touch() })
+	s.after(d, func() { p.Set(proxy.Mode{}); r.markFault() })
 }
 
-func (s *soak) storeFault(f hub.Faults, what string, d time.Duration) {
-	s.say("the store is %s for %v", what, d)
-	s.badStore()
+func (s *soak) failStore(f hub.Faults, what string, d time.Duration) {
+	s.logf("the store is %s for %v", what, d)
+	s.markStoreFault()
 	s.store.Fail(f)
-	s.later(d, func() { s.store.Fail(hub.Faults{}); s.badStore() })
+	s.after(d, func() { s.store.Fail(hub.Faults{}); s.markStoreFault() })
 }
 
-func (s *soak) badStore() {
+func (s *soak) markStoreFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeBad = time.Now()
+	s.lastStoreFault = time.Now()
 }
 
 // stopGracefully stops a router as planned; it must end in time, with nothing
 // cut off, which its exit code tells.
 func (s *soak) stopGracefully(r *router) {
-	s.say("router %d gets SIGTERM", r.n)
-	r.touch()
+	s.logf("router %d gets SIGTERM", r.n)
+	r.markFault()
 	r.mu.Lock()
-	r.leaving = time.Now()
+	r.stopRequested = time.Now()
 	r.mu.Unlock()
 	ended := r.signal(syscall.SIGTERM)
 	if ended == nil {
 		return
 	}
-	s.later(10*time.Second, func() { s.restart(r) })
+	s.after(10*time.Second, func() { s.restart(r) })
 }
 
-// present returns a random endpoint that is up.
-func (s *soak) present() *back {
+// randomEndpoint returns a random endpoint that is up.
+func (s *soak) randomEndpoint() *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var up []*back
-	for _, b := range s.backs {
+	var up []*endpoint
+	for _, b := range s.endpoints {
 		if b.until().IsZero() && b.service != "long" {
 			up = append(up, b)
 		}
@@ -153,25 +153,25 @@
 	return up[s.rng.IntN(len(up))]
 }
 
-// lapse is how long an entry outlives its endpoint.
-const lapse = 1500 * time.Millisecond
+// entryExpiry is how long an entry outlives its endpoint.
+const entryExpiry = 1500 * time.Millisecond
 
-// crashBack kills an endpoint; a new one comes in its place.
-func (s *soak) crashBack(d time.Duration) {
-	b := s.present()
-	s.say("endpoint %s crashes", b.id)
+// crashEndpoint kills an endpoint; a new one comes in its place.
+func (s *soak) crashEndpoint(d time.Duration) {
+	b := s.randomEndpoint()
+	s.logf("endpoint %s crashes", b.id)
 	s.mu.Lock()
 	b.crashed = time.Now()
 	s.mu.Unlock()
-	s.harm(max(d, lapse))
+	s.recordFaultSpan(max(d, entryExpiry))
 	b.kill()
-	s.later(lapse, func() { s.store.Delete(b.Key()) })
-	s.later(d, func() { s.replace(b.service) })
+	s.after(entryExpiry, func() { s.store.Delete(b.Key()) })
+	s.after(d, func() { s.replaceEndpoint(b.service) })
 }
 
-func (s *soak) replace(service string) {
-	if _, err := s.addBack(service); err != nil {
-		s.breaks("no new endpoint: %v", err)
+func (s *soak) replaceEndpoint(service string) {
+	if _, err := s.addEndpoint(service); err != nil {
+		s.reportViolation("no new endpoint: %v", err)
 	}
 }
 
@@ -179,67 +179,67 @@
 // which routers have to have left it.
 const drainTime = 3 * time.Second
 
-// drainBack has an endpoint stop as planned. A router that nothing was wrong
+// drainEndpoint has an endpoint stop as planned. A router that nothing was wrong
 // with must send it nothing behind drainTime.
-func (s *soak) drainBack() {
-	b := s.present()
-	s.say("endpoint %s drains", b.id)
+func (s *soak) drainEndpoint() {
+	b := s.randomEndpoint()
+	s.logf("endpoint %s drains", b.id)
 	at := time.Now()
 	s.mu.Lock()
 	b.drained = at
 	s.mu.Unlock()
-	s.harm(drainTime)
-	s.replace(b.service)
+	s.recordFaultSpan(drainTime)
+	s.replaceEndpoint(b.service)
 	b.Drain()
-	s.later(drainTime, func() { s.checkDrained(b, at) })
+	s.after(drainTime, func() { s.checkDrained(b, at) })
 }
 
-func (s *soak) checkDrained(b *back, at time.Time) {
+func (s *soak) checkDrained(b *endpoint, at time.Time) {
 	s.mu.Lock()
-	stable := s.storeBad.Before(at.Add(-drainTime))
+	stable := s.lastStoreFault.Before(at.Add(-drainTime))
 	s.mu.Unlock()
 	well := stable
 	for _, r := range s.routers {
-		well = well && r.wellSince(at.Add(-drainTime))
+		well = well && r.healthySince(at.Add(-drainTime))
 	}
 	before := len(b.Arrivals())
 	time.Sleep(time.Second)
 	if after := len(b.Arrivals()); well && after > before {
-		s.breaks("endpoint %s got %d requests over %v behind its word that it stops", b.id, after-before, drainTime)
+		s.reportViolation("endpoint %s got %d requests over %v behind its word that it stops", b.id, after-before, drainTime)
 	}
 	s.store.Delete(b.Key())
 }
 
-// spoilBack has an endpoint answer wrongly, or its link fail.
-func (s *soak) spoilBack(d time.Duration) {
-	b := s.present()
+// degradeEndpoint has an endpoint answer wrongly, or its link fail.
+func (s *soak) degradeEndpoint(d time.Duration) {
+	b := s.randomEndpoint()
 	f := []replica.Faults{{CutAfter: 2}, {CutLate: true}, {Status: http.StatusInternalServerError}, {Full: true}}[s.rng.IntN(4)]
 	m := proxy.Mode{}
 	if s.rng.IntN(2) == 0 {
-		f, m = replica.Faults{}, s.mode()
+		f, m = replica.Faults{}, s.randomLinkFault()
 	}
-	s.say("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
-	s.harm(d)
+	s.logf("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
+	s.recordFaultSpan(d)
 	b.Fail(f)
 	b.proxy.Set(m)
-	s.later(d, func() { b.Fail(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
+	s.after(d, func() { b.Fail(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
 }
 
-// inForce is the time within which a change of the desired state has to be in
+// propagationTimeout is the time within which a change of the desired state has to be in
 // force on routers that nothing was wrong with.
-const inForce = 3 * time.Second
+const propagationTimeout = 3 * time.Second
 
-// revoke takes a key away, or gives it back.
-func (s *soak) revoke() {
+// toggleRevocation takes a key away, or gives it back.
+func (s *soak) toggleRevocation() {
 	s.mu.Lock()
 	s.revoked = !s.revoked
 	revoked := s.revoked
 	s.mu.Unlock()
 	s.putState()
 	at := time.Now()
-	s.say("the key is revoked: %v", revoked)
+	s.logf("the key is revoked: %v", revoked)
 	if revoked {
-		s.later(inForce, func() { s.checkRevoked(at) })
+		s.after(propagationTimeout, func() { s.checkRevoked(at) })
 	}
 }
 
@@ -247,13 +247,13 @@
 	for _, r := range s.routers {
 		client := newClient()
 		o := s.load.send(client, r, "/safe/", "revocable")
-		s.load.note(o)
+		s.load.record(o)
 		client.CloseIdleConnections()
 		s.mu.Lock()
-		judged := s.revoked && s.storeBad.Before(at.Add(-inForce))
+		judged := s.revoked && s.lastStoreFault.Before(at.Add(-propagationTimeout))
 		s.mu.Unlock()
-		if judged && r.wellSince(at.Add(-inForce)) && o.status == http.StatusOK {
-			s.breaks("router %d takes a key that was revoked %v ago", r.n, time.Since(at).Round(time.Millisecond))
+		if judged && r.healthySince(at.Add(-propagationTimeout)) && o.status == http.StatusOK {
+			s.reportViolation("router %d takes a key that was revoked %v ago", r.n, time.Since(at).Round(time.Millisecond))
 		}
 	}
 }
@@ -261,8 +261,8 @@
 // String returns a result as the command prints it.
 func (r Result) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d faults, %d requests, %d served, %d promises broken\n", r.Faults, r.Requests, r.Served, len(r.Broken))
-	for _, line := range r.Broken {
+	fmt.Fprintf(&b, "%d faults, %d requests, %d served, %d promises broken\n", r.Faults, r.Requests, r.Served, len(r.Violations))
+	for _, line := range r.Violations {
 		fmt.Fprintf(&b, "broken: %s\n", line)
 	}
 	return b.String()
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -15,35 +15,35 @@
 	service  string
 }
 
-// presence is the time for which an endpoint of a service took requests.
-type presence struct {
+// servingPeriod is the time for which an endpoint of a service took requests.
+type servingPeriod struct {
 	service     string
 	from, until time.Time // until is zero if it did to the end
 }
 
-// span is a time in which endpoints, or links with them, failed.
-type span struct{ from, until time.Time }
+// timeSpan is a time in which endpoints, or links with them, failed.
+type timeSpan struct{ from, until time.Time }
 
 // history is what callers and endpoints saw in a soak, in the order of time.
 type history struct {
-	outcomes []outcome
-	arrivals []arrival
-	present  []presence
-	harmed   []span
+	outcomes       []outcome
+	arrivals       []arrival
+	servingPeriods []servingPeriod
+	faultSpans     []timeSpan
 }
 
-// broken returns the promises that the history shows as broken, one line each.
-func (h *history) broken() []string {
+// violations returns the promises that the history shows as violations, one line each.
+func (h *history) violations() []string {
 	var all []string
-	for _, check := range []func() []string{h.runs, h.contents, h.deadlines, h.repeats, h.loads, h.leavers} {
+	for _, check := range []func() []string{h.checkRuns, h.checkContents, h.checkDeadlines, h.checkRepeats, h.checkLoads, h.checkDisconnects} {
 		all = append(all, check()...)
 	}
 	return all
 }
 
-// runs finds requests that ran more often than they may, and such that ran
+// checkRuns finds requests that ran more often than they may, and such that ran
 // though their caller was told that they have not.
-func (h *history) runs() (broken []string) {
+func (h *history) checkRuns() (violations []string) {
 	n := make(map[string]int)
 	for _, a := range h.arrivals {
 		n[a.ID]++
@@ -51,22 +51,22 @@
 	for _, o := range h.outcomes {
 		switch n := n[o.id]; {
 		case n > 1 && !o.repeatable():
-			broken = append(broken, fmt.Sprintf("request %s %s ran %d times", o.id, o.path, n))
+			violations = append(violations, fmt.Sprintf("request %s %s ran %d times", o.id, o.path, n))
 		case n > 0 && o.notRun() && !o.repeatable():
-			broken = append(broken, fmt.Sprintf("request %s %s was answered %d and has run", o.id, o.path, o.status))
+			violations = append(violations, fmt.Sprintf("request %s %s was answered %d and has run", o.id, o.path, o.status))
 		case n > 2:
-			broken = append(broken, fmt.Sprintf("request %s %s ran at %d endpoints, of two allowed", o.id, o.path, n))
+			violations = append(violations, fmt.Sprintf("request %s %s ran at %d endpoints, of two allowed", o.id, o.path, n))
 		}
 	}
-	return broken
+	return violations
 }
 
-// services are the services of the routes.
-var services = map[string]string{"/safe/": "desk", "/unsafe/": "desk", "/stream/": "model", "/resumable/": "model", "/long/": "long"}
+// routeServices are the routeServices of the routes.
+var routeServices = map[string]string{"/safe/": "desk", "/unsafe/": "desk", "/stream/": "model", "/resumable/": "model", "/long/": "long"}
 
-// contents finds runs that no caller asked for in this way: of unknown requests,
+// checkContents finds runs that no caller asked for in this way: of unknown requests,
 // with another path, body or client account, or by a service of another route.
-func (h *history) contents() (broken []string) {
+func (h *history) checkContents() (violations []string) {
 	sent := make(map[string]outcome)
 	for _, o := range h.outcomes {
 		sent[o.id] = o
@@ -75,28 +75,28 @@
 		o, ok := sent[a.ID]
 		switch {
 		case !ok:
-			broken = append(broken, fmt.Sprintf("endpoint %s ran request %q, which nobody sent", a.endpoint, a.ID))
-		case a.Path != o.path+o.id || a.Body != requestBody || a.Tenant != account:
-			broken = append(broken, fmt.Sprintf("endpoint %s ran request %s changed: path %s, body %q, account %q", a.endpoint, a.ID, a.Path, a.Body, a.Tenant))
-		case a.service != services[o.path]:
-			broken = append(broken, fmt.Sprintf("service %s ran request %s %s", a.service, a.ID, o.path))
+			violations = append(violations, fmt.Sprintf("endpoint %s ran request %q, which nobody sent", a.endpoint, a.ID))
+		case a.Path != o.path+o.id || a.Body != requestBody || a.Tenant != clientAccount:
+			violations = append(violations, fmt.Sprintf("endpoint %s ran request %s changed: path %s, body %q, account %q", a.endpoint, a.ID, a.Path, a.Body, a.Tenant))
+		case a.service != routeServices[o.path]:
+			violations = append(violations, fmt.Sprintf("service %s ran request %s %s", a.service, a.ID, o.path))
 		}
 	}
-	return broken
+	return violations
 }
 
 // limitSlack is by how much the time that an endpoint is given may exceed what
 // the caller gave.
 const limitSlack = 500 * time.Millisecond
 
-// deadlines finds runs that were given more time than their callers have.
-func (h *history) deadlines() (broken []string) {
+// checkDeadlines finds runs that were given more time than their callers have.
+func (h *history) checkDeadlines() (violations []string) {
 	for _, a := range h.arrivals {
-		if a.Limit <= 0 || a.Limit > deadline+limitSlack {
-			broken = append(broken, fmt.Sprintf("request %s had %v at endpoint %s, of %v", a.ID, a.Limit, a.endpoint, deadline))
+		if a.Limit <= 0 || a.Limit > callerDeadline+limitSlack {
+			violations = append(violations, fmt.Sprintf("request %s had %v at endpoint %s, of %v", a.ID, a.Limit, a.endpoint, callerDeadline))
 		}
 	}
-	return broken
+	return violations
 }
 
 // What a service may get beyond the first run of each request in a span.
@@ -106,8 +106,8 @@
 	repeatSlack = 54
 )
 
-// repeats finds services that got more second attempts than they may.
-func (h *history) repeats() (broken []string) {
+// checkRepeats finds services that got more second attempts than they may.
+func (h *history) checkRepeats() (violations []string) {
 	for _, service := range h.services() {
 		var all, again []time.Time
 		seen := make(map[string]bool)
@@ -123,15 +123,15 @@
 			seen[a.ID] = true
 		}
 		for _, at := range again {
-			n := within(again, at, repeatSpan)
-			of := max(within(all, at, repeatSpan), within(all, at.Add(-repeatSpan/2), repeatSpan), within(all, at.Add(-repeatSpan), repeatSpan))
+			n := countWithin(again, at, repeatSpan)
+			of := max(countWithin(all, at, repeatSpan), countWithin(all, at.Add(-repeatSpan/2), repeatSpan), countWithin(all, at.Add(-repeatSpan), repeatSpan))
 			if float64(n) > repeatShare*float64(of)+repeatSlack {
-				broken = append(broken, fmt.Sprintf("service %s got %d second attempts for %d requests", service, n, of))
+				violations = append(violations, fmt.Sprintf("service %s got %d second attempts for %d requests", service, n, of))
 				break
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
 func (h *history) services() []string {
@@ -143,8 +143,8 @@
 	return slices.Compact(all)
 }
 
-// within counts the moments in a span that begins at one of them.
-func within(all []time.Time, from time.Time, span time.Duration) (n int) {
+// countWithin counts the moments in a span that begins at one of them.
+func countWithin(all []time.Time, from time.Time, span time.Duration) (n int) {
 	for _, at := range all {
 		if !at.Before(from) && at.Sub(from) < span {
 			n++
@@ -156,50 +156,50 @@
 // What an endpoint may carry: a multiple of the mean of its service and a few
 // more. Some requests may exceed it, as many as the pages allow.
 const (
-	loadFactor = 2
-	loadSlack  = 3
-	loadSome   = 20
-	loadShare  = 0.03
+	loadFactor   = 2
+	loadSlack    = 3
+	minOverloads = 20
+	loadShare    = 0.03
 )
 
-// calmAfter is how long behind a failure of endpoints their load is judged
+// faultSettleTime is how long behind a failure of endpoints their load is judged
 // again: routers have noticed its end by then.
-const calmAfter = 2 * time.Second
+const faultSettleTime = 2 * time.Second
 
-// loads finds services whose load was uneven while no endpoint failed.
-func (h *history) loads() (broken []string) {
+// checkLoads finds services whose load was uneven while no endpoint failed.
+func (h *history) checkLoads() (violations []string) {
 	for _, service := range h.services() {
 		judged, over := 0, 0
 		for i, a := range h.arrivals {
-			if a.service != service || !h.calm(a.At) {
+			if a.service != service || !h.settledAt(a.At) {
 				continue
 			}
 			judged++
-			own, total, endpoints := h.running(i)
+			own, total, endpoints := h.runningAt(i)
 			if float64(own) > loadFactor*float64(total)/float64(endpoints)+loadSlack {
 				over++
 			}
 		}
-		if over >= loadSome && float64(over) > loadShare*float64(judged) {
-			broken = append(broken, fmt.Sprintf("%d of %d requests came to endpoints of service %s that carried over %d times the mean and %d", over, judged, service, loadFactor, loadSlack))
+		if over >= minOverloads && float64(over) > loadShare*float64(judged) {
+			violations = append(violations, fmt.Sprintf("%d of %d requests came to endpoints of service %s that carried over %d times the mean and %d", over, judged, service, loadFactor, loadSlack))
 		}
 	}
-	return broken
+	return violations
 }
 
-// calm reports whether endpoints have been well for calmAfter.
-func (h *history) calm(at time.Time) bool {
-	for _, s := range h.harmed {
-		if at.After(s.from) && at.Before(s.until.Add(calmAfter)) {
+// settledAt reports whether endpoints have been well for calmAfter.
+func (h *history) settledAt(at time.Time) bool {
+	for _, s := range h.faultSpans {
+		if at.After(s.from) && at.Before(s.until.Add(faultSettleTime)) {
 			return false
 		}
 	}
 	return true
 }
 
-// running returns what the endpoint of an arrival ran when it came, itself
+// runningAt returns what the endpoint of an arrival ran when it came, itself
 // included, what the whole service ran, and at how many endpoints.
-func (h *history) running(i int) (own, total, endpoints int) {
+func (h *history) runningAt(i int) (own, total, endpoints int) {
 	a := h.arrivals[i]
 	for _, b := range h.arrivals[:i+1] {
 		if b.service != a.service || !b.Done.IsZero() && !b.Done.After(a.At) {
@@ -210,7 +210,7 @@
 			own++
 		}
 	}
-	for _, p := range h.present {
+	for _, p := range h.servingPeriods {
 		if p.service == a.service && !p.from.After(a.At) && (p.until.IsZero() || p.until.After(a.At)) {
 			endpoints++
 		}
@@ -220,18 +220,18 @@
 
 // What endpoints may still do for callers that have left.
 const (
-	leaveSlack = 500 * time.Millisecond
-	leaveSome  = 4
-	leaveShare = 0.25
+	disconnectSlack = 500 * time.Millisecond
+	minDisconnects  = 4
+	disconnectShare = 0.25
 )
 
-// leavers finds requests at which endpoints worked on after their callers had
+// checkDisconnects finds requests at which endpoints worked on after their callers had
 // left, or that reached endpoints only then.
-func (h *history) leavers() (broken []string) {
+func (h *history) checkDisconnects() (violations []string) {
 	left := make(map[string]time.Time)
 	for _, o := range h.outcomes {
-		if !o.left.IsZero() {
-			left[o.id] = o.left
+		if !o.disconnectedAt.IsZero() {
+			left[o.id] = o.disconnectedAt
 		}
 	}
 	worked, late := 0, 0
@@ -240,21 +240,21 @@
 		if !ok {
 			continue
 		}
-		if a.Done.IsZero() || a.Done.Sub(at) > leaveSlack {
+		if a.Done.IsZero() || a.Done.Sub(at) > disconnectSlack {
 			worked++
 		}
-		if a.At.Sub(at) > leaveSlack {
+		if a.At.Sub(at) > disconnectSlack {
 			late++
 		}
 	}
-	if worked >= leaveSome && float64(worked) > leaveShare*float64(len(left)) {
-		broken = append(broken, fmt.Sprintf("endpoints worked for %d of %d callers over %v after they had left", worked, len(left), leaveSlack))
+	if worked >= minDisconnects && float64(worked) > disconnectShare*float64(len(left)) {
+		violations = append(violations, fmt.Sprintf("endpoints worked for %d of %d callers over %v after they had left", worked, len(left), disconnectSlack))
 	}
-	if late >= leaveSome {
-		broken = append(broken, fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", late, leaveSlack))
+	if late >= minDisconnects {
+		violations = append(violations, fmt.Sprintf("%d requests reached endpoints over %v after their callers had left", late, disconnectSlack))
 	}
-	return broken
+	return violations
 }
 
 // isStream reports whether requests of a route are streams.
-func isStream(path string) bool { return services[path] != "desk" }
+func isStream(path string) bool { return routeServices[path] != "desk" }
--- a/standin/soak/load.go
+++ b/standin/soak/load.go
@@ -14,12 +14,12 @@
 
 // outcome is what a caller got for one request.
 type outcome struct {
-	id     string
-	path   string
-	status int // 0 if no head of an answer came
-	served bool
-	err    error
-	left   time.Time // when a caller that nothing was wrong with its router left; zero if it stayed
+	id             string
+	path           string
+	status         int // 0 if no head of an answer came
+	served         bool
+	err            error
+	disconnectedAt time.Time // when a caller that nothing was wrong with its router left; zero if it stayed
 }
 
 // repeatable reports whether the request may run more than once.
@@ -53,22 +53,22 @@
 }
 
 func (l *load) start() {
-	l.wg.Go(l.run)
+	l.wg.Go(l.runBalancer)
 	for n := range l.soak.opts.Callers {
 		c := &caller{load: l, rng: rand.New(rand.NewPCG(l.soak.opts.Seed, uint64(100+n))), client: newClient()}
 		l.wg.Go(c.run)
 	}
-	l.wg.Go((&leaver{load: l, rng: rand.New(rand.NewPCG(l.soak.opts.Seed, 99))}).run)
-	for n := range stragglers {
-		l.wg.Go((&straggler{load: l, rng: rand.New(rand.NewPCG(l.soak.opts.Seed, uint64(50+n)))}).run)
+	l.wg.Go((&disconnectingCaller{load: l, rng: rand.New(rand.NewPCG(l.soak.opts.Seed, 99))}).run)
+	for n := range slowCallers {
+		l.wg.Go((&slowCaller{load: l, rng: rand.New(rand.NewPCG(l.soak.opts.Seed, uint64(50+n)))}).run)
 	}
 	for _, r := range l.soak.routers {
 		l.wg.Go((&prober{load: l, router: r}).run)
 	}
 }
 
-// stragglers is how many callers send their requests late.
-const stragglers = 8
+// slowCallers is how many callers send their requests late.
+const slowCallers = 8
 
 func (l *load) stop() {
 	l.cancel()
@@ -78,8 +78,8 @@
 // balanceInterval is how often the balancer asks the routers.
 const balanceInterval = 500 * time.Millisecond
 
-// run is the balancer.
-func (l *load) run() {
+// runBalancer is the balancer.
+func (l *load) runBalancer() {
 	t := time.NewTicker(balanceInterval)
 	defer t.Stop()
 	for {
@@ -90,7 +90,7 @@
 		}
 		var ready []*router
 		for _, r := range l.soak.routers {
-			if r.ready() {
+			if r.isReady() {
 				ready = append(ready, r)
 			}
 		}
@@ -123,12 +123,12 @@
 		ready := *c.load.ready.Load()
 		r := ready[c.rng.IntN(len(ready))]
 		path := paths[c.rng.IntN(len(paths))]
-		c.load.note(c.load.send(c.client, r, path, "steady"))
+		c.load.record(c.load.send(c.client, r, path, "steady"))
 		time.Sleep(time.Duration(c.rng.Int64N(int64(2 * callerPause))))
 	}
 }
 
-func (l *load) note(o outcome) {
+func (l *load) record(o outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, o)
@@ -151,68 +151,68 @@
 	return n
 }
 
-// leaver asks for long streams and leaves in the middle of each.
-type leaver struct {
+// disconnectingCaller asks for long streams and leaves in the middle of each.
+type disconnectingCaller struct {
 	load *load
 	rng  *rand.Rand
 }
 
-// leaverPause is the mean time between two requests of a leaver.
-const leaverPause = 300 * time.Millisecond
+// disconnectPause is the mean time between two requests of a leaver.
+const disconnectPause = 300 * time.Millisecond
 
-func (c *leaver) run() {
+func (c *disconnectingCaller) run() {
 	for c.load.ctx.Err() == nil {
 		ready := *c.load.ready.Load()
-		c.leave(ready[c.rng.IntN(len(ready))])
-		time.Sleep(time.Duration(c.rng.Int64N(int64(2 * leaverPause))))
+		c.disconnect(ready[c.rng.IntN(len(ready))])
+		time.Sleep(time.Duration(c.rng.Int64N(int64(2 * disconnectPause))))
 	}
 }
 
-// leave sends a request and leaves a moment later. What endpoints still do then
+// disconnect sends a request and leaves a moment later. What endpoints still do then
 // is judged only if nothing was wrong with the router before and behind it.
-func (c *leaver) leave(r *router) {
+func (c *disconnectingCaller) disconnect(r *router) {
 	ctx, cancel := context.WithTimeout(c.load.ctx, time.Duration(50+c.rng.IntN(200))*time.Millisecond)
 	defer cancel()
 	client := newClient()
-	o := c.load.ask(ctx, client, r, "/long/", "steady")
+	o := c.load.sendContext(ctx, client, r, "/long/", "steady")
 	client.CloseIdleConnections()
 	at := time.Now()
-	time.Sleep(2 * leaveSlack)
-	if r.wellSince(at.Add(-2 * leaveSlack)) {
-		o.left = at
+	time.Sleep(2 * disconnectSlack)
+	if r.healthySince(at.Add(-2 * disconnectSlack)) {
+		o.disconnectedAt = at
 	}
-	c.load.note(o)
+	c.load.record(o)
 }
 
-// once sends a request on a new connection.
-func (l *load) once(r *router, path string) outcome {
+// sendOnce sends a request on a new connection.
+func (l *load) sendOnce(r *router, path string) outcome {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	o := l.send(client, r, path, "steady")
-	l.note(o)
+	l.record(o)
 	return o
 }
 
-// deadline is how long a caller waits.
-const deadline = 4 * time.Second
+// callerDeadline is how long a caller waits.
+const callerDeadline = 4 * time.Second
 
-// The body of each request, and the client account that holds the keys.
+// The body of each request, and the client clientAccount that holds the keys.
 const (
-	requestBody = "body"
-	account     = "acme"
+	requestBody   = "body"
+	clientAccount = "acme"
 )
 
 // send sends a request and checks its answer.
 func (l *load) send(client *http.Client, r *router, path, key string) outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), callerDeadline+time.Second)
 	defer cancel()
-	return l.ask(ctx, client, r, path, key)
+	return l.sendContext(ctx, client, r, path, key)
 }
 
-// ask sends a request, and leaves when ctx ends.
-func (l *load) ask(ctx context.Context, client *http.Client, r *router, path, key string) outcome {
+// sendContext sends a request, and leaves when ctx ends.
+func (l *load) sendContext(ctx context.Context, client *http.Client, r *router, path, key string) outcome {
 	o := outcome{id: fmt.Sprintf("q%d", l.lastID.Add(1)), path: path}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callers+path+o.id, strings.NewReader(requestBody))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callerAddress+path+o.id, strings.NewReader(requestBody))
 	if err != nil {
 		o.err = err
 		return o
@@ -220,7 +220,7 @@
 	req.GetBody = nil // so that the client sends nothing again by itself
 	req.Host = "soak.example"
 	req.Header.Set("X-Attempt-Id", o.id)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(callerDeadline.Milliseconds()))
 	req.Header.Set("Authorization", "Bearer "+key)
 	if isStream(path) {
 		req.Header.Set("X-Token-Usage", "100,10")
@@ -235,26 +235,26 @@
 	o.status = resp.StatusCode
 	body, err := io.ReadAll(resp.Body)
 	o.err = err
-	l.judge(&o, resp, string(body))
+	l.checkAnswer(&o, resp, string(body))
 	return o
 }
 
-// judge checks what a caller got.
-func (l *load) judge(o *outcome, resp *http.Response, body string) {
+// checkAnswer checks what a caller got.
+func (l *load) checkAnswer(o *outcome, resp *http.Response, body string) {
 	if o.status != http.StatusOK {
 		return
 	}
 	want := "done " + o.id
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
-		want = streamOf(eventsOf(o.path))
+		want = streamBody(eventCount(o.path))
 	}
 	switch {
 	case o.err != nil && !strings.HasPrefix(want, body):
-		l.soak.breaks("request %s %s got bytes that are not its answer: %q", o.id, o.path, body)
+		l.soak.reportViolation("request %s %s got bytes that are not its answer: %q", o.id, o.path, body)
 	case o.err == nil && body != want:
-		l.soak.breaks("request %s %s got an answer that looks whole and is not: %q", o.id, o.path, body)
+		l.soak.reportViolation("request %s %s got an answer that looks whole and is not: %q", o.id, o.path, body)
 	case resp.Header.Get("X-Attempt-Id") != o.id:
-		l.soak.breaks("request %s %s got the answer to %q", o.id, o.path, resp.Header.Get("X-Attempt-Id"))
+		l.soak.reportViolation("request %s %s got the answer to %q", o.id, o.path, resp.Header.Get("X-Attempt-Id"))
 	}
 	o.served = o.err == nil && body == want
 }
@@ -265,15 +265,15 @@
 	manyEvents = 100
 )
 
-func eventsOf(path string) int {
+func eventCount(path string) int {
 	if path == "/long/" {
 		return manyEvents
 	}
 	return fewEvents
 }
 
-// streamOf is what a whole stream of an endpoint looks like.
-func streamOf(events int) string {
+// streamBody is what a whole stream of an endpoint looks like.
+func streamBody(events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
--- a/standin/soak/prober.go
+++ b/standin/soak/prober.go
@@ -11,9 +11,9 @@
 	load   *load
 	router *router
 
-	life  <-chan struct{} // of the process that was asked
-	seen  int             // the highest version that it has shown
-	since time.Time       // when it did
+	processEnded <-chan struct{} // of the process that was asked
+	highestSeen  int             // the highest version that it has shown
+	seenAt       time.Time       // when it did
 }
 
 const (
@@ -32,25 +32,25 @@
 
 // probe looks for the newest version and, once that was seen, for the one before.
 func (p *prober) probe() {
-	life := p.router.life()
-	if life != p.life {
-		p.life, p.seen = life, 0
+	life := p.router.processEnded()
+	if life != p.processEnded {
+		p.processEnded, p.highestSeen = life, 0
 	}
 	newest, before := p.load.soak.versions()
-	if newest > p.seen && p.holds(newest) && p.router.life() == life {
-		p.seen, p.since = newest, time.Now()
+	if newest > p.highestSeen && p.hasVersion(newest) && p.router.processEnded() == life {
+		p.highestSeen, p.seenAt = newest, time.Now()
 	}
 	asked := time.Now()
-	if p.seen == newest && before > 0 && asked.Sub(p.since) > revertSlack && p.holds(before) && p.router.life() == life {
-		p.load.soak.breaks("router %d went back to version %d, %v after it had shown %d", p.router.n, before, asked.Sub(p.since).Round(time.Millisecond), p.seen)
+	if p.highestSeen == newest && before > 0 && asked.Sub(p.seenAt) > revertSlack && p.hasVersion(before) && p.router.processEnded() == life {
+		p.load.soak.reportViolation("router %d went back to version %d, %v after it had shown %d", p.router.n, before, asked.Sub(p.seenAt).Round(time.Millisecond), p.highestSeen)
 	}
 }
 
-// holds reports whether the router goes by a version.
-func (p *prober) holds(version int) bool {
+// hasVersion reports whether the router goes by a version.
+func (p *prober) hasVersion(version int) bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
-	o := p.load.send(client, p.router, "/safe/", keyOf(version))
-	p.load.note(o)
+	o := p.load.send(client, p.router, "/safe/", versionKey(version))
+	p.load.record(o)
 	return o.status == http.StatusOK
 }
--- a/standin/soak/regressions.go
+++ b/standin/soak/regressions.go
@@ -4,9 +4,9 @@
 
 // Regression is a seed that has failed once, with the cause that was found.
 type Regression struct {
-	Seed  uint64
-	For   time.Duration
-	Cause string
+	Seed          uint64
+	FaultDuration time.Duration
+	Cause         string
 }
 
 // Regressions are played again by hand before a change of the router lands. The
--- a/standin/soak/router.go
+++ b/standin/soak/router.go
@@ -19,21 +19,21 @@
 
 // router is one router process with the proxies round it.
 type router struct {
-	n         int
-	soak      *soak
-	callers   string // address
-	readiness string
-	peers     *proxy.Proxy // from other routers
-	store     *proxy.Proxy // to the store
-	peerPort  string
-	operators string
-
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when process has ended
-	paused  bool
-	touched time.Time // when a fault last hit it
-	leaving time.Time // when it was last told to stop
+	n                int
+	soak             *soak
+	callerAddress    string // address
+	readinessAddress string
+	peerProxy        *proxy.Proxy // from other routers
+	storeProxy       *proxy.Proxy // to the store
+	peerAddress      string
+	operatorAddress  string
+
+	mu            sync.Mutex
+	process       *exec.Cmd
+	ended         chan struct{} // closed when process has ended
+	paused        bool
+	lastFault     time.Time // when a fault last hit it
+	stopRequested time.Time // when it was last told to stop
 }
 
 // Ports of routers lie below those that the kernel gives to outgoing
@@ -61,17 +61,17 @@
 
 func (s *soak) newRouter(n int) (*router, error) {
 	r := &router{n: n, soak: s}
-	for _, address := range []*string{&r.callers, &r.readiness, &r.peerPort, &r.operators} {
+	for _, address := range []*string{&r.callerAddress, &r.readinessAddress, &r.peerAddress, &r.operatorAddress} {
 		var err error
 		if *address, err = s.freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	if r.peers, err = s.proxyTo(r.peerPort); err != nil {
+	if r.peerProxy, err = s.proxyTo(r.peerAddress); err != nil {
 		return nil, err
 	}
-	if r.store, err = s.proxyTo(strings.TrimPrefix(s.served.URL, "http://")); err != nil {
+	if r.storeProxy, err = s.proxyTo(strings.TrimPrefix(s.storeServer.URL, "http://")); err != nil {
 		return nil, err
 	}
 	s.onClose(r.kill)
@@ -113,7 +113,7 @@
 [limits]
 stop-delay = 1s
 stop-within = 8s
-`, r.n, r.n%3, r.callers, r.operators, r.peerPort, r.peers.Address(), seeds, r.store.Address(), r.readiness)
+`, r.n, r.n%3, r.callerAddress, r.operatorAddress, r.peerAddress, r.peerProxy.Address(), seeds, r.storeProxy.Address(), r.readinessAddress)
 	file := filepath.Join(r.soak.opts.Dir, fmt.Sprintf("router-%d.ini", r.n))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
@@ -128,19 +128,19 @@
 	if err := c.Start(); err != nil {
 		return err
 	}
-	r.process, r.ended, r.leaving = c, make(chan struct{}), time.Time{}
-	go process{r, c, r.ended}.run()
+	r.process, r.ended, r.stopRequested = c, make(chan struct{}), time.Time{}
+	go processWaiter{r, c, r.ended}.run()
 	return nil
 }
 
-// process waits for the end of one process.
-type process struct {
+// processWaiter waits for the end of one processWaiter.
+type processWaiter struct {
 	router  *router
 	command *exec.Cmd
 	ended   chan struct{}
 }
 
-func (l process) run() {
+func (l processWaiter) run() {
 	err := l.command.Wait()
 	l.router.mu.Lock()
 	l.router.process = nil
@@ -148,13 +148,13 @@
 	close(l.ended)
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() > 0 {
-		l.router.soak.breaks("router %d ended by itself or cut off requests: exit code %d; see %s", l.router.n, exit.ExitCode(), l.router.logFile())
+		l.router.soak.reportViolation("router %d ended by itself or cut off requests: exit code %d; see %s", l.router.n, exit.ExitCode(), l.router.logFile())
 	}
 }
 
-// life returns what is closed at the end of the present process; another one has
+// processEnded returns what is closed at the end of the present process; another one has
 // another.
-func (r *router) life() <-chan struct{} {
+func (r *router) processEnded() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
@@ -189,44 +189,44 @@
 	r.signal(syscall.SIGCONT)
 }
 
-// touch notes that a fault hits the router now.
-func (r *router) touch() {
+// markFault notes that a fault hits the router now.
+func (r *router) markFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.touched = time.Now()
+	r.lastFault = time.Now()
 }
 
-// wellSince reports whether nothing has hit the router since a moment.
-func (r *router) wellSince(at time.Time) bool {
+// healthySince reports whether nothing has hit the router since a moment.
+func (r *router) healthySince(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.process != nil && !r.paused && r.touched.Before(at)
+	return r.process != nil && !r.paused && r.lastFault.Before(at)
 }
 
-// heal ends all faults of the router.
-func (r *router) heal(seeds string) {
+// clearFaults ends all faults of the router.
+func (r *router) clearFaults(seeds string) {
 	r.pause(false)
-	r.peers.Set(proxy.Mode{})
-	r.store.Set(proxy.Mode{})
+	r.peerProxy.Set(proxy.Mode{})
+	r.storeProxy.Set(proxy.Mode{})
 	r.mu.Lock()
-	ended, leaving := r.ended, r.process != nil && time.Since(r.leaving) < 10*time.Second
+	ended, leaving := r.ended, r.process != nil && time.Since(r.stopRequested) < 10*time.Second
 	r.mu.Unlock()
 	if leaving {
 		<-ended
 	}
 	if err := r.start(seeds); err != nil {
-		r.soak.breaks("router %d does not start: %v", r.n, err)
+		r.soak.reportViolation("router %d does not start: %v", r.n, err)
 	}
 }
 
 // readyTimeout is how long the balancer waits for a router's word.
 const readyTimeout = 300 * time.Millisecond
 
-// ready asks as the platform's balancer does.
-func (r *router) ready() bool {
+// isReady asks as the platform's balancer does.
+func (r *router) isReady() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.readiness+"/wisteriaspool/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.readinessAddress+"/wisteriaspool/readyz", nil)
 	if err != nil {
 		return false
 	}
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -24,51 +24,51 @@
 
 // Options say what is run.
 type Options struct {
-	Binary  string // of the router
-	Dir     string // for settings files and logs
-	Seed    uint64
-	For     time.Duration // with faults; starting and recovering come on top
-	Routers int
-	Callers int
-	Skip    []int     // numbers of faults that are left out
-	Out     io.Writer // told of each fault
+	Binary        string // of the router
+	Dir           string // for settings files and logs
+	Seed          uint64
+	FaultDuration time.Duration // with faults; starting and recovering come on top
+	Routers       int
+	Callers       int
+	Skip          []int     // numbers of faults that are left out
+	Out           io.Writer // told of each fault
 }
 
 // Result is what a soak found.
 type Result struct {
-	Requests int
-	Served   int
-	Faults   int
-	Broken   []string // promises that were broken, one line each
+	Requests   int
+	Served     int
+	Faults     int
+	Violations []string // promises that were broken, one line each
 }
 
 // soak is one run.
 type soak struct {
-	opts    Options
-	rng     *rand.Rand // of the present fault
-	number  int        // of the present fault
-	started time.Time
-	store   *hub.Store
-	served  *httptest.Server
-	routers []*router
-	load    *load
-	port    int // next one of its range
+	opts        Options
+	rng         *rand.Rand // of the present fault
+	faultNumber int        // of the present fault
+	started     time.Time
+	store       *hub.Store
+	storeServer *httptest.Server
+	routers     []*router
+	load        *load
+	port        int // next one of its range
 
-	mu       sync.Mutex
-	backs    []*back
-	nextID   int
-	version  int // of the desired state
-	previous int // version before it
-	revoked  bool
-	harmed   []span
-	storeBad time.Time // when the store last was not well for all
-	broken   []string
-	faults   int
-	cleanups []func()
+	mu             sync.Mutex
+	endpoints      []*endpoint
+	nextID         int
+	version        int // of the desired state
+	previous       int // version before it
+	revoked        bool
+	faultSpans     []timeSpan
+	lastStoreFault time.Time // when the store last was not well for all
+	violations     []string
+	faults         int
+	cleanups       []func()
 }
 
-// back is an endpoint behind a proxy.
-type back struct {
+// endpoint is an endpoint behind a proxy.
+type endpoint struct {
 	*replica.Replica
 	id      string
 	service string
@@ -80,7 +80,7 @@
 }
 
 // until returns when the endpoint ceased to take requests, or zero.
-func (b *back) until() time.Time {
+func (b *endpoint) until() time.Time {
 	if b.drained.IsZero() {
 		return b.crashed
 	}
@@ -90,27 +90,27 @@
 // The sizes of a soak's pools. Those with long streams never fail, so that what
 // is seen there is the routers' doing.
 const (
-	desks  = 3
-	models = 4
-	longs  = 2
+	deskEndpoints  = 3
+	modelEndpoints = 4
+	longEndpoints  = 2
 )
 
 // Run runs a soak and returns what it found.
 func Run(o Options) (Result, error) {
 	s := &soak{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), store: hub.New(), started: time.Now()}
 	defer s.close()
-	s.served = httptest.NewServer(s.store)
-	s.onClose(s.served.CloseClientConnections)
+	s.storeServer = httptest.NewServer(s.store)
+	s.onClose(s.storeServer.CloseClientConnections)
 	if err := s.start(); err != nil {
 		return Result{}, err
 	}
 	s.load = newLoad(s)
 	s.load.start()
-	s.makeFaults()
-	s.recover()
+	s.injectFaults()
+	s.checkRecovery()
 	s.load.stop()
 	s.check()
-	return Result{Requests: s.load.count(), Served: s.load.countServed(), Faults: s.faults, Broken: s.broken}, nil
+	return Result{Requests: s.load.count(), Served: s.load.countServed(), Faults: s.faults, Violations: s.violations}, nil
 }
 
 func (s *soak) onClose(fn func()) { s.cleanups = append(s.cleanups, fn) }
@@ -124,18 +124,18 @@
 
 // start brings up endpoints, the desired state and routers.
 func (s *soak) start() error {
-	for range desks {
-		if _, err := s.addBack("desk"); err != nil {
+	for range deskEndpoints {
+		if _, err := s.addEndpoint("desk"); err != nil {
 			return err
 		}
 	}
-	for range models {
-		if _, err := s.addBack("model"); err != nil {
+	for range modelEndpoints {
+		if _, err := s.addEndpoint("model"); err != nil {
 			return err
 		}
 	}
-	for range longs {
-		if _, err := s.addBack("long"); err != nil {
+	for range longEndpoints {
+		if _, err := s.addEndpoint("long"); err != nil {
 			return err
 		}
 	}
@@ -159,7 +159,7 @@
 func (s *soak) seeds() string {
 	var all []string
 	for _, r := range s.routers[:min(3, len(s.routers))] {
-		all = append(all, r.peers.Address())
+		all = append(all, r.peerProxy.Address())
 	}
 	return strings.Join(all, ", ")
 }
@@ -167,7 +167,7 @@
 func (s *soak) awaitReady(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for _, r := range s.routers {
-		for !r.ready() {
+		for !r.isReady() {
 			if time.Now().After(deadline) {
 				return fmt.Errorf("soak: router %d is not ready after %v; see %s", r.n, limit, r.logFile())
 			}
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// addBack starts an endpoint and lists it under its proxy's address.
-func (s *soak) addBack(service string) (*back, error) {
+// addEndpoint starts an endpoint and lists it under its proxy's address.
+func (s *soak) addEndpoint(service string) (*endpoint, error) {
 	s.mu.Lock()
 	s.nextID++
 	id := fmt.Sprintf("%s-%d", service, s.nextID)
@@ -195,11 +195,11 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &back{Replica: r, id: id, service: service, proxy: p, kill: kill, added: time.Now()}
+	b := &endpoint{Replica: r, id: id, service: service, proxy: p, kill: kill, added: time.Now()}
 	r.ListAt(p.Address())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backs = append(s.backs, b)
+	s.endpoints = append(s.endpoints, b)
 	s.onClose(kill)
 	s.onClose(stop)
 	return b, nil
@@ -211,7 +211,7 @@
 	defer s.mu.Unlock()
 	s.previous = s.version
 	s.version += 1 + s.rng.IntN(3)
-	keys := []string{"steady", keyOf(s.version)}
+	keys := []string{"steady", versionKey(s.version)}
 	if !s.revoked {
 		keys = append(keys, "revocable")
 	}
@@ -235,7 +235,7 @@
 			map[string]any{"name": "model", "maxConns": 200, "runtime": map[string]any{"slots": 8}},
 			map[string]any{"name": "long", "maxConns": 200, "runtime": map[string]any{"slots": 8}},
 		},
-		"tenants": []any{map[string]any{"name": account, "apiKeys": keys}},
+		"tenants": []any{map[string]any{"name": clientAccount, "apiKeys": keys}},
 		"limits":  map[string]any{"maxBodyBytes": 1 << 20},
 	})
 	if err != nil {
@@ -244,8 +244,8 @@
 	s.store.Put("op/config", value)
 }
 
-// keyOf returns the key that only one version of the desired state holds.
-func keyOf(version int) string { return fmt.Sprintf("version-%d", version) }
+// versionKey returns the key that only one version of the desired state holds.
+func versionKey(version int) string { return fmt.Sprintf("version-%d", version) }
 
 // versions returns the newest version of the desired state and the one before.
 func (s *soak) versions() (newest, before int) {
@@ -254,49 +254,49 @@
 	return s.version, s.previous
 }
 
-// harm notes that an endpoint fails from now on for a time.
-func (s *soak) harm(d time.Duration) {
+// recordFaultSpan notes that an endpoint fails from now on for a time.
+func (s *soak) recordFaultSpan(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.harmed = append(s.harmed, span{now, now.Add(d)})
+	s.faultSpans = append(s.faultSpans, timeSpan{now, now.Add(d)})
 }
 
-func (s *soak) breaks(format string, args ...any) {
+func (s *soak) reportViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf("%.3f s: ", time.Since(s.started).Seconds())+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("%.3f s: ", time.Since(s.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (s *soak) say(format string, args ...any) {
+func (s *soak) logf(format string, args ...any) {
 	if s.opts.Out != nil {
-		fmt.Fprintf(s.opts.Out, "%8.3f s  %3d  %s\n", time.Since(s.started).Seconds(), s.number, fmt.Sprintf(format, args...))
+		fmt.Fprintf(s.opts.Out, "%8.3f s  %3d  %s\n", time.Since(s.started).Seconds(), s.faultNumber, fmt.Sprintf(format, args...))
 	}
 }
 
-// settled is how long behind the last fault everything has to be served again.
-const settled = 6 * time.Second
+// recoveryTime is how long behind the last fault everything has to be served again.
+const recoveryTime = 6 * time.Second
 
-// recover ends all faults and sees whether the fleet serves again.
-func (s *soak) recover() {
+// checkRecovery ends all faults and sees whether the fleet serves again.
+func (s *soak) checkRecovery() {
 	s.store.Fail(hub.Faults{})
 	for _, r := range s.routers {
-		r.heal(s.seeds())
+		r.clearFaults(s.seeds())
 	}
 	s.mu.Lock()
-	backs := append([]*back(nil), s.backs...)
+	backs := append([]*endpoint(nil), s.endpoints...)
 	s.mu.Unlock()
 	for _, b := range backs {
 		b.Fail(replica.Faults{})
 		b.proxy.Set(proxy.Mode{})
 	}
-	time.Sleep(settled)
+	time.Sleep(recoveryTime)
 	for _, r := range s.routers {
 		for n := range 10 {
 			for _, path := range []string{"/safe/", "/unsafe/", "/stream/", "/resumable/"} {
-				o := s.load.once(r, path)
+				o := s.load.sendOnce(r, path)
 				if !o.served {
-					s.breaks("router %d does not serve %s (try %d), %v behind the last fault: status %d %v", r.n, path, n, settled, o.status, o.err)
+					s.reportViolation("router %d does not serve %s (try %d), %v behind the last fault: status %d %v", r.n, path, n, recoveryTime, o.status, o.err)
 				}
 				if o.status == 0 {
 					return // nobody is there; each try would wait for its deadline
@@ -308,16 +308,16 @@
 
 // check looks for promises that show as broken only at the end.
 func (s *soak) check() {
-	h := history{outcomes: s.load.outcomes(), harmed: s.harmed}
-	for _, b := range s.backs {
-		h.present = append(h.present, presence{b.service, b.added, b.until()})
+	h := history{outcomes: s.load.outcomes(), faultSpans: s.faultSpans}
+	for _, b := range s.endpoints {
+		h.servingPeriods = append(h.servingPeriods, servingPeriod{b.service, b.added, b.until()})
 		for _, a := range b.Arrivals() {
 			h.arrivals = append(h.arrivals, arrival{Arrival: a, endpoint: b.id, service: b.service})
 		}
 	}
 	slices.SortFunc(h.arrivals, func(a, b arrival) int { return a.At.Compare(b.At) })
-	for _, line := range h.broken() {
-		s.breaks("%s", line)
+	for _, line := range h.violations() {
+		s.reportViolation("%s", line)
 	}
 	s.checkDropped()
 }
