--- a/standin/caller/action.go
+++ b/standin/caller/action.go
@@ -15,8 +15,8 @@
 	"wisteriaspool/standin/service"
 )
 
-// actionSender sends actionSender that must run at most once, each through two routers
-// at the same time.
+// actionSender sends actions that must run at most once, each through two
+// routers at the same time.
 type actionSender struct {
 	load   *load
 	random *rand.Rand
@@ -46,7 +46,7 @@
 	pending sync.WaitGroup
 }
 
-// actionAnswer is what one of the two routers said.
+// actionAnswer is the response of one of the two routers.
 type actionAnswer struct {
 	outcome outcome
 	code    string
@@ -54,10 +54,10 @@
 	refusal *refusal
 }
 
-// actionResult is what a caller was told of one action by both routers.
+// actionResult combines the outcomes that both routers reported for an action.
 type actionResult struct {
-	ran    bool // by one of them
-	notRun bool // by both of them
+	ran    bool // reported by at least one router
+	notRun bool // reported by both routers
 }
 
 func newAction(l *load, account int) *action {
@@ -85,7 +85,7 @@
 	a.load.recorder.addAction(a)
 }
 
-// actionCall is one of an action's two calls.
+// actionCall sends an action through one router.
 type actionCall struct {
 	action *action
 	answer *actionAnswer
@@ -128,13 +128,13 @@
 		return out
 	}
 	var e errorBody
-	_ = json.Unmarshal(data, &e) // of another form: no code
+	_ = json.Unmarshal(data, &e) // the code stays empty if the body has another format
 	out.code = e.Error.Code
 	out.refusal = &refusal{status: res.StatusCode, hasRetry: res.Header.Get("Retry-After") != ""}
 	return out
 }
 
-// result sums up both answers.
+// result combines the outcomes of both answers.
 func (a *action) result() actionResult {
 	first, second := a.answers[0].outcome, a.answers[1].outcome
 	return actionResult{
@@ -143,8 +143,8 @@
 	}
 }
 
-// differs tells whether both routers said that the action ran, with different
-// answers.
+// differs reports whether both routers returned a successful answer and the
+// answers differ.
 func (a *action) differs() bool {
 	x, y := a.answers[0], a.answers[1]
 	return x.outcome == ran && y.outcome == ran && x.refusal == nil && y.refusal == nil && x.body != y.body
@@ -156,7 +156,8 @@
 	l.actionResults[a.key] = a.result()
 }
 
-// checkActions compares what callers were told with what the services saw.
+// checkActions compares the reported outcomes with the runs that the services
+// recorded.
 func (l *load) checkActions(ctx context.Context, r *Report) {
 	if len(l.opts.Services) == 0 {
 		return
--- a/standin/caller/balancer.go
+++ b/standin/caller/balancer.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// checkInterval is the time between two looks at the routers' readiness.
+// checkInterval is the time between two readiness checks of the routers.
 const checkInterval = 500 * time.Millisecond
 
-// balancer hands out routers in turn and skips those that are not ready, as
-// the platform's balancer does.
+// balancer selects routers round-robin and skips those that are not ready, as
+// the platform's load balancer does.
 type balancer struct {
 	client  *http.Client
 	routers []string
@@ -22,7 +22,7 @@
 	count int
 }
 
-// newBalancer starts a balancer and returns it with the function that ends it.
+// newBalancer starts a balancer and returns it with a function that stops it.
 func newBalancer(opts Options) (*balancer, func()) {
 	b := &balancer{client: opts.HTTP, routers: opts.Routers, ready: opts.Routers}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 	}
 }
 
-// check asks every router whether it is ready.
+// check queries the readiness of every router.
 func (b *balancer) check(ctx context.Context) {
 	var ready []string
 	for _, router := range b.routers {
@@ -76,7 +76,8 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// next returns the router whose turn it is. With none ready it tries them all.
+// next returns the next ready router. If none is ready, it selects from all
+// routers.
 func (b *balancer) next() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +89,7 @@
 	return from[b.count%len(from)]
 }
 
-// markFailed takes a router out of turn until it is seen to be ready.
+// markFailed excludes a router until a readiness check succeeds.
 func (b *balancer) markFailed(router string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller stands in for callers: it makes a seeded open-loop load of
-// chats that return after pauses, and of actions, and checks that every answer
-// is whole and its own.
+// Package caller generates a seeded open-loop load of multi-turn chats and of
+// actions, and verifies that every answer is complete and belongs to its
+// request.
 package caller
 
 import (
@@ -15,41 +15,42 @@
 	"wisteriaspool/standin/engine"
 )
 
-// Options configure a load. Routers, Duration and Rate are required.
+// Options configures a load. Routers, Duration and either Rate or ActionRate are
+// required.
 type Options struct {
-	Routers  []string // base URLs, used in turn while they are ready
-	Team     string   // empty means "demo"
-	Model    string   // empty means "m"
+	Routers  []string // base URLs, selected round-robin among those that are ready
+	Team     string // default "demo"
+	Model    string // default "m"
 	Duration time.Duration
-	Requests int    // at most so many turns of chats; 0 means no limit
-	Seed     uint64 // of all arrivals, pauses and texts
+	Requests int // maximum number of chat turns; 0 means no limit
+	Seed     uint64 // seed of all arrivals, pauses and texts
 
-	Rate            float64       // new chats a second, over all accounts
-	Accounts        int           // client accounts; 0 means 10
-	SurgingAccounts int           // accounts that surge in the middle third of the time
-	SurgeFactor     float64       // times their rate; 0 means 10
-	Turns           int           // mean turns of a chat; 0 means 4
-	Pause           time.Duration // mean pause before a chat returns; 0 means 2s
+	Rate            float64 // new chats per second, over all accounts
+	Accounts        int // number of client accounts; 0 means 10
+	SurgingAccounts int // accounts with a higher rate in the middle third of the load
+	SurgeFactor     float64 // multiplier of the rate during the surge; 0 means 10
+	Turns           int // mean number of turns per chat; 0 means 4
+	Pause           time.Duration // mean pause between two turns of a chat; 0 means 2s
 
-	SystemWords    int           // shared by an account's chats; 0 means 32
-	FirstWords     int           // of a chat's first message; 0 means 96
-	TurnWords      int           // of the later messages; 0 means 24
-	MaxTokens      int           // of an answer; 0 means its natural length
-	NonStreamShare float64       // share of turns without a stream
-	Timeout        time.Duration // of one turn, reconnects included; 0 means 60s
-	Retries        int           // of a turn that was refused as not run
+	SystemWords    int // words of the system message that an account's chats share; 0 means 32
+	FirstWords     int // words of a chat's first user message; 0 means 96
+	TurnWords      int // words of each later user message; 0 means 24
+	MaxTokens      int // maximum tokens per answer; 0 means no limit
+	NonStreamShare float64 // share of turns that request no stream
+	Timeout        time.Duration // per turn, including reconnects; 0 means 60s
+	Retries        int // maximum retries of a turn that was refused as not run
 
-	PoisonRequests int      // requests that crash each engine that runs them
-	Service        string   // plain service of the actions; empty means "order-desk"
-	Action         string   // empty means "confirm"
-	ActionRate     float64  // actions a second, each sent through two routers at once
-	Services       []string // base URLs of stand-in services, read at the end to check the actions
-	Engines        []string // base URLs of stand-in engines, read at the end to measure skew
-	Counters       []string // metrics to show as rates, as name or name{label="value"}
-	Metrics        []string // base URLs of the routers' metrics; empty means Routers
-	LoadBound      float64  // times the mean load that an engine may carry; 0 means 1.25
+	PoisonRequests int // number of requests that crash each engine that runs them
+	Service        string // service that receives the actions; default "order-desk"
+	Action         string // action name; default "confirm"
+	ActionRate     float64 // actions per second, each sent through two routers concurrently
+	Services       []string // base URLs of stand-in services, queried at the end to check the actions
+	Engines        []string // base URLs of stand-in engines, queried for crashes and, at the end, for load skew
+	Counters       []string // metrics to report as rates, as name or name{label="value"}
+	Metrics        []string // base URLs of the routers' metrics; default Routers
+	LoadBound      float64 // permitted ratio of an engine's load to the mean; 0 means 1.25
 
-	HTTP *http.Client // nil means one of its own
+	HTTP *http.Client // nil means a new client
 }
 
 func (o *Options) setDefaults() error {
@@ -99,23 +100,24 @@
 	}
 }
 
-// load is one run of a load.
+// load is the state of one load run.
 type load struct {
 	opts     Options
 	balancer *balancer
 	recorder *recorder
 	start    time.Time
-	stop     time.Time // no turn starts later
+	stop     time.Time // no turn starts after this time
 
 	mu            sync.Mutex
-	started       int // turns
+	started       int // number of turns started
 	chats         int
 	actionResults map[string]actionResult // by key
 	inFlight      sync.WaitGroup
 }
 
-// Run makes the load and returns what came of it. It ends when the time or the
-// requests are used up and everything in flight has ended.
+// Run generates the load and returns its report. It returns once the duration or
+// the number of requests is exhausted and all requests in flight have ended. The
+// error is non-nil if opts are invalid or ctx is done.
 func Run(ctx context.Context, opts Options) (Report, error) {
 	if err := opts.setDefaults(); err != nil {
 		return Report{}, err
@@ -151,7 +153,8 @@
 	return report, ctx.Err()
 }
 
-// reserveTurn reserves one turn, while time and requests last.
+// reserveTurn reserves one turn. It returns false if the duration or the number
+// of requests is exhausted.
 func (l *load) reserveTurn(ctx context.Context) bool {
 	if ctx.Err() != nil || !time.Now().Before(l.stop) {
 		return false
@@ -172,7 +175,8 @@
 	return l.chats
 }
 
-// wait sleeps until at. It is false if the load is over before.
+// wait sleeps until at. It returns false if at is after the end of the load or
+// ctx is done first.
 func (l *load) wait(ctx context.Context, at time.Time) bool {
 	if at.After(l.stop) {
 		return false
@@ -187,8 +191,8 @@
 	}
 }
 
-// The streams of random numbers that a seed gives; accounts and chats count up
-// from theirs.
+// PCG stream numbers of the random generators derived from a seed. Each poison
+// request, account and chat adds its index to its base.
 const (
 	actionStream  = 1
 	poisonStream  = 1 << 8
@@ -203,7 +207,7 @@
 	return time.Duration(random.ExpFloat64() * float64(mean))
 }
 
-// account is a client account, whose chats arrive at random times.
+// account is a client account whose chats arrive at random times.
 type account struct {
 	load   *load
 	name   string
@@ -223,7 +227,8 @@
 	return a
 }
 
-// run starts chats at the account's rate, whatever becomes of the earlier ones.
+// run starts chats at the account's rate, regardless of how earlier chats
+// progress.
 func (a *account) run(ctx context.Context) {
 	defer a.load.inFlight.Done()
 	if a.load.opts.Rate <= 0 {
@@ -241,8 +246,9 @@
 	}
 }
 
-// arrival draws the time of the first chat after at. An account that surges
-// draws at its highest rate, and outside the surge drops its share of them.
+// arrival draws the time of the first chat after at. For a surging account it
+// draws at the surge rate and, outside the surge, discards the excess arrivals
+// by rejection sampling.
 func (a *account) arrival(at time.Time) time.Time {
 	opts := a.load.opts
 	rate := opts.Rate / float64(opts.Accounts)
@@ -257,19 +263,19 @@
 	}
 }
 
-// inSurge tells whether at lies in the middle third of the load.
+// inSurge reports whether at lies in the middle third of the load.
 func (l *load) inSurge(at time.Time) bool {
 	third := l.opts.Duration / 3
 	since := at.Sub(l.start)
 	return since > third && since < 2*third
 }
 
-// meanInterval returns the mean time between events of a rate.
+// meanInterval returns the mean time between events, given their rate per second.
 func meanInterval(rate float64) time.Duration {
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// randomText draws n words.
+// randomText returns n random words.
 func randomText(random *rand.Rand, n int) engine.Content {
 	out := make([]byte, 0, 8*n)
 	for range n {
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -21,19 +21,19 @@
 	"wisteriaspool/standin/service"
 )
 
-// fakeRouter is as little of a router as callers need: it passes chats to one
-// engine and actions to one service, and keeps nothing.
+// fakeRouter is a minimal stateless router that forwards chats to one engine and
+// actions to one service.
 type fakeRouter struct {
 	client  *http.Client
 	attempt atomic.Int64
 	name    string
-	// alter changes what one event of a stream says, when set. It returns false
-	// to break the connection.
+	// alter, if set, modifies one event of a stream. It returns false to break
+	// the connection.
 	alter func(event string) (string, bool)
-	// actionOutcome replaces the outcome of actions, when set.
+	// actionOutcome, if set, replaces the outcome of actions.
 	actionOutcome string
-	refuse        atomic.Int64 // chats to refuse as not run
-	refusalCode   string       // of those refusals
+	refuse        atomic.Int64 // number of chats to refuse as not run
+	refusalCode   string // error code of those refusals
 	down          atomic.Bool
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// fixture is two passers before one engine and one service, with the options of a
-// small load on them.
+// fixture is two fake routers in front of one engine and one service, with the
+// options of a small load on them.
 type fixture struct {
 	routers [2]*fakeRouter
 	engine  *engine.Engine
@@ -126,7 +126,7 @@
 	opts    Options
 }
 
-// runWithFixture runs f with a site under the paused clock.
+// runWithFixture runs f with a fixture under the fake clock.
 func runWithFixture(t *testing.T, f func(t *testing.T, s *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -168,7 +168,7 @@
 
 func TestLoadOnCorrectRouters(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
-		s.opts.ActionRate, s.opts.MaxTokens = 0, 0 // answers of their natural length
+		s.opts.ActionRate, s.opts.MaxTokens = 0, 0 // MaxTokens 0: no limit on the answers
 		s.opts.Counters = []string{`tries{kind="chat"}`}
 		r := s.run(t)
 		assert.Equal(t, r.Failures(), 0)
@@ -178,7 +178,7 @@
 		assert.Check(t, r.Reuse.Ratio > 0.5 && r.Reuse.Ratio < 1, "reuse %v", r.Reuse)
 		assert.Equal(t, s.engine.Stats().GeneratedTokens, r.Tokens)
 		assert.Check(t, r.FirstToken.P50 > 0 && r.FirstToken.P50 <= r.FirstToken.P99)
-		assert.Equal(t, r.Skew.Worst, 1.0) // there is one engine
+		assert.Equal(t, r.Skew.Worst, 1.0) // there is only one engine
 		assert.Equal(t, r.Counters[0].Routers, 2)
 		assert.Equal(t, math.Round(r.Counters[0].Mean*2*r.Seconds), float64(r.Requests))
 	})
@@ -196,8 +196,8 @@
 	assert.Equal(t, tables[0], tables[1])
 }
 
-// A router gives users answers that are not theirs, or not whole. The load is
-// worth nothing if it does not notice.
+// Guards against a load that does not detect answers that are incomplete or
+// belong to another request.
 func TestBadAnswersAreDetected(t *testing.T) {
 	drop := func(event string) (string, bool) {
 		if strings.Contains(event, ".3\n") {
@@ -246,8 +246,9 @@
 	}
 }
 
-// A router dies under its callers. They come back through the other one with
-// the last event that they saw, and get the rest, generated once.
+// A router fails while it serves streams. Callers reconnect through the other
+// router with the ID of the last event received, and receive the remaining tokens
+// without any being generated twice.
 func TestCallersResumeThroughAnotherRouter(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
@@ -261,8 +262,8 @@
 	})
 }
 
-// A router refuses chats as not run. Callers come back when it told them to,
-// and those who may not are counted as not run.
+// A router refuses chats as not run. Callers retry after Retry-After; turns
+// without retries left are counted as not run.
 func TestRefusedTurns(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.routers[0].refuse.Store(4)
@@ -275,8 +276,8 @@
 	})
 }
 
-// Both routers pass on an action that must run at most once: the label gets its
-// pressing twice. Or they say that it was not run, though it was.
+// Guards against faults that go undetected: both routers forward an action that
+// must run at most once, or both report the wrong outcome.
 func TestBadActionsAreDetected(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		r := s.run(t)
@@ -300,8 +301,8 @@
 	})
 }
 
-// Some accounts surge in the middle of the load, and the others must not be
-// slowed in their own arrivals.
+// Checks that accounts that surge in the middle third raise the load by at least
+// half.
 func TestSurge(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
@@ -312,8 +313,7 @@
 	})
 }
 
-// A router refuses a poison request for good. Coming back cannot help, so its
-// caller stops at once.
+// A permanent refusal as poison must not be retried.
 func TestFinalRefusal(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
@@ -328,8 +328,8 @@
 	})
 }
 
-// A request crashes each engine that runs it, and its caller sends it again and
-// again. These routers pass it on every time, and the count has to show that.
+// A request crashes each engine that runs it, and its caller sends it repeatedly.
+// The routers forward it every time, and the report must count the crashes.
 func TestPoisonIsCounted(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate, s.opts.PoisonRequests, s.opts.Timeout = 0, 1, 3*time.Second
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/standin/engine"
 )
 
-// chat is a conversation that returns after pauses.
+// chat is a multi-turn conversation with pauses between its turns.
 type chat struct {
 	load     *load
 	account  *account
@@ -23,7 +23,7 @@
 	messages []engine.Message
 	turns    int
 	hint     string
-	next     time.Time // when the next turn is due
+	next     time.Time // time at which the next turn is due
 }
 
 func newChat(a *account, n int, at time.Time) *chat {
@@ -39,7 +39,7 @@
 	}
 }
 
-// run goes through the chat's turns. It gives up after one that failed.
+// run sends the chat's turns in order and stops after the first that fails.
 func (c *chat) run(ctx context.Context) {
 	defer c.load.inFlight.Done()
 	for n := range c.turns {
@@ -63,11 +63,11 @@
 	}
 }
 
-// codePoison is the code of a refusal that is final: the same request is
-// refused wherever it goes.
+// codePoison is the error code of a permanent refusal: every router refuses the
+// request, so that a retry cannot succeed.
 const codePoison = "poison"
 
-// outcome is what a caller was told.
+// outcome is the execution outcome that a router reported to the caller.
 type outcome string
 
 const (
@@ -76,16 +76,16 @@
 	unknown outcome = "unknown"
 )
 
-// fault is what is wrong with an answer.
+// fault is the defect found in an answer.
 type fault int
 
 const (
 	noFault       fault = iota
-	wrongAnswer         // not the answer to this request, or offsets out of order
-	partialAnswer       // said to be whole, but ended early
+	wrongAnswer // not the answer to this request, or offsets out of order
+	partialAnswer // reported as complete, but ended early
 )
 
-// turn is one request of a chat, with all its reconnects.
+// turn is one request of a chat, including all its reconnects.
 type turn struct {
 	chat      *chat
 	returning bool
@@ -94,31 +94,32 @@
 	expected  string
 	due       time.Time
 
-	attempt    string // that the router named
-	offset     int    // of the last token
+	attempt    string // ID that the router assigned
+	offset     int // offset of the last token received
 	text       string
 	hint       string
 	outcome    outcome
 	fault      fault
-	code       string // of the last error
+	code       string // code of the last error
 	usage      engine.Usage
-	firstToken time.Duration   // from due to the first token
+	firstToken time.Duration // from due to the first token
 	gaps       []time.Duration // between tokens
 	lastAt     time.Time
-	resumes    int // reconnects that went on with the stream
-	resent     int // requests sent again, after a refusal or before anything came
+	resumes    int // reconnects that resumed the stream
+	resent     int // requests sent again, after a refusal or before any part of a stream arrived
 	refusals   []refusal
 }
 
-// refusal is an answer that refused a request.
+// refusal is a response other than 200 OK.
 type refusal struct {
 	status     int
 	retryAfter time.Duration
 	hasRetry   bool
 }
 
-// body is a chat completion as it is sent. Partial is the text that a broken
-// stream has brought so far, for the case that its engine is lost, too.
+// body is the chat completion request as sent. Partial is the text received so
+// far from a broken stream; it allows the answer to be continued if its engine is
+// lost as well.
 type body struct {
 	engine.Request
 	StreamOptions *streamOptions `json:"stream_options,omitempty"`
@@ -145,7 +146,7 @@
 	return t
 }
 
-// encode returns the body for the next connection.
+// encode returns the request body for the next connection.
 func (t *turn) encode() []byte {
 	t.body.Partial = t.text
 	data, err := json.Marshal(t.body)
@@ -155,31 +156,31 @@
 	return data
 }
 
-// connectResult tells how one connection ended.
+// connectResult describes how one connection ended.
 type connectResult int
 
 const (
-	settled          connectResult = iota // there is an outcome
-	connectionBroken                      // the connection broke
-	requestRefused                        // refused as not run
-	resumeRefused                         // a reconnect was refused: the answer may come later
+	settled          connectResult = iota // the turn has an outcome
+	connectionBroken // the connection broke
+	requestRefused // the request was refused as not run
+	resumeRefused // a reconnect was refused; the answer may still arrive later
 )
 
-// The pause before a reconnect doubles between these two.
+// The backoff before a reconnect doubles from minBackoff up to maxBackoff.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// run asks, and reconnects through other routers, until there is an outcome or
-// the time is used up.
+// run sends the request, and reconnects through other routers until there is an
+// outcome or the timeout expires.
 func (t *turn) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, t.chat.load.opts.Timeout)
 	defer cancel()
 	retries := t.chat.load.opts.Retries
 	pause := minBackoff
 	for ctx.Err() == nil {
-		t.outcome = "" // what a broken connection said does not count
+		t.outcome = "" // an outcome received on a broken connection does not count
 		switch t.connect(ctx) {
 		case settled:
 			t.check()
@@ -204,7 +205,8 @@
 	t.outcome = unknown
 }
 
-// countReconnect counts a reconnect.
+// countReconnect counts a reconnect as a resume if a stream had been assigned an
+// attempt ID, and as a resend otherwise.
 func (t *turn) countReconnect() {
 	if t.stream && t.attempt != "" {
 		t.resumes++
@@ -215,8 +217,8 @@
 
 func (t *turn) lastRetryAfter() time.Duration { return t.refusals[len(t.refusals)-1].retryAfter }
 
-// wait waits for d, and up to half as long again so that callers don't come at
-// once.
+// wait sleeps for at least minBackoff or d, plus a random jitter of up to half of
+// it, so that callers do not reconnect simultaneously.
 func (t *turn) wait(ctx context.Context, d time.Duration) {
 	d = max(d, minBackoff)
 	timer := time.NewTimer(d + time.Duration(t.chat.random.Int64N(int64(d)/2)))
@@ -227,7 +229,7 @@
 	}
 }
 
-// connect makes one connection.
+// connect sends the request on one connection and reads the response.
 func (t *turn) connect(ctx context.Context) connectResult {
 	router := t.chat.load.balancer.next()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, router+"/v1/chat/completions", bytes.NewReader(t.encode()))
@@ -266,10 +268,10 @@
 	}
 }
 
-// readRefusal reads an answer that is not 200.
+// readRefusal reads a response whose status is not 200.
 func (t *turn) readRefusal(res *http.Response) connectResult {
 	var e errorBody
-	_ = json.NewDecoder(io.LimitReader(res.Body, maxEvent)).Decode(&e) // of another form: no code
+	_ = json.NewDecoder(io.LimitReader(res.Body, maxEvent)).Decode(&e) // the code stays empty if the body has another format
 	t.code = e.Error.Code
 	seconds, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	t.refusals = append(t.refusals, refusal{
@@ -282,7 +284,7 @@
 	}
 	final := t.code == codePoison
 	if told == notRun && t.attempt != "" && !final {
-		return resumeRefused // what was not run is the reconnect
+		return resumeRefused // "not run" refers to the reconnect, not to the original request
 	}
 	if told == notRun && !final {
 		return requestRefused
@@ -294,7 +296,7 @@
 	return settled
 }
 
-// readNonStream reads an answer without a stream.
+// readNonStream reads a response that is not a stream.
 func (t *turn) readNonStream(res *http.Response) connectResult {
 	var answer struct {
 		Choices []struct {
@@ -315,7 +317,8 @@
 	return settled
 }
 
-// check compares the answer with the one that every engine gives.
+// check compares the answer with the expected one, which is the same for every
+// engine.
 func (t *turn) check() {
 	switch {
 	case t.fault != noFault || t.outcome != ran:
--- a/standin/caller/counters.go
+++ b/standin/caller/counters.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Rate is how fast a metric of the routers rose during the load.
+// Rate is the increase per second of a router metric during the load.
 type Rate struct {
 	Name    string  `json:"name"`
-	Routers int     `json:"routers"` // that answered before and after
-	Mean    float64 `json:"mean"`    // a second for each router
-	Highest float64 `json:"highest"` // a second, of one router
+	Routers int     `json:"routers"` // routers that responded before and after the load
+	Mean    float64 `json:"mean"` // mean per-second rate over the routers
+	Highest float64 `json:"highest"` // highest per-second rate of a single router
 }
 
-// counterValues are the sums of the chosen metrics of one router, by name.
+// counterValues holds the sums of the selected metrics of one router, by name.
 type counterValues map[string]float64
 
-// readCounters reads the chosen metrics of each router. A router that does not
-// answer is left out.
+// readCounters reads the selected metrics of each router. Routers that do not
+// respond are omitted.
 func (l *load) readCounters(ctx context.Context) map[string]counterValues {
 	out := make(map[string]counterValues)
 	if len(l.opts.Counters) == 0 {
@@ -64,7 +64,7 @@
 	return values, lines.Err() == nil && res.StatusCode == http.StatusOK
 }
 
-// parseSample reads one line of the text format, without a time stamp.
+// parseSample parses a line of the Prometheus text format without a timestamp.
 func parseSample(line string) (string, float64, bool) {
 	cut := strings.LastIndexByte(line, ' ')
 	if cut < 0 || strings.HasPrefix(line, "#") {
@@ -74,15 +74,15 @@
 	return line[:cut], value, err == nil
 }
 
-// matches tells whether a sample's name with its labels is of the chosen
-// metric, and has the chosen label if there is one.
+// matches reports whether a sample, given by its name and labels, belongs to the
+// selected metric and carries the selected label, if there is one.
 func matches(chosen, sample string) bool {
 	wantName, wantLabel, _ := strings.Cut(chosen, "{")
 	name, labels, _ := strings.Cut(sample, "{")
 	return name == wantName && strings.Contains(labels, strings.TrimSuffix(wantLabel, "}"))
 }
 
-// rates compares what the routers showed before and after.
+// rates computes the rates from the values before and after the load.
 func (l *load) rates(before, after map[string]counterValues, seconds float64) []Rate {
 	var out []Rate
 	for _, name := range l.opts.Counters {
--- a/standin/caller/poison.go
+++ b/standin/caller/poison.go
@@ -8,24 +8,24 @@
 	"wisteriaspool/standin/engine"
 )
 
-// poisonText crashes the stand-in engine that runs it.
+// poisonText in a message crashes the stand-in engine that runs it.
 const poisonText = "POISON"
 
-// poisonAttempts is how often a caller sends its poison request, through one
-// router after another.
+// poisonAttempts is how many times a caller sends its poison request, each time
+// through the next router.
 const poisonAttempts = 5
 
-// PoisonReport counts requests that crash every engine that runs them.
+// PoisonReport counts poison requests, which crash every engine that runs them.
 type PoisonReport struct {
 	Requests int        `json:"requests"`
-	Sent     int        `json:"sent"`    // each request is sent several times
-	Final    int        `json:"final"`   // answers that said it was poison
-	Ran      int        `json:"ran"`     // answers that said it ran; must be zero
-	Crashes  int        `json:"crashes"` // of engines during the load, whatever the cause
+	Sent     int        `json:"sent"` // attempts; each request is sent several times
+	Final    int        `json:"final"` // answers that refused the request permanently as poison
+	Ran      int        `json:"ran"` // answers that reported the request as run; must be zero
+	Crashes  int        `json:"crashes"` // engine crashes during the load, from any cause
 	Codes    CodeCounts `json:"codes"`
 }
 
-// poisonSender sends poison requests at equal distances.
+// poisonSender sends poison requests at regular intervals.
 type poisonSender struct {
 	load *load
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// poisonCaller is one poisonCaller request, whose caller sends it again and again.
+// poisonCaller sends one poison request poisonAttempts times.
 type poisonCaller struct {
 	chat *chat
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// readCrashes sums the crashes of all engines. It is false if one of them does
-// not answer.
+// readCrashes returns the total number of crashes of all engines, and false if
+// an engine does not respond.
 func (l *load) readCrashes(ctx context.Context) (int, bool) {
 	total := 0
 	for _, base := range l.opts.Engines {
@@ -110,7 +110,7 @@
 	return total, true
 }
 
-// countCrashes notes how often engines crashed since before.
+// countCrashes stores in r how many engine crashes occurred since before.
 func (l *load) countCrashes(ctx context.Context, before int, known bool, r *Report) {
 	if l.opts.PoisonRequests == 0 || len(l.opts.Engines) == 0 {
 		return
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -13,12 +13,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what came of a load. Wrong, Partial, Doubled, FalseNotRun and
-// FalseRan must be zero.
+// Report is the result of a load. Wrong, Partial, Poison.Ran, Actions.Differing,
+// Actions.Doubled, Actions.FalseNotRun and Actions.FalseRan must be zero.
 type Report struct {
 	Seconds    float64      `json:"seconds"`
-	Requests   int          `json:"requests"`  // turns of chats
-	Returning  int          `json:"returning"` // of them, turns after the first
+	Requests   int          `json:"requests"` // turns of chats
+	Returning  int          `json:"returning"` // turns after the first of a chat
 	Ran        int          `json:"ran"`
 	NotRun     int          `json:"not_run"`
 	Unknown    int          `json:"unknown"`
@@ -27,7 +27,7 @@
 	Resumes    int          `json:"resumes"`
 	Resent     int          `json:"resent"`
 	Refusals   Refusals     `json:"refusals"`
-	Codes      CodeCounts   `json:"codes"` // last error code of turns that did not run
+	Codes      CodeCounts   `json:"codes"` // last error codes of turns without the outcome ran
 	Tokens     int          `json:"tokens"`
 	Reuse      Reuse        `json:"reuse"`
 	FirstToken Quantiles    `json:"first_token"`
@@ -36,14 +36,14 @@
 	Poison     PoisonReport `json:"poison"`
 	Skew       *Skew        `json:"skew,omitempty"`
 	Counters   []Rate       `json:"counters,omitempty"`
-	Unchecked  []string     `json:"unchecked,omitempty"` // checks that could not be made
+	Unchecked  []string     `json:"unchecked,omitempty"` // reasons why checks could not be made
 }
 
-// CodeCounts counts error codes.
+// CodeCounts counts answers by error code.
 type CodeCounts map[string]int
 
-// String lists the counts by code. Turns that ended without a code show as
-// "none".
+// String lists the counts in order of their codes, with "none" for the empty
+// code.
 func (c CodeCounts) String() string {
 	var parts []string
 	for _, code := range slices.Sorted(maps.Keys(c)) {
@@ -56,7 +56,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Refusals counts answers that refused a request.
+// Refusals counts responses that refused a request.
 type Refusals struct {
 	WithRetryAfter    int `json:"with_retry_after"`
 	WithoutRetryAfter int `json:"without_retry_after"`
@@ -70,15 +70,15 @@
 	}
 }
 
-// Reuse counts the prompt tokens of returning chats, and those that the engine
-// had in its cache.
+// Reuse counts the prompt tokens of turns after a chat's first, and how many of
+// them were in the engine's cache.
 type Reuse struct {
 	PromptTokens int     `json:"prompt_tokens"`
 	CachedTokens int     `json:"cached_tokens"`
 	Ratio        float64 `json:"ratio"`
 }
 
-// Quantiles are latencies in milliseconds.
+// Quantiles summarizes latencies, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -86,22 +86,22 @@
 	Max float64 `json:"max_ms"`
 }
 
-// ActionReport counts actions, each of which went through two routers.
+// ActionReport counts actions, each of which was sent through two routers.
 type ActionReport struct {
 	Sent        int        `json:"sent"`
-	Ran         int        `json:"ran"`     // by the word of one router
-	NotRun      int        `json:"not_run"` // by the word of both
-	Unknown     int        `json:"unknown"` // neither
+	Ran         int        `json:"ran"` // reported as run by at least one router
+	NotRun      int        `json:"not_run"` // reported as not run by both routers
+	Unknown     int        `json:"unknown"` // all others
 	Differing   int        `json:"differing"`
-	Checked     int        `json:"checked"`       // against the services
-	Doubled     int        `json:"doubled"`       // ran more than once
-	FalseNotRun int        `json:"false_not_run"` // ran, though the caller was told not
-	FalseRan    int        `json:"false_ran"`     // never ran, though the caller was told so
+	Checked     int        `json:"checked"` // compared with the services' records
+	Doubled     int        `json:"doubled"` // ran more than once
+	FalseNotRun int        `json:"false_not_run"` // ran, but reported as not run
+	FalseRan    int        `json:"false_ran"` // never ran, but reported as run
 	Refusals    Refusals   `json:"refusals"`
 	Codes       CodeCounts `json:"codes"`
 }
 
-// Failures returns the number of broken promises that the report shows.
+// Failures returns the number of violated guarantees in the report.
 func (r Report) Failures() int {
 	a := r.Actions
 	return r.Wrong + r.Partial + r.Poison.Ran + a.Differing + a.Doubled + a.FalseNotRun + a.FalseRan
@@ -113,7 +113,7 @@
 	significantDigits = 3
 )
 
-// recorder collects what comes of a load while it runs.
+// recorder accumulates the report while the load runs.
 type recorder struct {
 	mu         sync.Mutex
 	totals     Report
@@ -176,9 +176,9 @@
 	}
 }
 
-// recordLatency records d, or the histogram's end if it is longer.
+// recordLatency records d, clamped to the range of the histogram.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxLatency)) // in range
+	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxLatency)) // cannot fail: the value is in range
 }
 
 func (r *recorder) addAction(a *action) {
@@ -262,7 +262,7 @@
 	return t.Flush()
 }
 
-// String shows q as a table does.
+// String formats q as in the text report.
 func (q Quantiles) String() string {
 	return fmt.Sprintf("p50 %.1f ms, p95 %.1f ms, p99 %.1f ms, max %.1f ms", q.P50, q.P95, q.P99, q.Max)
 }
--- a/standin/caller/skew.go
+++ b/standin/caller/skew.go
@@ -11,8 +11,8 @@
 	"wisteriaspool/standin/engine"
 )
 
-// Skew is the ratio of the most loaded engine to the mean, from the engines'
-// own view, over samples taken at equal distances.
+// Skew describes the ratio of the highest engine load to the mean, sampled at
+// regular intervals from the load that the engines themselves recorded.
 type Skew struct {
 	Samples     int     `json:"samples"`
 	P50         float64 `json:"p50"`
@@ -22,17 +22,18 @@
 	SamplesOver int     `json:"over"` // samples with an engine above ceil(Bound x mean)
 
 	// Placements counts the requests that engines accepted, and PlacementsOver
-	// those that put their engine above ceil(Bound x mean). Samples go above it
-	// also when the load elsewhere ends, which no placement can prevent.
+	// those that raised the load of their engine above ceil(Bound x mean). A
+	// sample can also exceed the bound because load on other engines ends, which
+	// no placement can prevent.
 	Placements     int `json:"placements"`
 	PlacementsOver int `json:"placements_over"`
-	MaxExcess      int `json:"most_over"` // requests by which a placement went above it
+	MaxExcess      int `json:"most_over"` // maximum number of requests above the bound after a placement
 }
 
-// skewInterval is the time between two samples.
+// skewInterval is the time between two samples of the skew.
 const skewInterval = 20 * time.Millisecond
 
-// measureSkew reads the engines' histories of load and compares them.
+// measureSkew reads the load histories of the engines and stores their skew in r.
 func (l *load) measureSkew(ctx context.Context, r *Report) {
 	if len(l.opts.Engines) == 0 {
 		return
@@ -50,7 +51,8 @@
 	r.Skew = ComputeSkew(histories, l.start, l.stop, l.opts.LoadBound)
 }
 
-// ComputeSkew compares histories of load between two times.
+// ComputeSkew computes the skew of load histories between two times. Bound is the
+// permitted ratio of an engine's load to the mean.
 func ComputeSkew(histories [][]engine.Sample, from, to time.Time, bound float64) *Skew {
 	s := &Skew{Bound: bound}
 	var ratios []float64
@@ -75,7 +77,7 @@
 	return s
 }
 
-// countPlacements looks at each time that an engine's load rises.
+// countPlacements counts each increase of an engine's load as a placement.
 func (s *Skew) countPlacements(histories [][]engine.Sample) {
 	for _, h := range histories {
 		for i := 1; i < len(h); i++ {
@@ -94,8 +96,8 @@
 
 func exceeds(load int, mean, bound float64) bool { return float64(load) > math.Ceil(bound*mean) }
 
-// loadsAt returns the highest and the mean load at a time, over the engines
-// that take new work then.
+// loadsAt returns the highest and the mean load at a time, over the engines that
+// accept new work at that time.
 func loadsAt(histories [][]engine.Sample, at time.Time) (highest int, mean float64) {
 	total, live := 0, 0
 	for _, h := range histories {
@@ -110,8 +112,8 @@
 	return highest, float64(total) / float64(max(live, 1))
 }
 
-// sampleAt returns the sample that holds at a time, the zero Sample before the
-// first.
+// sampleAt returns the sample in effect at a time, or the zero Sample before the
+// first one.
 func sampleAt(h []engine.Sample, at time.Time) engine.Sample {
 	n := sort.Search(len(h), func(i int) bool { return h[i].At.After(at) })
 	if n == 0 {
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -11,9 +11,9 @@
 	"wisteriaspool/standin/engine"
 )
 
-const maxEvent = 1 << 20 // bytes of one line of a stream
+const maxEvent = 1 << 20 // maximum size of a line of a stream, and of an error body, in bytes
 
-// errorBody is the body of an error.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error struct {
 		Code    string  `json:"code"`
@@ -28,7 +28,7 @@
 	data string
 }
 
-// sseReader reads server-sent events.
+// sseReader parses server-sent events.
 type sseReader struct {
 	lines *bufio.Scanner
 }
@@ -39,8 +39,8 @@
 	return &sseReader{lines: lines}
 }
 
-// next returns the next event. It is false at the end of the connection; an
-// event that the end cut off is dropped, as the format demands.
+// next returns the next event, or false at the end of the connection. An event
+// that is cut off by the end is discarded, as the format requires.
 func (s *sseReader) next() (sseEvent, bool) {
 	var e sseEvent
 	for s.lines.Scan() {
@@ -65,7 +65,7 @@
 	return sseEvent{}, false
 }
 
-// readStream reads events until the answer is done or the connection breaks.
+// readStream reads events until the answer is complete or the connection breaks.
 func (t *turn) readStream(r io.Reader) connectResult {
 	events := newSSEReader(r)
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// done settles a stream that says it is done. A stream that never told its
-// outcome leaves it unknown.
+// done handles the [DONE] event. The outcome is unknown if the stream did not
+// report one.
 func (t *turn) done() connectResult {
 	if t.outcome == "" {
 		t.outcome = unknown
@@ -106,7 +106,7 @@
 	t.outcome, t.hint = told.Outcome, told.RouteHint
 }
 
-// readError notes why a stream ends early.
+// readError records the error code of a stream that ends early.
 func (t *turn) readError(data string) {
 	var e errorBody
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
@@ -139,8 +139,8 @@
 	t.recordTokens(e.id, len(strings.Fields(c.Choices[0].Delta.Content)))
 }
 
-// recordTokens checks that the offset in id counts the n new tokens, and notes
-// the time that they came.
+// recordTokens checks that the offset in id advanced by the n new tokens, and
+// records when they arrived.
 func (t *turn) recordTokens(id string, n int) {
 	now := time.Now()
 	cut := strings.LastIndexByte(id, '.')
--- a/standin/chart.go
+++ b/standin/chart.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/standin/chart"
 )
 
-// chartCommand draws results of benchmarks.
+// chartCommand implements the chart subcommand, which draws benchmark results.
 type chartCommand struct {
 	in, out string
 	spec    chart.Spec
--- a/standin/chart/chart.go
+++ b/standin/chart/chart.go
@@ -1,5 +1,4 @@
-// Package chart draws the results of benchmarks, as go test -bench prints them,
-// for people who would rather look.
+// Package chart draws charts from the output of go test -bench.
 package chart
 
 import (
@@ -19,17 +18,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// ErrNoData is the error of a chart for which nothing was measured.
-var ErrNoData = errors.New("chart: no results fit")
+// ErrNoData is returned if no result matches the Spec of a chart.
+var ErrNoData = errors.New("chart: no matching results")
 
-// Result is one line of a benchmark's output.
+// Result is one line of benchmark output.
 type Result struct {
-	Name   string             // of the benchmark, without its parameters
-	Params map[string]string  // as in routers=7
-	Values map[string]float64 // by unit, as in sent-B/s
+	Name   string             // benchmark name without parameters
+	Params map[string]string // parameters, such as routers=7
+	Values map[string]float64 // values by unit, such as sent-B/s
 }
 
-// Read returns the results among the lines of r.
+// Read parses the benchmark results in r and ignores all other lines. It returns
+// an error if reading fails.
 func Read(r io.Reader) ([]Result, error) {
 	var all []Result
 	lines := bufio.NewScanner(r)
@@ -41,7 +41,7 @@
 	return all, lines.Err()
 }
 
-// parse reads a line such as "BenchmarkFleet/routers=7-12  1  88.5 sent-B/s".
+// parse parses a line such as "BenchmarkFleet/routers=7-12  1  88.5 sent-B/s".
 func parse(line string) (Result, bool) {
 	fields := strings.Fields(line)
 	if len(fields) < 4 || !strings.HasPrefix(fields[0], "Benchmark") {
@@ -57,8 +57,8 @@
 	return res, true
 }
 
-// setName splits the full setName of a benchmark. The part behind the last dash is
-// the number of processors.
+// setName splits the full name of a benchmark into its name and parameters. The
+// part after the last dash is GOMAXPROCS and is dropped.
 func (r *Result) setName(full string) {
 	if i := strings.LastIndexByte(full, '-'); i > 0 {
 		full = full[:i]
@@ -74,18 +74,18 @@
 	}
 }
 
-// Spec says what to draw: the unit Y over the parameter X, a line for each value
-// of the parameter By.
+// Spec describes a chart: the unit Y plotted over the parameter X, with one line
+// for each value of the parameter By.
 type Spec struct {
 	Title  string
-	Name   string // of the benchmark
+	Name   string // benchmark name
 	X, Y   string
 	By     string
-	Limit  float64 // drawn as a level line if it is not zero
-	Legend string  // what the limit is
+	Limit  float64 // if positive, drawn as a horizontal line
+	Legend string // label of the limit line
 }
 
-// Draw returns the chart.
+// Draw draws the results that match s. It returns ErrNoData if there are none.
 func Draw(all []Result, s Spec) (*plot.Plot, error) {
 	series := make(map[string]plotter.XYs)
 	for _, r := range all {
@@ -108,7 +108,7 @@
 	return p, s.addLines(p, series)
 }
 
-// addLines adds the lines in order of their names.
+// addLines adds the lines to the plot, in order of their names.
 func (s Spec) addLines(p *plot.Plot, series map[string]plotter.XYs) error {
 	var lines []any
 	for _, name := range slices.Sorted(maps.Keys(series)) {
@@ -141,11 +141,12 @@
 	return most
 }
 
-// Size of a chart.
+// The size of a saved chart.
 const (
 	width  = 16 * vg.Centimeter
 	height = 10 * vg.Centimeter
 )
 
-// Save writes the chart to a file; its ending, such as .svg, is its format.
+// Save writes the chart to a file whose extension, such as .svg, determines the
+// format.
 func Save(p *plot.Plot, file string) error { return p.Save(width, height, file) }
--- a/standin/commands.go
+++ b/standin/commands.go
@@ -12,10 +12,11 @@
 	"wisteriaspool/standin/service"
 )
 
-// crashStatus is the exit status of an engine that a poison prompt ended.
+// crashStatus is the exit status of an engine process that crashed.
 const crashStatus = 1
 
-// platformCommand runs the platform stand-in.
+// platformCommand implements the platform subcommand, which runs the platform
+// stand-in.
 type platformCommand struct {
 	listener
 	opts platform.Options
@@ -61,7 +62,7 @@
 	return exitStatus(s.stop())
 }
 
-// engineCommand runs a model engine.
+// engineCommand implements the engine subcommand, which runs a model engine.
 type engineCommand struct {
 	member
 	opts      engine.Options
@@ -110,7 +111,7 @@
 	return exitStatus(c.run(ctx, e, "engine"))
 }
 
-// serviceCommand runs a plain service.
+// serviceCommand implements the service subcommand, which runs a plain service.
 type serviceCommand struct {
 	member
 	opts service.Options
--- a/standin/listen.go
+++ b/standin/listen.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// stopTimeout is how long open connections have to end at a stop.
+// stopTimeout is how long a graceful stop waits for open connections.
 const stopTimeout = 60 * time.Second
 
-// listener holds the flags of everything that listens.
+// listener holds the flags shared by all commands that listen on a port.
 type listener struct {
 	addr     string
 	addrFile string
@@ -28,7 +28,8 @@
 	f.StringVar(&l.addrFile, "addr-file", "", "`file` to write the address to once it listens")
 }
 
-// listen opens the port and announces it.
+// listen opens the port and writes its address to stderr and, if set, to the
+// address file.
 func (l *listener) listen() (net.Listener, error) {
 	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
@@ -44,8 +45,8 @@
 	return ln, nil
 }
 
-// writeFileAtomic writes a file under another name first, so that who waits for the
-// file never reads a part of it.
+// writeFileAtomic writes a temporary file and renames it, so that a process that
+// waits for the file never reads partial content.
 func writeFileAtomic(name, text string) error {
 	temp, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
 	if err != nil {
@@ -63,13 +64,13 @@
 	return nil
 }
 
-// server serves a handler until a signal tells it to stop.
+// server serves a handler until a signal stops it.
 type server struct {
 	http  *http.Server
 	ended chan error
 }
 
-// serve starts a server.
+// serve starts a server on ln.
 func serve(ln net.Listener, h http.Handler) *server {
 	s := &server{
 		http:  &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second},
@@ -81,7 +82,8 @@
 
 func (s *server) run(ln net.Listener) { s.ended <- s.http.Serve(ln) }
 
-// wait returns when SIGTERM or an interrupt arrives, or serving fails.
+// wait returns nil on SIGTERM, an interrupt or the end of ctx, and an error if
+// serving fails.
 func (s *server) wait(ctx context.Context) error {
 	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -93,7 +95,7 @@
 	}
 }
 
-// stop waits for open connections to end.
+// stop shuts the server down and waits up to stopTimeout for open connections.
 func (s *server) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/standin/load.go
+++ b/standin/load.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/standin/caller"
 )
 
-// loadCommand makes load.
+// loadCommand implements the load subcommand, which generates load.
 type loadCommand struct {
 	opts     caller.Options
 	routers  string
@@ -103,7 +103,7 @@
 	return encoder.Encode(r)
 }
 
-// urls reads a list with commas. A missing scheme means plain HTTP.
+// urls parses a list separated by commas or spaces. The default scheme is http.
 func urls(list string) []string {
 	var out []string
 	for _, url := range strings.FieldsFunc(list, isSeparator) {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,6 +1,7 @@
-// Command standin runs small stand-ins for what surrounds the routers: the
-// platform, a model engine, a plain service, and callers that make load. They
-// are for tests and for the demo; faults are set by an admin call.
+// Command standin runs stand-ins for the systems around the routers, for tests and
+// for the demo: the platform, a model engine, a plain service, and callers that
+// generate load. Faults are injected through an admin endpoint. It also runs soak
+// tests of the routers and draws charts of benchmark results.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// exitStatus turns an error into an exit exitStatus, and shows it.
+// exitStatus prints a non-nil error to stderr and returns the exit status for it.
 func exitStatus(err error) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/standin/main_test.go
+++ b/standin/main_test.go
@@ -17,7 +17,7 @@
 	"wisteriaspool/standin/platform"
 )
 
-// process is a subcommand that runs in this process until it is stopped.
+// process is a subcommand that runs in the test process until it is stopped.
 type process struct {
 	command subcommands.Command
 	flags   *flag.FlagSet
@@ -41,7 +41,7 @@
 
 func (p *process) run(ctx context.Context) { p.done <- p.command.Execute(ctx, p.flags) }
 
-// url waits until the process listens.
+// url waits until the process listens and returns its base URL.
 func (p *process) url(t *testing.T) string {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -65,7 +65,7 @@
 	return list.Instances
 }
 
-// waitFor waits until the list of instances is as ok wants it.
+// waitFor waits until ok accepts the list of instances.
 func waitFor(t *testing.T, url string, ok func([]platform.Instance) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -76,8 +76,8 @@
 	})
 }
 
-// An engine that crashed is another incarnation on the list of instances, and
-// one that was stopped is off it.
+// An engine that crashed must appear in the list of instances with a higher
+// incarnation, and one that was stopped must be removed from it.
 func TestMembersAreOnTheList(t *testing.T) {
 	p := start(t, &platformCommand{})
 	e := start(t, &engineCommand{}, "-platform", p.url(t), "-id", "e7", "-zone", "b", "-leave-time", "10ms", "-restart", "10ms")
--- a/standin/member.go
+++ b/standin/member.go
@@ -10,10 +10,11 @@
 	"wisteriaspool/standin/platform"
 )
 
-// refreshInterval is the time between two looks at a member's incarnation.
+// refreshInterval is the time between two checks of a member's incarnation.
 const refreshInterval = 200 * time.Millisecond
 
-// member holds the flags of everything that is on the list of instances.
+// member holds the flags shared by all commands that register in the list of
+// instances.
 type member struct {
 	listener
 	platform  string
@@ -34,7 +35,7 @@
 	f.DurationVar(&m.leaveTime, "leave-time", time.Second, "least `time` between the word that it leaves and its end")
 }
 
-// entry returns what the list of instances is to show.
+// entry returns the member's entry for the list of instances.
 func (m *member) entry(address, kind string, incarnation uint64) platform.Instance {
 	return platform.Instance{
 		ID: m.id, Address: address, Zone: m.zone, Kind: kind, Pool: m.pool,
@@ -42,7 +43,7 @@
 	}
 }
 
-// worker is what a member serves.
+// worker is the handler that a member serves.
 type worker interface {
 	http.Handler
 	Incarnation() uint64
@@ -50,7 +51,7 @@
 	Drain(ctx context.Context) error
 }
 
-// run serves w from start to a graceful stop.
+// run registers and serves w until a signal, and then stops gracefully.
 func (m *member) run(ctx context.Context, w worker, kind string) error {
 	ln, err := m.listen()
 	if err != nil {
@@ -76,7 +77,7 @@
 	return m.leave(s, p)
 }
 
-// leave stops gracefully: nothing that was accepted is cut off.
+// leave stops gracefully, without interrupting accepted requests.
 func (m *member) leave(s *server, p *registration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -89,7 +90,7 @@
 	return errors.Join(registered, drained, stopped, p.remove(ctx))
 }
 
-// registration is a member's entry on the list of instances.
+// registration maintains a member's entry in the list of instances.
 type registration struct {
 	member *member
 	worker worker
@@ -97,7 +98,8 @@
 	entry  platform.Instance
 }
 
-// refreshLoop puts a new incarnation on the list when the worker has crashed.
+// refreshLoop updates the entry when the incarnation of the worker changes, which
+// happens after a crash.
 func (p *registration) refreshLoop(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	ticker := time.NewTicker(refreshInterval)
@@ -120,7 +122,8 @@
 	}
 }
 
-// register tries for a while, since the platform may be starting too.
+// register registers the entry. It retries for about 5 s, since the platform may
+// still be starting.
 func (p *registration) register(ctx context.Context) error {
 	const tries, interval = 25, 200 * time.Millisecond
 	if p.member.platform == "" {
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -14,7 +14,8 @@
 	"wisteriaspool/standin/soak"
 )
 
-// soakCommand runs routers as processes while things fail around them.
+// soakCommand implements the soak subcommand, which runs router processes while it
+// injects faults.
 type soakCommand struct {
 	opts        soak.Options
 	skip        string
@@ -94,7 +95,7 @@
 		return subcommands.ExitFailure
 	}
 	if createdDir {
-		_ = os.RemoveAll(c.opts.Dir) // what is left does no harm
+		_ = os.RemoveAll(c.opts.Dir) // leftover files are harmless
 	}
 	return subcommands.ExitSuccess
 }
