--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -19,36 +19,36 @@
 // required.
 type Options struct {
 	Routers  []string // base URLs, selected round-robin among those that are ready
-	Team     string // default "demo"
-	Model    string // default "m"
+	Team     string   // default "demo"
+	Model    string   // default "m"
 	Duration time.Duration
-	Requests int // maximum number of chat turns; 0 means no limit
+	Requests int    // maximum number of chat turns; 0 means no limit
 	Seed     uint64 // seed of all arrivals, pauses and texts
 
-	Rate            float64 // new chats per second, over all accounts
-	Accounts        int // number of client accounts; 0 means 10
-	SurgingAccounts int // accounts with a higher rate in the middle third of the load
-	SurgeFactor     float64 // multiplier of the rate during the surge; 0 means 10
-	Turns           int // mean number of turns per chat; 0 means 4
+	Rate            float64       // new chats per second, over all accounts
+	Accounts        int           // number of client accounts; 0 means 10
+	SurgingAccounts int           // accounts with a higher rate in the middle third of the load
+	SurgeFactor     float64       // multiplier of the rate during the surge; 0 means 10
+	Turns           int           // mean number of turns per chat; 0 means 4
 	Pause           time.Duration // mean pause between two turns of a chat; 0 means 2s
 
-	SystemWords    int // words of the system message that an account's chats share; 0 means 32
-	FirstWords     int // words of a chat's first user message; 0 means 96
-	TurnWords      int // words of each later user message; 0 means 24
-	MaxTokens      int // maximum tokens per answer; 0 means no limit
-	NonStreamShare float64 // share of turns that request no stream
+	SystemWords    int           // words of the system message that an account's chats share; 0 means 32
+	FirstWords     int           // words of a chat's first user message; 0 means 96
+	TurnWords      int           // words of each later user message; 0 means 24
+	MaxTokens      int           // maximum tokens per answer; 0 means no limit
+	NonStreamShare float64       // share of turns that request no stream
 	Timeout        time.Duration // per turn, including reconnects; 0 means 60s
-	Retries        int // maximum retries of a turn that was refused as not run
+	Retries        int           // maximum retries of a turn that was refused as not run
 
-	PoisonRequests int // number of requests that crash each engine that runs them
-	Service        string // service that receives the actions; default "order-desk"
-	Action         string // action name; default "confirm"
-	ActionRate     float64 // actions per second, each sent through two routers concurrently
+	PoisonRequests int      // number of requests that crash each engine that runs them
+	Service        string   // service that receives the actions; default "order-desk"
+	Action         string   // action name; default "confirm"
+	ActionRate     float64  // actions per second, each sent through two routers concurrently
 	Services       []string // base URLs of stand-in services, queried at the end to check the actions
 	Engines        []string // base URLs of stand-in engines, queried for crashes and, at the end, for load skew
 	Counters       []string // metrics to report as rates, as name or name{label="value"}
 	Metrics        []string // base URLs of the routers' metrics; default Routers
-	LoadBound      float64 // permitted ratio of an engine's load to the mean; 0 means 1.25
+	LoadBound      float64  // permitted ratio of an engine's load to the mean; 0 means 1.25
 
 	HTTP *http.Client // nil means a new client
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -33,7 +33,7 @@
 	// actionOutcome, if set, replaces the outcome of actions.
 	actionOutcome string
 	refuse        atomic.Int64 // number of chats to refuse as not run
-	refusalCode   string // error code of those refusals
+	refusalCode   string       // error code of those refusals
 	down          atomic.Bool
 }
 
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -81,8 +81,8 @@
 
 const (
 	noFault       fault = iota
-	wrongAnswer // not the answer to this request, or offsets out of order
-	partialAnswer // reported as complete, but ended early
+	wrongAnswer         // not the answer to this request, or offsets out of order
+	partialAnswer       // reported as complete, but ended early
 )
 
 // turn is one request of a chat, including all its reconnects.
@@ -95,14 +95,14 @@
 	due       time.Time
 
 	attempt    string // ID that the router assigned
-	offset     int // offset of the last token received
+	offset     int    // offset of the last token received
 	text       string
 	hint       string
 	outcome    outcome
 	fault      fault
 	code       string // code of the last error
 	usage      engine.Usage
-	firstToken time.Duration // from due to the first token
+	firstToken time.Duration   // from due to the first token
 	gaps       []time.Duration // between tokens
 	lastAt     time.Time
 	resumes    int // reconnects that resumed the stream
@@ -161,9 +161,9 @@
 
 const (
 	settled          connectResult = iota // the turn has an outcome
-	connectionBroken // the connection broke
-	requestRefused // the request was refused as not run
-	resumeRefused // a reconnect was refused; the answer may still arrive later
+	connectionBroken                      // the connection broke
+	requestRefused                        // the request was refused as not run
+	resumeRefused                         // a reconnect was refused; the answer may still arrive later
 )
 
 // The backoff before a reconnect doubles from minBackoff up to maxBackoff.
--- a/standin/caller/counters.go
+++ b/standin/caller/counters.go
@@ -12,7 +12,7 @@
 type Rate struct {
 	Name    string  `json:"name"`
 	Routers int     `json:"routers"` // routers that responded before and after the load
-	Mean    float64 `json:"mean"` // mean per-second rate over the routers
+	Mean    float64 `json:"mean"`    // mean per-second rate over the routers
 	Highest float64 `json:"highest"` // highest per-second rate of a single router
 }
 
--- a/standin/caller/poison.go
+++ b/standin/caller/poison.go
@@ -18,9 +18,9 @@
 // PoisonReport counts poison requests, which crash every engine that runs them.
 type PoisonReport struct {
 	Requests int        `json:"requests"`
-	Sent     int        `json:"sent"` // attempts; each request is sent several times
-	Final    int        `json:"final"` // answers that refused the request permanently as poison
-	Ran      int        `json:"ran"` // answers that reported the request as run; must be zero
+	Sent     int        `json:"sent"`    // attempts; each request is sent several times
+	Final    int        `json:"final"`   // answers that refused the request permanently as poison
+	Ran      int        `json:"ran"`     // answers that reported the request as run; must be zero
 	Crashes  int        `json:"crashes"` // engine crashes during the load, from any cause
 	Codes    CodeCounts `json:"codes"`
 }
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -17,7 +17,7 @@
 // Actions.Doubled, Actions.FalseNotRun and Actions.FalseRan must be zero.
 type Report struct {
 	Seconds    float64      `json:"seconds"`
-	Requests   int          `json:"requests"` // turns of chats
+	Requests   int          `json:"requests"`  // turns of chats
 	Returning  int          `json:"returning"` // turns after the first of a chat
 	Ran        int          `json:"ran"`
 	NotRun     int          `json:"not_run"`
@@ -89,14 +89,14 @@
 // ActionReport counts actions, each of which was sent through two routers.
 type ActionReport struct {
 	Sent        int        `json:"sent"`
-	Ran         int        `json:"ran"` // reported as run by at least one router
+	Ran         int        `json:"ran"`     // reported as run by at least one router
 	NotRun      int        `json:"not_run"` // reported as not run by both routers
 	Unknown     int        `json:"unknown"` // all others
 	Differing   int        `json:"differing"`
-	Checked     int        `json:"checked"` // compared with the services' records
-	Doubled     int        `json:"doubled"` // ran more than once
+	Checked     int        `json:"checked"`       // compared with the services' records
+	Doubled     int        `json:"doubled"`       // ran more than once
 	FalseNotRun int        `json:"false_not_run"` // ran, but reported as not run
-	FalseRan    int        `json:"false_ran"` // never ran, but reported as run
+	FalseRan    int        `json:"false_ran"`     // never ran, but reported as run
 	Refusals    Refusals   `json:"refusals"`
 	Codes       CodeCounts `json:"codes"`
 }
--- a/standin/chart/chart.go
+++ b/standin/chart/chart.go
@@ -24,7 +24,7 @@
 // Result is one line of benchmark output.
 type Result struct {
 	Name   string             // benchmark name without parameters
-	Params map[string]string // parameters, such as routers=7
+	Params map[string]string  // parameters, such as routers=7
 	Values map[string]float64 // values by unit, such as sent-B/s
 }
 
@@ -82,7 +82,7 @@
 	X, Y   string
 	By     string
 	Limit  float64 // if positive, drawn as a horizontal line
-	Legend string // label of the limit line
+	Legend string  // label of the limit line
 }
 
 // Draw draws the results that match s. It returns ErrNoData if there are none.
