--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -35,7 +35,7 @@
 	SystemWords    int           // words of the system message that an account's chats share; 0 means 32
 	FirstWords     int           // words of a chat's first user message; 0 means 96
 	TurnWords      int           // words of each later user message; 0 means 24
-	MaxTokens      int           // maximum tokens per answer; 0 means no limit
+	MaxTokens      int           // tokens per answer; 0 means the length that engines derive from the chat
 	NonStreamShare float64       // share of turns that request no stream
 	Timeout        time.Duration // per turn, including reconnects; 0 means 60s
 	Retries        int           // maximum retries of a turn that was refused as not run
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -168,7 +168,7 @@
 
 func TestLoadOnCorrectRouters(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
-		s.opts.ActionRate, s.opts.MaxTokens = 0, 0 // MaxTokens 0: no limit on the answers
+		s.opts.ActionRate, s.opts.MaxTokens = 0, 0 // answers of their natural length
 		s.opts.Counters = []string{`tries{kind="chat"}`}
 		r := s.run(t)
 		assert.Equal(t, r.Failures(), 0)
@@ -301,8 +301,8 @@
 	})
 }
 
-// Checks that accounts that surge in the middle third raise the load by at least
-// half.
+// Some accounts surge in the middle third of the load. This must raise the number
+// of requests by more than half, and must not delay the arrivals of the others.
 func TestSurge(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, s *fixture) {
 		s.opts.ActionRate = 0
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -106,11 +106,11 @@
 	gaps       []time.Duration // between tokens
 	lastAt     time.Time
 	resumes    int // reconnects that resumed the stream
-	resent     int // requests sent again, after a refusal or before any part of a stream arrived
+	resent     int // requests sent again, after a refusal or a broken connection without a stream to resume
 	refusals   []refusal
 }
 
-// refusal is a response other than 200 OK.
+// refusal is a response that refused a request.
 type refusal struct {
 	status     int
 	retryAfter time.Duration
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -107,7 +107,8 @@
 	return r.Wrong + r.Partial + r.Poison.Ran + a.Differing + a.Doubled + a.FalseNotRun + a.FalseRan
 }
 
-// The histograms hold microseconds up to ten minutes, to three significantDigits.
+// The histograms record microseconds up to ten minutes, with three significant
+// digits.
 const (
 	maxLatency        = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
--- a/standin/member.go
+++ b/standin/member.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// register registers the entry. It retries for about 5 s, since the platform may
+// register registers the entry. It makes several attempts, since the platform may
 // still be starting.
 func (p *registration) register(ctx context.Context) error {
 	const tries, interval = 25, 200 * time.Millisecond
--- a/standin/soak/check_test.go
+++ b/standin/soak/check_test.go
@@ -14,8 +14,8 @@
 	"wisteriaspool/standin/replica"
 )
 
-// newTestSoak is a soak with one endpoint, to which a test sends requests as a
-// router with a fault would.
+// newTestSoak returns a soak with one endpoint, to which a test sends requests
+// that simulate a faulty router.
 func newTestSoak(t *testing.T) (*soak, *replica.Replica) {
 	s := &soak{store: hub.New()}
 	s.load = newLoad(s)
@@ -26,10 +26,11 @@
 	return s, r
 }
 
-// historyStart is when the planted histories begin.
+// historyStart is the start of the test histories.
 var historyStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newArrival returns a run as it ought to be, at some milliseconds.
+// newArrival returns a correct run, with its start and end in milliseconds after
+// historyStart.
 func newArrival(id, path string, from, to int) arrival {
 	return arrival{
 		Arrival: replica.Arrival{
@@ -40,14 +41,14 @@
 	}
 }
 
-// with returns the arrival with a change.
+// with returns a copy of the arrival, modified by change.
 func (a arrival) with(change func(a *arrival)) arrival {
 	change(&a)
 	return a
 }
 
-// A soak that finds nothing says nothing unless it would have found something.
-// Each fault is planted as a router would commit it.
+// Guards against a soak that passes because it cannot detect faults. Each history
+// contains one fault as a faulty router would cause it.
 func TestHistoryDetectsViolations(t *testing.T) {
 	safe, unsafe := outcome{id: "q1", path: "/safe/", status: 200}, outcome{id: "q1", path: "/unsafe/", status: 200}
 	once := func(path string) []arrival { return []arrival{newArrival("q1", path, 0, 20)} }
@@ -94,8 +95,8 @@
 	assert.Assert(t, strings.Contains(broken[0], want), broken[0])
 }
 
-// series returns requests of a route, one each few milliseconds, that run for a
-// while at the endpoints in turn.
+// series returns n requests of a route, one every few milliseconds, that run for
+// the given time and are distributed round-robin over the endpoints.
 func series(n, every, lasts, endpoints int) (outcomes []outcome, arrivals []arrival) {
 	for i := range n {
 		id := fmt.Sprintf("q%d", i)
@@ -105,7 +106,7 @@
 	return outcomes, arrivals
 }
 
-// A failing service gets each request again and again, and never recovers.
+// Routers retry each request to a failing service, so that it never recovers.
 func TestHistoryDetectsRetryStorm(t *testing.T) {
 	for _, test := range []struct {
 		again int
@@ -120,7 +121,7 @@
 	}
 }
 
-// All routers choose the same endpoint while the others idle.
+// All routers select the same endpoint while the others are idle.
 func TestHistoryDetectsUnevenLoad(t *testing.T) {
 	outcomes, arrivals := series(200, 10, 200, 4)
 	h := history{outcomes: outcomes, arrivals: arrivals}
@@ -138,11 +139,11 @@
 	expectViolation(t, h.checkLoads(), "")
 }
 
-// Callers leave, and endpoints go on working for nobody.
+// Callers disconnect, and endpoints keep working on their requests.
 func TestHistoryDetectsWorkAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		from, to int // of each run; the caller leaves at 100 ms
+		from, to int // of each run, in ms; the caller disconnects at 100 ms
 		want     string
 	}{
 		{"stopped at once", 0, 120, ""},
@@ -163,12 +164,12 @@
 	}
 }
 
-// A router goes back to an older version of the desired state: a key that was
-// taken away is good again.
+// A router reverts to an older version of the desired state, so that a removed key
+// is accepted again.
 func TestProberDetectsVersionRollback(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		good string // key that the router takes, behind the newest one
+		good string // key that the router accepts after the newest one was seen
 		want string
 	}{{"goes on", versionKey(5), ""}, {"goes back", versionKey(3), "went back"}} {
 		s, _ := newTestSoak(t)
@@ -193,8 +194,8 @@
 	}
 }
 
-// A caller gets a part of a stream that looks whole, an event twice, or the
-// answer to another request.
+// A caller receives part of a stream that looks complete, a duplicate event, or
+// the answer to another request.
 func TestCheckAnswerDetectsBadAnswers(t *testing.T) {
 	whole := streamBody(fewEvents)
 	tests := []struct {
--- a/standin/soak/dropped.go
+++ b/standin/soak/dropped.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// droppedEvent is the number of the line by which a router tells that a connection
-// has ended with a request that was read and not answered.
+// droppedEvent is the number of the log event with which a router reports that a
+// connection ended with a request that was read but not answered.
 const droppedEvent = 108
 
-// logLine is what is read of a router's line.
+// logLine holds the fields of a router's log line that the check uses.
 type logLine struct {
 	Event int    `json:"event"`
 	Gone  bool   `json:"gone"`
 	Time  string `json:"time"`
 }
 
-// checkDropped finds requests that a router has read and dropped by its own word.
+// checkDropped finds requests that a router read and dropped, according to its
+// own log.
 func (s *soak) checkDropped() {
 	for _, r := range s.routers {
 		f, err := os.Open(r.logFile())
@@ -36,14 +37,15 @@
 		for _, line := range found {
 			s.reportViolation("router %d read a request and dropped it at %s; see %s", r.n, line.Time, r.logFile())
 		}
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened for reading only
 	}
 }
 
-// maxLogLine is the size up to which a router's line is read.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// droppedLines returns the lines of requests whose callers had not gone.
+// droppedLines returns the log lines of dropped requests whose callers were still
+// connected. It returns an error if the log cannot be read to its end.
 func droppedLines(log io.Reader) (found []logLine, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLogLine)
@@ -56,14 +58,14 @@
 	return found, lines.Err()
 }
 
-// slowCaller opens a connection, lets some time pass, and sends its request in two
-// parts, as a caller behind lost packets does.
+// slowCaller opens a connection, waits, and sends its request in two parts, as a
+// caller behind a lossy network does.
 type slowCaller struct {
 	load *load
 	rng  *rand.Rand
 }
 
-// The longest pauses of a straggler before each part of its request.
+// The maximum pauses of a slowCaller before each part of its request.
 const (
 	maxPauseAfterDial    = 900 * time.Millisecond
 	maxPauseBetweenParts = 400 * time.Millisecond
@@ -76,8 +78,8 @@
 	}
 }
 
-// send sends one request, whose answer does not matter. What its router drops, the
-// router's log tells.
+// send sends one request and ignores the response. If the router drops the
+// request, its log shows that.
 func (c *slowCaller) send(r *router) {
 	conn, err := net.DialTimeout("tcp", r.callerAddress, callerDeadline)
 	if err != nil {
@@ -85,7 +87,7 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(callerDeadline)) // a write shows if it failed
+	_ = conn.SetDeadline(time.Now().Add(callerDeadline)) // if this fails, the write fails as well
 	text := "GET /healthz HTTP/1.1\r\nHost: soak.example\r\n\r\n"
 	part := 1 + c.rng.IntN(len(text)-1)
 	for _, each := range []struct {
@@ -97,5 +99,5 @@
 			return // the router has closed the connection, or was killed
 		}
 	}
-	_, _ = conn.Read(make([]byte, 1)) // waits for the answer or the end
+	_, _ = conn.Read(make([]byte, 1)) // waits for the response or the end of the connection
 }
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -14,9 +14,8 @@
 	"wisteriaspool/standin/replica"
 )
 
-// injectFaults makes one fault after the other, some while others last. Each has
-// random numbers of its own, so that those that are left stay as they are when
-// a schedule is shortened.
+// injectFaults injects one fault after the other; some overlap. Each fault has its
+// own random number generator, so that skipping some leaves the others unchanged.
 func (s *soak) injectFaults() {
 	end := time.Now().Add(s.opts.FaultDuration)
 	for n := 1; time.Now().Before(end); n++ {
@@ -31,7 +30,7 @@
 	}
 }
 
-// injectFault makes a injectFault that ends by itself.
+// injectFault injects a random fault that ends by itself.
 func (s *soak) injectFault() {
 	lasts := time.Duration(500+s.rng.IntN(3000)) * time.Millisecond
 	r := s.routers[s.rng.IntN(len(s.routers))]
@@ -92,7 +91,7 @@
 	r.markFault()
 }
 
-// randomLinkFault returns how a link fails.
+// randomLinkFault returns a random failure mode of a network link.
 func (s *soak) randomLinkFault() proxy.Mode {
 	return []proxy.Mode{
 		{Delay: time.Duration(5+s.rng.IntN(60)) * time.Millisecond},
@@ -125,8 +124,8 @@
 	s.lastStoreFault = time.Now()
 }
 
-// stopGracefully stops a router as planned; it must end in time, with nothing
-// cut off, which its exit code tells.
+// stopGracefully sends SIGTERM to a router. The router must exit in time without
+// interrupting requests, which its exit code shows.
 func (s *soak) stopGracefully(r *router) {
 	s.logf("router %d gets SIGTERM", r.n)
 	r.markFault()
@@ -140,7 +139,8 @@
 	s.after(10*time.Second, func() { s.restart(r) })
 }
 
-// randomEndpoint returns a random endpoint that is up.
+// randomEndpoint returns a random endpoint that is up. It never returns one of the
+// service "long", whose endpoints do not fail.
 func (s *soak) randomEndpoint() *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,10 +153,10 @@
 	return up[s.rng.IntN(len(up))]
 }
 
-// entryExpiry is how long an entry outlives its endpoint.
+// entryExpiry is how long the store entry of a crashed endpoint remains.
 const entryExpiry = 1500 * time.Millisecond
 
-// crashEndpoint kills an endpoint; a new one comes in its place.
+// crashEndpoint kills an endpoint and starts a replacement after d.
 func (s *soak) crashEndpoint(d time.Duration) {
 	b := s.randomEndpoint()
 	s.logf("endpoint %s crashes", b.id)
@@ -175,12 +175,12 @@
 	}
 }
 
-// drainTime is how long an endpoint that stops still serves, and the time in
-// which routers have to have left it.
+// drainTime is how long an endpoint that stops still serves requests, and the time
+// within which routers must stop sending it any.
 const drainTime = 3 * time.Second
 
-// drainEndpoint has an endpoint stop as planned. A router that nothing was wrong
-// with must send it nothing behind drainTime.
+// drainEndpoint stops an endpoint gracefully. If neither the routers nor the
+// store were faulty, it must receive no requests after drainTime.
 func (s *soak) drainEndpoint() {
 	b := s.randomEndpoint()
 	s.logf("endpoint %s drains", b.id)
@@ -210,7 +210,7 @@
 	s.store.Delete(b.Key())
 }
 
-// degradeEndpoint has an endpoint answer wrongly, or its link fail.
+// degradeEndpoint makes an endpoint return faulty responses, or its link fail.
 func (s *soak) degradeEndpoint(d time.Duration) {
 	b := s.randomEndpoint()
 	f := []replica.Faults{{CutAfter: 2}, {CutLate: true}, {Status: http.StatusInternalServerError}, {Full: true}}[s.rng.IntN(4)]
@@ -225,11 +225,11 @@
 	s.after(d, func() { b.Fail(replica.Faults{}); b.proxy.Set(proxy.Mode{}) })
 }
 
-// propagationTimeout is the time within which a change of the desired state has to be in
-// force on routers that nothing was wrong with.
+// propagationTimeout is the time within which a change of the desired state must
+// be in force on routers without faults.
 const propagationTimeout = 3 * time.Second
 
-// toggleRevocation takes a key away, or gives it back.
+// toggleRevocation revokes the revocable key, or restores it.
 func (s *soak) toggleRevocation() {
 	s.mu.Lock()
 	s.revoked = !s.revoked
@@ -258,7 +258,7 @@
 	}
 }
 
-// String returns a result as the command prints it.
+// String formats the result as the soak command prints it.
 func (r Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d faults, %d requests, %d served, %d promises broken\n", r.Faults, r.Requests, r.Served, len(r.Violations))
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -8,23 +8,24 @@
 	"wisteriaspool/standin/replica"
 )
 
-// arrival is one run of a request as its endpoint saw it.
+// arrival is one run of a request, as recorded by its endpoint.
 type arrival struct {
 	replica.Arrival
 	endpoint string
 	service  string
 }
 
-// servingPeriod is the time for which an endpoint of a service took requests.
+// servingPeriod is the time during which an endpoint accepted requests.
 type servingPeriod struct {
 	service     string
-	from, until time.Time // until is zero if it did to the end
+	from, until time.Time // until is zero if it accepted requests to the end
 }
 
-// timeSpan is a time in which endpoints, or links with them, failed.
+// timeSpan is a time during which endpoints, or the links to them, were faulty.
 type timeSpan struct{ from, until time.Time }
 
-// history is what callers and endpoints saw in a soak, in the order of time.
+// history is what callers and endpoints recorded during a soak. The arrivals are
+// sorted by time.
 type history struct {
 	outcomes       []outcome
 	arrivals       []arrival
@@ -32,7 +33,8 @@
 	faultSpans     []timeSpan
 }
 
-// violations returns the promises that the history shows as violations, one line each.
+// violations returns the violated guarantees that the history shows, one line
+// each.
 func (h *history) violations() []string {
 	var all []string
 	for _, check := range []func() []string{h.checkRuns, h.checkContents, h.checkDeadlines, h.checkRepeats, h.checkLoads, h.checkDisconnects} {
@@ -41,8 +43,8 @@
 	return all
 }
 
-// checkRuns finds requests that ran more often than they may, and such that ran
-// though their caller was told that they have not.
+// checkRuns finds requests that ran more often than permitted, and requests that
+// ran although their caller received a response that promises they did not.
 func (h *history) checkRuns() (violations []string) {
 	n := make(map[string]int)
 	for _, a := range h.arrivals {
@@ -61,11 +63,12 @@
 	return violations
 }
 
-// routeServices are the routeServices of the routes.
+// routeServices maps each route prefix to its service.
 var routeServices = map[string]string{"/safe/": "desk", "/unsafe/": "desk", "/stream/": "model", "/resumable/": "model", "/long/": "long"}
 
-// checkContents finds runs that no caller asked for in this way: of unknown requests,
-// with another path, body or client account, or by a service of another route.
+// checkContents finds runs that do not match a request sent by a caller: unknown
+// requests, a different path, body or client account, or the service of another
+// route.
 func (h *history) checkContents() (violations []string) {
 	sent := make(map[string]outcome)
 	for _, o := range h.outcomes {
@@ -85,11 +88,12 @@
 	return violations
 }
 
-// limitSlack is by how much the time that an endpoint is given may exceed what
-// the caller gave.
+// limitSlack is by how much the time limit passed to an endpoint may exceed the
+// deadline that the caller set.
 const limitSlack = 500 * time.Millisecond
 
-// checkDeadlines finds runs that were given more time than their callers have.
+// checkDeadlines finds runs that had no time limit, or a longer one than their
+// callers set.
 func (h *history) checkDeadlines() (violations []string) {
 	for _, a := range h.arrivals {
 		if a.Limit <= 0 || a.Limit > callerDeadline+limitSlack {
@@ -99,14 +103,15 @@
 	return violations
 }
 
-// What a service may get beyond the first run of each request in a span.
+// The second attempts that a service may receive within repeatSpan: repeatShare of
+// the first attempts plus repeatSlack.
 const (
 	repeatSpan  = 10 * time.Second
 	repeatShare = 0.2
 	repeatSlack = 54
 )
 
-// checkRepeats finds services that got more second attempts than they may.
+// checkRepeats finds services that received more second attempts than permitted.
 func (h *history) checkRepeats() (violations []string) {
 	for _, service := range h.services() {
 		var all, again []time.Time
@@ -143,7 +148,7 @@
 	return slices.Compact(all)
 }
 
-// countWithin counts the moments in a span that begins at one of them.
+// countWithin counts the times within a span that begins at from.
 func countWithin(all []time.Time, from time.Time, span time.Duration) (n int) {
 	for _, at := range all {
 		if !at.Before(from) && at.Sub(from) < span {
@@ -153,8 +158,9 @@
 	return n
 }
 
-// What an endpoint may carry: a multiple of the mean of its service and a few
-// more. Some requests may exceed it, as many as the pages allow.
+// The load that an endpoint may carry: loadFactor times the mean of its service,
+// plus loadSlack. It is a violation if both minOverloads and loadShare of the
+// requests exceed it.
 const (
 	loadFactor   = 2
 	loadSlack    = 3
@@ -162,11 +168,12 @@
 	loadShare    = 0.03
 )
 
-// faultSettleTime is how long behind a failure of endpoints their load is judged
-// again: routers have noticed its end by then.
+// faultSettleTime is how long after an endpoint fault the load is not checked,
+// since routers need time to notice the end of the fault.
 const faultSettleTime = 2 * time.Second
 
-// checkLoads finds services whose load was uneven while no endpoint failed.
+// checkLoads finds services with unevenly distributed load while no endpoint was
+// faulty.
 func (h *history) checkLoads() (violations []string) {
 	for _, service := range h.services() {
 		judged, over := 0, 0
@@ -187,7 +194,8 @@
 	return violations
 }
 
-// settledAt reports whether endpoints have been well for calmAfter.
+// settledAt reports whether the last endpoint fault before at ended at least
+// faultSettleTime earlier.
 func (h *history) settledAt(at time.Time) bool {
 	for _, s := range h.faultSpans {
 		if at.After(s.from) && at.Before(s.until.Add(faultSettleTime)) {
@@ -197,8 +205,9 @@
 	return true
 }
 
-// runningAt returns what the endpoint of an arrival ran when it came, itself
-// included, what the whole service ran, and at how many endpoints.
+// runningAt returns, for the time of arrival i, the number of requests running at
+// its endpoint (including itself), the number running in the whole service, and
+// the number of the service's endpoints, at least 1.
 func (h *history) runningAt(i int) (own, total, endpoints int) {
 	a := h.arrivals[i]
 	for _, b := range h.arrivals[:i+1] {
@@ -218,15 +227,18 @@
 	return own, total, max(endpoints, 1)
 }
 
-// What endpoints may still do for callers that have left.
+// What endpoints may still do for callers that have disconnected: work or requests
+// that arrive within disconnectSlack of it are permitted. Of those beyond it, it is
+// a violation if minDisconnects requests arrive, or if work continues for both
+// minDisconnects and disconnectShare of the disconnected callers.
 const (
 	disconnectSlack = 500 * time.Millisecond
 	minDisconnects  = 4
 	disconnectShare = 0.25
 )
 
-// checkDisconnects finds requests at which endpoints worked on after their callers had
-// left, or that reached endpoints only then.
+// checkDisconnects finds endpoints that kept working on requests after the callers
+// had disconnected, and requests that reached endpoints only after that.
 func (h *history) checkDisconnects() (violations []string) {
 	left := make(map[string]time.Time)
 	for _, o := range h.outcomes {
--- a/standin/soak/load.go
+++ b/standin/soak/load.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// outcome is what a caller got for one request.
+// outcome is what a caller received for one request.
 type outcome struct {
 	id             string
 	path           string
-	status         int // 0 if no head of an answer came
+	status         int // 0 if no response headers were received
 	served         bool
 	err            error
-	disconnectedAt time.Time // when a caller that nothing was wrong with its router left; zero if it stayed
+	disconnectedAt time.Time // set only if the router had no fault around that time; zero if the caller stayed
 }
 
 // repeatable reports whether the request may run more than once.
@@ -27,19 +27,19 @@
 	return o.path == "/safe/" || o.path == "/resumable/" || o.path == "/long/"
 }
 
-// notRun reports whether the caller was promised that the request has not run.
+// notRun reports whether the response promises that the request did not run.
 func (o outcome) notRun() bool {
 	return o.status == http.StatusServiceUnavailable || o.status == http.StatusTooManyRequests
 }
 
-// load is the callers of a soak.
+// load is the set of callers of a soak, with their load balancer.
 type load struct {
 	soak   *soak
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	lastID atomic.Int64
-	ready  atomic.Pointer[[]*router] // as the balancer knows
+	ready  atomic.Pointer[[]*router] // routers that the load balancer selects from
 
 	mu  sync.Mutex
 	all []outcome
@@ -67,7 +67,7 @@
 	}
 }
 
-// slowCallers is how many callers send their requests late.
+// slowCallers is the number of callers that send their requests slowly.
 const slowCallers = 8
 
 func (l *load) stop() {
@@ -75,10 +75,11 @@
 	l.wg.Wait()
 }
 
-// balanceInterval is how often the balancer asks the routers.
+// balanceInterval is the time between two readiness checks of the routers.
 const balanceInterval = 500 * time.Millisecond
 
-// runBalancer is the balancer.
+// runBalancer maintains the list of ready routers, or of all routers if none is
+// ready.
 func (l *load) runBalancer() {
 	t := time.NewTicker(balanceInterval)
 	defer t.Stop()
@@ -101,20 +102,20 @@
 	}
 }
 
-// newClient returns a client that keeps its connections, and goes on using them
-// until their router closes them.
+// newClient returns a client that keeps idle connections open for up to a minute
+// and reuses them until their router closes them.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute}}
 }
 
-// caller sends one request after the other.
+// caller sends requests sequentially.
 type caller struct {
 	load   *load
 	rng    *rand.Rand
 	client *http.Client
 }
 
-// callerPause is the mean time between two requests of a caller.
+// callerPause is the mean pause between two requests of a caller.
 const callerPause = 60 * time.Millisecond
 
 func (c *caller) run() {
@@ -151,13 +152,13 @@
 	return n
 }
 
-// disconnectingCaller asks for long streams and leaves in the middle of each.
+// disconnectingCaller requests long streams and disconnects in the middle of each.
 type disconnectingCaller struct {
 	load *load
 	rng  *rand.Rand
 }
 
-// disconnectPause is the mean time between two requests of a leaver.
+// disconnectPause is the mean pause between two requests of a disconnectingCaller.
 const disconnectPause = 300 * time.Millisecond
 
 func (c *disconnectingCaller) run() {
@@ -168,8 +169,9 @@
 	}
 }
 
-// disconnect sends a request and leaves a moment later. What endpoints still do then
-// is judged only if nothing was wrong with the router before and behind it.
+// disconnect sends a request and disconnects 50 ms to 250 ms later. What endpoints
+// do afterwards is checked only if the router had no fault shortly before and
+// after the disconnect.
 func (c *disconnectingCaller) disconnect(r *router) {
 	ctx, cancel := context.WithTimeout(c.load.ctx, time.Duration(50+c.rng.IntN(200))*time.Millisecond)
 	defer cancel()
@@ -184,7 +186,7 @@
 	c.load.record(o)
 }
 
-// sendOnce sends a request on a new connection.
+// sendOnce sends a request on a new connection and records its outcome.
 func (l *load) sendOnce(r *router, path string) outcome {
 	client := newClient()
 	defer client.CloseIdleConnections()
@@ -193,23 +195,24 @@
 	return o
 }
 
-// callerDeadline is how long a caller waits.
+// callerDeadline is the deadline that callers set on their requests.
 const callerDeadline = 4 * time.Second
 
-// The body of each request, and the client clientAccount that holds the keys.
+// The body of each request, and the client account that owns the API keys.
 const (
 	requestBody   = "body"
 	clientAccount = "acme"
 )
 
-// send sends a request and checks its answer.
+// send sends a request and checks the answer. It waits for up to a second longer
+// than callerDeadline.
 func (l *load) send(client *http.Client, r *router, path, key string) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callerDeadline+time.Second)
 	defer cancel()
 	return l.sendContext(ctx, client, r, path, key)
 }
 
-// sendContext sends a request, and leaves when ctx ends.
+// sendContext sends a request, checks the answer, and disconnects when ctx ends.
 func (l *load) sendContext(ctx context.Context, client *http.Client, r *router, path, key string) outcome {
 	o := outcome{id: fmt.Sprintf("q%d", l.lastID.Add(1)), path: path}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callerAddress+path+o.id, strings.NewReader(requestBody))
@@ -217,7 +220,7 @@
 		o.err = err
 		return o
 	}
-	req.GetBody = nil // so that the client sends nothing again by itself
+	req.GetBody = nil // prevents the client from resending the request by itself
 	req.Host = "soak.example"
 	req.Header.Set("X-Attempt-Id", o.id)
 	req.Header.Set("X-Deadline-Ms", fmt.Sprint(callerDeadline.Milliseconds()))
@@ -239,7 +242,9 @@
 	return o
 }
 
-// checkAnswer checks what a caller got.
+// checkAnswer reports a violation if a successful response contains bytes or an
+// attempt ID that do not belong to the request, or looks complete but is not. It
+// sets o.served if the answer is complete.
 func (l *load) checkAnswer(o *outcome, resp *http.Response, body string) {
 	if o.status != http.StatusOK {
 		return
@@ -259,7 +264,7 @@
 	o.served = o.err == nil && body == want
 }
 
-// The number of events of streams. One of many lasts for 1.5 s.
+// The number of events per stream. A stream of manyEvents takes 1.5 s.
 const (
 	fewEvents  = 5
 	manyEvents = 100
@@ -272,7 +277,8 @@
 	return fewEvents
 }
 
-// streamBody is what a whole stream of an endpoint looks like.
+// streamBody returns the body of a complete stream with the given number of
+// events.
 func streamBody(events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
--- a/standin/soak/prober.go
+++ b/standin/soak/prober.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// prober asks one router again and again which version of the desired state it
-// goes by. Each version has a key of its own that no other version holds.
+// prober repeatedly checks which version of the desired state one router applies.
+// Each version contains a key that no other version contains.
 type prober struct {
 	load   *load
 	router *router
 
-	processEnded <-chan struct{} // of the process that was asked
-	highestSeen  int             // the highest version that it has shown
-	seenAt       time.Time       // when it did
+	processEnded <-chan struct{} // identifies the router process that was probed
+	highestSeen  int             // highest version that the process has applied
+	seenAt       time.Time       // when highestSeen was first observed
 }
 
 const (
 	probePause = 200 * time.Millisecond
-	// revertSlack is for how long behind a version an older one may still be
-	// seen: by requests that were under way, on a router that is slow.
+	// revertSlack is for how long after a version was seen the previous one may
+	// still be observed, through requests in flight on a slow router.
 	revertSlack = 2 * time.Second
 )
 
@@ -30,7 +30,8 @@
 	}
 }
 
-// probe looks for the newest version and, once that was seen, for the one before.
+// probe checks for the newest version and, once that has been seen for
+// revertSlack, that the previous version is no longer in force.
 func (p *prober) probe() {
 	life := p.router.processEnded()
 	if life != p.processEnded {
@@ -46,7 +47,7 @@
 	}
 }
 
-// hasVersion reports whether the router goes by a version.
+// hasVersion reports whether the router accepts the key of a version.
 func (p *prober) hasVersion(version int) bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
--- a/standin/soak/regressions.go
+++ b/standin/soak/regressions.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Regression is a seed that has failed once, with the cause that was found.
+// Regression is a seed that once failed, with the cause that was found.
 type Regression struct {
 	Seed          uint64
 	FaultDuration time.Duration
 	Cause         string
 }
 
-// Regressions are played again by hand before a change of the router lands. The
-// first four failed when all faults of a run drew on one series of random
-// numbers; now each fault has its own, and they choose other faults than then.
+// Regressions are to be run manually before a change of the router is merged. The
+// first four failed when all faults of a run shared one random number generator.
+// Each fault now has its own, so these seeds now produce other faults.
 var Regressions = []Regression{
 	{102, 14 * time.Second, "the soak did not end: a router that was told to stop, killed and started again within 10 s was taken for one that still stops"},
 	{107, 14 * time.Second, "as seed 102"},
--- a/standin/soak/router.go
+++ b/standin/soak/router.go
@@ -17,14 +17,14 @@
 	"wisteriaspool/standin/proxy"
 )
 
-// router is one router process with the proxies round it.
+// router is a router process and the proxies on its links.
 type router struct {
 	n                int
 	soak             *soak
-	callerAddress    string // address
+	callerAddress    string
 	readinessAddress string
-	peerProxy        *proxy.Proxy // from other routers
-	storeProxy       *proxy.Proxy // to the store
+	peerProxy        *proxy.Proxy // on the link from other routers
+	storeProxy       *proxy.Proxy // on the link to the store
 	peerAddress      string
 	operatorAddress  string
 
@@ -32,20 +32,21 @@
 	process       *exec.Cmd
 	ended         chan struct{} // closed when process has ended
 	paused        bool
-	lastFault     time.Time // when a fault last hit it
-	stopRequested time.Time // when it was last told to stop
+	lastFault     time.Time // when a fault of the router last began or ended
+	stopRequested time.Time // when it was last asked to stop
 }
 
-// Ports of routers lie below those that the kernel gives to outgoing
-// connections, so that nobody takes one between its choice and its use. Soaks of
-// different seeds that run beside each other have ranges of their own.
+// Router ports lie below the kernel's ephemeral port range, so that no outgoing
+// connection takes a port between its selection and its use. The port range
+// depends on the seed, which keeps concurrent soaks apart.
 const (
 	firstPort  = 20000
 	portsEach  = 100
 	portRanges = 127
 )
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns an address that nothing listens on. It returns an error if
+// no port of the range is left.
 func (s *soak) freeAddress() (string, error) {
 	base := firstPort + portsEach*int(s.opts.Seed%portRanges)
 	for s.port < portsEach {
@@ -56,7 +57,7 @@
 			return address, l.Close()
 		}
 	}
-	return "", fmt.Errorf("soak: no port is free from %d on", base)
+	return "", fmt.Errorf("soak: no free port in the range that starts at %d", base)
 }
 
 func (s *soak) newRouter(n int) (*router, error) {
@@ -90,7 +91,7 @@
 	return filepath.Join(r.soak.opts.Dir, fmt.Sprintf("router-%d.log", r.n))
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is already running.
 func (r *router) start(seeds string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process holds its own descriptor
 	c := exec.Command(r.soak.opts.Binary, "serve", "-config", file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// processWaiter waits for the end of one processWaiter.
+// processWaiter waits for one process to exit.
 type processWaiter struct {
 	router  *router
 	command *exec.Cmd
@@ -152,23 +153,23 @@
 	}
 }
 
-// processEnded returns what is closed at the end of the present process; another one has
-// another.
+// processEnded returns the channel that is closed when the current process ends.
+// It also identifies the process, since each process has its own channel.
 func (r *router) processEnded() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
-// signal sends a signal and returns the channel that tells of the process's
-// end, or nil if none runs.
+// signal sends a signal to the process. It returns a channel that is closed when
+// the process ends, or nil if none is running.
 func (r *router) signal(sig syscall.Signal) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.process == nil {
 		return nil
 	}
-	_ = r.process.Process.Signal(sig) // it may have ended just now
+	_ = r.process.Process.Signal(sig) // fails if the process has just ended
 	return r.ended
 }
 
@@ -189,21 +190,23 @@
 	r.signal(syscall.SIGCONT)
 }
 
-// markFault notes that a fault hits the router now.
+// markFault records that a fault affects the router now.
 func (r *router) markFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastFault = time.Now()
 }
 
-// healthySince reports whether nothing has hit the router since a moment.
+// healthySince reports whether the router is running and no fault has affected it
+// since a time.
 func (r *router) healthySince(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.process != nil && !r.paused && r.lastFault.Before(at)
 }
 
-// clearFaults ends all faults of the router.
+// clearFaults ends all faults of the router and starts it if it is not running.
+// It waits for the end of a process that was asked to stop in the last 10 s.
 func (r *router) clearFaults(seeds string) {
 	r.pause(false)
 	r.peerProxy.Set(proxy.Mode{})
@@ -219,10 +222,11 @@
 	}
 }
 
-// readyTimeout is how long the balancer waits for a router's word.
+// readyTimeout is how long the load balancer waits for a readiness response.
 const readyTimeout = 300 * time.Millisecond
 
-// isReady asks as the platform's balancer does.
+// isReady queries the readiness of the router as the platform's load balancer
+// does.
 func (r *router) isReady() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak runs routers as processes on loopback and makes things fail
-// around them, by a seed: their links are delayed, cut and silenced, they are
-// stopped, paused, killed and restarted, their store and their endpoints fail.
-// Meanwhile it checks what callers and endpoints see against what the fleet
-// promises. What has to hold only for routers that nothing is wrong with is
-// checked only of those.
+// Package soak runs router processes on loopback and injects seeded faults: links
+// are delayed, cut and silenced, routers are stopped, paused, killed and
+// restarted, and the store and endpoints fail. Meanwhile it checks that what
+// callers and endpoints observe satisfies the guarantees of the fleet. Guarantees
+// that hold only for routers without faults are checked only for those.
 package soak
 
 import (
@@ -22,46 +21,46 @@
 	"wisteriaspool/standin/replica"
 )
 
-// Options say what is run.
+// Options configures a soak.
 type Options struct {
-	Binary        string // of the router
+	Binary        string // path of the router binary
 	Dir           string // for settings files and logs
 	Seed          uint64
-	FaultDuration time.Duration // with faults; starting and recovering come on top
+	FaultDuration time.Duration // time in which faults are injected, without startup and recovery
 	Routers       int
 	Callers       int
-	Skip          []int     // numbers of faults that are left out
-	Out           io.Writer // told of each fault
+	Skip          []int     // numbers of faults to skip
+	Out           io.Writer // receives a line for each fault; nil means none
 }
 
-// Result is what a soak found.
+// Result is the result of a soak.
 type Result struct {
 	Requests   int
 	Served     int
 	Faults     int
-	Violations []string // promises that were broken, one line each
+	Violations []string // violated guarantees, one line each
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	opts        Options
-	rng         *rand.Rand // of the present fault
-	faultNumber int        // of the present fault
+	rng         *rand.Rand // of the current fault
+	faultNumber int        // number of the current fault
 	started     time.Time
 	store       *hub.Store
 	storeServer *httptest.Server
 	routers     []*router
 	load        *load
-	port        int // next one of its range
+	port        int // offset of the next port to try in the range of the seed
 
 	mu             sync.Mutex
 	endpoints      []*endpoint
 	nextID         int
 	version        int // of the desired state
-	previous       int // version before it
+	previous       int // version before the current one
 	revoked        bool
 	faultSpans     []timeSpan
-	lastStoreFault time.Time // when the store last was not well for all
+	lastStoreFault time.Time // when a fault of the store last began or ended
 	violations     []string
 	faults         int
 	cleanups       []func()
@@ -75,11 +74,12 @@
 	proxy   *proxy.Proxy
 	kill    func()
 	added   time.Time
-	drained time.Time // when it announced that it stops
+	drained time.Time // when it announced that it is stopping
 	crashed time.Time
 }
 
-// until returns when the endpoint ceased to take requests, or zero.
+// until returns the time at which the endpoint stopped accepting requests, or the
+// zero time.
 func (b *endpoint) until() time.Time {
 	if b.drained.IsZero() {
 		return b.crashed
@@ -87,15 +87,16 @@
 	return b.drained
 }
 
-// The sizes of a soak's pools. Those with long streams never fail, so that what
-// is seen there is the routers' doing.
+// The number of endpoints per service. Endpoints of the service with long streams
+// never fail, so that problems there are caused by the routers.
 const (
 	deskEndpoints  = 3
 	modelEndpoints = 4
 	longEndpoints  = 2
 )
 
-// Run runs a soak and returns what it found.
+// Run runs a soak and returns its result. The error is non-nil if the soak could
+// not start; violations are not errors.
 func Run(o Options) (Result, error) {
 	s := &soak{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), store: hub.New(), started: time.Now()}
 	defer s.close()
@@ -122,7 +123,7 @@
 	}
 }
 
-// start brings up endpoints, the desired state and routers.
+// start starts the endpoints, writes the desired state, and starts the routers.
 func (s *soak) start() error {
 	for range deskEndpoints {
 		if _, err := s.addEndpoint("desk"); err != nil {
@@ -155,7 +156,7 @@
 	return s.awaitReady(10 * time.Second)
 }
 
-// seeds are the peer addresses of the first routers.
+// seeds returns the peer addresses of the first three routers.
 func (s *soak) seeds() string {
 	var all []string
 	for _, r := range s.routers[:min(3, len(s.routers))] {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// addEndpoint starts an endpoint and lists it under its proxy's address.
+// addEndpoint starts an endpoint and registers it under the address of its proxy.
 func (s *soak) addEndpoint(service string) (*endpoint, error) {
 	s.mu.Lock()
 	s.nextID++
@@ -244,17 +245,18 @@
 	s.store.Put("op/config", value)
 }
 
-// versionKey returns the key that only one version of the desired state holds.
+// versionKey returns the API key that only one version of the desired state
+// contains.
 func versionKey(version int) string { return fmt.Sprintf("version-%d", version) }
 
-// versions returns the newest version of the desired state and the one before.
+// versions returns the newest version of the desired state and the previous one.
 func (s *soak) versions() (newest, before int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.previous
 }
 
-// recordFaultSpan notes that an endpoint fails from now on for a time.
+// recordFaultSpan records that an endpoint is faulty from now on for d.
 func (s *soak) recordFaultSpan(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -274,10 +276,11 @@
 	}
 }
 
-// recoveryTime is how long behind the last fault everything has to be served again.
+// recoveryTime is how long after the last fault the fleet must serve every request
+// again.
 const recoveryTime = 6 * time.Second
 
-// checkRecovery ends all faults and sees whether the fleet serves again.
+// checkRecovery ends all faults and checks that the fleet serves requests again.
 func (s *soak) checkRecovery() {
 	s.store.Fail(hub.Faults{})
 	for _, r := range s.routers {
@@ -299,14 +302,14 @@
 					s.reportViolation("router %d does not serve %s (try %d), %v behind the last fault: status %d %v", r.n, path, n, recoveryTime, o.status, o.err)
 				}
 				if o.status == 0 {
-					return // nobody is there; each try would wait for its deadline
+					return // the router is unreachable; each further try would wait for its deadline
 				}
 			}
 		}
 	}
 }
 
-// check looks for promises that show as broken only at the end.
+// check reports the violations that only the complete history shows.
 func (s *soak) check() {
 	h := history{outcomes: s.load.outcomes(), faultSpans: s.faultSpans}
 	for _, b := range s.endpoints {
