--- a/standin/caller/action.go
+++ b/standin/caller/action.go
@@ -174,13 +174,13 @@
 		}
 	}
 	r.Actions.Checked = len(l.actionResults)
-	for key, told := range l.actionResults {
+	for key, result := range l.actionResults {
 		switch {
 		case runs[key] > 1:
 			r.Actions.Doubled++
-		case runs[key] > 0 && told.notRun:
+		case runs[key] > 0 && result.notRun:
 			r.Actions.FalseNotRun++
-		case runs[key] == 0 && told.ran:
+		case runs[key] == 0 && result.ran:
 			r.Actions.FalseRan++
 		}
 	}
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -278,19 +278,19 @@
 		status: res.StatusCode, hasRetry: err == nil,
 		retryAfter: time.Duration(seconds * float64(time.Second)),
 	})
-	told := outcome(res.Header.Get("X-Outcome"))
-	if told == "" {
-		told = e.Error.Outcome
+	reported := outcome(res.Header.Get("X-Outcome"))
+	if reported == "" {
+		reported = e.Error.Outcome
 	}
 	final := t.code == codePoison
-	if told == notRun && t.attempt != "" && !final {
+	if reported == notRun && t.attempt != "" && !final {
 		return resumeRefused // "not run" refers to the reconnect, not to the original request
 	}
-	if told == notRun && !final {
+	if reported == notRun && !final {
 		return requestRefused
 	}
 	t.outcome = unknown
-	if told == notRun && t.attempt == "" {
+	if reported == notRun && t.attempt == "" {
 		t.outcome = notRun
 	}
 	return settled
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -187,10 +187,10 @@
 	defer r.mu.Unlock()
 	s := &r.totals.Actions
 	s.Sent++
-	switch told := a.result(); {
-	case told.ran:
+	switch result := a.result(); {
+	case result.ran:
 		s.Ran++
-	case told.notRun:
+	case result.notRun:
 		s.NotRun++
 	default:
 		s.Unknown++
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -95,15 +95,15 @@
 }
 
 func (t *turn) readOutcome(data string) {
-	var told struct {
+	var reported struct {
 		Outcome   outcome `json:"outcome"`
 		RouteHint string  `json:"route_hint"`
 	}
-	if err := json.Unmarshal([]byte(data), &told); err != nil {
+	if err := json.Unmarshal([]byte(data), &reported); err != nil {
 		t.fault = wrongAnswer
 		return
 	}
-	t.outcome, t.hint = told.Outcome, told.RouteHint
+	t.outcome, t.hint = reported.Outcome, reported.RouteHint
 }
 
 // readError records the error code of a stream that ends early.
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -198,13 +198,13 @@
 	s.mu.Lock()
 	stable := s.lastStoreFault.Before(at.Add(-drainTime))
 	s.mu.Unlock()
-	well := stable
+	healthy := stable
 	for _, r := range s.routers {
-		well = well && r.healthySince(at.Add(-drainTime))
+		healthy = healthy && r.healthySince(at.Add(-drainTime))
 	}
 	before := len(b.Arrivals())
 	time.Sleep(time.Second)
-	if after := len(b.Arrivals()); well && after > before {
+	if after := len(b.Arrivals()); healthy && after > before {
 		s.reportViolation("endpoint %s got %d requests over %v behind its word that it stops", b.id, after-before, drainTime)
 	}
 	s.store.Delete(b.Key())
@@ -250,9 +250,9 @@
 		s.load.record(o)
 		client.CloseIdleConnections()
 		s.mu.Lock()
-		judged := s.revoked && s.lastStoreFault.Before(at.Add(-propagationTimeout))
+		applicable := s.revoked && s.lastStoreFault.Before(at.Add(-propagationTimeout))
 		s.mu.Unlock()
-		if judged && r.healthySince(at.Add(-propagationTimeout)) && o.status == http.StatusOK {
+		if applicable && r.healthySince(at.Add(-propagationTimeout)) && o.status == http.StatusOK {
 			s.reportViolation("router %d takes a key that was revoked %v ago", r.n, time.Since(at).Round(time.Millisecond))
 		}
 	}
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -114,22 +114,22 @@
 // checkRepeats finds services that received more second attempts than permitted.
 func (h *history) checkRepeats() (violations []string) {
 	for _, service := range h.services() {
-		var all, again []time.Time
+		var firsts, retries []time.Time
 		seen := make(map[string]bool)
 		for _, a := range h.arrivals {
 			if a.service != service {
 				continue
 			}
 			if seen[a.ID] {
-				again = append(again, a.At)
+				retries = append(retries, a.At)
 			} else {
-				all = append(all, a.At)
+				firsts = append(firsts, a.At)
 			}
 			seen[a.ID] = true
 		}
-		for _, at := range again {
-			n := countWithin(again, at, repeatSpan)
-			of := max(countWithin(all, at, repeatSpan), countWithin(all, at.Add(-repeatSpan/2), repeatSpan), countWithin(all, at.Add(-repeatSpan), repeatSpan))
+		for _, at := range retries {
+			n := countWithin(retries, at, repeatSpan)
+			of := max(countWithin(firsts, at, repeatSpan), countWithin(firsts, at.Add(-repeatSpan/2), repeatSpan), countWithin(firsts, at.Add(-repeatSpan), repeatSpan))
 			if float64(n) > repeatShare*float64(of)+repeatSlack {
 				violations = append(violations, fmt.Sprintf("service %s got %d second attempts for %d requests", service, n, of))
 				break
@@ -176,19 +176,19 @@
 // faulty.
 func (h *history) checkLoads() (violations []string) {
 	for _, service := range h.services() {
-		judged, over := 0, 0
+		checked, over := 0, 0
 		for i, a := range h.arrivals {
 			if a.service != service || !h.settledAt(a.At) {
 				continue
 			}
-			judged++
+			checked++
 			own, total, endpoints := h.runningAt(i)
 			if float64(own) > loadFactor*float64(total)/float64(endpoints)+loadSlack {
 				over++
 			}
 		}
-		if over >= minOverloads && float64(over) > loadShare*float64(judged) {
-			violations = append(violations, fmt.Sprintf("%d of %d requests came to endpoints of service %s that carried over %d times the mean and %d", over, judged, service, loadFactor, loadSlack))
+		if over >= minOverloads && float64(over) > loadShare*float64(checked) {
+			violations = append(violations, fmt.Sprintf("%d of %d requests came to endpoints of service %s that carried over %d times the mean and %d", over, checked, service, loadFactor, loadSlack))
 		}
 	}
 	return violations
--- a/standin/soak/load.go
+++ b/standin/soak/load.go
@@ -19,7 +19,7 @@
 	status         int // 0 if no response headers were received
 	served         bool
 	err            error
-	disconnectedAt time.Time // set only if the router had no fault around that time; zero if the caller stayed
+	disconnectedAt time.Time // when the caller disconnected; zero if it stayed or its router had a fault
 }
 
 // repeatable reports whether the request may run more than once.
--- a/standin/soak/prober.go
+++ b/standin/soak/prober.go
@@ -33,16 +33,16 @@
 // probe checks for the newest version and, once that has been seen for
 // revertSlack, that the previous version is no longer in force.
 func (p *prober) probe() {
-	life := p.router.processEnded()
-	if life != p.processEnded {
-		p.processEnded, p.highestSeen = life, 0
+	ended := p.router.processEnded()
+	if ended != p.processEnded {
+		p.processEnded, p.highestSeen = ended, 0
 	}
 	newest, before := p.load.soak.versions()
-	if newest > p.highestSeen && p.hasVersion(newest) && p.router.processEnded() == life {
+	if newest > p.highestSeen && p.hasVersion(newest) && p.router.processEnded() == ended {
 		p.highestSeen, p.seenAt = newest, time.Now()
 	}
 	asked := time.Now()
-	if p.highestSeen == newest && before > 0 && asked.Sub(p.seenAt) > revertSlack && p.hasVersion(before) && p.router.processEnded() == life {
+	if p.highestSeen == newest && before > 0 && asked.Sub(p.seenAt) > revertSlack && p.hasVersion(before) && p.router.processEnded() == ended {
 		p.load.soak.reportViolation("router %d went back to version %d, %v after it had shown %d", p.router.n, before, asked.Sub(p.seenAt).Round(time.Millisecond), p.highestSeen)
 	}
 }
