--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -14,7 +14,7 @@
 	"wisteriaspool/standin/engine"
 )
 
-// chat is a conversation that returns after pauses.
+// chat is a multi-turn conversation with pauses between its turns.
 type chat struct {
 	load     *load
 	account  *account
@@ -23,11 +23,11 @@
 	messages []engine.Message
 	turns    int
 	hint     string
-	next     time.Time // when the next turn is due
+	next     time.Time // time at which the next turn is due
 }
 
 func newChat(a *account, n int, at time.Time) *chat {
-	random := source(a.load.opts.Seed, chatStream+uint64(n))
+	random := newRandom(a.load.opts.Seed, chatStream+uint64(n))
 	return &chat{
 		load:     a.load,
 		account:  a,
@@ -39,21 +39,21 @@
 	}
 }
 
-// run goes through the chat's turns. It gives up after one that failed.
+// run sends the chat's turns in order and stops after the first that fails.
 func (c *chat) run(ctx context.Context) {
 	defer c.load.inFlight.Done()
 	for n := range c.turns {
-		if !c.load.wait(ctx, c.next) || !c.load.takeTurn(ctx) {
+		if !c.load.wait(ctx, c.next) || !c.load.reserveTurn(ctx) {
 			return
 		}
 		words := c.load.opts.TurnWords
 		if n == 0 {
 			words = c.load.opts.FirstWords
 		}
-		c.messages = append(c.messages, engine.Message{Role: "user", Content: text(c.random, words)})
+		c.messages = append(c.messages, engine.Message{Role: "user", Content: randomText(c.random, words)})
 		t := newTurn(c, n > 0)
 		t.run(ctx)
-		c.load.record.turn(t)
+		c.load.recorder.addTurn(t)
 		if t.outcome != ran {
 			return
 		}
@@ -63,11 +63,11 @@
 	}
 }
 
-// codePoison is the code of a refusal that is final: the same request is
-// refused wherever it goes.
+// codePoison is the error code of a permanent refusal: every router refuses the
+// request, so that a retry cannot succeed.
 const codePoison = "poison"
 
-// outcome is what a caller was told.
+// outcome is the execution outcome that a router reported to the caller.
 type outcome string
 
 const (
@@ -76,16 +76,16 @@
 	unknown outcome = "unknown"
 )
 
-// fault is what is wrong with an answer.
+// fault is the defect found in an answer.
 type fault int
 
 const (
-	sound   fault = iota
-	wrong         // not the answer to this request, or offsets out of order
-	partial       // said to be whole, but ended early
+	noFault       fault = iota
+	wrongAnswer         // not the answer to this request, or offsets out of order
+	partialAnswer       // reported as complete, but ended early
 )
 
-// turn is one request of a chat, with all its reconnects.
+// turn is one request of a chat, including all its reconnects.
 type turn struct {
 	chat      *chat
 	returning bool
@@ -94,31 +94,32 @@
 	expected  string
 	due       time.Time
 
-	attempt  string // that the router named
-	offset   int    // of the last token
-	text     string
-	hint     string
-	outcome  outcome
-	fault    fault
-	code     string // of the last error
-	usage    engine.Usage
-	first    time.Duration   // from due to the first token
-	gaps     []time.Duration // between tokens
-	lastAt   time.Time
-	resumes  int // reconnects that went on with the stream
-	resent   int // requests sent again, after a refusal or before anything came
-	refusals []refusal
+	attempt    string // ID that the router assigned
+	offset     int    // offset of the last token received
+	text       string
+	hint       string
+	outcome    outcome
+	fault      fault
+	code       string // code of the last error
+	usage      engine.Usage
+	firstToken time.Duration   // from due to the first token
+	gaps       []time.Duration // between tokens
+	lastAt     time.Time
+	resumes    int // reconnects that resumed the stream
+	resent     int // requests sent again, after a refusal or a broken connection without a stream to resume
+	refusals   []refusal
 }
 
-// refusal is an answer that refused a request.
+// refusal is a response that refused a request.
 type refusal struct {
 	status     int
 	retryAfter time.Duration
 	hasRetry   bool
 }
 
-// body is a chat completion as it is sent. Partial is the text that a broken
-// stream has brought so far, for the case that its engine is lost, too.
+// body is the chat completion request as sent. Partial is the text received so
+// far from a broken stream; it allows the answer to be continued if its engine is
+// lost as well.
 type body struct {
 	engine.Request
 	StreamOptions *streamOptions `json:"stream_options,omitempty"`
@@ -133,7 +134,7 @@
 	opts := c.load.opts
 	t := &turn{
 		chat: c, returning: returning, due: c.next,
-		stream:   c.random.Float64() >= opts.Whole,
+		stream:   c.random.Float64() >= opts.NonStreamShare,
 		expected: engine.Answer(c.messages, opts.MaxTokens),
 	}
 	t.body.Request = engine.Request{
@@ -145,7 +146,7 @@
 	return t
 }
 
-// encode returns the body for the next connection.
+// encode returns the request body for the next connection.
 func (t *turn) encode() []byte {
 	t.body.Partial = t.text
 	data, err := json.Marshal(t.body)
@@ -155,36 +156,36 @@
 	return data
 }
 
-// verdict tells how one connection ended.
-type verdict int
+// connectResult describes how one connection ended.
+type connectResult int
 
 const (
-	settled verdict = iota // there is an outcome
-	broken                 // the connection broke
-	refused                // refused as not run
-	held                   // a reconnect was refused: the answer may come later
+	settled          connectResult = iota // the turn has an outcome
+	connectionBroken                      // the connection broke
+	requestRefused                        // the request was refused as not run
+	resumeRefused                         // a reconnect was refused; the answer may still arrive later
 )
 
-// The pause before a reconnect doubles between these two.
+// The backoff before a reconnect doubles from minBackoff up to maxBackoff.
 const (
-	leastPause = 50 * time.Millisecond
-	mostPause  = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// run asks, and reconnects through other routers, until there is an outcome or
-// the time is used up.
+// run sends the request, and reconnects through other routers until there is an
+// outcome or the timeout expires.
 func (t *turn) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, t.chat.load.opts.Timeout)
 	defer cancel()
 	retries := t.chat.load.opts.Retries
-	pause := leastPause
+	pause := minBackoff
 	for ctx.Err() == nil {
-		t.outcome = "" // what a broken connection said does not count
+		t.outcome = "" // an outcome received on a broken connection does not count
 		switch t.connect(ctx) {
 		case settled:
 			t.check()
 			return
-		case refused:
+		case requestRefused:
 			if retries == 0 {
 				t.outcome = notRun
 				return
@@ -192,20 +193,21 @@
 			retries--
 			t.resent++
 			t.wait(ctx, t.lastRetryAfter())
-		case held:
+		case resumeRefused:
 			t.wait(ctx, max(pause, t.lastRetryAfter()))
-			pause = min(2*pause, mostPause)
-		case broken:
-			t.noteBroken()
+			pause = min(2*pause, maxBackoff)
+		case connectionBroken:
+			t.countReconnect()
 			t.wait(ctx, pause)
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxBackoff)
 		}
 	}
 	t.outcome = unknown
 }
 
-// noteBroken counts a reconnect.
-func (t *turn) noteBroken() {
+// countReconnect counts a reconnect as a resume if a stream had been assigned an
+// attempt ID, and as a resend otherwise.
+func (t *turn) countReconnect() {
 	if t.stream && t.attempt != "" {
 		t.resumes++
 		return
@@ -215,10 +217,10 @@
 
 func (t *turn) lastRetryAfter() time.Duration { return t.refusals[len(t.refusals)-1].retryAfter }
 
-// wait waits for d, and up to half as long again so that callers don't come at
-// once.
+// wait sleeps for at least minBackoff or d, plus a random jitter of up to half of
+// it, so that callers do not reconnect simultaneously.
 func (t *turn) wait(ctx context.Context, d time.Duration) {
-	d = max(d, leastPause)
+	d = max(d, minBackoff)
 	timer := time.NewTimer(d + time.Duration(t.chat.random.Int64N(int64(d)/2)))
 	defer timer.Stop()
 	select {
@@ -227,8 +229,8 @@
 	}
 }
 
-// connect makes one connection.
-func (t *turn) connect(ctx context.Context) verdict {
+// connect sends the request on one connection and reads the response.
+func (t *turn) connect(ctx context.Context) connectResult {
 	router := t.chat.load.balancer.next()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, router+"/v1/chat/completions", bytes.NewReader(t.encode()))
 	if err != nil {
@@ -237,8 +239,8 @@
 	t.setHeaders(req.Header)
 	res, err := t.chat.load.opts.HTTP.Do(req)
 	if err != nil {
-		t.chat.load.balancer.failed(router)
-		return broken
+		t.chat.load.balancer.markFailed(router)
+		return connectionBroken
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
@@ -248,7 +250,7 @@
 		t.attempt = id
 	}
 	if !t.stream {
-		return t.readWhole(res)
+		return t.readNonStream(res)
 	}
 	return t.readStream(res.Body)
 }
@@ -266,36 +268,36 @@
 	}
 }
 
-// readRefusal reads an answer that is not 200.
-func (t *turn) readRefusal(res *http.Response) verdict {
+// readRefusal reads a response whose status is not 200.
+func (t *turn) readRefusal(res *http.Response) connectResult {
 	var e errorBody
-	_ = json.NewDecoder(io.LimitReader(res.Body, maxEvent)).Decode(&e) // of another form: no code
+	_ = json.NewDecoder(io.LimitReader(res.Body, maxEvent)).Decode(&e) // the code stays empty if the body has another format
 	t.code = e.Error.Code
 	seconds, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	t.refusals = append(t.refusals, refusal{
 		status: res.StatusCode, hasRetry: err == nil,
 		retryAfter: time.Duration(seconds * float64(time.Second)),
 	})
-	told := outcome(res.Header.Get("X-Outcome"))
-	if told == "" {
-		told = e.Error.Outcome
+	reported := outcome(res.Header.Get("X-Outcome"))
+	if reported == "" {
+		reported = e.Error.Outcome
 	}
 	final := t.code == codePoison
-	if told == notRun && t.attempt != "" && !final {
-		return held // what was not run is the reconnect
+	if reported == notRun && t.attempt != "" && !final {
+		return resumeRefused // "not run" refers to the reconnect, not to the original request
 	}
-	if told == notRun && !final {
-		return refused
+	if reported == notRun && !final {
+		return requestRefused
 	}
 	t.outcome = unknown
-	if told == notRun && t.attempt == "" {
+	if reported == notRun && t.attempt == "" {
 		t.outcome = notRun
 	}
 	return settled
 }
 
-// readWhole reads an answer without a stream.
-func (t *turn) readWhole(res *http.Response) verdict {
+// readNonStream reads a response that is not a stream.
+func (t *turn) readNonStream(res *http.Response) connectResult {
 	var answer struct {
 		Choices []struct {
 			Message struct {
@@ -305,26 +307,27 @@
 		Usage engine.Usage `json:"usage"`
 	}
 	if err := json.NewDecoder(res.Body).Decode(&answer); err != nil || len(answer.Choices) == 0 {
-		return broken
+		return connectionBroken
 	}
 	t.text = answer.Choices[0].Message.Content
 	t.usage = answer.Usage
 	t.outcome = outcome(res.Header.Get("X-Outcome"))
 	t.hint = res.Header.Get("X-Route-Hint")
-	t.first = time.Since(t.due)
+	t.firstToken = time.Since(t.due)
 	return settled
 }
 
-// check compares the answer with the one that every engine gives.
+// check compares the answer with the expected one, which is the same for every
+// engine.
 func (t *turn) check() {
 	switch {
-	case t.fault != sound || t.outcome != ran:
+	case t.fault != noFault || t.outcome != ran:
 		return
 	case t.text == t.expected:
 		return
 	case len(t.text) < len(t.expected) && t.expected[:len(t.text)] == t.text:
-		t.fault = partial
+		t.fault = partialAnswer
 	default:
-		t.fault = wrong
+		t.fault = wrongAnswer
 	}
 }
--- a/standin/caller/poison.go
+++ b/standin/caller/poison.go
@@ -8,82 +8,82 @@
 	"wisteriaspool/standin/engine"
 )
 
-// poisonText crashes the stand-in engine that runs it.
+// poisonText in a message crashes the stand-in engine that runs it.
 const poisonText = "POISON"
 
-// poisonSends is how often a caller sends its poison request, through one
-// router after another.
-const poisonSends = 5
+// poisonAttempts is how many times a caller sends its poison request, each time
+// through the next router.
+const poisonAttempts = 5
 
-// PoisonReport counts requests that crash every engine that runs them.
+// PoisonReport counts poison requests, which crash every engine that runs them.
 type PoisonReport struct {
 	Requests int        `json:"requests"`
-	Sent     int        `json:"sent"`    // each request is sent several times
-	Final    int        `json:"final"`   // answers that said it was poison
-	Ran      int        `json:"ran"`     // answers that said it ran; must be zero
-	Crashes  int        `json:"crashes"` // of engines during the load, whatever the cause
+	Sent     int        `json:"sent"`    // attempts; each request is sent several times
+	Final    int        `json:"final"`   // answers that refused the request permanently as poison
+	Ran      int        `json:"ran"`     // answers that reported the request as run; must be zero
+	Crashes  int        `json:"crashes"` // engine crashes during the load, from any cause
 	Codes    CodeCounts `json:"codes"`
 }
 
-// poisons sends poison requests at equal distances.
-type poisons struct {
+// poisonSender sends poison requests at regular intervals.
+type poisonSender struct {
 	load *load
 }
 
-func (p *poisons) run(ctx context.Context) {
+func (p *poisonSender) run(ctx context.Context) {
 	defer p.load.inFlight.Done()
-	n := p.load.opts.Poisons
+	n := p.load.opts.PoisonRequests
 	interval := p.load.opts.Duration / time.Duration(n+1)
 	for i := range n {
 		if !p.load.wait(ctx, p.load.start.Add(time.Duration(i+1)*interval)) {
 			return
 		}
 		p.load.inFlight.Add(1)
-		go newPoison(p.load, i).run(ctx)
+		go newPoisonCaller(p.load, i).run(ctx)
 	}
 }
 
-// poison is one poison request, whose caller sends it again and again.
-type poison struct {
+// poisonCaller sends one poison request poisonAttempts times.
+type poisonCaller struct {
 	chat *chat
 }
 
-func newPoison(l *load, n int) *poison {
-	random := source(l.opts.Seed, poisonStream+uint64(n))
+func newPoisonCaller(l *load, n int) *poisonCaller {
+	random := newRandom(l.opts.Seed, poisonStream+uint64(n))
 	a := &account{load: l, name: "account-1"}
-	content := engine.Content(fmt.Sprintf("%s-%d ", poisonText, n)) + text(random, l.opts.FirstWords)
-	return &poison{chat: &chat{
+	content := engine.Content(fmt.Sprintf("%s-%d ", poisonText, n)) + randomText(random, l.opts.FirstWords)
+	return &poisonCaller{chat: &chat{
 		load: l, account: a, id: fmt.Sprintf("poison-%d-%d", l.opts.Seed, n), random: random,
 		messages: []engine.Message{{Role: "user", Content: content}},
 	}}
 }
 
-func (p *poison) run(ctx context.Context) {
+func (p *poisonCaller) run(ctx context.Context) {
 	l := p.chat.load
 	defer l.inFlight.Done()
-	l.record.poisonRequest()
-	for range poisonSends {
+	l.recorder.addPoisonRequest()
+	for range poisonAttempts {
 		p.chat.next = time.Now()
 		t := newTurn(p.chat, false)
 		t.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		l.record.poisonSent(t)
-		t.wait(ctx, leastPause)
+		l.recorder.addPoisonAttempt(t)
+		t.wait(ctx, minBackoff)
 	}
 }
 
-func (r *record) poisonRequest() {
+func (r *recorder) addPoisonRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sum.Poison.Requests++
+	r.totals.Poison.Requests++
 }
 
-func (r *record) poisonSent(t *turn) {
+func (r *recorder) addPoisonAttempt(t *turn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &r.sum.Poison
+	p := &r.totals.Poison
 	p.Sent++
 	switch {
 	case t.outcome == ran:
@@ -96,8 +96,8 @@
 	}
 }
 
-// readCrashes sums the crashes of all engines. It is false if one of them does
-// not answer.
+// readCrashes returns the total number of crashes of all engines, and false if
+// an engine does not respond.
 func (l *load) readCrashes(ctx context.Context) (int, bool) {
 	total := 0
 	for _, base := range l.opts.Engines {
@@ -110,9 +110,9 @@
 	return total, true
 }
 
-// countCrashes notes how often engines crashed since before.
+// countCrashes stores in r how many engine crashes occurred since before.
 func (l *load) countCrashes(ctx context.Context, before int, known bool, r *Report) {
-	if l.opts.Poisons == 0 || len(l.opts.Engines) == 0 {
+	if l.opts.PoisonRequests == 0 || len(l.opts.Engines) == 0 {
 		return
 	}
 	after, ok := l.readCrashes(ctx)
--- a/standin/chart.go
+++ b/standin/chart.go
@@ -11,7 +11,7 @@
 	"wisteriaspool/standin/chart"
 )
 
-// chartCommand draws results of benchmarks.
+// chartCommand implements the chart subcommand, which draws benchmark results.
 type chartCommand struct {
 	in, out string
 	spec    chart.Spec
@@ -46,7 +46,7 @@
 		fmt.Fprintln(os.Stderr, "standin: chart needs -in and -out")
 		return subcommands.ExitUsageError
 	}
-	return status(c.draw())
+	return exitStatus(c.draw())
 }
 
 func (c *chartCommand) draw() error {
--- a/standin/commands.go
+++ b/standin/commands.go
@@ -12,10 +12,11 @@
 	"wisteriaspool/standin/service"
 )
 
-// crashStatus is the exit status of an engine that a poison prompt ended.
+// crashStatus is the exit status of an engine process that crashed.
 const crashStatus = 1
 
-// platformCommand runs the platform stand-in.
+// platformCommand implements the platform subcommand, which runs the platform
+// stand-in.
 type platformCommand struct {
 	listener
 	opts platform.Options
@@ -49,19 +50,19 @@
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ln, err := c.listen()
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
 	h, cleanup := platform.New(c.opts)
 	s := serve(ln, h)
 	err = s.wait(ctx)
 	cleanup()
 	if err != nil {
-		return status(err)
+		return exitStatus(err)
 	}
-	return status(s.stop())
+	return exitStatus(s.stop())
 }
 
-// engineCommand runs a model engine.
+// engineCommand implements the engine subcommand, which runs a model engine.
 type engineCommand struct {
 	member
 	opts      engine.Options
@@ -107,10 +108,10 @@
 	}
 	e, cleanup := engine.New(c.opts)
 	defer cleanup()
-	return status(c.run(ctx, e, "engine"))
+	return exitStatus(c.run(ctx, e, "engine"))
 }
 
-// serviceCommand runs a plain service.
+// serviceCommand implements the service subcommand, which runs a plain service.
 type serviceCommand struct {
 	member
 	opts service.Options
@@ -139,5 +140,5 @@
 	c.opts.ID, c.opts.Capacity = c.id, c.capacity
 	s, cleanup := service.New(c.opts)
 	defer cleanup()
-	return status(c.run(ctx, s, "service"))
+	return exitStatus(c.run(ctx, s, "service"))
 }
