--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -15,84 +15,84 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// rates are the chances, in percent, with which things go wrong.
-type rates struct {
-	loseCall, loseReply, landLate, slow int // of calls to the platform
-	refuse, decline, loseAnswer         int // of calls to the service
-	freeze, kill                        int // of a router, at each of its steps
+// faultRates holds the probabilities of faults, in percent.
+type faultRates struct {
+	loseCall, loseReply, landLate, slow int // of platform calls
+	refuse, decline, loseAnswer         int // of service calls
+	freeze, kill                        int // of a router, at each step
 	outage                              int // of the platform, every ten seconds
 }
 
-// planted is a fault that a checker has to find.
-type planted int
+// injectedFault is a design fault that the history check must detect.
+type injectedFault int
 
 const (
-	noFault planted = iota
+	noFault injectedFault = iota
 	takeOver
 	retryAfterCut
 	denyAfterSending
 	shortLeases
 )
 
-// chance draws from one seeded source, for several goroutines.
-type chance struct {
+// randomSource is a seeded random source that is safe for concurrent use.
+type randomSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func newChance(seed, stream uint64) *chance {
-	return &chance{rng: rand.New(rand.NewPCG(seed, stream))}
+func newRandomSource(seed, stream uint64) *randomSource {
+	return &randomSource{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (c *chance) percent(n int) bool {
+func (c *randomSource) percent(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(100) < n
 }
 
-func (c *chance) duration(most time.Duration) time.Duration {
+func (c *randomSource) duration(most time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.rng.Int64N(int64(most)))
 }
 
-func (c *chance) intN(n int) int {
+func (c *randomSource) intN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
 }
 
-// fleet is some routers before one platform and one service.
+// fleet is a set of routers with one platform and one service.
 type fleet struct {
 	seed    uint64
-	rates   rates
-	planted planted
+	rates   faultRates
+	fault   injectedFault
 	store   *kvtest.Store
 	history *history
-	work    sync.WaitGroup // calls, also of callers that went away, and late writes
+	work    sync.WaitGroup // calls, including abandoned ones, and late writes
 
 	mu      sync.Mutex
 	routers []*router
-	all     []*router // those that died, too
+	all     []*router // including dead ones
 }
 
-// router is one router. Each of its calls to the platform and to the service
-// goes through step, where it may be frozen or killed.
+// router is one router. Each of its platform and service calls passes through
+// step, where the router may be frozen or killed.
 type router struct {
 	fleet   *fleet
-	chance  *chance
+	random  *randomSource
 	ledger  *execution.Ledger
 	cleanup func()
 
 	mu     sync.Mutex
-	frozen time.Time // until then
+	frozen time.Time // end of the current freeze
 	dead   bool
 }
 
 const retention = 10 * time.Minute
 
-func newFleet(seed uint64, n int, r rates, p planted) *fleet {
-	f := &fleet{seed: seed, rates: r, planted: p, store: kvtest.New(), history: newHistory()}
+func newFleet(seed uint64, n int, r faultRates, p injectedFault) *fleet {
+	f := &fleet{seed: seed, rates: r, fault: p, store: kvtest.New(), history: newHistory()}
 	f.routers = make([]*router, n)
 	for i := range f.routers {
 		f.start(i)
@@ -100,12 +100,12 @@
 	return f
 }
 
-// start puts a new router in place i.
+// start replaces router i by a new one.
 func (f *fleet) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	born := uint64(len(f.all))
-	r := &router{fleet: f, chance: newChance(f.seed, born)}
+	r := &router{fleet: f, random: newRandomSource(f.seed, born)}
 	r.ledger, r.cleanup = execution.New(execution.Config{
 		Store:       r,
 		Holder:      coordination.Instance(fmt.Sprint("r", i)),
@@ -123,8 +123,8 @@
 	return f.routers[i]
 }
 
-// stop waits until frozen routers have woken and late writes have landed, and
-// ends all background work.
+// stop waits until frozen routers have resumed and late writes have been
+// applied, and ends all background work.
 func (f *fleet) stop() {
 	f.work.Wait()
 	for _, r := range f.all {
@@ -133,16 +133,16 @@
 	f.work.Wait() // late writes of settlements
 }
 
-// step is where the router may be frozen, as by SIGSTOP, or killed. What a
-// killed router was doing just ends.
+// step may freeze the router, as by SIGSTOP, or kill it. The goroutine of a
+// killed router ends here.
 func (r *router) step() {
-	if r.chance.percent(r.fleet.rates.freeze) {
+	if r.random.percent(r.fleet.rates.freeze) {
 		r.mu.Lock()
-		r.frozen = time.Now().Add(r.chance.duration(retention * 3 / 2))
+		r.frozen = time.Now().Add(r.random.duration(retention * 3 / 2))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
-	if r.chance.percent(r.fleet.rates.kill) {
+	if r.random.percent(r.fleet.rates.kill) {
 		r.dead = true
 	}
 	r.mu.Unlock()
@@ -166,11 +166,11 @@
 	return r.dead
 }
 
-// CompareAndSwap implements execution.Store with faults.
+// CompareAndSwap implements execution.Store with injected faults.
 func (r *router) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	r.step()
 	defer r.step()
-	c, rates := r.chance, r.fleet.rates
+	c, rates := r.random, r.fleet.rates
 	lost := kv.Result{Status: kv.Unknown}
 	if c.percent(rates.slow) {
 		time.Sleep(c.duration(900 * time.Millisecond))
@@ -191,22 +191,21 @@
 	return res
 }
 
-// Grant implements execution.Store with faults.
+// Grant implements execution.Store with injected faults.
 func (r *router) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	r.step()
 	defer r.step()
-	if r.fleet.planted == shortLeases {
+	if r.fleet.fault == shortLeases {
 		ttl = retention / 4
 	}
 	id, res := r.fleet.store.Grant(ctx, ttl)
-	if r.chance.percent(r.fleet.rates.loseReply) {
+	if r.random.percent(r.fleet.rates.loseReply) {
 		return 0, kv.Result{Status: kv.Unknown}
 	}
 	return id, res
 }
 
-// lateWrite is a write that its sender has given up on, and that reaches the
-// service after all.
+// lateWrite is a write that is applied after its sender has given up on it.
 type lateWrite struct {
 	store  *kvtest.Store
 	key    string
@@ -222,8 +221,7 @@
 	w.store.CompareAndSwap(context.Background(), w.key, w.value, w.expect, w.lease)
 }
 
-// exchange is one call of a caller through one router. It implements
-// execution.Sender.
+// exchange is one call through one router. It implements execution.Sender.
 type exchange struct {
 	router *router
 	key    string
@@ -233,13 +231,13 @@
 	done   chan struct{}
 }
 
-// run makes the call. If its router dies, the caller is left with unknown.
+// run makes the call. If the router dies, the outcome stays unknown.
 func (x *exchange) run() {
 	defer x.router.fleet.work.Done()
 	defer close(x.done)
 	x.router.step()
 	res := x.router.ledger.Run(context.Background(), x.request(), x)
-	if x.router.fleet.planted == takeOver && x.seize(res) {
+	if x.router.fleet.fault == takeOver && x.deleteOverdueRecord(res) {
 		res = x.router.ledger.Run(context.Background(), x.request(), x)
 	}
 	x.router.step()
@@ -253,26 +251,28 @@
 	return execution.Request{Team: "team", Key: execution.Key(x.key), IssuedAt: x.issued, Timeout: 10 * time.Second}
 }
 
-// Send implements execution.Sender: it is the service, and the way to it.
+// Send implements execution.Sender. It simulates the service and the connection
+// to it.
 func (x *exchange) Send(context.Context) execution.Result {
 	r, rates := x.router, x.router.fleet.rates
-	r.step() // frozen between the last check and the sending
+	r.step() // a freeze between the last check and sending
 	switch {
-	case r.chance.percent(rates.refuse), r.chance.percent(rates.decline):
+	case r.random.percent(rates.refuse), r.random.percent(rates.decline):
 		return execution.Result{Outcome: outcome.NotRun, Refusal: &outcome.Refusal{Outcome: outcome.NotRun}}
 	}
 	r.fleet.history.arrive(x.key, x.id)
-	time.Sleep(r.chance.duration(200 * time.Millisecond))
-	if r.chance.percent(rates.loseAnswer) {
-		return x.cutOff()
+	time.Sleep(r.random.duration(200 * time.Millisecond))
+	if r.random.percent(rates.loseAnswer) {
+		return x.resultOfCut()
 	}
 	r.step()
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: fmt.Append(nil, int(x.id))}}
 }
 
-// cutOff is what becomes of a call whose connection broke after it was sent.
-func (x *exchange) cutOff() execution.Result {
-	switch x.router.fleet.planted {
+// resultOfCut returns the result of a call whose connection broke after the
+// action was sent.
+func (x *exchange) resultOfCut() execution.Result {
+	switch x.router.fleet.fault {
 	case retryAfterCut:
 		return x.Send(context.Background())
 	case denyAfterSending:
@@ -281,9 +281,9 @@
 	return execution.Result{Outcome: outcome.Unknown, Refusal: &outcome.Refusal{}}
 }
 
-// seize does what a design with timeouts would do: it frees the key of a
-// holder that is silent past its deadline.
-func (x *exchange) seize(res execution.Result) bool {
+// deleteOverdueRecord frees the key of a holder that has not reported by its
+// deadline, as a design based on timeouts would.
+func (x *exchange) deleteOverdueRecord(res execution.Result) bool {
 	if res.Refusal == nil || res.Refusal.Code != outcome.InProgress {
 		return false
 	}
@@ -300,34 +300,34 @@
 	return store.Delete(context.Background(), path, got.Pairs[0].Revision).Status == kv.Applied
 }
 
-// caller repeats one key through one router after the other.
+// caller repeats one key through randomly chosen routers.
 type caller struct {
-	fleet  *fleet
-	id     int
-	key    string
-	issued time.Time
-	chance *chance
-	tries  int
+	fleet    *fleet
+	id       int
+	key      string
+	issued   time.Time
+	random   *randomSource
+	attempts int
 }
 
 func (c *caller) run(done *sync.WaitGroup) {
 	defer done.Done()
-	for range c.tries {
+	for range c.attempts {
 		c.call()
 		pause := 5 * time.Second
-		if c.chance.percent(20) {
+		if c.random.percent(20) {
 			pause = retention
 		}
-		time.Sleep(c.chance.duration(pause))
+		time.Sleep(c.random.duration(pause))
 	}
 }
 
-// call makes one call. A caller whose router does not answer goes away after a
-// while, as callers do, and counts the outcome as unknown.
+// call makes one call. If the router does not answer within 30 s, the caller
+// disconnects and the outcome counts as unknown.
 func (c *caller) call() {
 	place, id := c.fleet.history.begin(c.id, c.key)
 	x := &exchange{
-		router: c.fleet.router(c.chance.intN(len(c.fleet.routers))),
+		router: c.fleet.router(c.random.intN(len(c.fleet.routers))),
 		key:    c.key,
 		id:     id,
 		issued: c.issued,
@@ -343,14 +343,14 @@
 	}
 }
 
-// weather makes outages of the platform, and replaces dead routers.
-type weather struct {
+// faultInjector causes outages of the platform, and replaces dead routers.
+type faultInjector struct {
 	fleet  *fleet
-	chance *chance
+	random *randomSource
 	ended  chan struct{}
 }
 
-func (w *weather) run() {
+func (w *faultInjector) run() {
 	defer w.fleet.work.Done()
 	for {
 		select {
@@ -359,7 +359,7 @@
 			return
 		case <-time.After(10 * time.Second):
 		}
-		w.fleet.store.SetFaults(kvtest.Faults{Down: w.chance.percent(w.fleet.rates.outage)})
+		w.fleet.store.SetFaults(kvtest.Faults{Down: w.random.percent(w.fleet.rates.outage)})
 		for i := range w.fleet.routers {
 			if w.fleet.router(i).isDead() {
 				w.fleet.start(i)
--- a/coordination/execution/gate.go
+++ b/coordination/execution/gate.go
@@ -9,64 +9,68 @@
 )
 
 const (
-	// gateFailures is how many calls in a row fail before the gate shuts.
-	gateFailures = 3
-	// gateInterval is the time between two probes while the gate is shut, give
-	// or take half. With 330 routers it makes 165 calls a second, which the
-	// service can take when it comes back.
-	gateInterval = 2 * time.Second
+	// breakerThreshold is the number of consecutive failures that open the
+	// circuit breaker.
+	breakerThreshold = 3
+	// probeInterval is the mean time between two probes while the breaker is
+	// open, with a jitter of up to half of it. With 330 routers that makes 165
+	// calls a second, which the service can handle when it recovers.
+	probeInterval = 2 * time.Second
 )
 
-// gate refuses new actions at once while the service does not answer. Without
-// it each action of an outage would wait for its own timeout, hold a slot, and
-// add a call to those that meet the service when it returns.
-type gate struct {
-	mu       sync.Mutex
-	failures int // in a row
-	next     time.Time
+// breaker is a circuit breaker that refuses new actions immediately while the
+// service does not answer. Without it, each action during an outage would wait
+// for its own timeout, occupy a slot, and add to the load on the service when
+// it recovers.
+type breaker struct {
+	mu        sync.Mutex
+	failures  int // consecutive
+	nextProbe time.Time
 }
 
-// enter tells whether a call may be made: always while calls succeed, and as a
-// probe now and then otherwise.
-func (g *gate) enter() bool {
+// allow reports whether a call may be made: always while the breaker is closed,
+// and as an occasional probe while it is open.
+func (g *breaker) allow() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.failures < gateFailures {
+	if g.failures < breakerThreshold {
 		return true
 	}
 	now := time.Now()
-	if now.Before(g.next) {
+	if now.Before(g.nextProbe) {
 		return false
 	}
-	g.postpone(now)
+	g.scheduleProbe(now)
 	return true
 }
 
-// note takes in how a call ended, and tells whether that shut or opened the
-// gate. A refusal for the rate is an answer, too.
-func (g *gate) note(s kv.Status) (e Event, changed bool) {
+// record records the status of a call and reports whether it opened or closed
+// the breaker, with the event to observe. A call refused for its rate counts as
+// answered.
+func (g *breaker) record(s kv.Status) (e Event, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if s != kv.Unknown && s != kv.Unavailable {
-		changed = g.failures >= gateFailures
+		changed = g.failures >= breakerThreshold
 		g.failures = 0
 		return PlatformBack, changed
 	}
 	g.failures++
-	if g.failures != gateFailures {
+	if g.failures != breakerThreshold {
 		return 0, false
 	}
-	g.postpone(time.Now())
+	g.scheduleProbe(time.Now())
 	return PlatformLost, true
 }
 
-func (g *gate) postpone(now time.Time) {
-	g.next = now.Add(gateInterval/2 + rand.N(gateInterval))
+func (g *breaker) scheduleProbe(now time.Time) {
+	g.nextProbe = now.Add(probeInterval/2 + rand.N(probeInterval))
 }
 
-// note takes in how a call to the platform ended.
-func (l *Ledger) note(s kv.Status) {
-	if e, changed := l.gate.note(s); changed {
+// recordStatus records the status of a platform call and reports changes of the
+// circuit breaker.
+func (l *Ledger) recordStatus(s kv.Status) {
+	if e, changed := l.breaker.record(s); changed {
 		l.cfg.Observe(e)
 	}
 }
--- a/coordination/membership/mesh.go
+++ b/coordination/membership/mesh.go
@@ -9,58 +9,60 @@
 	"wisteriaspool/coordination"
 )
 
-// The mesh is the union of rings. A ring holds the members of a zone, of a
-// region or of the whole fleet in the order of a hash, and each member keeps
-// connections to the one before and the one after it. Each ring connects its
-// members by itself, a change of the list touches two links per ring, and the
-// number of links stays the same however large the fleet or uneven the zones.
+// The mesh is the union of several rings. A ring contains the members of a zone, of
+// a region or of the whole fleet in hash order, and each member connects to its
+// predecessor and its successor. Each ring alone connects its members, a change of
+// the member list changes two links per ring, and the number of links per member is
+// constant for any size of the fleet and any distribution over zones.
 
-// rings are the rings of the mesh, by the part of the fleet that each holds.
+// rings defines the rings of the mesh. Each function returns the key that the
+// members of one ring share.
 var rings = []func(*Member) string{
-	zonePart,
-	zonePart,
+	zoneRingKey,
+	zoneRingKey,
 	func(m *Member) string { return string(m.Region) },
 	func(*Member) string { return "" },
 }
 
-func zonePart(m *Member) string {
+func zoneRingKey(m *Member) string {
 	return string(m.Region) + "\x00" + string(m.Zone)
 }
 
-// mesh computes the wanted neighbours and the tree if members have changed.
-func (m *Machine) mesh() {
-	if !m.stale {
+// updateMesh recomputes the mesh neighbors and the broadcast tree if members have
+// changed.
+func (m *Machine) updateMesh() {
+	if !m.meshStale {
 		return
 	}
-	m.stale = false
+	m.meshStale = false
 	members := m.Members()
-	links := meshOf(members)
+	links := buildMesh(members)
 	self := slices.IndexFunc(members, func(o Member) bool { return o.Instance == m.self.Instance })
 	wanted := make(map[coordination.Instance]time.Time)
 	for _, i := range links[self] {
 		id := members[i].Instance
-		since, ok := m.wanted[id]
+		since, ok := m.meshNeighbors[id]
 		if !ok {
 			since = m.now
 		}
 		wanted[id] = since
 	}
-	m.wanted = wanted
-	m.tree = make(map[coordination.Instance]bool)
-	for i, parent := range treeOf(links) {
+	m.meshNeighbors = wanted
+	m.broadcastTree = make(map[coordination.Instance]bool)
+	for i, parent := range buildTree(links) {
 		switch {
 		case i == 0:
 		case i == self:
-			m.tree[members[parent].Instance] = true
+			m.broadcastTree[members[parent].Instance] = true
 		case parent == self:
-			m.tree[members[i].Instance] = true
+			m.broadcastTree[members[i].Instance] = true
 		}
 	}
 }
 
-// meshOf returns for each of the members, which are in order, the indexes of
-// its neighbours.
-func meshOf(members []Member) [][]int {
+// buildMesh returns the neighbors of each member as indexes into members, which
+// must be sorted by instance.
+func buildMesh(members []Member) [][]int {
 	links := make([][]int, len(members))
 	for seed, part := range rings {
 		parts := make(map[string][]int)
@@ -78,11 +80,11 @@
 	return links
 }
 
-// connectRing connects each member of a ring with the next one.
+// connectRing connects each member of a ring to the next one.
 func connectRing(links [][]int, members []Member, seed uint64, ring []int) {
 	places := make(map[int]uint64, len(ring))
 	for _, i := range ring {
-		places[i] = place(seed, members[i].Instance)
+		places[i] = ringPosition(seed, members[i].Instance)
 	}
 	slices.SortFunc(ring, func(a, b int) int { return cmp.Compare(places[a], places[b]) })
 	for i, a := range ring {
@@ -95,13 +97,13 @@
 	}
 }
 
-// mostChildren bounds the copies of each rumour that a member sends along the
-// tree. Without a bound those near the root send three times the mean.
-const mostChildren = 3
+// maxChildren limits the copies of each rumor that a member pushes along the tree.
+// Without a limit, members near the root send three times the mean.
+const maxChildren = 3
 
-// treeOf returns the parent of each member in a breadth-first tree of the mesh
-// with the first member as its root.
-func treeOf(links [][]int) []int {
+// buildTree returns the parent of each member in a breadth-first spanning tree of
+// the mesh, rooted at the first member.
+func buildTree(links [][]int) []int {
 	t := tree{parents: make([]int, len(links)), children: make([]int, len(links))}
 	for i := range t.parents {
 		t.parents[i] = -1
@@ -109,31 +111,31 @@
 	t.parents[0] = 0
 	for todo := []int{0}; len(todo) > 0; todo = todo[1:] {
 		for _, i := range links[todo[0]] {
-			if t.parents[i] < 0 && t.children[todo[0]] < mostChildren {
-				t.adopt(todo[0], i)
+			if t.parents[i] < 0 && t.children[todo[0]] < maxChildren {
+				t.addChild(todo[0], i)
 				todo = append(todo, i)
 			}
 		}
 	}
-	for t.adoptRest(links) {
+	for t.addRemaining(links) {
 	}
 	return t.parents
 }
 
-// tree is a tree in the making.
+// tree is a spanning tree under construction.
 type tree struct {
-	parents  []int // -1 for those not yet in it
-	children []int // their number
+	parents  []int // -1 for members not yet in the tree
+	children []int // number of children
 }
 
-func (t *tree) adopt(parent, child int) {
+func (t *tree) addChild(parent, child int) {
 	t.parents[child] = parent
 	t.children[parent]++
 }
 
-// adoptRest gives those who found no parent the neighbour with the fewest
-// children. It reports whether there were any to whom it could.
-func (t *tree) adoptRest(links [][]int) bool {
+// addRemaining attaches each member that has no parent yet to the neighbor with the
+// fewest children. It reports whether it attached any.
+func (t *tree) addRemaining(links [][]int) bool {
 	adopted := false
 	for i, parent := range t.parents {
 		if parent >= 0 {
@@ -146,19 +148,19 @@
 			}
 		}
 		if best >= 0 {
-			t.adopt(best, i)
+			t.addChild(best, i)
 			adopted = true
 		}
 	}
 	return adopted
 }
 
-// place returns the place of id on a ring.
-func place(seed uint64, id coordination.Instance) uint64 {
+// ringPosition returns the position of id in the ring with the given seed.
+func ringPosition(seed uint64, id coordination.Instance) uint64 {
 	return mix(hash(string(id)) ^ (seed+1)*0x9e3779b97f4a7c15)
 }
 
-// mix spreads the bits of x.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -167,36 +169,37 @@
 	return x ^ x>>33
 }
 
-// backoff delays attempts to reach an address.
+// backoff delays the next attempt to dial an address.
 type backoff struct {
 	failures int
 	next     time.Time
 }
 
-// dial asks for the connections that are missing.
-func (m *Machine) dial() {
+// dialMissing requests connections to mesh neighbors without one, and to the seeds
+// if there is no connection at all.
+func (m *Machine) dialMissing() {
 	if m.self.State == Left {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.wanted)) {
+	for _, id := range slices.Sorted(maps.Keys(m.meshNeighbors)) {
 		if m.links[id] != nil {
 			continue
 		}
-		if id < m.self.Instance && m.now.Sub(m.wanted[id]) < secondDial {
+		if id < m.self.Instance && m.now.Sub(m.meshNeighbors[id]) < dialDeferral {
 			continue
 		}
-		m.try(Dial{Instance: id, Address: m.table[id].Address})
+		m.requestDial(Dial{Instance: id, Address: m.table[id].Address})
 	}
 	if len(m.links) == 0 {
 		for _, seed := range m.cfg.Seeds {
-			m.try(Dial{Address: seed})
+			m.requestDial(Dial{Address: seed})
 		}
 	}
-	m.search()
+	m.reconnect()
 }
 
-// try asks for a connection unless an attempt is due only later.
-func (m *Machine) try(d Dial) {
+// requestDial requests a connection unless the address is in backoff.
+func (m *Machine) requestDial(d Dial) {
 	if d.Address == "" || d.Address == m.self.Address {
 		return
 	}
@@ -208,9 +211,9 @@
 	m.out.Dials = append(m.out.Dials, d)
 }
 
-// backOff delays the next attempt to reach address, longer with each failure
-// and by a random share, so that those who lost a peer together do not return
-// together.
+// backOff delays the next attempt to dial address, with exponential backoff and
+// jitter. The jitter keeps members that lost the same peer from dialing it at the
+// same time.
 func (m *Machine) backOff(address string) {
 	b := m.dials[address]
 	if b == nil {
@@ -220,49 +223,49 @@
 	if m.now.Before(b.next) {
 		return
 	}
-	wait := backoffMost
+	wait := maxBackoff
 	if b.failures < 5 {
-		wait = backoffFirst << b.failures
+		wait = minBackoff << b.failures
 	}
 	b.failures++
 	b.next = m.now.Add(m.jitter(wait))
 }
 
-// jitter returns a time between half of d and one and a half of it.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.rand.Int64N(int64(d)+1))
 }
 
-// search tries from time to time to reach one member that is held for dead or
-// one seed that no live member has. This is how the sides of a partition find
-// each other again, at a rate that does not depend on their number.
-func (m *Machine) search() {
-	if m.now.Before(m.nextSearch) {
+// reconnect periodically dials one random member that is considered dead or one
+// seed that no live member has. This merges the sides of a partition again, at a
+// rate that does not depend on the number of members lost.
+func (m *Machine) reconnect() {
+	if m.now.Before(m.nextReconnect) {
 		return
 	}
-	m.nextSearch = m.now.Add(m.jitter(m.cfg.SearchInterval))
+	m.nextReconnect = m.now.Add(m.jitter(m.cfg.ReconnectInterval))
 	live := make(map[string]bool)
-	var lost []Dial
+	var unreachable []Dial
 	for _, e := range m.sortedTable() {
 		if e.Live() {
 			live[e.Address] = true
 		}
 		if e.State == Dead {
-			lost = append(lost, Dial{Instance: e.Instance, Address: e.Address})
+			unreachable = append(unreachable, Dial{Instance: e.Instance, Address: e.Address})
 		}
 	}
 	for _, seed := range m.cfg.Seeds {
 		if !live[seed] && seed != m.self.Address {
-			lost = append(lost, Dial{Address: seed})
+			unreachable = append(unreachable, Dial{Address: seed})
 		}
 	}
-	if len(lost) > 0 {
-		m.try(lost[m.rand.IntN(len(lost))])
+	if len(unreachable) > 0 {
+		m.requestDial(unreachable[m.rand.IntN(len(unreachable))])
 	}
 }
 
-// forget drops the backoff of addresses that are no longer tried.
-func (m *Machine) forget() {
+// pruneBackoffs removes the backoff of addresses that are no longer dialed.
+func (m *Machine) pruneBackoffs() {
 	for address, b := range m.dials {
 		if m.now.Sub(b.next) > time.Minute {
 			delete(m.dials, address)
--- a/coordination/membership/rumor.go
+++ b/coordination/membership/rumor.go
@@ -10,71 +10,74 @@
 	"wisteriaspool/coordination"
 )
 
+// rumorKey identifies a rumor regardless of its version.
 type rumorKey struct {
 	topic string
 	key   string
 }
 
-// spreadFunc tells others of a rumour that from has told.
-type spreadFunc func(from coordination.Instance, k rumorKey)
+// disseminateFunc queues a rumor for peers other than from, which sent it.
+type disseminateFunc func(from coordination.Instance, k rumorKey)
 
-// rumor is a rumour as it is held.
+// rumor is a stored Rumor.
 type rumor struct {
 	Rumor
-	hash    uint32 // of topic and key
-	keep    bool
-	arrived time.Time
-	expires time.Time // unset if it is kept
+	hash       uint32 // of topic and key
+	persistent bool
+	arrived    time.Time
+	expires    time.Time // zero if persistent
 }
 
 func (r *rumor) live(now time.Time) bool {
-	return r.keep || now.Before(r.expires)
+	return r.persistent || now.Before(r.expires)
 }
 
-// Broadcast spreads a rumour of this member. It reports whether the rumour
-// was taken: it is not if it is larger than MaxPayload or no newer than what
-// is known.
+// Broadcast disseminates a rumor of this member. It reports whether the rumor was
+// accepted. It is rejected if the topic or key is not valid UTF-8, if it exceeds a
+// size limit such as MaxPayload, if the store is full, or if its version is not
+// newer than the stored one.
 func (m *Machine) Broadcast(now time.Time, topic, key string, version uint64, payload []byte) bool {
 	m.advance(now)
 	if !utf8.ValidString(topic) || !utf8.ValidString(key) {
-		return false // nobody could decode it, and each receiver would hang up
+		return false // receivers could not decode it and would close the connection
 	}
-	return m.accept("", m.spreadRumor, Rumor{
-		Topic:   topic,
-		Key:     key,
-		Version: version,
-		Origin:  m.self.Instance,
-		Payload: slices.Clone(payload),
-		Life:    m.lifeOf(topic),
+	return m.storeRumor("", m.pushRumor, Rumor{
+		Topic:     topic,
+		Key:       key,
+		Version:   version,
+		Origin:    m.self.Instance,
+		Payload:   slices.Clone(payload),
+		TTLMillis: m.ttlMillis(topic),
 	})
 }
 
-// lifeOf returns the life of a new rumour of topic in milliseconds.
-func (m *Machine) lifeOf(topic string) uint32 {
+// ttlMillis returns the lifetime of a new rumor of topic in milliseconds, and zero
+// for a persistent topic.
+func (m *Machine) ttlMillis(topic string) uint32 {
 	t := m.cfg.Topics[topic]
-	if t.Keep {
+	if t.Persistent {
 		return 0
 	}
-	setDuration(&t.TTL, DefaultTTL)
+	setDefaultDuration(&t.TTL, DefaultTTL)
 	return uint32(min(t.TTL.Milliseconds(), math.MaxUint32))
 }
 
-// Fresh returns the rumours that have arrived since the last call. Of several
-// versions that came in between, it returns the newest only.
-func (m *Machine) Fresh() []Rumor {
+// DrainNewRumors returns the rumors received from peers since the previous call. If
+// several versions of a rumor arrived, each entry for it is the newest one.
+func (m *Machine) DrainNewRumors() []Rumor {
 	var fresh []Rumor
-	for _, k := range m.fresh {
+	for _, k := range m.newRumors {
 		r := m.rumors[k]
 		if r == nil {
 			continue
 		}
 		fresh = append(fresh, r.Rumor)
 	}
-	m.fresh = nil
+	m.newRumors = nil
 	return fresh
 }
 
-// Rumors returns the live rumours of a topic in order of their keys.
+// Rumors returns the unexpired rumors of a topic, sorted by key.
 func (m *Machine) Rumors(topic string) []Rumor {
 	var live []Rumor
 	for _, r := range m.rumors {
@@ -86,62 +89,64 @@
 	return live
 }
 
-// hear takes in a rumour that a peer told, and tells others by spread.
-func (m *Machine) hear(from coordination.Instance, r Rumor, spread spreadFunc) {
+// receiveRumor handles a rumor from a peer and passes it on with disseminate.
+func (m *Machine) receiveRumor(from coordination.Instance, r Rumor, disseminate disseminateFunc) {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && old.Version == r.Version && old.Origin == r.Origin {
-		m.knownRumor(from, k)
+		m.markRumorKnown(from, k)
 		return
 	}
-	m.accept(from, spread, r)
+	m.storeRumor(from, disseminate, r)
 }
 
-// accept holds and spreads r if it is newer than what is known.
-func (m *Machine) accept(from coordination.Instance, spread spreadFunc, r Rumor) bool {
+// storeRumor stores r and passes it on with disseminate if it is valid and newer
+// than the stored version. It reports whether it did.
+func (m *Machine) storeRumor(from coordination.Instance, disseminate disseminateFunc, r Rumor) bool {
 	k := rumorKey{r.Topic, r.Key}
 	old := m.rumors[k]
 	if old != nil && !newer(r, old.Rumor) {
 		return false
 	}
-	keep := m.cfg.Topics[r.Topic].Keep
-	if !r.valid() || !keep && r.Life == 0 || old == nil && m.full(keep) {
+	keep := m.cfg.Topics[r.Topic].Persistent
+	if !r.valid() || !keep && r.TTLMillis == 0 || old == nil && m.full(keep) {
 		m.stats.RumorsRefused++
 		return false
 	}
-	held := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), keep: keep, arrived: m.now}
+	stored := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
 	if !keep {
-		// No topic's life is longer here than its own members give it.
-		life := min(r.Life, m.lifeOf(r.Topic))
-		held.expires = m.now.Add(time.Duration(life) * time.Millisecond)
+		// The local configuration limits the lifetime that a peer claims.
+		life := min(r.TTLMillis, m.ttlMillis(r.Topic))
+		stored.expires = m.now.Add(time.Duration(life) * time.Millisecond)
 	}
-	m.rumors[k] = held
-	m.byHash[held.hash] = k
+	m.rumors[k] = stored
+	m.byHash[stored.hash] = k
 	if keep {
-		m.views[KeptTable].valid = false
+		m.views[PersistentTable].valid = false
 	}
 	if from != "" {
-		m.fresh = append(m.fresh, k)
+		m.newRumors = append(m.newRumors, k)
 	}
-	spread(from, k)
+	disseminate(from, k)
 	return true
 }
 
+// valid reports whether r is within the size limits.
 func (r *Rumor) valid() bool {
 	return len(r.Payload) <= MaxPayload && len(r.Topic) <= maxName && len(r.Key) <= maxName && len(r.Origin) <= maxName
 }
 
-// full reports whether no new key can be taken. Soft rumours leave room for
-// kept ones.
+// full reports whether no new key can be stored. Persistent rumors may use
+// capacity that ephemeral ones cannot.
 func (m *Machine) full(keep bool) bool {
 	if keep {
-		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxKept
+		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxPersistentRumors
 	}
 	return len(m.rumors) >= m.cfg.MaxRumors
 }
 
-// newer reports whether a goes before b. Equal versions are told apart by
-// their origin, so that all members end with the same one.
+// newer reports whether a supersedes b. The origin breaks ties between equal
+// versions, so that all members converge on the same rumor.
 func newer(a, b Rumor) bool {
 	if a.Version != b.Version {
 		return a.Version > b.Version
@@ -149,14 +154,15 @@
 	return a.Origin > b.Origin
 }
 
-// sweepRumors drops what has expired.
+// sweepRumors drops the payload of expired rumors and removes them once their
+// version need not be remembered any longer.
 func (m *Machine) sweepRumors() {
 	for k, r := range m.rumors {
 		if r.live(m.now) {
 			continue
 		}
 		r.Payload = nil
-		if m.now.Sub(r.expires) > tombstone {
+		if m.now.Sub(r.expires) > tombstoneTTL {
 			delete(m.rumors, k)
 			delete(m.byHash, r.hash)
 		}
--- a/coordination/membership/rumor_test.go
+++ b/coordination/membership/rumor_test.go
@@ -9,12 +9,13 @@
 )
 
 var testTopics = map[string]Topic{
-	"settings": {Keep: true},
+	"settings": {Persistent: true},
 	"load":     {TTL: 20 * time.Second},
 }
 
-// has reports whether all running nodes hold exactly this version.
-func (f *fabric) has(topic, key string, version uint64) func() bool {
+// allHave returns a function that reports whether all running nodes have exactly
+// this version.
+func (f *simNetwork) allHave(topic, key string, version uint64) func() bool {
 	return func() bool {
 		for _, n := range f.nodes {
 			if !n.running {
@@ -29,12 +30,12 @@
 	}
 }
 
-// Links drop one message in five while settings and loads are gossiped. A
-// router that misses a settings revision would go on with an old one for ever.
+// Links drop one message in five while settings and loads are gossiped. A router
+// that missed a settings revision would keep using an old one indefinitely.
 func TestRumorsUnderLoss(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(60, 2, 3, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(60, 2, 3, Config{Topics: testTopics})
+		f.startAll(t)
 		f.loss = 0.2
 		for version := range uint64(20) {
 			for key := range 5 {
@@ -45,37 +46,37 @@
 			f.run(500 * time.Millisecond)
 		}
 		for key := range 5 {
-			took := f.runUntil(t, 20*time.Second, "kept rumour everywhere", f.has("settings", fmt.Sprint("team-", key), 20))
-			t.Logf("kept rumour everywhere %v after the last broadcasts", took)
-			f.runUntil(t, 15*time.Second, "soft rumour everywhere", f.has("load", fmt.Sprint("pool-", key), 20))
+			took := f.runUntil(t, 20*time.Second, "persistent rumor at all members", f.allHave("settings", fmt.Sprint("team-", key), 20))
+			t.Logf("persistent rumor at all members %v after the last broadcasts", took)
+			f.runUntil(t, 15*time.Second, "ephemeral rumor at all members", f.allHave("load", fmt.Sprint("pool-", key), 20))
 		}
 	})
 }
 
-// Without faults a rumour must be everywhere within a second or two, since a
-// crash suspicion that comes late costs an engine.
+// Without faults a rumor must reach all members within a second or two: a crash
+// suspicion that arrives late costs an engine.
 func TestRumorLatency(t *testing.T) {
 	for _, n := range []int{7, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
 			t.Parallel()
-			f := newFabric(uint64(n))
-			f.fill(n, 2, 3, Config{Topics: testTopics})
-			f.up(t)
+			f := newSimNetwork(uint64(n))
+			f.addNodes(n, 2, 3, Config{Topics: testTopics})
+			f.startAll(t)
 			for i := range uint64(10) {
 				f.nodes[i%7].machine.Broadcast(f.now, "settings", "team", i+1, []byte("revision"))
-				took := f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.has("settings", "team", i+1))
-				t.Logf("everywhere after %v", took)
+				took := f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", i+1))
+				t.Logf("at all members after %v", took)
 			}
 		})
 	}
 }
 
-// A router starts, or a region returns, after settings were gossiped. What was
-// said in the meantime must reach it although nobody says it again.
+// A router starts, or a partition ends, after settings were gossiped. Rumors from
+// the meantime must reach it although nobody broadcasts them again.
 func TestRumorsCatchUp(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(30, 2, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(30, 2, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		far := func(n *node) bool { return n.self.Region == "region-1" }
 		f.partition(far)
 		f.run(time.Minute)
@@ -86,9 +87,9 @@
 		f.run(5 * time.Second)
 		f.heal()
 		f.runUntil(t, 40*time.Second, "agreement", f.agreed)
-		f.runUntil(t, 20*time.Second, "kept rumours in both regions", func() bool {
+		f.runUntil(t, 20*time.Second, "persistent rumors in both regions", func() bool {
 			for i := range 100 {
-				if !f.has("settings", fmt.Sprint("team-", i), 3)() {
+				if !f.allHave("settings", fmt.Sprint("team-", i), 3)() {
 					return false
 				}
 			}
@@ -96,21 +97,21 @@
 		})
 		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, 10*time.Second, "kept rumours at the new member", func() bool {
+		took := f.runUntil(t, 10*time.Second, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == 100
 		})
-		t.Logf("new member has all after %v", took)
+		t.Logf("new member has all rumors after %v", took)
 	})
 }
 
-// One router gossips far more than the byte budget. Soft rumours may then be
-// dropped, but settings and membership must go through, or a router would
-// miss a revision because of a noisy topic.
+// One router broadcasts far more than the byte budget. Ephemeral rumors may be
+// dropped then, but settings and membership must get through; otherwise a busy topic
+// would make a router miss a settings revision.
 func TestSheddingKeepsSettings(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.checker.lost = none
-		f.fill(20, 1, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.checker.mayLose = isStopped
+		f.addNodes(20, 1, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		payload := make([]byte, MaxPayload)
 		for _, n := range f.nodes {
 			n.bytes = 0
@@ -122,12 +123,12 @@
 			f.nodes[1].machine.Broadcast(f.now, "settings", "team", round+1, []byte("revision"))
 			f.run(time.Second)
 		}
-		f.runUntil(t, 5*time.Second, "kept rumour everywhere", f.has("settings", "team", 60))
+		f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", 60))
 		var shed uint64
 		for _, n := range f.nodes {
 			shed += n.machine.Stats().RumorsShed
 			rate := n.bytes / 60
-			// One message may go over the budget before the next is shed.
+			// One message may exceed the budget before the next rumor is dropped.
 			assert.Assert(t, rate < 12000+4000, "%s sent %d bytes/s", n.self.Instance, rate)
 		}
 		assert.Assert(t, shed > 0)
@@ -138,18 +139,18 @@
 func TestRumorRules(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	m := New(Config{Topics: testTopics}, Member{Instance: "a", Address: "a"}, now)
-	m.Receive(now, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "b", Payload: []byte("five"), Life: 10000}}})
+	m.Receive(now, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "b", Payload: []byte("five"), TTLMillis: 10000}}})
 	tests := []struct {
 		name  string
 		rumor Rumor
 		want  string
 	}{
-		{"older version", Rumor{Topic: "load", Key: "k", Version: 4, Origin: "c", Payload: []byte("four"), Life: 10000}, "five"},
-		{"equal version of lower origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "a", Payload: []byte("low"), Life: 10000}, "five"},
-		{"equal version of higher origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "c", Payload: []byte("high"), Life: 10000}, "high"},
+		{"older version", Rumor{Topic: "load", Key: "k", Version: 4, Origin: "c", Payload: []byte("four"), TTLMillis: 10000}, "five"},
+		{"equal version of lower origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "a", Payload: []byte("low"), TTLMillis: 10000}, "five"},
+		{"equal version of higher origin", Rumor{Topic: "load", Key: "k", Version: 5, Origin: "c", Payload: []byte("high"), TTLMillis: 10000}, "high"},
 		{"no life left", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("late")}, "high"},
-		{"too large", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: make([]byte, MaxPayload+1), Life: 10000}, "high"},
-		{"newer version", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("six"), Life: 10000}, "six"},
+		{"too large", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: make([]byte, MaxPayload+1), TTLMillis: 10000}, "high"},
+		{"newer version", Rumor{Topic: "load", Key: "k", Version: 6, Origin: "b", Payload: []byte("six"), TTLMillis: 10000}, "six"},
 	}
 	for _, test := range tests {
 		m.Receive(now, "b", Message{Rumors: []Rumor{test.rumor}})
@@ -157,24 +158,24 @@
 		assert.Equal(t, len(rumors), 1, test.name)
 		assert.Equal(t, string(rumors[0].Payload), test.want, test.name)
 	}
-	fresh := m.Fresh()
+	fresh := m.DrainNewRumors()
 	assert.Equal(t, string(fresh[len(fresh)-1].Payload), "six")
 
-	// An expired rumour is gone, and an older one does not take its place.
+	// An expired rumor is not returned, and an older version does not replace it.
 	later := now.Add(11 * time.Second)
 	m.Tick(later)
 	assert.Equal(t, len(m.Rumors("load")), 0)
-	m.Receive(later, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "c", Life: 10000}}})
+	m.Receive(later, "b", Message{Rumors: []Rumor{{Topic: "load", Key: "k", Version: 5, Origin: "c", TTLMillis: 10000}}})
 	assert.Equal(t, len(m.Rumors("load")), 0)
 }
 
-// A router joins a fleet that holds many settings. If each neighbour sent all
-// of them, and the new router passed them on in turn, a rolling update would
-// spend the byte budget of the whole fleet on what is known already.
+// A router joins a fleet with many settings. If each neighbor sent all of them, and
+// the new router forwarded them in turn, a rolling update would spend the byte budget
+// of the whole fleet on known rumors.
 func TestCatchUpIsPaced(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *fabric) {
-		f.fill(20, 1, 2, Config{Topics: testTopics})
-		f.up(t)
+	eachSeed(t, func(t *testing.T, f *simNetwork) {
+		f.addNodes(20, 1, 2, Config{Topics: testTopics})
+		f.startAll(t)
 		const count, size = 300, 500
 		for i := range count {
 			f.nodes[i%20].machine.Broadcast(f.now, "settings", fmt.Sprint("team-", i), 1, make([]byte, size))
@@ -187,7 +188,7 @@
 		f.bytes = 0
 		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, time.Minute, "kept rumours at the new member", func() bool {
+		took := f.runUntil(t, time.Minute, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == count
 		})
 		f.run(5 * time.Second)
@@ -196,7 +197,7 @@
 			content += r.Size()
 		}
 		added := f.bytes - int(steady*(took+5*time.Second).Seconds())
-		t.Logf("%v, %d bytes of gossip more for %d of content", took, added, content)
+		t.Logf("caught up after %v, with %d bytes of additional gossip for %d bytes of rumors", took, added, content)
 		assert.Assert(t, added < 3*content/2)
 	})
 }
--- a/coordination/mirror/burst_test.go
+++ b/coordination/mirror/burst_test.go
@@ -13,8 +13,9 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// Hundreds of endpoints that register within seconds, as when all start, cost a
-// call of each router that watches the store, and a message to all others, each.
+// Hundreds of endpoints that register within seconds, as when all of them
+// start, must not cost one call of each watcher and one message to every other
+// router each.
 func TestBurstOfChangesComesInFewUpdates(t *testing.T) {
 	const (
 		changes = 250
@@ -24,14 +25,14 @@
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var updates int
-				f := newDistantFleet(t, routers, 4*time.Millisecond, func(router int, _ mirror.News) {
+				f := newFleetWithDelay(t, routers, 4*time.Millisecond, func(router int, _ mirror.Changes) {
 					if router == 0 {
 						updates++
 					}
 				})
 				f.store.put("a", "0")
 				time.Sleep(5 * time.Second)
-				f.store.forget()
+				f.store.resetCalls()
 				updates = 0
 				for i := range changes {
 					f.store.put(fmt.Sprint("servers/", i), "x")
@@ -43,17 +44,17 @@
 					assert.Equal(t, valueOf(m, last), "x", "router %d", i)
 				}
 				seconds := (changes * pause).Seconds()
-				watchers := len(mirror.Watchers(f.routers))
-				t.Logf("%d calls and %d updates at one router for %d changes in %.0f s", f.store.price(), updates, changes, seconds)
-				assert.Check(t, f.store.price() <= 10*watchers*int(seconds+1))
+				watchers := len(mirror.DefaultWatchers(f.routers))
+				t.Logf("%d calls and %d updates at one router for %d changes in %.0f s", f.store.cost(), updates, changes, seconds)
+				assert.Check(t, f.store.cost() <= 10*watchers*int(seconds+1))
 				assert.Check(t, updates <= 20*int(seconds+1))
 			})
 		})
 	}
 }
 
-// A router that asks any other one for changes comes to hold a connection to each,
-// and all of them to look after.
+// If routers chose among all others whom to ask, each would hold a connection
+// to every other one.
 func TestRoutersAskFewOthers(t *testing.T) {
 	for _, n := range []int{7, 64, 330, 1000} {
 		var routers []placement.Router
--- a/coordination/mirror/feed.go
+++ b/coordination/mirror/feed.go
@@ -16,276 +16,289 @@
 	"wisteriaspool/coordination/placement"
 )
 
-// FeedConfig says what a Feed feeds, and from where.
+// FeedConfig configures a Feed.
 type FeedConfig struct {
 	Self      coordination.Instance
 	Prefix    string
 	Mirror    *Mirror
 	Store     Store
 	Transport Transport
-	// Routers returns the routers that answer, as far as this one knows, and
-	// this one itself.
+	// Routers returns the routers that are alive, as far as this one knows,
+	// including this one.
 	Routers func() []placement.Router
-	// OnState, if set, is told when the store is lost, with why, and when it is
-	// back.
+	// OnState, if set, is called with an error when the store becomes
+	// unreachable and with nil when it is reachable again.
 	OnState func(err error)
-	// Asked, if set, remembers the calls to other routers.
-	Asked *Asked
-	// OnUntold, if set, is told of a router to which no hint could be sent, or
-	// from which nothing could be fetched behind its hint.
-	OnUntold func(id coordination.Instance, err error)
+	// CallLog, if set, records the calls to other routers.
+	CallLog *CallLog
+	// OnHintFailure, if set, is called with a router to which a hint could not
+	// be sent, or from which the change it announced could not be fetched.
+	OnHintFailure func(id coordination.Instance, err error)
 }
 
 // Feed keeps a mirror up to date from the store and from the other routers, and
-// tells these in turn. It decides which routers call the store, and whom the
-// others ask. A router that the store turns away still hears of changes from
-// those that it serves.
+// sends changes on to them. It decides which routers call the store and which
+// router the others ask. A router that the store rejects still learns of
+// changes from the routers that the store serves.
 type Feed struct {
 	cfg     FeedConfig
 	store   *Follower
 	peers   *Follower
 	server  *Server
-	teller  *teller
+	hints   *hintSender
 	fetcher *fetcher
 
-	mu    sync.Mutex
-	ranks *ranks                              // of the routers that answered when they were last asked for
-	lost  map[coordination.Instance]time.Time // when each was found not to reach the store
-	sure  map[coordination.Instance]time.Time // when each told what it had from the store
-	fell  time.Time                           // when a router was last found to have lost it
+	mu             sync.Mutex
+	candidates     *watcherCandidates                  // for the routers that were alive at the last call of currentCandidates
+	lossReportedAt map[coordination.Instance]time.Time // when each router last reported that it cannot reach the store
+	confirmedAt    map[coordination.Instance]time.Time // when each router last sent a revision that it had from the store
+	lastLossAt     time.Time                           // when a router was last found to have lost the store
 }
 
-// peerTimeout is how much longer than its wait another router's answer may take.
+// peerTimeout is how long the reply of another router may take beyond the wait
+// that was asked for.
 const peerTimeout = 500 * time.Millisecond
 
-// gather is for about how long a router that watches the store gathers changes
-// behind one that it has told. Each watch that ends is a call, and a message to
-// each other router; hundreds of endpoints may start or end within seconds.
-const gather = 150 * time.Millisecond
+// batchDelay is about how long a router that watches the store collects further
+// changes after it has announced one. Each watch that ends costs a call and a
+// message to every other router, and hundreds of endpoints may start or stop
+// within seconds.
+const batchDelay = 150 * time.Millisecond
 
-// NewFeed returns a feed, which answers other routers and does nothing else
-// before its start.
+// NewFeed returns a feed. Until Start it only answers other routers.
 func NewFeed(cfg FeedConfig) *Feed {
 	f := &Feed{
-		cfg:  cfg,
-		lost: make(map[coordination.Instance]time.Time),
-		sure: make(map[coordination.Instance]time.Time),
+		cfg:            cfg,
+		lossReportedAt: make(map[coordination.Instance]time.Time),
+		confirmedAt:    make(map[coordination.Instance]time.Time),
 	}
-	f.teller, f.fetcher = newTeller(f), newFetcher(f)
+	f.hints, f.fetcher = newHintSender(f), newFetcher(f)
 	f.store = &Follower{
-		Mirror:  cfg.Mirror,
-		Source:  StoreSource{Store: cfg.Store, Prefix: cfg.Prefix, Wait: f.watchWait},
-		Idle:    f.leaveToOthers,
-		Wake:    make(chan struct{}, 1),
-		OnState: f.stateChanged,
-		Gather:  gather,
-		OnNews:  f.teller.tell,
+		Mirror:     cfg.Mirror,
+		Source:     StoreSource{Store: cfg.Store, Prefix: cfg.Prefix, Wait: f.watchWait},
+		Idle:       f.storeNotNeeded,
+		Wake:       make(chan struct{}, 1),
+		OnState:    f.stateChanged,
+		BatchDelay: batchDelay,
+		OnAdvance:  f.hints.announce,
 	}
 	f.peers = &Follower{Mirror: cfg.Mirror, Source: PeerSource{
-		Transport: cfg.Transport,
-		Choose:    f.choose,
-		Prefix:    cfg.Prefix,
-		Wait:      func() time.Duration { return PeerWait(len(cfg.Routers())) },
-		Timeout:   peerTimeout,
-		OnReach:   f.note,
-		Asked:     cfg.Asked,
+		Transport:      cfg.Transport,
+		Choose:         f.choosePeer,
+		Prefix:         cfg.Prefix,
+		Wait:           func() time.Duration { return PeerWait(len(cfg.Routers())) },
+		Timeout:        peerTimeout,
+		OnReachability: f.recordReachability,
+		CallLog:        cfg.CallLog,
 	}}
 	f.server = &Server{Mirrors: map[string]*Mirror{cfg.Prefix: cfg.Mirror}, Lost: f.store.Lost}
 	return f
 }
 
-// Start feeds the mirror until the returned function is called. The mirror's
-// observers have to be set by then.
+// Start feeds the mirror until the returned function is called. The observers
+// of the mirror have to be set before.
 func (f *Feed) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	told, fetched := make(chan struct{}), make(chan struct{})
-	go f.teller.run(ctx, told)
-	go f.fetcher.run(ctx, fetched)
+	hintsDone, fetchDone := make(chan struct{}), make(chan struct{})
+	go f.hints.run(ctx, hintsDone)
+	go f.fetcher.run(ctx, fetchDone)
 	stopStore, stopPeers := f.store.Start(), f.peers.Start()
 	return func() {
 		cancel()
 		stopStore()
 		stopPeers()
-		<-told
-		<-fetched
+		<-hintsDone
+		<-fetchDone
 	}
 }
 
-// Look has the feed look at once whether this router has to ask the store
-// itself, as when another one no longer answers. If all that watch lose their
-// power together, nobody else hears of a change before that.
-func (f *Feed) Look() { signal(f.store.Wake) }
+// RecheckStore makes the feed check at once whether this router has to call the
+// store itself, for instance because another router has failed. If all watchers
+// lose power together, no other router learns of changes until this check.
+func (f *Feed) RecheckStore() { signal(f.store.Wake) }
 
 // Handle answers a call of another router on [Topic].
 func (f *Feed) Handle(ctx context.Context, from coordination.Instance, payload []byte) ([]byte, error) {
 	b, asOf, err := f.server.handle(ctx, payload)
 	if err == nil {
-		f.teller.answered(from, asOf)
+		f.hints.recordReply(from, asOf)
 	}
 	return b, err
 }
 
-// lostFor is how long a router that does not reach the store is taken not to.
-// It tells when it does again, and while it does not, it tells so every
-// lostAgain: neither a message that is lost nor a router that is killed counts
-// for long.
+// Reports on whether a router reaches the store expire, so that neither a lost
+// message nor a router that was killed has an effect for long.
 const (
-	lostFor   = 10 * time.Second
-	lostAgain = 4 * time.Second
+	// reachabilityTTL is how long a report counts. A router that reaches the
+	// store again says so earlier.
+	reachabilityTTL = 10 * time.Second
+	// lossRepeatInterval is how often a router that cannot reach the store
+	// repeats its report.
+	lossRepeatInterval = 4 * time.Second
 )
 
-// note notes whether another router reaches the store. If it has lost it, this
-// router looks at once whether it has to ask the store itself.
-func (f *Feed) note(id coordination.Instance, reaches bool) {
+// recordReachability records whether another router reaches the store. If that
+// router has just lost the store, this one checks at once whether it has to
+// call the store itself.
+func (f *Feed) recordReachability(id coordination.Instance, reaches bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reached := time.Since(f.lost[id]) > lostFor
+	wasReachable := time.Since(f.lossReportedAt[id]) > reachabilityTTL
 	if reaches {
-		delete(f.lost, id)
+		delete(f.lossReportedAt, id)
 		return
 	}
-	f.lost[id] = time.Now()
-	if reached {
-		f.fell = time.Now()
+	f.lossReportedAt[id] = time.Now()
+	if wasReachable {
+		f.lastLossAt = time.Now()
 		signal(f.store.Wake)
 	}
 }
 
-// prove notes that a router has told what it had from the store.
-func (f *Feed) prove(id coordination.Instance) {
+// recordConfirmation records that a router has sent a revision that it had from
+// the store.
+func (f *Feed) recordConfirmation(id coordination.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sure[id] = time.Now()
+	f.confirmedAt[id] = time.Now()
 }
 
-// reaches reports whether a router is not known to be cut off from the store.
-func (f *Feed) reaches(id coordination.Instance) bool {
+// mayReachStore reports whether a router is not known to be cut off from the
+// store.
+func (f *Feed) mayReachStore(id coordination.Instance) bool {
 	if id == f.cfg.Self {
 		return !f.store.Lost()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.lost[id]) > lostFor
+	return time.Since(f.lossReportedAt[id]) > reachabilityTTL
 }
 
-// proven reports whether a router has told lately what it had from the store,
-// and no other one has lost the store since: what cut that one off may have cut
-// off this one as well.
-func (f *Feed) proven(id coordination.Instance) bool {
+// confirmedRecently reports whether a router has recently sent a revision from
+// the store and no router has lost the store since. What cut off that other
+// router may have cut off this one as well.
+func (f *Feed) confirmedRecently(id coordination.Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sure[id].After(f.fell) && time.Since(f.sure[id]) <= lostFor
+	return f.confirmedAt[id].After(f.lastLossAt) && time.Since(f.confirmedAt[id]) <= reachabilityTTL
 }
 
-// forget forgets what has been known for too long to count.
-func (f *Feed) forget() {
-	old := func(_ coordination.Instance, at time.Time) bool { return time.Since(at) > lostFor }
+// expireRecords deletes the records that are older than reachabilityTTL.
+func (f *Feed) expireRecords() {
+	expired := func(_ coordination.Instance, at time.Time) bool { return time.Since(at) > reachabilityTTL }
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	maps.DeleteFunc(f.lost, old)
-	maps.DeleteFunc(f.sure, old)
+	maps.DeleteFunc(f.lossReportedAt, expired)
+	maps.DeleteFunc(f.confirmedAt, expired)
 }
 
-// reaching returns the routers that answer and, as far as is known, reach the
-// store.
-func (f *Feed) reaching() []placement.Router {
-	return lo.Filter(f.cfg.Routers(), func(r placement.Router, _ int) bool { return f.reaches(r.ID) })
+// routersReachingStore returns the routers that are alive and, as far as is
+// known, reach the store.
+func (f *Feed) routersReachingStore() []placement.Router {
+	return lo.Filter(f.cfg.Routers(), func(r placement.Router, _ int) bool { return f.mayReachStore(r.ID) })
 }
 
-// watching returns the routers that watch the store now. Others take over at
-// once from those that it turns away.
-func (f *Feed) watching() []coordination.Instance {
-	r := f.rank()
-	if lo.EveryBy(r.usual, f.reaches) {
-		return r.usual
+// currentWatchers returns the routers that watch the store now. Other routers
+// take over at once from those that the store rejects.
+func (f *Feed) currentWatchers() []coordination.Instance {
+	r := f.currentCandidates()
+	if lo.EveryBy(r.defaults, f.mayReachStore) {
+		return r.defaults
 	}
-	return r.watching(Served{Maybe: f.reaches, Surely: f.proven})
+	return r.current(StoreReach{Possible: f.mayReachStore, Confirmed: f.confirmedRecently})
 }
 
-// rank returns the ranks of the routers that answer.
-func (f *Feed) rank() *ranks {
+// currentCandidates returns the watcher candidates among the routers that are
+// alive. It computes them again only when these change.
+func (f *Feed) currentCandidates() *watcherCandidates {
 	routers := f.cfg.Routers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ranks == nil || !slices.Equal(f.ranks.members, routers) {
-		f.ranks = rank(routers)
+	if f.candidates == nil || !slices.Equal(f.candidates.members, routers) {
+		f.candidates = newWatcherCandidates(routers)
 	}
-	return f.ranks
+	return f.candidates
 }
 
-// counts reports whether the others go by whether this router reaches the store:
-// it is one of those that would watch if it did.
-func (f *Feed) counts() bool {
-	served := Served{
-		Maybe:  func(id coordination.Instance) bool { return id == f.cfg.Self || f.reaches(id) },
-		Surely: func(id coordination.Instance) bool { return id == f.cfg.Self || f.proven(id) },
+// wouldWatch reports whether this router would watch the store if it reached
+// it. Only then do the other routers depend on whether it does.
+func (f *Feed) wouldWatch() bool {
+	reach := StoreReach{
+		Possible:  func(id coordination.Instance) bool { return id == f.cfg.Self || f.mayReachStore(id) },
+		Confirmed: func(id coordination.Instance) bool { return id == f.cfg.Self || f.confirmedRecently(id) },
 	}
-	return slices.Contains(f.rank().watching(served), f.cfg.Self)
+	return slices.Contains(f.currentCandidates().current(reach), f.cfg.Self)
 }
 
 func (f *Feed) watchWait() time.Duration {
-	return WatchWait(len(f.watching()), f.store.Lost())
+	return WatchWait(len(f.currentWatchers()), f.store.Lost())
 }
 
-// leaveToOthers reports whether the store need not be asked now. Before its
-// first answer it is, so that a router that starts is ready at once.
-func (f *Feed) leaveToOthers() bool {
-	return f.cfg.Mirror.AsOf() > 0 && !NeedsStore(f.cfg.Self, f.watching(), len(f.cfg.Routers()), f.cfg.Mirror.Age())
+// storeNotNeeded reports whether this router need not call the store now. It
+// does call it until its first reply, so that a router that starts is ready at
+// once.
+func (f *Feed) storeNotNeeded() bool {
+	return f.cfg.Mirror.AsOf() > 0 && !NeedsStore(f.cfg.Self, f.currentWatchers(), len(f.cfg.Routers()), f.cfg.Mirror.Age())
 }
 
-// stateChanged is told that this router has lost the store, or is back.
+// stateChanged is called with an error when this router has lost the store and
+// with nil when it reaches it again.
 func (f *Feed) stateChanged(err error) {
-	f.teller.tellState()
+	f.hints.announceState()
 	if f.cfg.OnState != nil {
 		f.cfg.OnState(err)
 	}
 }
 
 const (
-	// alternateEvery is how often a router asks one of its alternates rather than
-	// one of those that watch the store: these may all be cut off from it.
+	// alternateEvery makes a router ask one of its alternates in one of so many
+	// calls on average, rather than a router that watches the store: all of
+	// those may be cut off from it.
 	alternateEvery = 3
-	// alternates is how many these are. Each router keeps to its own few, or each
-	// would come to hold a connection to each other one.
-	alternates = 4
+	// alternateCount is the number of alternates of a router. They stay the
+	// same few, as otherwise every router would hold a connection to every
+	// other one.
+	alternateCount = 4
 )
 
-// choose names the router to ask next: mostly one that watches the store and is
-// of the same availability zone, for traffic between zones has a price.
-func (f *Feed) choose() (coordination.Instance, bool) {
-	routers := f.reaching()
-	zone := f.zone(routers)
-	among := f.watching()
-	near := lo.FilterMap(routers, func(r placement.Router, _ int) (coordination.Instance, bool) {
-		return r.ID, r.Zone == zone && slices.Contains(among, r.ID) && r.ID != f.cfg.Self
+// choosePeer returns the router to ask next, in most cases one that watches the
+// store and is in the same availability zone, as traffic between zones is
+// billed.
+func (f *Feed) choosePeer() (coordination.Instance, bool) {
+	routers := f.routersReachingStore()
+	zone := f.ownZone(routers)
+	choices := f.currentWatchers()
+	nearby := lo.FilterMap(routers, func(r placement.Router, _ int) (coordination.Instance, bool) {
+		return r.ID, r.Zone == zone && slices.Contains(choices, r.ID) && r.ID != f.cfg.Self
 	})
 	switch {
 	case rand.IntN(alternateEvery) == 0:
-		among = Alternates(f.cfg.Self, routers)
-	case len(near) > 0:
-		among = near
+		choices = Alternates(f.cfg.Self, routers)
+	case len(nearby) > 0:
+		choices = nearby
 	}
-	among = lo.Without(among, f.cfg.Self)
-	if len(among) == 0 {
+	choices = lo.Without(choices, f.cfg.Self)
+	if len(choices) == 0 {
 		return "", false
 	}
-	return among[rand.IntN(len(among))], true
+	return choices[rand.IntN(len(choices))], true
 }
 
-// Alternates returns the few routers that a router asks whoever watches the store,
-// by rendezvous hashing: each is asked by about as many, and one that goes is
-// followed by the next.
+// Alternates returns the few routers that self asks regardless of which routers
+// watch the store. They are chosen by rendezvous hashing, so that each router
+// is asked by about as many others, and one that leaves is replaced by the
+// next.
 func Alternates(self coordination.Instance, routers []placement.Router) []coordination.Instance {
 	weight := func(r placement.Router) uint64 { return xxhash.Sum64String(string(self) + "\x00" + string(r.ID)) }
-	rest := lo.Reject(routers, func(r placement.Router, _ int) bool { return r.ID == self })
-	weights := lo.SliceToMap(rest, func(r placement.Router) (coordination.Instance, uint64) { return r.ID, weight(r) })
-	slices.SortFunc(rest, func(a, b placement.Router) int { return cmp.Compare(weights[a.ID], weights[b.ID]) })
-	rest = rest[:min(len(rest), alternates)]
-	return lo.Map(rest, func(r placement.Router, _ int) coordination.Instance { return r.ID })
+	others := lo.Reject(routers, func(r placement.Router, _ int) bool { return r.ID == self })
+	weights := lo.SliceToMap(others, func(r placement.Router) (coordination.Instance, uint64) { return r.ID, weight(r) })
+	slices.SortFunc(others, func(a, b placement.Router) int { return cmp.Compare(weights[a.ID], weights[b.ID]) })
+	others = others[:min(len(others), alternateCount)]
+	return lo.Map(others, func(r placement.Router, _ int) coordination.Instance { return r.ID })
 }
 
-// zone returns the availability zone of this router.
-func (f *Feed) zone(routers []placement.Router) coordination.Zone {
+// ownZone returns the availability zone of this router.
+func (f *Feed) ownZone(routers []placement.Router) coordination.Zone {
 	self, _ := lo.Find(routers, func(r placement.Router) bool { return r.ID == f.cfg.Self })
 	return self.Zone
 }
--- a/coordination/placement/affinity_test.go
+++ b/coordination/placement/affinity_test.go
@@ -13,11 +13,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// reusable is for how long the connections of these tests can be used again.
+// reusable is for how long connections can be reused in these tests.
 const reusable = 2 * time.Second
 
-// A router with few requests keeps to two endpoints; one with many, of which each
-// endpoint gets several a second anyway, to all.
+// Guards against subsets that do not follow the request rate. A router with few
+// requests uses the least number of endpoints. With many requests each endpoint gets
+// several a second anyway, so that all are used.
 func TestAffinityFollowsTheRate(t *testing.T) {
 	tests := []struct {
 		perSecond float64
@@ -34,30 +35,30 @@
 		now := time.Unix(1000, 0)
 		width := 0
 		for range 1 + int(test.perSecond*20) {
-			width = a.Width(now, testPool, reusable)
+			width = a.SubsetSize(now, testPool, reusable)
 			now = now.Add(time.Duration(float64(time.Second) / test.perSecond))
 		}
 		assert.Assert(t, width >= test.least && width <= test.most, "%v a second: %d", test.perSecond, width)
 	}
 }
 
-// The first request of a router, or of one that was idle for long, says nothing
-// of a rate.
+// Guards against a rate computed from the first request of a router, or from the
+// first one after a long idle time.
 func TestAffinityOfTheFirstRequests(t *testing.T) {
 	var a Affinity
 	now := time.Unix(1000, 0)
-	assert.Equal(t, a.Width(now, testPool, reusable), leastAffinity)
+	assert.Equal(t, a.SubsetSize(now, testPool, reusable), minSubsetSize)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		a.Width(now, testPool, reusable)
+		a.SubsetSize(now, testPool, reusable)
 	}
-	assert.Assert(t, a.Width(now, testPool, reusable) > 5*leastAffinity/2)
-	assert.Equal(t, a.Width(now.Add(time.Hour), testPool, reusable), leastAffinity)
+	assert.Assert(t, a.SubsetSize(now, testPool, reusable) > 5*minSubsetSize/2)
+	assert.Equal(t, a.SubsetSize(now.Add(time.Hour), testPool, reusable), minSubsetSize)
 }
 
-// Each router of a fleet keeps to a few endpoints. If some endpoints were chosen
-// by more routers than others, these would be full while others idle.
-func TestEndpointsAreNearEquallyManyRouters(t *testing.T) {
+// Guards against uneven subsets: endpoints chosen by more routers than others would
+// be full while others idle.
+func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
 	tests := []struct{ routers, endpoints, width int }{{295, 10, 2}, {295, 10, 3}, {295, 240, 2}, {1000, 10, 2}, {80, 6, 3}}
 	for _, test := range tests {
 		s := NewSet(testEndpoints(test.endpoints))
@@ -67,7 +68,7 @@
 			near := KeyOf(coordination.Chat(fmt.Sprintf("router-%d", r)))
 			met := make(map[coordination.Endpoint]bool)
 			for k := range Key(requests) {
-				first := s.Near(nil, testPool, near, KeyOf(coordination.Chat(fmt.Sprintf("%d-%d", r, k))), test.width, 1)[0].ID
+				first := s.Subset(nil, testPool, near, KeyOf(coordination.Chat(fmt.Sprintf("%d-%d", r, k))), test.width, 1)[0].ID
 				met[first] = true
 				got[first]++
 			}
@@ -84,61 +85,61 @@
 	}
 }
 
-// A pool of three before eight routers: two endpoints for each router would leave
-// one endpoint with far fewer routers than the others.
+// Guards against subsets of a small pool. With three endpoints and eight routers, two
+// endpoints for each router would leave one with far fewer routers than the others.
 func TestSmallPoolIsNotDivided(t *testing.T) {
 	s := NewSet(testEndpoints(3))
 	for near := range Key(8) {
 		for key := range Key(20) {
-			assert.DeepEqual(t, ids(s.Near(nil, testPool, near, key, leastAffinity, 3)), ids(s.Candidates(nil, testPool, key, 0, 3)))
+			assert.DeepEqual(t, ids(s.Subset(nil, testPool, near, key, minSubsetSize, 3)), ids(s.Candidates(nil, testPool, key, 0, 3)))
 		}
 	}
 }
 
-// Near only orders the endpoints: behind the few come all others, and a longer
-// list begins like a shorter one.
-func TestNearLeavesNoEndpointOut(t *testing.T) {
+// Subset only orders the endpoints: all others follow the subset, and a longer list
+// begins like a shorter one.
+func TestSubsetOrdersAllEndpoints(t *testing.T) {
 	s := NewSet(testEndpoints(30))
-	all := ids(s.Near(nil, testPool, 7, 9, 3, 30))
+	all := ids(s.Subset(nil, testPool, 7, 9, 3, 30))
 	assert.Equal(t, len(lo.Uniq(all)), 30)
 	for limit := range 30 {
-		assert.DeepEqual(t, ids(s.Near(nil, testPool, 7, 9, 3, limit)), all[:limit])
+		assert.DeepEqual(t, ids(s.Subset(nil, testPool, 7, 9, 3, limit)), all[:limit])
 	}
-	other := ids(s.Near(nil, testPool, 7, 10, 3, 30))
+	other := ids(s.Subset(nil, testPool, 7, 10, 3, 30))
 	assert.DeepEqual(t, lo.Uniq(append(other[:3:3], all[:3]...)), other[:3])
 	assert.DeepEqual(t, other[3:], all[3:])
-	assert.DeepEqual(t, ids(s.Near(nil, testPool, 7, 9, 16, 6)), ids(s.Candidates(nil, testPool, 9, 0, 6)))
-	assert.Equal(t, len(s.Near(nil, "none", 7, 9, 3, 6)), 0)
+	assert.DeepEqual(t, ids(s.Subset(nil, testPool, 7, 9, 16, 6)), ids(s.Candidates(nil, testPool, 9, 0, 6)))
+	assert.Equal(t, len(s.Subset(nil, "none", 7, 9, 3, 6)), 0)
 }
 
-// dials counts the connections that requests need of which each holds one, and
-// of which one that was unused for too long does not serve again.
-type dials struct {
-	requests, made int
-	unused         map[coordination.Instance]map[coordination.Endpoint][]time.Time
+// connectionCounter counts the connections that requests need. Each request holds
+// one, and a connection that was idle for longer than reusable is not used again.
+type connectionCounter struct {
+	requests, dialed int
+	idle             map[coordination.Instance]map[coordination.Endpoint][]time.Time
 }
 
-func (d *dials) take(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+func (d *connectionCounter) acquire(now time.Time, r coordination.Instance, e coordination.Endpoint) {
 	d.requests++
-	if d.unused[r] == nil {
-		d.unused[r] = make(map[coordination.Endpoint][]time.Time)
+	if d.idle[r] == nil {
+		d.idle[r] = make(map[coordination.Endpoint][]time.Time)
 	}
-	all := d.unused[r][e]
+	all := d.idle[r][e]
 	if n := len(all); n > 0 && now.Sub(all[n-1]) <= reusable {
-		d.unused[r][e] = all[:n-1]
+		d.idle[r][e] = all[:n-1]
 		return
 	}
-	d.made++
+	d.dialed++
 }
 
-func (d *dials) give(now time.Time, r coordination.Instance, e coordination.Endpoint) {
-	d.unused[r][e] = append(d.unused[r][e], now)
+func (d *connectionCounter) release(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+	d.idle[r][e] = append(d.idle[r][e], now)
 }
 
-// trickle plays requests of 60 ms that have nothing cached, one every tenth of a
-// second at some router.
-func (f *fleet) trickle(t *testing.T, routers []Router, affine bool) dials {
-	d := dials{unused: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
+// runSparseRequests runs 60 ms requests that have nothing cached, one every 100 ms at
+// a random router.
+func (f *fleet) runSparseRequests(t *testing.T, routers []Router, affine bool) connectionCounter {
+	d := connectionCounter{idle: make(map[coordination.Instance]map[coordination.Endpoint][]time.Time)}
 	affinities := make([]Affinity, len(routers))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -146,37 +147,37 @@
 		id := routers[n].ID
 		req := Request{Pool: testPool, Key: Key(rng.Uint64())}
 		if affine {
-			req.Near, req.Width = KeyOf(coordination.Chat(id)), affinities[n].Width(time.Now(), testPool, reusable)
+			req.SubsetKey, req.SubsetSize = KeyOf(coordination.Chat(id)), affinities[n].SubsetSize(time.Now(), testPool, reusable)
 		}
 		g, refusal := f.nodes[id].entry.Acquire(t.Context(), req)
 		assert.Assert(t, g != nil, "%v", refusal)
-		d.take(time.Now(), id, g.Endpoint.ID)
+		d.acquire(time.Now(), id, g.Endpoint.ID)
 		time.Sleep(60 * time.Millisecond)
-		d.give(time.Now(), id, g.Endpoint.ID)
+		d.release(time.Now(), id, g.Endpoint.ID)
 		g.Release()
 		time.Sleep(40 * time.Millisecond)
 	}
 	return d
 }
 
-// Each router of a large fleet gets about one request a second for a pool of ten
-// endpoints. Spread over all of them, nearly every request needs a new
-// connection.
+// Guards against a new connection for nearly every request, as happens when each
+// router of a large fleet gets about one request a second for a pool of ten endpoints
+// and spreads them over all.
 func TestFewRequestsReuseConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routers := testRouters(8)
 		f := newFleet(routers, testEndpoints(10), Config{Slack: 2})
 		defer f.start()()
 		time.Sleep(2 * time.Second)
-		spread, affine := f.trickle(t, routers, false), f.trickle(t, routers, true)
-		t.Logf("new connections for %d requests: %d spread over all, %d with affinity", affine.requests, spread.made, affine.made)
-		assert.Assert(t, affine.made*3 < spread.made*2, "%d connections for %d requests, %d when spread", affine.made, affine.requests, spread.made)
-		assert.Assert(t, affine.made*2 < affine.requests, "%d connections for %d requests", affine.made, affine.requests)
+		spread, affine := f.runSparseRequests(t, routers, false), f.runSparseRequests(t, routers, true)
+		t.Logf("new connections for %d requests: %d spread over all, %d with affinity", affine.requests, spread.dialed, affine.dialed)
+		assert.Assert(t, affine.dialed*3 < spread.dialed*2, "%d connections for %d requests, %d when spread", affine.dialed, affine.requests, spread.dialed)
+		assert.Assert(t, affine.dialed*2 < affine.requests, "%d connections for %d requests", affine.dialed, affine.requests)
 	})
 }
 
-// One router gets all the requests. Its few endpoints must not run more than their
-// bound while the others idle.
+// Guards against a subset that exceeds its bound while other endpoints idle, when one
+// router gets all the requests.
 func TestBoundHoldsForAHotRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bound := PoolBound{Bound: 1.25, Slack: 2}
@@ -186,7 +187,7 @@
 		running := make(map[coordination.Endpoint]int)
 		for n := range 120 {
 			g, refusal := f.nodes["r0"].entry.Acquire(t.Context(), Request{
-				Pool: testPool, Key: KeyOf(coordination.Chat(fmt.Sprint(n))), Near: 7, Width: leastAffinity,
+				Pool: testPool, Key: KeyOf(coordination.Chat(fmt.Sprint(n))), SubsetKey: 7, SubsetSize: minSubsetSize,
 			})
 			assert.Assert(t, g != nil, "request %d: %v", n, refusal)
 			running[g.Endpoint.ID]++
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -10,15 +10,15 @@
 	"wisteriaspool/coordination"
 )
 
-// LoadReader asks an endpoint for its own report of its load.
+// LoadReader reads the load that an endpoint reports.
 type LoadReader interface {
+	// ReadLoad requests the report of an endpoint.
 	ReadLoad(ctx context.Context, endpoint coordination.Endpoint) (Report, error)
 }
 
 // Entry places the requests of one router: it asks the owners of candidate
-// endpoints, and keeps the grants that it holds, so that it can register them
-// with an owner that has taken over. [Start] calls [Entry.Tick] when there is
-// something to send.
+// endpoints for grants and keeps those that it holds, so that it can register them
+// with a new owner. [Start] calls [Entry.Tick] when there is something to send.
 type Entry struct {
 	id        EntryID
 	transport Transport
@@ -27,56 +27,56 @@
 	cfg       atomic.Pointer[Config]
 	view      atomic.Pointer[view]
 	held      grantTable
-	doubts    doubtTable
+	doubts    avoidTable
 	fallback  fallbackTable
 }
 
-// view is a consistent pair of lists.
+// view is a consistent pair of endpoint and router lists.
 type view struct {
 	set     *Set
 	routers *Routers
 }
 
-// NewEntry returns the entry of a router whose own endpoints local counts. The
-// other owners are reached through t. If loads is not nil, it serves to decide
-// without an owner that cannot be reached.
+// NewEntry returns the entry of a router whose own endpoints are counted by local.
+// Other owners are reached through t. If loads is not nil, its reports are used to
+// decide without an owner that cannot be reached.
 func NewEntry(id EntryID, local *Owner, t Transport, loads LoadReader, cfg Config) *Entry {
 	e := &Entry{id: id, transport: t, local: local, loads: loads}
 	e.held.grants = make(map[Sequence]*Grant)
 	e.held.releases = make(map[coordination.Instance][]Release)
-	e.held.asked = make(map[coordination.Instance]time.Time)
-	e.held.owed = make(map[coordination.Instance]bool)
-	e.held.due = make(chan struct{}, 1)
+	e.held.lastContact = make(map[coordination.Instance]time.Time)
+	e.held.releasesDropped = make(map[coordination.Instance]bool)
+	e.held.wake = make(chan struct{}, 1)
 	e.view.Store(&view{set: NewSet(nil), routers: NewRouters(nil, 0)})
 	e.Configure(cfg)
 	return e
 }
 
-// Configure puts new settings in force.
+// Configure replaces the settings. Zero fields get their defaults.
 func (e *Entry) Configure(cfg Config) {
 	cfg = cfg.withDefaults()
 	e.cfg.Store(&cfg)
 }
 
-// Update takes new lists of endpoints and routers. If the routers have changed,
-// and with them perhaps owners, the next [Entry.Tick] registers the held grants.
+// Update replaces the lists of endpoints and routers. If the routers have changed,
+// owners may have too, so the next [Entry.Tick] registers the held grants.
 func (e *Entry) Update(set *Set, routers *Routers) {
 	if old := e.view.Swap(&view{set: set, routers: routers}); old.routers != routers {
-		e.held.registerAgain()
+		e.held.requestRegistration()
 	}
 }
 
-// Acquire asks for a grant at the best endpoint that will take the request. It
-// returns a nil grant and the refusal if there is none. The caller must call
+// Acquire asks for a grant at the best endpoint that takes the request. If there is
+// none, it returns a nil grant and the refusal. The caller must call
 // [Grant.Release] once the request no longer runs at the endpoint.
 func (e *Entry) Acquire(ctx context.Context, req Request) (*Grant, Refusal) {
 	cfg, v := e.cfg.Load(), e.view.Load()
-	g := e.held.open(e, req.Alone)
+	g := e.held.open(e, req.Isolated)
 	w := newWalk(time.Now(), req, cfg, v.set, v.routers)
 	w.latest, w.doubts = e.view.Load, &e.doubts
 	for {
 		coordination.Sleep(ctx, w.pause(time.Now()))
-		a, refusal, ok := w.next(time.Now())
+		a, refusal, ok := w.nextQuery(time.Now())
 		if !ok && refusal.Code == NotOwner && w.awaitHandover(ctx) {
 			continue
 		}
@@ -85,11 +85,11 @@
 			return nil, refusal
 		}
 		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
-		r := e.put(ctx, g, req, a, cfg)
+		r := e.sendQuery(ctx, g, req, a, cfg)
 		if r.Code == Outlier {
-			e.doubts.note(time.Now(), doubt{pool: req.Pool, endpoint: a.endpoint.ID, once: req.Once}, r.RetryAfter.Duration())
+			e.doubts.add(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.NonRetryable}, r.RetryAfter.Duration())
 		}
-		if !w.take(a, r) {
+		if !w.handleReply(a, r) {
 			continue
 		}
 		if r.Decision == Granted && ctx.Err() == nil {
@@ -105,67 +105,67 @@
 	}
 }
 
-// put puts one question to one owner.
-func (e *Entry) put(ctx context.Context, g *Grant, req Request, a ask, cfg *Config) AdmitReply {
-	e.held.aim(time.Now(), g, a)
+// sendQuery sends one query to one owner, or decides without it if it is unreachable.
+func (e *Entry) sendQuery(ctx context.Context, g *Grant, req Request, a ownerQuery, cfg *Config) AdmitReply {
+	e.held.recordQuery(time.Now(), g, a)
 	m := AdmitRequest{
-		Entry:       e.id,
-		Sequence:    g.sequence,
-		Endpoint:    a.endpoint.ID,
-		Incarnation: a.endpoint.Incarnation,
-		Account:     req.Account,
-		Priority:    req.Priority,
-		Deadline:    a.deadline,
-		Wait:        a.wait,
-		Final:       a.final,
-		Alone:       req.Alone,
-		Once:        req.Once,
-		Insist:      a.insist,
-		Target:      a.target,
+		Entry:        e.id,
+		Sequence:     g.sequence,
+		Endpoint:     a.endpoint.ID,
+		Incarnation:  a.endpoint.Incarnation,
+		Account:      req.Account,
+		Priority:     req.Priority,
+		Deadline:     a.deadline,
+		Wait:         a.wait,
+		Final:        a.final,
+		Isolated:     req.Isolated,
+		NonRetryable: req.NonRetryable,
+		AllowOutlier: a.insist,
+		Target:       a.target,
 	}
 	if a.owner == e.id.Instance {
 		r := e.local.Admit(ctx, m)
-		e.settle(g, a, r)
+		e.recordReply(g, a, r)
 		return r
 	}
-	if a.owner == "" || e.fallback.silent(time.Now(), a.owner) {
-		return e.decideAlone(ctx, g, a, cfg)
+	if a.owner == "" || e.fallback.backingOff(time.Now(), a.owner) {
+		return e.decideWithoutOwner(ctx, g, a, cfg)
 	}
-	m.Releases = e.held.take(a.owner)
+	m.Releases = e.held.takeReleases(a.owner)
 	r, err := e.call(ctx, a, m, cfg)
 	if err != nil {
-		// The owner may have granted, so it is told that nobody uses it. What
-		// follows goes by another name, or the owner would take it for the same.
-		e.held.giveBack(a.owner, m.Releases)
-		e.held.giveBack(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
-		e.held.renew(g)
+		// The owner may have granted the request, so a release is queued. The next query
+		// needs another sequence number, or the owner would take it for the released one.
+		e.held.requeueReleases(a.owner, m.Releases)
+		e.held.requeueReleases(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
+		e.held.renumber(g)
 		if ctx.Err() != nil {
 			return AdmitReply{Decision: Refused, Code: Cancelled}
 		}
-		e.fallback.lost(time.Now(), a.owner)
-		return e.decideAlone(ctx, g, a, cfg)
+		e.fallback.recordFailure(time.Now(), a.owner)
+		return e.decideWithoutOwner(ctx, g, a, cfg)
 	}
-	e.fallback.heard(a.owner)
-	if r.Code == Lost {
-		e.fallback.bury(time.Now(), lostOf(a.endpoint), cfg.LostFor)
+	e.fallback.recordAnswer(a.owner)
+	if r.Code == EndpointLost {
+		e.fallback.markDead(time.Now(), lostOf(a.endpoint), cfg.LostTTL)
 	}
-	e.settle(g, a, r)
+	e.recordReply(g, a, r)
 	return r
 }
 
-// settle notes what an owner answered.
-func (e *Entry) settle(g *Grant, a ask, r AdmitReply) {
+// recordReply records the limit and the grant in an owner's reply.
+func (e *Entry) recordReply(g *Grant, a ownerQuery, r AdmitReply) {
 	if r.Limit > 0 {
-		e.fallback.learn(time.Now(), a.endpoint.Pool, r.Limit)
+		e.fallback.recordLimit(time.Now(), a.endpoint.Pool, r.Limit)
 	}
 	if r.Decision == Granted {
-		e.held.grant(time.Now(), g, a.owner)
+		e.held.markGranted(time.Now(), g, a.owner)
 	}
 }
 
-// call makes the call to a remote owner. It waits for as long as the owner may
-// hold the request back, and admitTimeout more.
-func (e *Entry) call(ctx context.Context, a ask, m AdmitRequest, cfg *Config) (AdmitReply, error) {
+// call sends a query to a remote owner. Its timeout is the time for which the owner
+// may hold the request back plus admitTimeout.
+func (e *Entry) call(ctx context.Context, a ownerQuery, m AdmitRequest, cfg *Config) (AdmitReply, error) {
 	wait := a.wait.Duration()
 	if a.final {
 		wait = cfg.MaxWait
@@ -182,15 +182,15 @@
 	return DecodeAdmitReply(b)
 }
 
-// admitTimeout is how long an owner has for its answer. It is a part of the
-// time to the first token, so a frozen owner must not take more of it.
+// admitTimeout is how long an owner has for its reply. It adds to the time to the
+// first token, so it limits what a frozen owner costs.
 const admitTimeout = 100 * time.Millisecond
 
-// Lost tells the owner of an endpoint that this router has found it dead, so
-// that others do not run into it before their lists say so.
-func (e *Entry) Lost(ctx context.Context, d Descriptor) {
+// ReportLost tells the owner of an endpoint that this router has found it dead, so
+// that other requests avoid it before the membership lists do.
+func (e *Entry) ReportLost(ctx context.Context, d Descriptor) {
 	lost := lostOf(&d)
-	e.fallback.bury(time.Now(), lost, e.cfg.Load().LostFor)
+	e.fallback.markDead(time.Now(), lost, e.cfg.Load().LostTTL)
 	b := ReleaseBatch{Entry: e.id, Lost: []LostEndpoint{lost}}
 	to := e.view.Load().routers.Owner(d.ID, d.Zone)
 	if to == e.id.Instance {
@@ -199,16 +199,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// If the message is lost, the list will tell the owner a little later.
+	// If the message is lost, the membership list tells the owner a little later.
 	_, _ = e.transport.Call(ctx, to, TopicRelease, b.Encode())
 }
 
-// tell tells one owner what a request shows of its endpoint, and reports whether
-// the endpoint is taken out. An owner that does not answer knows no better.
-func (e *Entry) tell(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
+// sendNotice tells one owner what a request shows of its endpoint, and reports
+// whether the endpoint is ejected. It reports false if the owner does not reply.
+func (e *Entry) sendNotice(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
 	b := ReleaseBatch{Entry: e.id, Notices: []Notice{n}}
 	if owner == e.id.Instance {
-		return slices.Contains(e.local.Release(b).Out, n.Endpoint)
+		return slices.Contains(e.local.Release(b).Ejected, n.Endpoint)
 	}
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
@@ -217,32 +217,32 @@
 		return false
 	}
 	r, err := DecodeReleaseReply(raw)
-	return err == nil && slices.Contains(r.Out, n.Endpoint)
+	return err == nil && slices.Contains(r.Ejected, n.Endpoint)
 }
 
-// Tick sends the releases that have gathered, and registers the held grants
-// when lists have changed or a third of the entry's lease has passed.
+// Tick sends the queued releases, and registers the held grants when the router
+// list has changed or a third of the entry's lease has passed.
 func (e *Entry) Tick(ctx context.Context) {
 	cfg, v := e.cfg.Load(), e.view.Load()
 	var wg sync.WaitGroup
 	now := time.Now()
-	for _, d := range e.held.messages(now, e.id, v, cfg) {
+	for _, d := range e.held.pendingMessages(now, e.id, v, cfg) {
 		d.entry = e
-		wg.Go(func() { d.run(ctx) })
+		wg.Go(func() { d.send(ctx) })
 	}
 	wg.Wait()
 }
 
-// dispatch is one message on its way to an owner.
-type dispatch struct {
+// outboundMessage is one message to an owner: releases or a registration.
+type outboundMessage struct {
 	entry    *Entry
 	to       coordination.Instance
 	releases []Release
 	register *Register
 }
 
-// run sends the message. Releases that may not have arrived are sent again.
-func (d dispatch) run(ctx context.Context) {
+// send sends the message. Releases that may not have arrived are queued again.
+func (d outboundMessage) send(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if d.register != nil {
@@ -255,18 +255,20 @@
 		return
 	}
 	if _, err := d.entry.transport.Call(ctx, d.to, TopicRelease, b.Encode()); err != nil {
-		d.entry.held.giveBack(d.to, d.releases)
+		d.entry.held.requeueReleases(d.to, d.releases)
 	}
 }
 
+// sendTimeout limits the call for a release or a registration.
 const sendTimeout = time.Second
 
-func (d dispatch) sendRegister(ctx context.Context) {
+// sendRegister sends the registration. If that fails, another one is requested.
+func (d outboundMessage) sendRegister(ctx context.Context) {
 	if d.to == d.entry.id.Instance {
 		d.entry.local.Register(*d.register)
 		return
 	}
 	if _, err := d.entry.transport.Call(ctx, d.to, TopicRegister, d.register.Encode()); err != nil {
-		d.entry.held.registerAgain()
+		d.entry.held.requestRegistration()
 	}
 }
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -12,11 +12,12 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// clearFailure is the weight of a failure that leaves little doubt.
+// clearFailure is the weight of an unambiguous failure.
 const clearFailure outlier.Weight = 390
 
-// fail has requests fail at an endpoint until its owner takes it out.
-func fail(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
+// ejectByFailures makes requests fail at an endpoint until its owner ejects it.
+// It returns the time of the ejection.
+func ejectByFailures(t *testing.T, o *Owner, now time.Time, e coordination.Endpoint) time.Time {
 	t.Helper()
 	for seq := Sequence(1000); ; seq++ {
 		now = now.Add(50 * time.Millisecond)
@@ -25,44 +26,45 @@
 			return now
 		}
 		assert.Equal(t, r.Decision, Granted)
-		assert.Assert(t, seq < 1010, "not taken out after ten failures")
+		assert.Assert(t, seq < 1010, "not ejected after ten failures")
 		now = now.Add(50 * time.Millisecond)
-		o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: e, Sequence: seq, Seen: clearFailure}}})
+		o.release(now, ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: e, Sequence: seq, Evidence: clearFailure}}})
 	}
 }
 
-// An endpoint fails what others serve. Its owner is the one place that all
-// routers ask, so that all of them keep off it as soon as the owner does.
-func TestOwnerKeepsRequestsOffAnOutlier(t *testing.T) {
+// Guards against requests placed at an endpoint that fails what others serve.
+// The owner rejects them for all routers as soon as it ejects the endpoint.
+func TestOwnerRejectsRequestsAtOutlier(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	var told []OutlierChange
 	o.OnOutlier(func(j OutlierChange) { told = append(told, j) })
-	now = fail(t, o, now, "e0")
+	now = ejectByFailures(t, o, now, "e0")
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, told[0].Endpoint, coordination.Endpoint("e0"))
 
 	r := admit(o, now, 1, "e0")
 	assert.Equal(t, r.Decision, Next)
 	assert.Equal(t, r.Code, Outlier)
-	assert.Assert(t, r.RetryAfter > 0, "an entry need not ask before")
+	assert.Assert(t, r.RetryAfter > 0, "a rejection must say when to ask again")
 	assert.Equal(t, admit(o, now, 2, "e1").Decision, Granted)
 }
 
-// An endpoint that gets nothing still counts in the mean of its pool. Were it left
-// out, the others would be let over the bound for the load that it does not take,
-// and with several outliers they would drown.
+// Guards against a bound that rises because an ejected endpoint is left out of
+// the mean. The other endpoints would then be overloaded by the load that it
+// does not take.
 func TestOutlierCountsInTheMean(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(2), Config{})
-	now = fail(t, o, now, "e0")
-	// Of two endpoints one may run ceil(1.25 times the mean): two requests of two,
-	// and no third one, which would make the mean 1.5.
+	now = ejectByFailures(t, o, now, "e0")
+	// Each of two endpoints may run ceil(1.25 * mean) requests. That allows two
+	// requests, but not a third, for which the mean is 1.5.
 	assert.Equal(t, admit(o, now, 1, "e1").Decision, Granted)
 	assert.Equal(t, admit(o, now, 2, "e1").Decision, Granted)
 	assert.Equal(t, admit(o, now, 3, "e1").Code, OverBound)
 }
 
-// The others of a pool are over their bound for the load that an outlier does not
-// take. Requests go to the outlier then, rather than wait or drown the others.
+// Guards against requests that wait, or overload the other endpoints, when
+// these are at their bound because of an outlier. Such requests are placed at
+// the outlier.
 func TestOutlierIsUsedBeforeOthersAreOverTheirBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(2)
@@ -74,7 +76,7 @@
 			time.Sleep(10 * time.Millisecond)
 			n.owner.Admit(t.Context(), AdmitRequest{Entry: id, Sequence: 1000 + seq, Endpoint: "e0"})
 			time.Sleep(10 * time.Millisecond)
-			n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: "e0", Sequence: 1000 + seq, Seen: clearFailure}}})
+			n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: "e0", Sequence: 1000 + seq, Evidence: clearFailure}}})
 		}
 		for range 2 {
 			g, _ := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool})
@@ -90,21 +92,21 @@
 	})
 }
 
-// The count of a pool must come out even however an endpoint goes.
+// Guards against a wrong pool count after an outlier leaves or is readmitted.
 func TestOutlierThatLeavesOrComesBack(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
 		es := testEndpoints(2)
 		o, now := newTestOwner(t, es, Config{})
 		admit(o, now, 1, "e0")
-		now = fail(t, o, now, "e0")
+		now = ejectByFailures(t, o, now, "e0")
 		if leaves {
-			o.Leaving("e0", 1)
+			o.MarkLeaving("e0", 1)
 		} else {
-			now = now.Add(10 * time.Second) // untried, it comes back
+			now = now.Add(10 * time.Second) // readmitted after a time without requests
 			assert.Equal(t, admit(o, now, 2, "e0").Decision, Granted)
 		}
 		o.tick(now)
-		count, endpoints := o.pools[es[0].Pool].own()
+		count, endpoints := o.pools[es[0].Pool].ownSums()
 		if leaves {
 			assert.Equal(t, count, 0)
 			assert.Equal(t, endpoints, 1)
@@ -115,30 +117,31 @@
 	}
 }
 
-// A request that may run only once meets an endpoint that has just failed one.
-// Nothing can mend a failure there, and other endpoints are as good.
-func TestOnceKeepsOffAnEndpointInDoubt(t *testing.T) {
+// Guards against a non-retryable request placed at an endpoint that has just
+// failed one, while other endpoints are available.
+func TestNonRetryableAvoidsDoubtedEndpoint(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
-	o.release(now.Add(time.Millisecond), ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1, Seen: clearFailure}}})
+	o.release(now.Add(time.Millisecond), ReleaseBatch{Entry: testEntry, Releases: []Release{{Endpoint: "e0", Sequence: 1, Evidence: clearFailure}}})
 	now = now.Add(2 * time.Millisecond)
-	r, _ := o.submit(now, AdmitRequest{Entry: testEntry, Sequence: 2, Endpoint: "e0", Once: true})
+	r, _ := o.submit(now, AdmitRequest{Entry: testEntry, Sequence: 2, Endpoint: "e0", NonRetryable: true})
 	assert.Equal(t, r.Code, Outlier)
 	assert.Equal(t, admit(o, now, 3, "e0").Decision, Granted)
 }
 
-// While a request still waits for its answer, the router asks whether the
-// endpoint is known to fail.
+// Guards against a router that learns too late, while a request is still
+// running, that its endpoint is ejected.
 func TestNoticeIsAnswered(t *testing.T) {
 	o, now := newTestOwner(t, testEndpoints(3), Config{Bound: 2, Slack: 3})
 	assert.Equal(t, admit(o, now, 1, "e0").Decision, Granted)
-	batch := ReleaseBatch{Entry: testEntry, Notices: []Notice{{Endpoint: "e0", Sequence: 1, Seen: clearFailure}}}
-	assert.Equal(t, len(o.release(now.Add(time.Millisecond), batch).Out), 0)
-	now = fail(t, o, now.Add(time.Second), "e0")
-	assert.DeepEqual(t, o.release(now, batch).Out, []coordination.Endpoint{"e0"})
+	batch := ReleaseBatch{Entry: testEntry, Notices: []Notice{{Endpoint: "e0", Sequence: 1, Evidence: clearFailure}}}
+	assert.Equal(t, len(o.release(now.Add(time.Millisecond), batch).Ejected), 0)
+	now = ejectByFailures(t, o, now.Add(time.Second), "e0")
+	assert.DeepEqual(t, o.release(now, batch).Ejected, []coordination.Endpoint{"e0"})
 }
 
-// Entries and owners of two versions meet while a fleet is updated.
+// Guards against incompatible messages between router versions during a rolling
+// update.
 func TestOlderRoutersReadReleases(t *testing.T) {
 	type oldRelease struct {
 		_        struct{} `cbor:",toarray"`
@@ -151,7 +154,7 @@
 	}
 	b := ReleaseBatch{
 		Entry:    testEntry,
-		Releases: []Release{{Endpoint: "e0", Sequence: 7, Seen: clearFailure}, {Endpoint: "e1", Sequence: 8}},
+		Releases: []Release{{Endpoint: "e0", Sequence: 7, Evidence: clearFailure}, {Endpoint: "e1", Sequence: 8}},
 	}
 	var old oldBatch
 	assert.NilError(t, decode(b.Encode(), &old))
@@ -159,19 +162,19 @@
 
 	again, err := DecodeReleaseBatch(b.Encode())
 	assert.NilError(t, err)
-	assert.Equal(t, again.Releases[0].Seen, clearFailure)
-	assert.Equal(t, again.Releases[1].Seen, outlier.Weight(0))
+	assert.Equal(t, again.Releases[0].Evidence, clearFailure)
+	assert.Equal(t, again.Releases[1].Evidence, outlier.Weight(0))
 
 	fresh, err := DecodeReleaseBatch(encode(oldBatch{Entry: testEntry, Releases: old.Releases}))
 	assert.NilError(t, err)
-	assert.Equal(t, fresh.Releases[0].Seen, outlier.Weight(0))
+	assert.Equal(t, fresh.Releases[0].Evidence, outlier.Weight(0))
 	reply, err := DecodeReleaseReply(nil)
 	assert.NilError(t, err)
-	assert.Equal(t, len(reply.Out), 0)
+	assert.Equal(t, len(reply.Ejected), 0)
 }
 
-// fleetWithOutliers returns a fleet in which all requests at some endpoints have
-// failed until these were taken out.
+// fleetWithOutliers returns a fleet in which the first bad endpoints have
+// failed requests until they were ejected.
 func fleetWithOutliers(t *testing.T, endpoints, bad int) (*fleet, []Descriptor) {
 	t.Helper()
 	es := testEndpoints(endpoints)
@@ -187,16 +190,16 @@
 					continue
 				}
 				time.Sleep(10 * time.Millisecond)
-				n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: d.ID, Sequence: 1000 + seq, Seen: clearFailure}}})
+				n.owner.Release(ReleaseBatch{Entry: id, Releases: []Release{{Endpoint: d.ID, Sequence: 1000 + seq, Evidence: clearFailure}}})
 			}
 		}
 	}
 	return f, es
 }
 
-// A third of a pool fails. Whatever a request's own order of endpoints is, it is
-// placed at one of the others, from each router.
-func TestEntriesGoRoundOutliers(t *testing.T) {
+// Guards against requests placed at ejected endpoints when a third of a pool
+// fails, whatever their order of candidates and whichever router receives them.
+func TestEntriesAvoidOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 2)
 		for _, n := range f.nodes {
@@ -210,9 +213,9 @@
 	})
 }
 
-// More of a pool seems to fail than the rest can stand in for. Kept off them
-// all, the requests would drown the rest; so they are sent there all the same.
-func TestNoMoreThanAThirdOfAPoolIsKeptOff(t *testing.T) {
+// Guards against overloading the rest of a pool when too many of its endpoints
+// fail. Requests are then placed at the failing endpoints as well.
+func TestAtMostOneThirdOfPoolIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 6, 5)
 		met := make(map[coordination.Endpoint]bool)
@@ -224,25 +227,24 @@
 				g.Release()
 			}
 		}
-		assert.Equal(t, len(met), 6, "endpoints that are used")
+		assert.Equal(t, len(met), 6, "number of endpoints that received requests")
 	})
 }
 
-// The only endpoint of a pool fails. A request is better sent to it than to
-// nobody.
-func TestTheOnlyEndpointIsNeverKeptOff(t *testing.T) {
+// Guards against refusing all requests of a pool whose only endpoint fails.
+func TestOnlyEndpointIsNeverAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, es := fleetWithOutliers(t, 1, 1)
 		for _, n := range f.nodes {
-			g, refusal := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool, Once: true})
+			g, refusal := n.entry.Acquire(t.Context(), Request{Pool: es[0].Pool, NonRetryable: true})
 			assert.Assert(t, g != nil, "%v", refusal)
 			g.Release()
 		}
 	})
 }
 
-// A second attempt beside one that is still open must not wait in a queue: the
-// first may have its answer long before.
+// Guards against a second attempt that waits in a queue while the first is
+// still open: the first may be answered long before.
 func TestRequestForNowDoesNotQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := testEndpoints(1)
@@ -255,7 +257,7 @@
 		start := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		second, refusal := e.Acquire(ctx, Request{Pool: es[0].Pool, Now: true})
+		second, refusal := e.Acquire(ctx, Request{Pool: es[0].Pool, NoWait: true})
 		assert.Assert(t, second == nil)
 		assert.Equal(t, refusal.Code, Overloaded)
 		assert.Assert(t, time.Since(start) < 100*time.Millisecond)
--- a/coordination/placement/queued_test.go
+++ b/coordination/placement/queued_test.go
@@ -10,7 +10,7 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// Guards against waiting requests that are refused as their endpoint leaves, dies or changes owners.
+// Guards against refusing waiting requests when their endpoint leaves, dies or changes owners.
 func TestWaitingRequestOutlivesItsQueue(t *testing.T) {
 	zone := coordination.Zone("z")
 	before := NewRouters([]Router{{ID: "r1", Zone: zone}}, 0)
@@ -20,7 +20,7 @@
 		end  func(f *fleet, set *Set, queue coordination.Endpoint)
 	}{
 		{name: "endpoint leaves", end: func(f *fleet, _ *Set, queue coordination.Endpoint) {
-			f.nodes["r1"].owner.Leaving(queue, 1)
+			f.nodes["r1"].owner.MarkLeaving(queue, 1)
 		}},
 		{name: "endpoint dies", end: func(f *fleet, set *Set, queue coordination.Endpoint) {
 			var rest []Descriptor
@@ -57,13 +57,13 @@
 					n.update(set, before)
 				}
 				defer f.start()()
-				time.Sleep(2 * time.Second) // until the owner has settled
+				time.Sleep(2 * time.Second) // the owner settles
 				entry := f.nodes["r0"].entry
-				running := fill(t, entry, 4)
+				running := acquireGrants(t, entry, 4)
 				placed := make(chan error, 1)
-				go waiting{entry, placed}.run(t)
+				go waitingRequest{entry, placed}.run(t)
 				time.Sleep(100 * time.Millisecond)
-				queue := queueOf(f.nodes["r1"].owner)
+				queue := endpointWithQueue(f.nodes["r1"].owner)
 				assert.Assert(t, queue != "", "the request does not wait")
 				tc.end(f, set, queue)
 				time.Sleep(time.Second)
@@ -76,8 +76,8 @@
 	}
 }
 
-// fill places n requests.
-func fill(t *testing.T, e *Entry, n int) (running []*Grant) {
+// acquireGrants acquires n grants.
+func acquireGrants(t *testing.T, e *Entry, n int) (running []*Grant) {
 	for range n {
 		g, r := e.Acquire(t.Context(), Request{Pool: testPool, Key: 1})
 		assert.Assert(t, g != nil, "%v", r)
@@ -86,13 +86,13 @@
 	return running
 }
 
-// waiting is a request that finds all endpoints full.
-type waiting struct {
+// waitingRequest is a request that finds all endpoints full.
+type waitingRequest struct {
 	entry  *Entry
 	placed chan<- error
 }
 
-func (w waiting) run(t *testing.T) {
+func (w waitingRequest) run(t *testing.T) {
 	g, r := w.entry.Acquire(t.Context(), Request{Pool: testPool, Key: 1, Deadline: 4 * time.Second})
 	if g == nil {
 		w.placed <- refusedError(r)
@@ -102,22 +102,23 @@
 	w.placed <- nil
 }
 
-// refusedError is a refusal where a grant is due.
+// refusedError is an unexpected refusal.
 type refusedError Refusal
 
 func (r refusedError) Error() string { return "refused: " + r.Code.String() }
 
-// queueOf returns the endpoint at which requests wait, or none.
-func queueOf(o *Owner) coordination.Endpoint {
+// endpointWithQueue returns an endpoint of o at which requests wait, or "".
+func endpointWithQueue(o *Owner) coordination.Endpoint {
 	for i := range o.shards {
-		if id := o.shards[i].queue(); id != "" {
+		if id := o.shards[i].endpointWithQueue(); id != "" {
 			return id
 		}
 	}
 	return ""
 }
 
-func (s *ownerShard) queue() coordination.Endpoint {
+// endpointWithQueue returns an endpoint of the shard at which requests wait, or "".
+func (s *ownerShard) endpointWithQueue() coordination.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.loads {
--- a/coordination/placement/rush_test.go
+++ b/coordination/placement/rush_test.go
@@ -13,8 +13,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// stalls holds up all calls between two routers for a while, once in so many
-// calls, as a lost packet does to a connection.
+// stalls delays all calls between two routers for stallTime at every n-th call, as a
+// lost packet does to a connection.
 type stalls struct {
 	every int
 
@@ -51,59 +51,59 @@
 	return l.link.Call(ctx, to, topic, payload)
 }
 
-// rush is a load on a fleet whose endpoints run each request for a second. Some
-// of them die in its middle: they refuse connections, and stay listed.
-type rush struct {
+// overloadRun is a load on a fleet whose endpoints run each request for a second. Some
+// endpoints die during the run: they refuse connections but stay listed.
+type overloadRun struct {
 	*fleet
-	stalls *stalls
-	es     []Descriptor
-	perS   int
-	target time.Duration // of each request; zero for none
+	stalls    *stalls
+	es        []Descriptor
+	perSecond int
+	target    time.Duration // of each request; zero for none
 
 	mu     sync.Mutex
 	down   map[coordination.Endpoint]bool
-	result rushResult
+	result overloadResult
 }
 
-// rushResult is what callers got.
-type rushResult struct {
-	asked   int
-	inTime  int // sent to a live endpoint within rushObjective
-	late    int
-	refused int
-	urgent  int           // requests of the most urgent kind
-	first   int           // of these, in time
-	held    time.Duration // longest time until a refusal
-	unsent  int           // times that a caller was sent to a dead endpoint
-	calls   int           // between routers
-	worst   time.Duration
+// overloadResult counts the outcomes of the callers' requests.
+type overloadResult struct {
+	asked          int
+	inTime         int // sent to a live endpoint within overloadObjective
+	late           int
+	refused        int
+	urgent         int           // requests of the highest priority
+	urgentInTime   int           // of the urgent requests, in time
+	longestRefusal time.Duration // longest time until a refusal
+	sentToDead     int           // placements at a dead endpoint
+	calls          int           // between routers
+	longestWait    time.Duration
 }
 
 const (
-	rushTime      = 6 * time.Second
-	rushRouters   = 7
-	rushObjective = 500 * time.Millisecond
-	rushDeadline  = 4 * time.Second
-	rushTries     = 4
-	rushRefusal   = 30 * time.Millisecond // until a connection is refused
+	overloadDuration      = 6 * time.Second
+	overloadRouters       = 7
+	overloadObjective     = 500 * time.Millisecond
+	overloadDeadline      = 4 * time.Second
+	maxOverloadAttempts   = 4
+	connectionRefusalTime = 30 * time.Millisecond // time until a connection is refused
 )
 
-func newRush(endpoints, perS int) *rush {
-	s := &rush{
-		stalls: &stalls{every: 500, until: make(map[[2]coordination.Instance]time.Time)},
-		es:     testEndpoints(endpoints),
-		perS:   perS,
-		target: rushObjective,
-		down:   make(map[coordination.Endpoint]bool),
+func newOverloadRun(endpoints, perS int) *overloadRun {
+	s := &overloadRun{
+		stalls:    &stalls{every: 500, until: make(map[[2]coordination.Instance]time.Time)},
+		es:        testEndpoints(endpoints),
+		perSecond: perS,
+		target:    overloadObjective,
+		down:      make(map[coordination.Endpoint]bool),
 	}
 	cfg := Config{
-		Bound: 1.8, Slack: 2, Ahead: 0.25, Grace: 250 * time.Millisecond, EntryLease: 3 * time.Second,
-		LostFor: time.Second, AloneLimit: 3,
+		Bound: 1.8, Slack: 2, Overcommit: 0.25, Grace: 250 * time.Millisecond, EntryLease: 3 * time.Second,
+		LostTTL: time.Second, FallbackLimit: 3,
 	}
 	for i := range s.es {
 		s.es[i].Capacity = 16
 	}
-	members := testRouters(rushRouters)
+	members := testRouters(overloadRouters)
 	s.fleet = newFleet(members, s.es, cfg)
 	for _, m := range members {
 		n := s.nodes[m.ID]
@@ -114,15 +114,15 @@
 	return s
 }
 
-// list gives all routers a list of endpoints.
-func (s *rush) list(es []Descriptor) {
-	set, routers := NewSet(es), NewRouters(testRouters(rushRouters), 0)
+// list updates all routers with a list of endpoints.
+func (s *overloadRun) list(es []Descriptor) {
+	set, routers := NewSet(es), NewRouters(testRouters(overloadRouters), 0)
 	for _, n := range s.nodes {
 		n.update(set, routers)
 	}
 }
 
-func (s *rush) kill(n int) {
+func (s *overloadRun) kill(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range n {
@@ -130,26 +130,26 @@
 	}
 }
 
-func (s *rush) isDown(id coordination.Endpoint) bool {
+func (s *overloadRun) isDown(id coordination.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down[id]
 }
 
-// play sends requests for as long as the rush lasts, calls at once event when a
-// third of it has passed, and returns what callers got.
-func (s *rush) play(ctx context.Context, event func()) rushResult {
+// play sends requests for overloadDuration, calls event after a third of them, and
+// returns the outcomes.
+func (s *overloadRun) play(ctx context.Context, event func()) overloadResult {
 	defer s.start()()
 	time.Sleep(2 * time.Second)
 	before := s.sent()
 	var wg sync.WaitGroup
-	gap := time.Second / time.Duration(s.perS)
-	n := int(rushTime / gap)
+	gap := time.Second / time.Duration(s.perSecond)
+	n := int(overloadDuration / gap)
 	for i := range n {
 		if i == n/3 {
 			event()
 		}
-		c := rushCaller{rush: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%rushRouters))]}
+		c := overloadCaller{overloadRun: s, n: i, node: s.nodes[coordination.Instance(fmt.Sprintf("r%d", i%overloadRouters))]}
 		wg.Go(func() { c.run(ctx) })
 		time.Sleep(gap)
 	}
@@ -158,53 +158,53 @@
 	return s.result
 }
 
-// sent returns how many questions routers have put to each other.
-func (s *rush) sent() int {
+// sent returns how many admission queries routers have sent to each other.
+func (s *overloadRun) sent() int {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	return s.message[TopicAdmit]
+	return s.messages[TopicAdmit]
 }
 
-// rushCaller is one request of a rush.
-type rushCaller struct {
-	*rush
+// overloadCaller sends one request of an overloadRun.
+type overloadCaller struct {
+	*overloadRun
 	n    int
 	node *node
 }
 
-func (c rushCaller) run(ctx context.Context) {
+func (c overloadCaller) run(ctx context.Context) {
 	begun := time.Now()
 	req := Request{
 		Pool: testPool, Key: Key(c.n % 61), Account: coordination.Account(fmt.Sprint(c.n % 10)),
-		Priority: c.priority(), Deadline: rushDeadline, Target: c.target,
+		Priority: c.priority(), Deadline: overloadDeadline, Target: c.target,
 	}
-	for range rushTries {
+	for range maxOverloadAttempts {
 		g, _ := c.node.entry.Acquire(ctx, req)
 		if g == nil {
 			break
 		}
 		if c.isDown(g.Endpoint.ID) {
-			time.Sleep(rushRefusal)
-			c.note(func(r *rushResult) { r.unsent++ })
-			go c.node.entry.Lost(ctx, g.Endpoint)
+			time.Sleep(connectionRefusalTime)
+			c.note(func(r *overloadResult) { r.sentToDead++ })
+			go c.node.entry.ReportLost(ctx, g.Endpoint)
 			g.Release()
 			req.Avoid = append(req.Avoid, g.Endpoint.ID)
-			req.Deadline = rushDeadline - time.Since(begun)
+			req.Deadline = overloadDeadline - time.Since(begun)
 			req.Waited = time.Since(begun)
 			continue
 		}
 		waited := time.Since(begun)
 		time.Sleep(time.Second)
 		g.Release()
-		c.note(func(r *rushResult) { r.served(c.priority(), waited) })
+		c.note(func(r *overloadResult) { r.served(c.priority(), waited) })
 		return
 	}
 	held := time.Since(begun)
-	c.note(func(r *rushResult) { r.refuse(c.priority(), held) })
+	c.note(func(r *overloadResult) { r.refuse(c.priority(), held) })
 }
 
-// priority makes one request in seven the most urgent and three the least.
-func (c rushCaller) priority() coordination.Priority {
+// priority gives one request in seven the highest priority and three the lowest.
+func (c overloadCaller) priority() coordination.Priority {
 	switch n := c.n % 7; {
 	case n == 0:
 		return 0
@@ -215,70 +215,70 @@
 	}
 }
 
-func (r *rushResult) ask(p coordination.Priority) {
+func (r *overloadResult) ask(p coordination.Priority) {
 	r.asked++
 	if p == 0 {
 		r.urgent++
 	}
 }
 
-func (r *rushResult) served(p coordination.Priority, waited time.Duration) {
+func (r *overloadResult) served(p coordination.Priority, waited time.Duration) {
 	r.ask(p)
-	r.worst = max(r.worst, waited)
+	r.longestWait = max(r.longestWait, waited)
 	switch {
-	case waited > rushObjective:
+	case waited > overloadObjective:
 		r.late++
 	case p == 0:
-		r.first++
+		r.urgentInTime++
 		fallthrough
 	default:
 		r.inTime++
 	}
 }
 
-func (r *rushResult) refuse(p coordination.Priority, held time.Duration) {
+func (r *overloadResult) refuse(p coordination.Priority, held time.Duration) {
 	r.ask(p)
 	r.refused++
-	r.held = max(r.held, held)
+	r.longestRefusal = max(r.longestRefusal, held)
 }
 
-func (c rushCaller) note(fn func(*rushResult)) {
+func (c overloadCaller) note(fn func(*overloadResult)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fn(&c.result)
 }
 
-// Four of nine endpoints die in a surge, and links stall. Routers that place
-// without an owner that does not answer send callers to the dead endpoints, which
-// look idle to them.
-func TestRushKeepsOffDeadEndpoints(t *testing.T) {
+// Guards against placing requests at dead endpoints when four of nine endpoints die under
+// overload and links stall. Routers that decide without an unresponsive owner see the dead
+// endpoints as idle.
+func TestOverloadAvoidsDeadEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
-		assert.Assert(t, r.unsent < 100, "%d of %d sent to the dead", r.unsent, r.asked)
+		assert.Assert(t, r.sentToDead < 100, "%d of %d sent to dead endpoints", r.sentToDead, r.asked)
 	})
 }
 
-// Twice as much is asked as the endpoints that are left can serve. In the order of
-// arrival nearly all would be late, the most urgent kind as well.
-func TestRushServesInTimeWhatItCan(t *testing.T) {
+// Guards against late starts under twice the load that the remaining endpoints can serve.
+// In the order of arrival nearly all requests would be late, the urgent ones included.
+func TestOverloadServesUrgentRequestsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.inTime*100 >= r.asked*70, "%d of %d in time", r.inTime, r.asked)
-		assert.Assert(t, r.first*100 >= r.urgent*95, "%d of %d of the most urgent kind in time", r.first, r.urgent)
+		assert.Assert(t, r.urgentInTime*100 >= r.urgent*95, "%d of %d urgent requests in time", r.urgentInTime, r.urgent)
 	})
 }
 
-// A request that cannot be served is held until its caller has gone.
-func TestRushRefusesEarly(t *testing.T) {
+// Guards against holding a request that cannot be served until its caller has gone.
+func TestOverloadRefusesEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRush(9, 170)
+		s := newOverloadRun(9, 170)
 		r := s.play(t.Context(), func() { s.kill(4) })
 		t.Logf("%+v", r)
 		assert.Assert(t, r.refused > 0)
-		assert.Assert(t, r.held <= rushDeadline/2, "%v", r.held)
+		assert.Assert(t, r.longestRefusal <= overloadDeadline/2, "%v", r.longestRefusal)
 	})
 }
--- a/coordination/placement/start_test.go
+++ b/coordination/placement/start_test.go
@@ -13,9 +13,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// countedCalls counts the calls to other owners, and notes the longest time
-// between two of them.
-type countedCalls struct {
+// callRecorder counts the calls to other owners and records the longest time between two.
+type callRecorder struct {
 	releases, registers atomic.Int64
 
 	mu      sync.Mutex
@@ -23,7 +22,7 @@
 	longest time.Duration
 }
 
-func (c *countedCalls) hear() {
+func (c *callRecorder) record() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.last.IsZero() {
@@ -32,9 +31,9 @@
 	c.last = time.Now()
 }
 
-// Call implements Transport. Each admission is granted.
-func (c *countedCalls) Call(_ context.Context, _ coordination.Instance, topic string, _ []byte) ([]byte, error) {
-	c.hear()
+// Call implements Transport. It grants each admission.
+func (c *callRecorder) Call(_ context.Context, _ coordination.Instance, topic string, _ []byte) ([]byte, error) {
+	c.record()
 	switch topic {
 	case TopicAdmit:
 		return AdmitReply{Decision: Granted}.Encode(), nil
@@ -47,11 +46,11 @@
 	return nil, nil
 }
 
-// An owner that does not hear of a release soon refuses others for a request that
-// has ended.
+// Guards against releases that reach the owner late: it would refuse other requests
+// because it still counts one that has ended.
 func TestReleaseIsSentWithinItsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := &countedCalls{}
+		calls := &callRecorder{}
 		e, stop := startEntry(calls)
 		defer stop()
 		for range 5 {
@@ -66,14 +65,14 @@
 	})
 }
 
-// An entry that is not heard of for its lease loses its grants, and the endpoint
-// takes more than its bound. It has to be heard of twice in each, so that one lost
-// message costs nothing, whenever other requests begin and end.
+// Guards against an entry whose lease expires: it loses its grants, and the endpoint takes
+// more than its bound. The owner has to hear from the entry twice in each lease, whenever
+// other requests begin and end, so that one lost message has no effect.
 func TestEntryRenewsItsLease(t *testing.T) {
 	lease := Config{}.withDefaults().EntryLease
 	for _, pause := range []time.Duration{lease * 3 / 10, lease * 4 / 10, lease * 10} {
 		synctest.Test(t, func(t *testing.T) {
-			calls := &countedCalls{}
+			calls := &callRecorder{}
 			e, stop := startEntry(calls)
 			defer stop()
 			kept, _ := e.Acquire(t.Context(), Request{Pool: "m", Key: 1})
@@ -84,18 +83,18 @@
 				g.Release()
 				time.Sleep(pause / 7)
 			}
-			calls.hear()
-			assert.Assert(t, calls.longest <= lease/2+2*releaseInterval, "not heard of for %v of %v", calls.longest, lease)
+			calls.record()
+			assert.Assert(t, calls.longest <= lease/2+2*releaseInterval, "no call for %v of a lease of %v", calls.longest, lease)
 		})
 	}
 }
 
-// An entry that registers with each owner that it has asked of late sends four
-// times as many registrations as it asks for grants, once it seldom asks the same
+// Guards against too many registrations. An entry that registers with each recently asked
+// owner sends four times as many registrations as admissions when it seldom asks the same
 // owner twice.
 func TestEntryRegistersOnlyWhatOwnersDoNotKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := &countedCalls{}
+		calls := &callRecorder{}
 		e, stop := startEntry(calls)
 		defer stop()
 		time.Sleep(5 * time.Second)
@@ -112,8 +111,8 @@
 	})
 }
 
-// startEntry starts an entry, and an owner that owns nothing, before an endpoint
-// of another router.
+// startEntry starts an entry and an owner that owns nothing. The only endpoint is owned by
+// another router.
 func startEntry(calls Transport) (e *Entry, stop func()) {
 	owner := NewOwner("self", Config{})
 	e = NewEntry(EntryID{Instance: "self", Incarnation: 1}, owner, calls, nil, Config{})
--- a/coordination/placement/unanswered_test.go
+++ b/coordination/placement/unanswered_test.go
@@ -11,14 +11,14 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// lossyOwner is a transport to one owner that loses the answers to the first
-// admissions.
-type lossyOwner struct {
+// lossyTransport is a transport to one owner that loses the replies to the
+// first admissions.
+type lossyTransport struct {
 	owner *Owner
 	lost  int
 }
 
-func (l *lossyOwner) Call(ctx context.Context, _ coordination.Instance, topic string, payload []byte) ([]byte, error) {
+func (l *lossyTransport) Call(ctx context.Context, _ coordination.Instance, topic string, payload []byte) ([]byte, error) {
 	if topic == TopicRelease {
 		return l.owner.HandleRelease(ctx, payload)
 	}
@@ -31,66 +31,66 @@
 	return b, err
 }
 
-// An owner's answer is lost, and the request asks it again a moment later. The
-// owner has been told that nobody uses the first grant, and refuses the request for
-// good if the second question looks the same.
+// Guards against a request that is refused for good after its owner's reply was
+// lost. The owner has been told to release the first grant, so that the second
+// attempt must be distinguishable from the first.
 func TestRequestAsksAgainAfterALostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := NewOwner("other", Config{})
 		set := NewSet([]Descriptor{{ID: "a", Pool: "p", Zone: "z"}})
 		routers := NewRouters([]Router{{ID: "other", Zone: "z"}}, 0)
 		o.Update(set, routers)
-		l := &lossyOwner{owner: o, lost: 1}
+		l := &lossyTransport{owner: o, lost: 1}
 		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", Config{}), l, nil, Config{})
 		e.Update(set, routers)
 		time.Sleep(2 * time.Second) // until the owner has settled
 
 		g := e.held.open(e, false)
-		a := ask{endpoint: set.Find("a"), owner: "other"}
+		a := ownerQuery{endpoint: set.Find("a"), owner: "other"}
 		cfg := e.cfg.Load()
-		assert.Equal(t, e.put(t.Context(), g, Request{Pool: "p"}, a, cfg).Code, Unreachable)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Code, Unreachable)
 		e.Tick(t.Context())
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, e.put(t.Context(), g, Request{Pool: "p"}, a, cfg).Decision, Granted)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Decision, Granted)
 		g.Release()
 		e.Tick(t.Context())
 		assert.Equal(t, len(o.shard("a").loads["a"].grants), 0)
 	})
 }
 
-// An owner that does not answer for a moment, as behind a lost packet, is asked
-// again soon, by one request: were it left alone for a second, its endpoints would
-// take almost nothing meanwhile.
+// Guards against an owner that is not asked for a full second after one lost
+// packet, so that its endpoints get almost no requests. One request asks it
+// again soon.
 func TestSilentOwnerIsAskedAgainByOneRequest(t *testing.T) {
 	var f fallbackTable
 	now := testStart
-	f.lost(now, "o")
-	f.lost(now.Add(90*time.Millisecond), "o") // put to it side by side
-	assert.Assert(t, f.silent(now.Add(leastMute-time.Millisecond), "o"))
-	now = now.Add(leastMute)
-	assert.Assert(t, !f.silent(now, "o"))
-	assert.Assert(t, f.silent(now.Add(time.Millisecond), "o"), "the others wait for the first")
-	f.lost(now.Add(admitTimeout), "o")
-	assert.Assert(t, f.silent(now.Add(admitTimeout+2*leastMute-time.Millisecond), "o"), "the pause grows")
-	assert.Assert(t, !f.silent(now.Add(admitTimeout+2*leastMute), "o"))
-	f.heard("o")
-	assert.Assert(t, !f.silent(now.Add(admitTimeout), "o"))
+	f.recordFailure(now, "o")
+	f.recordFailure(now.Add(90*time.Millisecond), "o") // sent concurrently
+	assert.Assert(t, f.backingOff(now.Add(minOwnerBackoff-time.Millisecond), "o"))
+	now = now.Add(minOwnerBackoff)
+	assert.Assert(t, !f.backingOff(now, "o"))
+	assert.Assert(t, f.backingOff(now.Add(time.Millisecond), "o"), "only one request may ask the silent owner")
+	f.recordFailure(now.Add(admitTimeout), "o")
+	assert.Assert(t, f.backingOff(now.Add(admitTimeout+2*minOwnerBackoff-time.Millisecond), "o"), "the pause must grow after another failure")
+	assert.Assert(t, !f.backingOff(now.Add(admitTimeout+2*minOwnerBackoff), "o"))
+	f.recordAnswer("o")
+	assert.Assert(t, !f.backingOff(now.Add(admitTimeout), "o"))
 }
 
-// Endpoints are dead and stay listed, and their owner does not answer. A router that
-// has seen that they are dead must not take them for idle.
-func TestEntryPlacesNothingBlindlyAtTheDead(t *testing.T) {
+// Guards against taking dead endpoints for idle ones. They are still listed and
+// their owner does not answer, but the router has found them dead.
+func TestEntryAvoidsDeadEndpointsWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := Config{AloneLimit: 3, LostFor: time.Second}
-		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", cfg), silentOwner{}, nil, cfg)
+		cfg := Config{FallbackLimit: 3, LostTTL: time.Second}
+		e := NewEntry(EntryID{Instance: "self", Incarnation: 1}, NewOwner("self", cfg), unresponsiveTransport{}, nil, cfg)
 		set := NewSet([]Descriptor{{ID: "dead", Pool: "p", Zone: "z"}})
 		e.Update(set, NewRouters([]Router{{ID: "other", Zone: "z"}}, 0))
-		e.Lost(t.Context(), *set.Find("dead"))
+		e.ReportLost(t.Context(), *set.Find("dead"))
 		g, r := e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
 		assert.Assert(t, g == nil)
-		assert.Equal(t, r.Code, Lost)
+		assert.Equal(t, r.Code, EndpointLost)
 		time.Sleep(time.Second)
 		g, _ = e.Acquire(t.Context(), Request{Pool: "p", Key: 1})
-		assert.Assert(t, g != nil, "it may be back")
+		assert.Assert(t, g != nil, "the endpoint must be tried again after LostTTL")
 	})
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// All endpoints of a pool fail for a while. Were each request tried again, the
-// endpoints would get twice the load just when they can take the least.
+// Guards against retry amplification: if every request were retried while all
+// endpoints of a pool fail, the load would double when they can handle the
+// least.
 func TestRetriesAreAShareOfRequests(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -29,7 +30,7 @@
 				got++
 			}
 			for range 1000 {
-				b.Request()
+				b.RecordRequest()
 				for b.Take() {
 					got++
 				}
@@ -43,7 +44,7 @@
 func TestSavedRetriesAreBounded(t *testing.T) {
 	b := &Budget{Share: 1, Burst: 5}
 	for range 100 {
-		b.Request()
+		b.RecordRequest()
 	}
 	assert.Equal(t, b.Left(), 5)
 }
@@ -67,7 +68,7 @@
 
 func ExampleBudget() {
 	var b Budget
-	b.Request()
+	b.RecordRequest()
 	if b.Take() {
 		fmt.Println("try again elsewhere")
 	}
--- a/coordination/settings/churn_test.go
+++ b/coordination/settings/churn_test.go
@@ -15,8 +15,8 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// staleStore is a platform whose lists are sometimes answered by a replica
-// that lags behind.
+// staleStore is a platform whose lists sometimes return stale results, as from a
+// lagging replica.
 type staleStore struct {
 	*kvtest.Store
 	mu   sync.Mutex
@@ -35,15 +35,15 @@
 	return res
 }
 
-// churn does to a fleet what may happen to it, all in one run.
+// churn applies random changes, replacements and faults to a fleet.
 type churn struct {
 	*fleet
-	rnd      *rand.Rand
-	old      []kv.Pair // values that stood once
-	accepted Position
-	at       time.Time
-	by       *router
-	counts   map[string]int
+	rnd        *rand.Rand
+	oldValues  []kv.Pair // all values accepted so far
+	accepted   Position
+	acceptedAt time.Time
+	acceptedBy *router
+	counts     map[string]int
 }
 
 const (
@@ -51,11 +51,10 @@
 	churnSteps = 80
 )
 
-// Routers are replaced one after the other while operators make changes,
-// watches fall silent, reads are stale and somebody puts old values back. An
-// operator who saw a change accepted must find it, or a later one, in force on
-// every router from then on.
-func TestNothingRevertsUnderChurn(t *testing.T) {
+// An accepted change must stay in force on every router until a later one
+// replaces it, while routers are replaced, operators make changes, watches drop
+// events, lists are stale and old values are restored directly in the platform.
+func TestNoRollbackUnderChurn(t *testing.T) {
 	counts := make(map[string]int)
 	for seed := range uint64(churnSeeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,9 +81,9 @@
 	case 0:
 		c.change(t)
 	case 1:
-		c.replace()
+		c.replaceRouter()
 	case 2:
-		c.restore(t)
+		c.restoreOldValue(t)
 	case 3:
 		c.store.SetFaults(kvtest.Faults{DropWatch: true})
 		c.counts["silent watches"]++
@@ -93,24 +92,24 @@
 	}
 }
 
-func (c *churn) any() *router { return c.routers[c.rnd.IntN(len(c.routers))] }
+func (c *churn) randomRouter() *router { return c.routers[c.rnd.IntN(len(c.routers))] }
 
 func (c *churn) change(t *testing.T) {
-	r := c.any()
-	standing, _ := r.editor.Read(t.Context(), testTeam)
-	out := r.editor.Put(t.Context(), change(fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+c.rnd.IntN(1000)), standing.Revision))
+	r := c.randomRouter()
+	current, _ := r.editor.Read(t.Context(), testTeam)
+	out := r.editor.Put(t.Context(), change(fmt.Sprintf("[team]\ndeadline-default = %dms\n", 10+c.rnd.IntN(1000)), current.Revision))
 	assert.Equal(t, out.Status, Accepted)
-	assert.Assert(t, c.accepted.Before(out.Position), "accepted behind an accepted change")
-	c.accepted, c.at, c.by = out.Position, time.Now(), r
-	c.old = append(c.old, c.store.Get(t.Context(), Key(testTeam)).Pairs[0])
+	assert.Assert(t, c.accepted.Before(out.Position), "accepted at a position before an accepted change")
+	c.accepted, c.acceptedAt, c.acceptedBy = out.Position, time.Now(), r
+	c.oldValues = append(c.oldValues, c.store.Get(t.Context(), Key(testTeam)).Pairs[0])
 	c.counts["changes"]++
 }
 
-// replace replaces a router, but not the one that alone knows of the last
-// change, whose loss TestStuckWatch is about.
-func (c *churn) replace() {
+// replaceRouter replaces a random router, except the one that may be the only one
+// to know the last change. TestStuckWatch covers its loss.
+func (c *churn) replaceRouter() {
 	i := c.rnd.IntN(len(c.routers))
-	if c.routers[i] == c.by && time.Since(c.at) < inForceWithin {
+	if c.routers[i] == c.acceptedBy && time.Since(c.acceptedAt) < inForceTimeout {
 		return
 	}
 	c.kill(i)
@@ -118,22 +117,22 @@
 	c.counts["replacements"]++
 }
 
-func (c *churn) restore(t *testing.T) {
+func (c *churn) restoreOldValue(t *testing.T) {
 	now := c.store.Get(t.Context(), Key(testTeam)).Pairs[0]
-	value := c.old[c.rnd.IntN(len(c.old))].Value
+	value := c.oldValues[c.rnd.IntN(len(c.oldValues))].Value
 	res := c.store.CompareAndSwap(t.Context(), now.Key, value, now.Revision, 0)
 	assert.Equal(t, res.Status, kv.Applied)
 	c.counts["old values put back"]++
 }
 
 func (c *churn) check(t *testing.T) {
-	if time.Since(c.at) < inForceWithin {
+	if time.Since(c.acceptedAt) < inForceTimeout {
 		return
 	}
 	for _, r := range c.routers {
 		select {
 		case <-r.sync.Ready():
-			assert.Assert(t, !r.position().Before(c.accepted), "%s lacks %v", r.member.Instance, c.accepted)
+			assert.Assert(t, !r.position().Before(c.accepted), "%s does not have %v in force", r.member.Instance, c.accepted)
 		default:
 		}
 	}
--- a/coordination/settings/replica.go
+++ b/coordination/settings/replica.go
@@ -15,32 +15,34 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// Verdict is what a replica made of a value that it was offered.
+// Verdict is the result of offering a value to a Replica.
 type Verdict int
 
 // The verdicts of a replica.
 const (
-	// Applied means that the value is in force now.
+	// Applied means that the value is now in force.
 	Applied Verdict = iota
-	// Known means that the value was offered before.
+	// Known means that the value was already offered.
 	Known
-	// Older means that the value is behind the one in force: a stale read, or
-	// an old value that was put back past the routers.
+	// Older means that the value is before the one in force: a stale read, or
+	// an old value that was restored directly in the platform.
 	Older
-	// Invalid means that the value is not right; the last good one stays.
+	// Invalid means that the value failed validation; the last valid one
+	// stays in force.
 	Invalid
-	// Removed means that the key is gone; the last good value stays.
+	// Removed means that the key was deleted; the last valid value stays in
+	// force.
 	Removed
 )
 
-var verdicts = [...]string{"applied", "known", "older", "invalid", "removed"}
+var verdictNames = [...]string{"applied", "known", "older", "invalid", "removed"}
 
-// String returns the name of v as logs and metrics show it.
+// String returns the name of v that is used in logs and metrics.
 func (v Verdict) String() string {
-	if v < 0 || int(v) >= len(verdicts) {
+	if v < 0 || int(v) >= len(verdictNames) {
 		return "unknown"
 	}
-	return verdicts[v]
+	return verdictNames[v]
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -48,27 +50,26 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (v *Verdict) UnmarshalText(text []byte) error {
-	i := slices.Index(verdicts[:], string(text))
+	i := slices.Index(verdictNames[:], string(text))
 	if i < 0 {
-		return fmt.Errorf("settings: %q is no verdict", text)
+		return fmt.Errorf("settings: unknown verdict %q", text)
 	}
 	*v = Verdict(i)
 	return nil
 }
 
-// Snapshot is the settings of one team as they are in force. It does not
-// change.
+// Snapshot holds the settings of one team that are in force. It is immutable.
 type Snapshot struct {
 	Team     coordination.Team
 	Position Position
-	Settings *Team
+	Settings *TeamSettings
 	Value    Value
-	Since    time.Time // when they came into force on this router
+	Since    time.Time // time at which they came into force on this router
 
-	data []byte // the value as the platform holds it, for peers
+	data []byte // the encoded value, served to peers
 }
 
-// Refusal tells of a value that stands in the platform and is not in force.
+// Refusal describes a value in the platform that was not applied.
 type Refusal struct {
 	Verdict  Verdict     `json:"verdict"`
 	Revision kv.Revision `json:"revision"`
@@ -76,7 +77,7 @@
 	Time     time.Time   `json:"time"`
 }
 
-// TeamStatus tells operators what a router has in force for one team.
+// TeamStatus reports what a router has in force for one team.
 type TeamStatus struct {
 	Team     coordination.Team `json:"team"`
 	Position Position          `json:"in_force"` // zero if nothing is
@@ -85,46 +86,48 @@
 	Refused  *Refusal          `json:"refused,omitempty"`
 }
 
-// Observation is what a replica tells its observers of.
+// Observation describes the result of an offer to the observers of a Replica.
 type Observation struct {
 	Team     coordination.Team
 	Verdict  Verdict
-	Revision kv.Revision // of the value offered
+	Revision kv.Revision // of the offered value, or of the deletion
 	Problems []Problem
 	InForce  *Snapshot // after the offer; nil if nothing is in force
 }
 
-// Replica is what one router has in force for all teams. It applies only
-// values that are after the one in force, so that it never reverts, in
-// whatever order values reach it. The zero value is ready for use.
+// Replica holds the settings of all teams that are in force on one router. It
+// applies only values that are after the one in force, so it never reverts,
+// regardless of the order in which values arrive. The zero value is ready to
+// use, and a Replica is safe for concurrent use.
 type Replica struct {
-	// telling is held from a decision until its observers are told, so that
-	// they see the decisions in their order.
-	telling   sync.Mutex
+	// notifyMu is held from a decision until its observers were called, so
+	// that they see decisions in order.
+	notifyMu  sync.Mutex
 	mu        sync.RWMutex
-	teams     map[coordination.Team]*state
+	teams     map[coordination.Team]*teamState
 	observers []func(Observation)
 }
 
-// state is what a replica knows of one team.
-type state struct {
+// teamState is the state of one team in a Replica.
+type teamState struct {
 	snapshot *Snapshot
 	refused  *Refusal
 }
 
-// Observe has fn called after each offer that changes what is in force or what
-// is refused, in order. It must not offer anything itself. Observers are to be
-// set before the first offer.
+// Observe registers fn to be called, in order, after each offer or removal that
+// changes what is in force or refused. fn must not call Offer or Remove.
+// Observers must be registered before the first offer.
 func (r *Replica) Observe(fn func(Observation)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observers = append(r.observers, fn)
 }
 
-// Offer considers the value that the platform holds, or held, for a team.
+// Offer applies the value of a team, as read from the platform or from a peer, if
+// it is valid and after the one in force.
 func (r *Replica) Offer(team coordination.Team, pair kv.Pair) Verdict {
-	if in, ok := r.Snapshot(team); ok && in.Position.Revision == pair.Revision {
-		return Known // without parsing it again
+	if snapshot, ok := r.Snapshot(team); ok && snapshot.Position.Revision == pair.Revision {
+		return Known // avoid parsing it again
 	}
 	v, parsed, problems := readPair(team, pair)
 	offered := &Snapshot{
@@ -138,8 +141,8 @@
 	return r.decide(offered, problems)
 }
 
-// readPair returns the value of pair with its settings, or what is wrong.
-func readPair(team coordination.Team, pair kv.Pair) (Value, *Team, []Problem) {
+// readPair decodes and parses the value of pair, or returns its problems.
+func readPair(team coordination.Team, pair kv.Pair) (Value, *TeamSettings, []Problem) {
 	v, err := decodeValue(pair.Value)
 	if err != nil {
 		return Value{}, nil, []Problem{{File: string(team), Message: err.Error()}}
@@ -148,71 +151,73 @@
 	return v, parsed, problems
 }
 
-// decide applies the value offered or refuses it.
+// decide applies or refuses the offered value and notifies the observers.
 func (r *Replica) decide(offered *Snapshot, problems []Problem) Verdict {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	st := r.state(offered.Team)
-	verdict := st.judge(offered, problems)
-	told := true
+	verdict := st.evaluate(offered, problems)
+	changed := true
 	switch verdict {
 	case Known:
-		told = false
+		changed = false
 	case Applied:
 		st.apply(offered)
 	default:
-		told = st.refuse(verdict, offered.Position.Revision, problems)
+		changed = st.refuse(verdict, offered.Position.Revision, problems)
 	}
 	o := Observation{Team: offered.Team, Verdict: verdict, Revision: offered.Position.Revision, Problems: problems, InForce: st.snapshot}
 	observers := r.observers
 	r.mu.Unlock()
-	if told {
-		tell(observers, o)
+	if changed {
+		notify(observers, o)
 	}
 	return verdict
 }
 
-// judge is the rule that nothing reverts. A value that is wrong in itself is
-// Invalid only if it is newer by its revision; a wrong one has no sequence.
-func (st *state) judge(offered *Snapshot, problems []Problem) Verdict {
+// evaluate returns the verdict on offered and ensures that settings never revert.
+// A value without valid settings may have no sequence, so it is compared by
+// revision alone: Older if its revision is below the one in force, otherwise
+// Invalid.
+func (st *teamState) evaluate(offered *Snapshot, problems []Problem) Verdict {
 	revision := offered.Position.Revision
 	if st.refused != nil && st.refused.Revision == revision {
 		return Known
 	}
-	in := st.position()
+	inForce := st.position()
 	switch {
-	case offered.Settings == nil && revision < in.Revision:
+	case offered.Settings == nil && revision < inForce.Revision:
 		return Older
 	case offered.Settings == nil || len(problems) > 0:
 		return Invalid
-	case in == offered.Position:
+	case inForce == offered.Position:
 		return Known
-	case !in.Before(offered.Position):
+	case !inForce.Before(offered.Position):
 		return Older
 	default:
 		return Applied
 	}
 }
 
-func (st *state) position() Position {
+func (st *teamState) position() Position {
 	if st.snapshot == nil {
 		return Position{}
 	}
 	return st.snapshot.Position
 }
 
-func (st *state) apply(s *Snapshot) {
+func (st *teamState) apply(s *Snapshot) {
 	st.snapshot = s
 	if st.refused != nil && st.refused.Revision < s.Position.Revision {
 		st.refused = nil
 	}
 }
 
-// refuse remembers the newest value that stands in the platform and is not in
-// force, and reports whether this is one. What is behind the revision in force
-// is a stale read and no fault.
-func (st *state) refuse(verdict Verdict, revision kv.Revision, problems []Problem) bool {
+// refuse records the newest value in the platform that was not applied, and
+// reports whether it recorded this one. A value at or below the revision in
+// force is a stale read and not recorded.
+func (st *teamState) refuse(verdict Verdict, revision kv.Revision, problems []Problem) bool {
 	if revision <= st.position().Revision || st.refused != nil && revision < st.refused.Revision {
 		return false
 	}
@@ -220,11 +225,11 @@
 	return true
 }
 
-// Remove considers that the team's key was found deleted at revision. What is
-// in force stays: an accepted change holds until another is accepted.
+// Remove records that the team's key was found deleted at revision. The settings
+// in force stay: an accepted change applies until another is accepted.
 func (r *Replica) Remove(team coordination.Team, revision kv.Revision) Verdict {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	st, known := r.teams[team]
 	if !known || st.snapshot == nil || st.refused != nil && st.refused.Verdict == Removed || revision <= st.snapshot.Position.Revision {
@@ -235,31 +240,32 @@
 	o := Observation{Team: team, Verdict: Removed, Revision: revision, InForce: st.snapshot}
 	observers := r.observers
 	r.mu.Unlock()
-	tell(observers, o)
+	notify(observers, o)
 	return Removed
 }
 
-func tell(observers []func(Observation), o Observation) {
+func notify(observers []func(Observation), o Observation) {
 	for _, fn := range observers {
 		fn(o)
 	}
 }
 
-// state returns the state of team. Callers hold r.mu.
-func (r *Replica) state(team coordination.Team) *state {
+// state returns the state of team, which it creates if needed. The caller must
+// hold r.mu.
+func (r *Replica) state(team coordination.Team) *teamState {
 	if r.teams == nil {
-		r.teams = make(map[coordination.Team]*state)
+		r.teams = make(map[coordination.Team]*teamState)
 	}
 	st, ok := r.teams[team]
 	if !ok {
-		st = &state{}
+		st = &teamState{}
 		r.teams[team] = st
 	}
 	return st
 }
 
-// Team returns the settings of name that are in force.
-func (r *Replica) Team(name coordination.Team) (*Team, bool) {
+// Team returns the settings of team name that are in force, if any.
+func (r *Replica) Team(name coordination.Team) (*TeamSettings, bool) {
 	s, ok := r.Snapshot(name)
 	if !ok {
 		return nil, false
@@ -267,7 +273,7 @@
 	return s.Settings, true
 }
 
-// Snapshot returns what is in force for team.
+// Snapshot returns what is in force for team, if anything.
 func (r *Replica) Snapshot(team coordination.Team) (*Snapshot, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -278,24 +284,25 @@
 	return st.snapshot, true
 }
 
-// Snapshots returns what is in force for all teams, by name.
+// Snapshots returns what is in force for all teams, sorted by team name.
 func (r *Replica) Snapshots() []*Snapshot {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return lo.FilterMap(r.names(), func(n coordination.Team, _ int) (*Snapshot, bool) {
+	return lo.FilterMap(r.teamNames(), func(n coordination.Team, _ int) (*Snapshot, bool) {
 		s := r.teams[n].snapshot
 		return s, s != nil
 	})
 }
 
-// Status returns what is in force and what is refused for all teams, by name.
+// Status returns what is in force and what was refused for all teams, sorted by
+// team name.
 func (r *Replica) Status() []TeamStatus {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return lo.Map(r.names(), func(n coordination.Team, _ int) TeamStatus { return r.teams[n].status(n) })
+	return lo.Map(r.teamNames(), func(n coordination.Team, _ int) TeamStatus { return r.teams[n].status(n) })
 }
 
-func (st *state) status(team coordination.Team) TeamStatus {
+func (st *teamState) status(team coordination.Team) TeamStatus {
 	s := TeamStatus{Team: team, Refused: st.refused}
 	if st.snapshot != nil {
 		s.Position = st.snapshot.Position
@@ -305,12 +312,12 @@
 	return s
 }
 
-func (r *Replica) names() []coordination.Team {
+func (r *Replica) teamNames() []coordination.Team {
 	return slices.Sorted(maps.Keys(r.teams))
 }
 
-// Fingerprint returns a hash of the positions in force. Two replicas with the
-// same one have the same settings in force.
+// Fingerprint returns a hash of all teams' positions in force. Replicas with equal
+// fingerprints have the same settings in force.
 func (r *Replica) Fingerprint() uint64 {
 	h := xxhash.New()
 	for _, s := range r.Snapshots() {
--- a/coordination/settings/watch.go
+++ b/coordination/settings/watch.go
@@ -9,31 +9,31 @@
 	"wisteriaspool/coordination/kv"
 )
 
-// watcher watches the platform while its router is one of the watchers.
+// watcher watches the platform while its router is selected as a watcher.
 type watcher struct {
 	s      *Sync
 	cancel context.CancelFunc
 }
 
-// run reads all settings and watches for changes, again and again until ctx
-// ends.
+// run lists and watches the settings until ctx ends, with backoff between
+// attempts.
 func (w *watcher) run(ctx context.Context) {
 	defer w.s.group.Done()
-	wait := firstBackoff
+	wait := initialBackoff
 	for ctx.Err() == nil {
-		if w.follow(ctx) {
-			wait = firstBackoff
+		if w.listAndWatch(ctx) {
+			wait = initialBackoff
 		}
-		if !coordination.Sleep(ctx, coordination.Spread(wait)) {
+		if !coordination.Sleep(ctx, coordination.Jitter(wait)) {
 			return
 		}
 		wait = min(2*wait, 2*time.Second)
 	}
 }
 
-// follow reads all settings once and follows a watch from there until it
-// breaks. It reports whether the watch was opened.
-func (w *watcher) follow(ctx context.Context) bool {
+// listAndWatch lists all settings and watches from the revision of the list until
+// the watch fails. It reports whether the watch was opened.
+func (w *watcher) listAndWatch(ctx context.Context) bool {
 	revision, ok := w.s.list(ctx)
 	if !ok {
 		return false
@@ -45,18 +45,18 @@
 	if res.Status != kv.Applied {
 		return false
 	}
-	w.drain(ctx, batches, revision)
+	w.consume(ctx, batches, revision)
 	return true
 }
 
-// drain takes batches until the watch breaks. An open watch can miss changes
-// without a sign, as when it is stuck behind a broken connection; reading all
-// settings once in a while bounds how long that goes unnoticed.
-func (w *watcher) drain(ctx context.Context, batches <-chan kv.Batch, revision kv.Revision) {
-	confirm := time.NewTimer(confirmPause())
+// consume applies batches until the watch fails. An open watch can miss changes
+// without an error, for instance if its connection is broken; a periodic list
+// limits how long that goes undetected.
+func (w *watcher) consume(ctx context.Context, batches <-chan kv.Batch, revision kv.Revision) {
+	confirm := time.NewTimer(nextConfirmDelay())
 	defer confirm.Stop()
-	reread := time.NewTimer(rereadEvery/2 + rand.N(rereadEvery))
-	defer reread.Stop()
+	relist := time.NewTimer(relistInterval/2 + rand.N(relistInterval))
+	defer relist.Stop()
 	for {
 		ok := true
 		select {
@@ -65,12 +65,12 @@
 				return
 			}
 			revision = max(revision, b.Revision)
-			ok = w.take(ctx, b)
+			ok = w.applyBatch(ctx, b)
 		case <-confirm.C:
-			confirm.Reset(confirmPause())
+			confirm.Reset(nextConfirmDelay())
 			ok = w.confirm(ctx, revision)
-		case <-reread.C:
-			reread.Reset(rereadEvery/2 + rand.N(rereadEvery))
+		case <-relist.C:
+			relist.Reset(relistInterval/2 + rand.N(relistInterval))
 			_, ok = w.s.list(ctx)
 		case <-ctx.Done():
 			return
@@ -81,32 +81,33 @@
 	}
 }
 
-// confirm tells the fleet that the platform was seen, behind a sign of life. A
-// watch that waits looks the same whether nothing changes or the platform has
-// fallen silent; told without a sign, the fleet would count settings as fresh
-// that nobody had asked for, and no other router would look. It reports whether
-// the watch is still good.
+// confirm probes the platform and, if it responds, announces a confirmation. An
+// idle watch looks the same whether nothing changes or the platform does not
+// respond. Without the probe, the fleet would consider settings as confirmed that
+// nobody had checked, and no other router would list them. It reports whether the
+// watch is still usable.
 func (w *watcher) confirm(ctx context.Context, revision kv.Revision) bool {
-	ctx, cancel := context.WithTimeout(ctx, signTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	w.s.count(func(st *Stats) { st.Signs++ })
+	w.s.count(func(st *Stats) { st.Probes++ })
 	switch w.s.store.Get(ctx, Prefix).Status {
 	case kv.Applied:
 		w.s.confirm(revision)
 		return true
-	case kv.Throttled: // this router may make no call now
+	case kv.Throttled: // rate limited: the probe shows nothing about the watch
 		return true
 	default:
 		return false
 	}
 }
 
-// confirmPause spreads the confirmations of the watchers, so that most of them
-// find that another has just spread one.
-func confirmPause() time.Duration { return confirmEvery + rand.N(confirmEvery) }
+// nextConfirmDelay returns the randomized delay before the next confirmation. The
+// jitter lets most watchers find that another one has just confirmed.
+func nextConfirmDelay() time.Duration { return confirmInterval + rand.N(confirmInterval) }
 
-// take offers what a batch brings. It reports whether the watch is still good.
-func (w *watcher) take(ctx context.Context, b kv.Batch) bool {
+// applyBatch offers the events of a batch to the replica and lists all settings
+// after a gap. It reports whether the watch is still usable.
+func (w *watcher) applyBatch(ctx context.Context, b kv.Batch) bool {
 	for _, e := range b.Events {
 		team, ok := TeamOf(e.Pair.Key)
 		switch {
--- a/coordination/suspicion/fleet_test.go
+++ b/coordination/suspicion/fleet_test.go
@@ -15,65 +15,66 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// outcome is what one seeded run of the world showed.
+// outcome is the result of one seeded simulation.
 type outcome struct {
-	lost      map[Fingerprint]int // endpoints, by crashing request
-	innocents int                 // refused as poison
-	served    int                 // innocents that ran to their end
-	sent      int                 // innocents
-	runs      []runRecord
+	crashes          map[Fingerprint]int // crashed endpoints by request
+	falseConvictions int                 // harmless requests refused as poison
+	served           int                 // harmless requests that ran to completion
+	sent             int                 // harmless requests sent
+	runs             []runRecord
 }
 
-// scenario is a seeded run: innocents arrive all the time, and crashing
-// requests are sent through one router and, again and again, through all.
+// scenario is a seeded simulation: harmless requests arrive all the time, and
+// crashing requests are sent through one router first and then repeatedly
+// through all.
 type scenario struct {
-	seed    uint64
-	poisons int
-	spacing time.Duration // between two crashing requests
-	planted plant
-	cfg     Config
-	rekeyed bool // each copy of a crashing request comes as another chat
+	seed     uint64
+	crashing int
+	spacing  time.Duration // time between two crashing requests
+	fault    injectedFault
+	cfg      Config
+	rekeyed  bool // each copy of a crashing request has another placement key
 }
 
-// play runs the scenario in the paused clock.
-func (s scenario) play(t *testing.T) (o outcome) {
+// run simulates the scenario in a synctest bubble.
+func (s scenario) run(t *testing.T) (o outcome) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(s.seed, 7, 12, s.planted, s.cfg)
+		w := newFleetSim(s.seed, 7, 12, s.fault, s.cfg)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for i, m := range w.members {
 			wg.Go(func() { w.routers[m.ID].loop(ctx, time.Duration(200+250*i)*time.Millisecond) })
 		}
 		time.Sleep(3 * time.Second)
-		length := time.Duration(s.poisons)*s.spacing + 20*time.Second
+		length := time.Duration(s.crashing)*s.spacing + 20*time.Second
 		var jobs sync.WaitGroup
-		jobs.Go(func() { s.innocents(ctx, w, length, &o) })
-		for i := range s.poisons {
+		jobs.Go(func() { s.sendHarmless(ctx, w, length, &o) })
+		for i := range s.crashing {
 			jobs.Go(func() {
 				time.Sleep(time.Duration(i) * s.spacing)
-				s.poison(ctx, w, i, length)
+				s.sendCrashing(ctx, w, i, length)
 			})
 		}
 		jobs.Wait()
 		cancel()
 		wg.Wait()
 		w.stop()
-		o.lost, o.runs = w.lost(), w.runs
-		o.innocents = lo.CountBy(w.convicted, func(f Fingerprint) bool { return !isPoison(f, s.poisons) })
+		o.crashes, o.runs = w.crashCounts(), w.runs
+		o.falseConvictions = lo.CountBy(w.convicted, func(f Fingerprint) bool { return !isCrashing(f, s.crashing) })
 		time.Sleep(time.Minute)
 	})
 	return o
 }
 
-func poisonOf(i int) Fingerprint { return FingerprintOf("poison", fmt.Sprint(i)) }
+func crashingFingerprint(i int) Fingerprint { return FingerprintOf("poison", fmt.Sprint(i)) }
 
-func isPoison(f Fingerprint, n int) bool {
-	return lo.Contains(lo.Times(n, poisonOf), f)
+func isCrashing(f Fingerprint, n int) bool {
+	return lo.Contains(lo.Times(n, crashingFingerprint), f)
 }
 
-// innocents sends 15 requests a second, one in twenty with the same common
+// sendHarmless sends 15 requests a second, one in twenty with the same common
 // prompt.
-func (s scenario) innocents(ctx context.Context, w *world, length time.Duration, o *outcome) {
+func (s scenario) sendHarmless(ctx context.Context, w *fleetSim, length time.Duration, o *outcome) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -103,12 +104,12 @@
 	wg.Wait()
 }
 
-// poison sends a crashing request, and sends it again through every router at
-// once when its first try has ended, and every few seconds after that.
-func (s scenario) poison(ctx context.Context, w *world, i int, length time.Duration) {
+// sendCrashing sends a crashing request, and resends it through every router at
+// once when its first run has ended, and every 3 s after that.
+func (s scenario) sendCrashing(ctx context.Context, w *fleetSim, i int, length time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(i+3)))
 	j := job{
-		fingerprint: poisonOf(i),
+		fingerprint: crashingFingerprint(i),
 		key:         placement.Key(1_000_000 + i),
 		length:      time.Duration(50+rng.IntN(2000)) * time.Millisecond,
 		crashes:     true,
@@ -119,7 +120,7 @@
 	var wg sync.WaitGroup
 	original := j
 	wg.Go(func() { first.serve(ctx, original) })
-	for w.lost()[j.fingerprint] == 0 && time.Now().Before(until) {
+	for w.crashCounts()[j.fingerprint] == 0 && time.Now().Before(until) {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(time.Duration(10+rng.IntN(300)) * time.Millisecond)
@@ -140,21 +141,20 @@
 	wg.Wait()
 }
 
-// A request crashes each endpoint that runs it. Its caller takes the broken
-// answer for a hiccup and sends it again through every router at once, before
-// they have told each other. Users of the pool would lose endpoint after
-// endpoint; and if suspicion were hasty, those whose requests merely ran there
-// would be refused as well.
+// A request crashes each endpoint that runs it. Its caller retries through
+// every router at once, before the routers have exchanged records. Without
+// coordination the pool would lose one endpoint after another; with premature
+// convictions, requests that merely ran on the same endpoints would be refused.
 func TestCrashingRequestTakesAtMostTwoEndpoints(t *testing.T) {
 	tests := []struct {
 		name string
 		scenario
 		seeds uint64
 	}{
-		{"one", scenario{poisons: 1, spacing: 10 * time.Second}, 5},
-		{"several apart", scenario{poisons: 3, spacing: 10 * time.Second}, 1},
+		{"one", scenario{crashing: 1, spacing: 10 * time.Second}, 5},
+		{"several apart", scenario{crashing: 3, spacing: 10 * time.Second}, 1},
 		{"as other chats, always asking", scenario{
-			poisons: 1, spacing: 10 * time.Second, rekeyed: true, cfg: Config{Always: true},
+			crashing: 1, spacing: 10 * time.Second, rekeyed: true, cfg: Config{Always: true},
 		}, 3},
 	}
 	for _, test := range tests {
@@ -162,27 +162,27 @@
 			for seed := range test.seeds {
 				s := test.scenario
 				s.seed = seed
-				o := s.play(t)
-				for i := range s.poisons {
-					n := o.lost[poisonOf(i)]
-					assert.Assert(t, n >= 1 && n <= 2, "seed %d: request %d took %d endpoints", seed, i, n)
+				o := s.run(t)
+				for i := range s.crashing {
+					n := o.crashes[crashingFingerprint(i)]
+					assert.Assert(t, n >= 1 && n <= 2, "seed %d: request %d crashed %d endpoints", seed, i, n)
 				}
-				assert.Equal(t, o.innocents, 0, "seed %d", seed)
-				assert.Assert(t, o.served >= o.sent*99/100, "seed %d: %d of %d innocents served", seed, o.served, o.sent)
+				assert.Equal(t, o.falseConvictions, 0, "seed %d", seed)
+				assert.Assert(t, o.served >= o.sent*99/100, "seed %d: %d of %d harmless requests served", seed, o.served, o.sent)
 			}
 		})
 	}
 }
 
-// The check above must be able to fail. Routers that retry without asking, or
-// that each ask only themselves, let a crashing request take many endpoints.
-func TestCheckFindsPlantedFaults(t *testing.T) {
-	for _, planted := range []plant{ungated, ownGateOnly} {
+// Checks that the limit of two endpoints is exceeded by routers that retry
+// without asking the gate, or that each ask only their own.
+func TestCrashLimitCheckDetectsInjectedFaults(t *testing.T) {
+	for _, planted := range []injectedFault{noGate, ownGateOnly} {
 		found := false
 		for seed := range uint64(2) {
-			o := scenario{seed: seed, poisons: 1, spacing: 10 * time.Second, planted: planted}.play(t)
-			found = found || o.lost[poisonOf(0)] > 2
+			o := scenario{seed: seed, crashing: 1, spacing: 10 * time.Second, fault: planted}.run(t)
+			found = found || o.crashes[crashingFingerprint(0)] > 2
 		}
-		assert.Assert(t, found, "fault %d goes unnoticed", planted)
+		assert.Assert(t, found, "fault %d is not detected", planted)
 	}
 }
--- a/coordination/transfer/load.go
+++ b/coordination/transfer/load.go
@@ -7,41 +7,42 @@
 	"wisteriaspool/coordination"
 )
 
-// Load is what an engine that may receive chats has reported.
+// Load is the load that a possible destination engine has reported.
 type Load struct {
 	Requests int // running and waiting
 	Capacity int // zero if unknown
 	Leaving  bool
-	Read     time.Time
+	ReadAt   time.Time
 }
 
-// loadTTL is how long a report counts.
+// loadTTL is the time for which a report is considered fresh.
 const loadTTL = 500 * time.Millisecond
 
-// Loads holds the last reports of the engines of a pool. The zero value is
-// empty and ready for use.
+// Loads holds the last report of each engine of a pool. The zero value is empty
+// and ready for use.
 type Loads struct {
 	last map[coordination.Endpoint]Load
 }
 
-// Learn takes a report.
-func (l *Loads) Learn(id coordination.Endpoint, r Load) {
+// Update stores the report of an engine.
+func (l *Loads) Update(id coordination.Endpoint, r Load) {
 	if l.last == nil {
 		l.last = make(map[coordination.Endpoint]Load)
 	}
 	l.last[id] = r
 }
 
-// Fresh reports whether the last report of an engine still counts.
+// Fresh reports whether the last report of an engine is younger than loadTTL.
 func (l *Loads) Fresh(now time.Time, id coordination.Endpoint) bool {
 	r, ok := l.last[id]
-	return ok && now.Sub(r.Read) < loadTTL
+	return ok && now.Sub(r.ReadAt) < loadTTL
 }
 
-// Room reports whether an engine may receive a chat: whether it stays clear of
-// its capacity and of the bound over the mean of those that have reported. An
-// engine that has not reported may not.
-func (l *Loads) Room(id coordination.Endpoint, cfg Config) bool {
+// CanAccept reports whether a chat may be moved to an engine: whether one more
+// request keeps its load within CapacityShare of its capacity and within Bound
+// times the mean load of the engines that have reported. An engine that is
+// leaving or has not reported cannot accept a chat.
+func (l *Loads) CanAccept(id coordination.Endpoint, cfg Config) bool {
 	r, ok := l.last[id]
 	if !ok || r.Leaving {
 		return false
@@ -54,7 +55,7 @@
 }
 
 // mean returns the mean number of requests of the engines that have reported,
-// with one more among them.
+// including the request to be placed.
 func (l *Loads) mean() float64 {
 	sum := 1
 	for _, r := range l.last {
--- a/coordination/transfer/plan.go
+++ b/coordination/transfer/plan.go
@@ -10,10 +10,10 @@
 	"wisteriaspool/coordination"
 )
 
-// Action is what to do next.
+// Action is the kind of a step.
 type Action uint8
 
-// The actions. Wait is for the time given or for the end of a move, whichever
+// Kinds of steps. Wait lasts for Step.Wait or until a move ends, whichever
 // comes first.
 const (
 	Wait Action = iota
@@ -24,72 +24,74 @@
 // Step is the next step of a plan.
 type Step struct {
 	Action Action
-	Chat   coordination.Chat // to be moved
+	Chat   coordination.Chat // chat to move
 	Wait   time.Duration
 }
 
-// Result is what became of a move.
+// Result is the result of a move.
 type Result uint8
 
-// The results of moves.
+// Results of a move.
 const (
-	Moved   Result = iota // the other engine has the KV cache
-	Cold                  // the leaving engine had none any more
-	Skipped               // computing beats moving, or there is no other engine
-	Busy                  // the other engine is near its load bound
-	Refused               // the other engine did not take it
+	Moved   Result = iota // the destination engine has the KV cache
+	Cold                  // the leaving engine no longer had the KV cache
+	Skipped               // recomputing is faster than moving, or there is no other engine
+	Busy                  // the destination engine is near its load bound
+	Refused               // the destination engine did not accept the KV cache
 	Lost                  // the leaving engine did not answer
 )
 
 var resultNames = []string{"moved", "cold", "skipped", "busy", "refused", "lost"}
 
-// String returns the name of r as metrics show it.
+// String returns the name of r as used in metrics.
 func (r Result) String() string { return resultNames[r] }
 
 const (
-	// busyDelay is how long a chat waits whose other engine is busy.
+	// busyDelay is the time before a chat whose destination engine is busy is
+	// tried again.
 	busyDelay = 500 * time.Millisecond
 
-	// maxChats bounds the chats of a plan. Those stored longest ago, which are
-	// least likely to return, are dropped beyond it.
+	// maxChats limits the chats of a plan. Above it, the chats that were stored
+	// longest ago are dropped, since they are least likely to return.
 	maxChats = 16384
 )
 
-// candidate is a chat that the leaving engine has cached.
+// candidate is a chat whose KV cache the leaving engine holds.
 type candidate struct {
-	chat    coordination.Chat
-	seq     Sequence // of its last event
-	evicted bool
-	done    Sequence // the event up to which it was dealt with
-	moving  bool
-	began   time.Time // its move
-	after   time.Time // not to be moved before
+	chat       coordination.Chat
+	lastSeq    Sequence // of the last event of the chat
+	evicted    bool
+	handledSeq Sequence // lastSeq when the last move began; zero if that move is to be retried
+	moving     bool
+	startedAt  time.Time // when the last move began
+	notBefore  time.Time // earliest time of the next move
 }
 
-// Plan decides about the chats of one leaving engine. It is not safe for
-// concurrent use.
+// Plan schedules the moves of the chats of one leaving engine. It is not safe
+// for concurrent use.
 type Plan struct {
-	cfg      Config
-	end      time.Time
-	chats    map[coordination.Chat]*candidate
-	moving   int
-	free     time.Time // when the link budget is free again
-	failures int       // in a row
+	cfg        Config
+	end        time.Time
+	chats      map[coordination.Chat]*candidate
+	moving     int
+	linkFreeAt time.Time // when the bandwidth used so far is paid off
+	failures   int       // consecutive
 }
 
-// NewPlan returns the plan for an engine that was first seen to leave at now.
+// NewPlan returns the plan for an engine that was first observed to be leaving
+// at now.
 func NewPlan(now time.Time, cfg Config) *Plan {
 	cfg = cfg.WithDefaults()
 	return &Plan{cfg: cfg, end: now.Add(cfg.Window), chats: make(map[coordination.Chat]*candidate)}
 }
 
-// Learn takes cache events that the leaving engine has answered with, in any
-// order and with gaps.
-func (p *Plan) Learn(events []Event) {
+// AddEvents adds cache events read from the leaving engine. They may be in any
+// order and have gaps.
+func (p *Plan) AddEvents(events []Event) {
 	p.failures = 0
 	for _, e := range events {
 		if e.Chat != "" && (e.Kind == Stored || e.Kind == Evicted) {
-			p.learn(e)
+			p.addEvent(e)
 		}
 	}
 	if len(p.chats) > maxChats {
@@ -97,22 +99,22 @@
 	}
 }
 
-func (p *Plan) learn(e Event) {
+func (p *Plan) addEvent(e Event) {
 	c := p.chats[e.Chat]
 	if c == nil {
 		c = &candidate{chat: e.Chat}
 		p.chats[e.Chat] = c
 	}
-	if e.Seq > c.seq {
-		c.seq = e.Seq
+	if e.Seq > c.lastSeq {
+		c.lastSeq = e.Seq
 		c.evicted = e.Kind == Evicted
 	}
 }
 
-// prune drops the chats stored longest ago.
+// prune drops the chats that were stored longest ago, except those being moved.
 func (p *Plan) prune() {
 	all := lo.Values(p.chats)
-	slices.SortFunc(all, func(a, b *candidate) int { return cmp.Compare(b.seq, a.seq) })
+	slices.SortFunc(all, func(a, b *candidate) int { return cmp.Compare(b.lastSeq, a.lastSeq) })
 	for _, c := range all[maxChats/2:] {
 		if !c.moving {
 			delete(p.chats, c.chat)
@@ -120,68 +122,69 @@
 	}
 }
 
-// Next returns the next step. A chat that it says to move is on its way until
-// [Plan.End].
+// Next returns the next step. A chat to be moved counts as in transit until
+// [Plan.MoveEnded] is called for it.
 func (p *Plan) Next(now time.Time) Step {
-	if !now.Before(p.end) || p.failures >= p.cfg.Failures {
+	if !now.Before(p.end) || p.failures >= p.cfg.MaxFailures {
 		return Step{Action: Stop}
 	}
-	if p.moving >= p.cfg.Concurrent {
+	if p.moving >= p.cfg.MaxConcurrent {
 		return Step{Action: Wait, Wait: p.cfg.Interval}
 	}
-	if wait := p.free.Sub(now); wait > 0 {
+	if wait := p.linkFreeAt.Sub(now); wait > 0 {
 		return Step{Action: Wait, Wait: min(wait, p.cfg.Interval)}
 	}
 	c := p.latest(now)
 	if c == nil {
 		return Step{Action: Wait, Wait: p.cfg.Interval}
 	}
-	c.moving, c.done, c.began = true, c.seq, now
+	c.moving, c.handledSeq, c.startedAt = true, c.lastSeq, now
 	p.moving++
 	return Step{Action: Move, Chat: c.chat}
 }
 
-// latest returns the chat that was stored last among those to be moved, or nil.
-// A chat that has just been served is the likeliest to return soon.
+// latest returns the most recently stored chat that is due to be moved, or nil.
+// A chat that has just been served is the most likely to return soon.
 func (p *Plan) latest(now time.Time) *candidate {
 	var best *candidate
 	for _, c := range p.chats {
-		if c.moving || c.evicted || c.done == c.seq || now.Before(c.after) {
+		if c.moving || c.evicted || c.handledSeq == c.lastSeq || now.Before(c.notBefore) {
 			continue
 		}
-		if best == nil || c.seq > best.seq {
+		if best == nil || c.lastSeq > best.lastSeq {
 			best = c
 		}
 	}
 	return best
 }
 
-// End takes what became of a move and how many bytes it took from the leaving
-// engine. They are charged to the link budget: the next move waits until it is
-// free again.
-func (p *Plan) End(now time.Time, chat coordination.Chat, r Result, bytes int64) {
+// MoveEnded records the result of a move and the bytes that it read from the
+// leaving engine. The bytes are charged to the link: the next move waits until
+// they are paid off at the configured bandwidth.
+func (p *Plan) MoveEnded(now time.Time, chat coordination.Chat, r Result, bytes int64) {
 	c := p.chats[chat]
 	c.moving = false
 	p.moving--
-	p.spend(c.began, bytes)
+	p.chargeLink(c.startedAt, bytes)
 	switch r {
 	case Lost:
 		p.failures++
 	case Busy:
-		c.done = 0
-		c.after = now.Add(busyDelay)
+		c.handledSeq = 0
+		c.notBefore = now.Add(busyDelay)
 	default:
 		p.failures = 0
 	}
 }
 
-// Fail takes that the leaving engine did not answer a read of its events.
-func (p *Plan) Fail() { p.failures++ }
+// ReadFailed records that the leaving engine did not answer a read of its cache
+// events.
+func (p *Plan) ReadFailed() { p.failures++ }
 
-// spend charges bytes that were taken from a time on.
-func (p *Plan) spend(from time.Time, bytes int64) {
-	if p.free.Before(from) {
-		p.free = from
+// chargeLink charges the link for bytes whose transfer began at from.
+func (p *Plan) chargeLink(from time.Time, bytes int64) {
+	if p.linkFreeAt.Before(from) {
+		p.linkFreeAt = from
 	}
-	p.free = p.free.Add(p.cfg.onLink(bytes))
+	p.linkFreeAt = p.linkFreeAt.Add(p.cfg.linkTime(bytes))
 }
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -11,9 +11,9 @@
 	"wisteriaspool/standin/engine"
 )
 
-const maxEvent = 1 << 20 // bytes of one line of a stream
+const maxEvent = 1 << 20 // maximum size of a line of a stream, and of an error body, in bytes
 
-// errorBody is the body of an error.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error struct {
 		Code    string  `json:"code"`
@@ -28,7 +28,7 @@
 	data string
 }
 
-// sseReader reads server-sent events.
+// sseReader parses server-sent events.
 type sseReader struct {
 	lines *bufio.Scanner
 }
@@ -39,8 +39,8 @@
 	return &sseReader{lines: lines}
 }
 
-// next returns the next event. It is false at the end of the connection; an
-// event that the end cut off is dropped, as the format demands.
+// next returns the next event, or false at the end of the connection. An event
+// that is cut off by the end is discarded, as the format requires.
 func (s *sseReader) next() (sseEvent, bool) {
 	var e sseEvent
 	for s.lines.Scan() {
@@ -65,14 +65,14 @@
 	return sseEvent{}, false
 }
 
-// readStream reads events until the answer is done or the connection breaks.
-func (t *turn) readStream(r io.Reader) verdict {
+// readStream reads events until the answer is complete or the connection breaks.
+func (t *turn) readStream(r io.Reader) connectResult {
 	events := newSSEReader(r)
 	for {
 		e, ok := events.next()
 		switch {
 		case !ok:
-			return broken
+			return connectionBroken
 		case e.data == "[DONE]":
 			return t.done()
 		case e.name == "outcome":
@@ -85,9 +85,9 @@
 	}
 }
 
-// done settles a stream that says it is done. A stream that never told its
-// outcome leaves it unknown.
-func (t *turn) done() verdict {
+// done handles the [DONE] event. The outcome is unknown if the stream did not
+// report one.
+func (t *turn) done() connectResult {
 	if t.outcome == "" {
 		t.outcome = unknown
 	}
@@ -95,22 +95,22 @@
 }
 
 func (t *turn) readOutcome(data string) {
-	var told struct {
+	var reported struct {
 		Outcome   outcome `json:"outcome"`
 		RouteHint string  `json:"route_hint"`
 	}
-	if err := json.Unmarshal([]byte(data), &told); err != nil {
-		t.fault = wrong
+	if err := json.Unmarshal([]byte(data), &reported); err != nil {
+		t.fault = wrongAnswer
 		return
 	}
-	t.outcome, t.hint = told.Outcome, told.RouteHint
+	t.outcome, t.hint = reported.Outcome, reported.RouteHint
 }
 
-// readError notes why a stream ends early.
+// readError records the error code of a stream that ends early.
 func (t *turn) readError(data string) {
 	var e errorBody
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	t.code = e.Error.Code
@@ -126,7 +126,7 @@
 		Usage *engine.Usage `json:"usage"`
 	}
 	if err := json.Unmarshal([]byte(e.data), &c); err != nil {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	if c.Usage != nil {
@@ -136,22 +136,22 @@
 		return
 	}
 	t.text += c.Choices[0].Delta.Content
-	t.noteTokens(e.id, len(strings.Fields(c.Choices[0].Delta.Content)))
+	t.recordTokens(e.id, len(strings.Fields(c.Choices[0].Delta.Content)))
 }
 
-// noteTokens checks that the offset in id counts the n new tokens, and notes
-// the time that they came.
-func (t *turn) noteTokens(id string, n int) {
+// recordTokens checks that the offset in id advanced by the n new tokens, and
+// records when they arrived.
+func (t *turn) recordTokens(id string, n int) {
 	now := time.Now()
 	cut := strings.LastIndexByte(id, '.')
 	offset, err := strconv.Atoi(id[cut+1:])
 	if cut < 0 || err != nil || offset != t.offset+n {
-		t.fault = wrong
+		t.fault = wrongAnswer
 		return
 	}
 	t.attempt, t.offset = id[:cut], offset
 	if t.lastAt.IsZero() {
-		t.first = now.Sub(t.due)
+		t.firstToken = now.Sub(t.due)
 	} else {
 		t.gaps = append(t.gaps, now.Sub(t.lastAt))
 	}
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// reader is one connection that reads an attempt's answer.
+// reader is one connection that reads the answer of an attempt.
 type reader struct {
-	died   <-chan struct{}
-	after  int // offset of the last token that the reader has
-	stream bool
+	crashed <-chan struct{}
+	after   int // offset of the last token that the reader has received
+	stream  bool
 }
 
-// chunk is one object of a streamed or whole answer.
+// chunk is one event of a streamed answer, or the body of an unstreamed one.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -44,25 +44,26 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how much of a prompt was in the cache.
+// PromptDetails holds the number of prompt tokens that were found in the prefix
+// cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// serve answers one reader. It breaks the connection if the engine dies, if
-// the attempt is cancelled, or if a fault says so.
+// serve writes the answer to one reader. It breaks the connection if the engine
+// crashes or is closed, if the attempt is cancelled, or if a fault requires it.
 func (e *Engine) serve(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
-	defer e.leaveReader(a)
+	defer e.releaseReader(a)
 	w.Header().Set("X-Attempt-Id", a.id)
 	if !rd.stream {
-		e.serveWhole(w, r, a, rd)
+		e.serveUnstreamed(w, r, a, rd)
 		return
 	}
 	out := &sse{engine: e, w: w, flusher: http.NewResponseController(w), attempt: a, cut: -1}
-	out.cut, out.loses = e.takeCut()
+	out.cut, out.dropsAttempt = e.nextStreamCut()
 	out.start()
 	for {
-		s, ok := e.await(r, a, rd)
+		s, ok := e.awaitProgress(r, a, rd)
 		if !ok {
 			return
 		}
@@ -78,23 +79,24 @@
 	}
 }
 
-// status is what a reader sees of an attempt at one time.
-type status struct {
+// readStatus is a snapshot of an attempt for a reader.
+type readStatus struct {
 	delivered int
 	phase     phase
 	usage     Usage
 }
 
-// await waits until there is more to read than rd has. It is false if the
-// reader has gone, and breaks the connection if the answer never ends.
-func (e *Engine) await(r *http.Request, a *attempt, rd reader) (status, bool) {
+// awaitProgress waits until there are tokens after rd.after or the attempt has
+// finished. It reports false if the reader has disconnected, and breaks the
+// connection if the answer will not be completed.
+func (e *Engine) awaitProgress(r *http.Request, a *attempt, rd reader) (readStatus, bool) {
 	for {
 		e.mu.Lock()
-		s := status{delivered: a.delivered(), phase: a.phase, usage: a.usage()}
+		s := readStatus{delivered: a.delivered(), phase: a.phase, usage: a.usage()}
 		changed := a.changed
 		e.mu.Unlock()
 		if s.delivered > rd.after || s.phase == finished {
-			e.thaw(r.Context().Done())
+			e.waitWhileFrozen(r.Context().Done())
 			return s, true
 		}
 		if s.phase == cancelled {
@@ -102,12 +104,12 @@
 		}
 		select {
 		case <-changed:
-		case <-rd.died:
+		case <-rd.crashed:
 			panic(http.ErrAbortHandler)
 		case <-e.closed:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
-			return status{}, false
+			return readStatus{}, false
 		}
 	}
 }
@@ -117,22 +119,23 @@
 		PromptTokens:     len(a.prompt),
 		CompletionTokens: a.generated,
 		TotalTokens:      len(a.prompt) + a.generated,
-		PromptDetails:    PromptDetails{CachedTokens: a.cached},
+		PromptDetails:    PromptDetails{CachedTokens: a.cachedTokens},
 	}
 }
 
 func (a *attempt) finishReason() *string {
 	reason := "stop"
-	if a.request.limit() > 0 {
+	if a.request.maxNewTokens() > 0 {
 		reason = "length"
 	}
 	return &reason
 }
 
-// serveWhole answers without a stream, when all tokens are there.
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
+// serveUnstreamed writes the complete answer as one response once all tokens are
+// generated.
+func (e *Engine) serveUnstreamed(w http.ResponseWriter, r *http.Request, a *attempt, rd reader) {
 	for {
-		s, ok := e.await(r, a, rd)
+		s, ok := e.awaitProgress(r, a, rd)
 		if !ok {
 			return
 		}
@@ -142,7 +145,7 @@
 		}
 		w.Header().Set("X-Outcome", "ran")
 		body := a.chunk("chat.completion", choice{
-			Message:      &delta{Role: "assistant", Content: a.text(a.had, s.delivered)},
+			Message:      &delta{Role: "assistant", Content: a.answerText(a.partialLen, s.delivered)},
 			FinishReason: a.finishReason(),
 		})
 		body.Usage = &s.usage
@@ -159,16 +162,17 @@
 	}
 }
 
-// sse writes server-sent events, with the faults that concern chunks.
+// sse writes an answer as server-sent events and injects the faults that affect
+// chunks.
 type sse struct {
-	engine  *Engine
-	w       http.ResponseWriter
-	flusher *http.ResponseController
-	attempt *attempt
-	sent    int
-	held    int // offset of a chunk that comes after its successor, or zero
-	cut     int // tokens after which the connection breaks, or negative
-	loses   bool
+	engine       *Engine
+	w            http.ResponseWriter
+	flusher      *http.ResponseController
+	attempt      *attempt
+	sent         int
+	held         int // offset of a chunk to send after its successor, or zero
+	cut          int // number of tokens after which the connection breaks, or negative for never
+	dropsAttempt bool
 }
 
 func (s *sse) start() {
@@ -179,13 +183,13 @@
 	s.checkCut()
 }
 
-// token sends the token at offset, counted from 1.
+// token sends the token at the one-based offset.
 func (s *sse) token(offset int) {
 	faults := s.engine.Faults()
-	if s.engine.draw(faults.Strays) {
+	if s.engine.faultApplies(faults.Strays) {
 		s.event("stray-"+s.attempt.id, ^s.attempt.hash, offset)
 	}
-	if s.held == 0 && offset < s.attempt.total && s.engine.draw(faults.Swaps) {
+	if s.held == 0 && offset < s.attempt.total && s.engine.faultApplies(faults.Swaps) {
 		s.held = offset
 		return
 	}
@@ -195,25 +199,26 @@
 		s.sent++
 		s.held = 0
 	}
-	if s.engine.draw(faults.Duplicates) {
+	if s.engine.faultApplies(faults.Duplicates) {
 		s.event(s.attempt.id, s.attempt.hash, offset)
 	}
 	s.sent++
 	s.checkCut()
 }
 
-// checkCut breaks the connection once a fault says so.
+// checkCut breaks the connection once the number of tokens set by a fault is sent.
 func (s *sse) checkCut() {
 	if s.cut < 0 || s.sent < s.cut {
 		return
 	}
-	if s.loses {
-		s.engine.lose(s.attempt)
+	if s.dropsAttempt {
+		s.engine.dropAttempt(s.attempt)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// event sends the token at offset of the answer with that hash.
+// event sends the token at the one-based offset of the answer to the conversation
+// with the given hash.
 func (s *sse) event(id string, hash uint64, offset int) {
 	data := s.attempt.chunk("chat.completion.chunk", choice{
 		Delta: &delta{Content: tokenAt(hash, offset-1)},
@@ -221,13 +226,14 @@
 	s.write(fmt.Sprintf("id: %s.%d\n", id, offset), data)
 }
 
+// finish sends the closing chunk with the token usage, and the end marker.
 func (s *sse) finish(u Usage) {
 	last := s.attempt.chunk("chat.completion.chunk", choice{
 		Delta: &delta{}, FinishReason: s.attempt.finishReason(),
 	})
 	last.Usage = &u
 	s.write(fmt.Sprintf("id: %s.%d\n", s.attempt.id, s.attempt.total), last)
-	_, _ = s.w.Write([]byte("data: [DONE]\n\n")) // the caller has gone if it fails
+	_, _ = s.w.Write([]byte("data: [DONE]\n\n")) // an error means that the caller disconnected
 	s.flush()
 }
 
@@ -236,14 +242,14 @@
 	if err != nil {
 		panic("engine: " + err.Error())
 	}
-	_, _ = fmt.Fprintf(s.w, "%sdata: %s\n\n", id, data) // the caller has gone if it fails
+	_, _ = fmt.Fprintf(s.w, "%sdata: %s\n\n", id, data) // an error means that the caller disconnected
 	s.flush()
 }
 
 func (s *sse) flush() { _ = s.flusher.Flush() }
 
-// lose forgets a, as if only this attempt had died.
-func (e *Engine) lose(a *attempt) {
+// dropAttempt cancels and deletes a, which simulates the loss of a single attempt.
+func (e *Engine) dropAttempt(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.endLocked(a, cancelled)
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is a TCP proxy on loopback that delays, holds up and resets what
-// passes through it, as links and machines do that fail without a word.
+// Package proxy provides a TCP proxy on the loopback interface that can delay,
+// stall and reset connections, to simulate links and machines that fail
+// silently.
 package proxy
 
 import (
@@ -8,15 +9,15 @@
 	"time"
 )
 
-// Mode is how a proxy treats its connections.
+// Mode sets how a proxy handles its connections.
 type Mode struct {
-	Delay  time.Duration // of each piece that passes, in both directions
-	Silent bool          // nothing passes; it does later, when the mode changes
-	OneWay bool          // as Silent, for what goes to the target only
+	Delay  time.Duration // added to each chunk of up to 16 KiB and to the close, in both directions
+	Silent bool          // data is held back in both directions until the mode changes
+	OneWay bool          // like Silent, but only toward the target
 	Refuse bool          // new connections are reset
 }
 
-// Proxy passes connections on to a target.
+// Proxy forwards TCP connections to a target.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -27,7 +28,9 @@
 	conns   map[net.Conn]struct{}
 }
 
-// New starts a proxy on loopback. The function that it returns ends it.
+// New starts a proxy on a free loopback port that forwards to target, a
+// host:port. The returned function stops it and resets its connections. New
+// returns an error if it can't listen.
 func New(target string) (*Proxy, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,11 +41,11 @@
 	return p, p.stop, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the host:port that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode of all connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode sets the mode for open and new connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -50,7 +53,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset resets all open connections.
+// Reset closes all open connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +67,7 @@
 
 func (p *Proxy) stop() {
 	_ = p.listener.Close()
-	p.Set(Mode{})
+	p.SetMode(Mode{})
 	p.Reset()
 }
 
@@ -74,90 +77,91 @@
 		if err != nil {
 			return
 		}
-		if mode, _ := p.present(); mode.Refuse {
+		if mode, _ := p.currentMode(); mode.Refuse {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 			continue
 		}
-		go pair{proxy: p, caller: c}.run()
+		go connPair{proxy: p, client: c}.run()
 	}
 }
 
-func (p *Proxy) present() (Mode, <-chan struct{}) {
+func (p *Proxy) currentMode() (Mode, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
 }
 
-func (p *Proxy) add(c net.Conn) {
+func (p *Proxy) trackConn(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) closeConn(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 	_ = c.Close()
 }
 
-// pair is a caller's connection with the one to the target.
-type pair struct {
+// connPair is a client connection and the matching connection to the target.
+type connPair struct {
 	proxy  *Proxy
-	caller net.Conn
+	client net.Conn
 }
 
-func (c pair) run() {
-	c.proxy.add(c.caller)
-	defer c.proxy.drop(c.caller)
+func (c connPair) run() {
+	c.proxy.trackConn(c.client)
+	defer c.proxy.closeConn(c.client)
 	target, err := net.Dial("tcp", c.proxy.target)
 	if err != nil {
-		_ = c.caller.(*net.TCPConn).SetLinger(0)
+		_ = c.client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	c.proxy.add(target)
-	defer c.proxy.drop(target)
-	back := half{proxy: c.proxy, from: target, to: c.caller, done: make(chan struct{})}
-	go back.run()
-	half{proxy: c.proxy, from: c.caller, to: target, forth: true, done: make(chan struct{})}.run()
-	<-back.done
+	c.proxy.trackConn(target)
+	defer c.proxy.closeConn(target)
+	toClient := forwarder{proxy: c.proxy, from: target, to: c.client, done: make(chan struct{})}
+	go toClient.run()
+	forwarder{proxy: c.proxy, from: c.client, to: target, toTarget: true, done: make(chan struct{})}.run()
+	<-toClient.done
 }
 
-// half is one direction of a pair.
-type half struct {
+// forwarder copies one direction of a connPair.
+type forwarder struct {
 	proxy    *Proxy
 	from, to net.Conn
-	forth    bool // to the target
+	toTarget bool // copies from the client to the target
 	done     chan struct{}
 }
 
-// run passes on what comes until one side ends, and then ends the other.
-func (h half) run() {
+// run copies data until either connection ends, and then closes the other.
+func (h forwarder) run() {
 	defer close(h.done)
 	defer func() { _ = h.to.Close() }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := h.from.Read(buf)
 		if n > 0 {
-			h.hold()
+			h.waitForMode()
 			if _, werr := h.to.Write(buf[:n]); werr != nil {
 				_ = h.from.Close()
 				return
 			}
 		}
 		if err != nil {
-			h.hold() // an end is held up like everything else
+			h.waitForMode() // delays the close like data
 			return
 		}
 	}
 }
 
-// hold waits until the mode lets a piece pass.
-func (h half) hold() {
+// waitForMode waits until the mode allows data in this direction and then for
+// mode.Delay.
+func (h forwarder) waitForMode() {
 	for {
-		mode, changed := h.proxy.present()
-		if !mode.Silent && (!mode.OneWay || !h.forth) {
+		mode, changed := h.proxy.currentMode()
+		if !mode.Silent && (!mode.OneWay || !h.toTarget) {
 			time.Sleep(mode.Delay)
 			return
 		}
--- a/standin/service/handlers.go
+++ b/standin/service/handlers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Load is the body of a load report.
+// Load is the body of a load report. State is "live" or "leaving".
 type Load struct {
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
@@ -29,7 +29,8 @@
 	}
 }
 
-// Incarnation returns the number of the service's life.
+// Incarnation returns the service's incarnation number, its start time in Unix
+// milliseconds.
 func (s *Service) Incarnation() uint64 { return s.load().Incarnation }
 
 func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
@@ -48,14 +49,14 @@
 func (s *Service) handleFaults(w http.ResponseWriter, r *http.Request) {
 	next := s.Faults()
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&next); err != nil {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeNotRun(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	s.SetFaults(next)
 	writeJSON(w, http.StatusOK, s.Faults())
 }
 
-// errorBody is the body of an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -65,8 +66,9 @@
 	Message string `json:"message"`
 }
 
-// refuse answers with the service's word that nothing was run.
-func refuse(w http.ResponseWriter, status int, code string) {
+// writeNotRun refuses a call and states that the action was not run. A refusal
+// with status 503 carries a Retry-After of one second.
+func writeNotRun(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("X-Outcome", "not-run")
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
@@ -77,5 +79,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller disconnected
 }
--- a/standin/soak/prober.go
+++ b/standin/soak/prober.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// prober asks one router again and again which version of the desired state it
-// goes by. Each version has a key of its own that no other version holds.
+// prober repeatedly checks which version of the desired state one router applies.
+// Each version contains a key that no other version contains.
 type prober struct {
 	load   *load
 	router *router
 
-	life  <-chan struct{} // of the process that was asked
-	seen  int             // the highest version that it has shown
-	since time.Time       // when it did
+	processEnded <-chan struct{} // identifies the router process that was probed
+	highestSeen  int             // highest version that the process has applied
+	seenAt       time.Time       // when highestSeen was first observed
 }
 
 const (
 	probePause = 200 * time.Millisecond
-	// revertSlack is for how long behind a version an older one may still be
-	// seen: by requests that were under way, on a router that is slow.
+	// revertSlack is for how long after a version was seen the previous one may
+	// still be observed, through requests in flight on a slow router.
 	revertSlack = 2 * time.Second
 )
 
@@ -30,27 +30,28 @@
 	}
 }
 
-// probe looks for the newest version and, once that was seen, for the one before.
+// probe checks for the newest version and, once that has been seen for
+// revertSlack, that the previous version is no longer in force.
 func (p *prober) probe() {
-	life := p.router.life()
-	if life != p.life {
-		p.life, p.seen = life, 0
+	ended := p.router.processEnded()
+	if ended != p.processEnded {
+		p.processEnded, p.highestSeen = ended, 0
 	}
 	newest, before := p.load.soak.versions()
-	if newest > p.seen && p.holds(newest) && p.router.life() == life {
-		p.seen, p.since = newest, time.Now()
+	if newest > p.highestSeen && p.hasVersion(newest) && p.router.processEnded() == ended {
+		p.highestSeen, p.seenAt = newest, time.Now()
 	}
 	asked := time.Now()
-	if p.seen == newest && before > 0 && asked.Sub(p.since) > revertSlack && p.holds(before) && p.router.life() == life {
-		p.load.soak.breaks("router %d went back to version %d, %v after it had shown %d", p.router.n, before, asked.Sub(p.since).Round(time.Millisecond), p.seen)
+	if p.highestSeen == newest && before > 0 && asked.Sub(p.seenAt) > revertSlack && p.hasVersion(before) && p.router.processEnded() == ended {
+		p.load.soak.reportViolation("router %d went back to version %d, %v after it had shown %d", p.router.n, before, asked.Sub(p.seenAt).Round(time.Millisecond), p.highestSeen)
 	}
 }
 
-// holds reports whether the router goes by a version.
-func (p *prober) holds(version int) bool {
+// hasVersion reports whether the router accepts the key of a version.
+func (p *prober) hasVersion(version int) bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
-	o := p.load.send(client, p.router, "/safe/", keyOf(version))
-	p.load.note(o)
+	o := p.load.send(client, p.router, "/safe/", versionKey(version))
+	p.load.record(o)
 	return o.status == http.StatusOK
 }
