--- a/standin/soak/router.go
+++ b/standin/soak/router.go
@@ -17,35 +17,36 @@
 	"wisteriaspool/standin/proxy"
 )
 
-// router is one router process with the proxies round it.
+// router is a router process and the proxies on its links.
 type router struct {
-	n         int
-	soak      *soak
-	callers   string // address
-	readiness string
-	peers     *proxy.Proxy // from other routers
-	store     *proxy.Proxy // to the store
-	peerPort  string
-	operators string
-
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when process has ended
-	paused  bool
-	touched time.Time // when a fault last hit it
-	leaving time.Time // when it was last told to stop
-}
-
-// Ports of routers lie below those that the kernel gives to outgoing
-// connections, so that nobody takes one between its choice and its use. Soaks of
-// different seeds that run beside each other have ranges of their own.
+	n                int
+	soak             *soak
+	callerAddress    string
+	readinessAddress string
+	peerProxy        *proxy.Proxy // on the link from other routers
+	storeProxy       *proxy.Proxy // on the link to the store
+	peerAddress      string
+	operatorAddress  string
+
+	mu            sync.Mutex
+	process       *exec.Cmd
+	ended         chan struct{} // closed when process has ended
+	paused        bool
+	lastFault     time.Time // when a fault of the router last began or ended
+	stopRequested time.Time // when it was last asked to stop
+}
+
+// Router ports lie below the kernel's ephemeral port range, so that no outgoing
+// connection takes a port between its selection and its use. The port range
+// depends on the seed, which keeps concurrent soaks apart.
 const (
 	firstPort  = 20000
 	portsEach  = 100
 	portRanges = 127
 )
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns an address that nothing listens on. It returns an error if
+// no port of the range is left.
 func (s *soak) freeAddress() (string, error) {
 	base := firstPort + portsEach*int(s.opts.Seed%portRanges)
 	for s.port < portsEach {
@@ -56,22 +57,22 @@
 			return address, l.Close()
 		}
 	}
-	return "", fmt.Errorf("soak: no port is free from %d on", base)
+	return "", fmt.Errorf("soak: no free port in the range that starts at %d", base)
 }
 
 func (s *soak) newRouter(n int) (*router, error) {
 	r := &router{n: n, soak: s}
-	for _, address := range []*string{&r.callers, &r.readiness, &r.peerPort, &r.operators} {
+	for _, address := range []*string{&r.callerAddress, &r.readinessAddress, &r.peerAddress, &r.operatorAddress} {
 		var err error
 		if *address, err = s.freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	if r.peers, err = s.proxyTo(r.peerPort); err != nil {
+	if r.peerProxy, err = s.proxyTo(r.peerAddress); err != nil {
 		return nil, err
 	}
-	if r.store, err = s.proxyTo(strings.TrimPrefix(s.served.URL, "http://")); err != nil {
+	if r.storeProxy, err = s.proxyTo(strings.TrimPrefix(s.storeServer.URL, "http://")); err != nil {
 		return nil, err
 	}
 	s.onClose(r.kill)
@@ -90,7 +91,7 @@
 	return filepath.Join(r.soak.opts.Dir, fmt.Sprintf("router-%d.log", r.n))
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is already running.
 func (r *router) start(seeds string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +114,7 @@
 [limits]
 stop-delay = 1s
 stop-within = 8s
-`, r.n, r.n%3, r.callers, r.operators, r.peerPort, r.peers.Address(), seeds, r.store.Address(), r.readiness)
+`, r.n, r.n%3, r.callerAddress, r.operatorAddress, r.peerAddress, r.peerProxy.Address(), seeds, r.storeProxy.Address(), r.readinessAddress)
 	file := filepath.Join(r.soak.opts.Dir, fmt.Sprintf("router-%d.ini", r.n))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
@@ -122,25 +123,25 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process holds its own descriptor
 	c := exec.Command(r.soak.opts.Binary, "serve", "-config", file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		return err
 	}
-	r.process, r.ended, r.leaving = c, make(chan struct{}), time.Time{}
-	go process{r, c, r.ended}.run()
+	r.process, r.ended, r.stopRequested = c, make(chan struct{}), time.Time{}
+	go processWaiter{r, c, r.ended}.run()
 	return nil
 }
 
-// process waits for the end of one process.
-type process struct {
+// processWaiter waits for one process to exit.
+type processWaiter struct {
 	router  *router
 	command *exec.Cmd
 	ended   chan struct{}
 }
 
-func (l process) run() {
+func (l processWaiter) run() {
 	err := l.command.Wait()
 	l.router.mu.Lock()
 	l.router.process = nil
@@ -148,27 +149,27 @@
 	close(l.ended)
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() > 0 {
-		l.router.soak.breaks("router %d ended by itself or cut off requests: exit code %d; see %s", l.router.n, exit.ExitCode(), l.router.logFile())
+		l.router.soak.reportViolation("router %d ended by itself or cut off requests: exit code %d; see %s", l.router.n, exit.ExitCode(), l.router.logFile())
 	}
 }
 
-// life returns what is closed at the end of the present process; another one has
-// another.
-func (r *router) life() <-chan struct{} {
+// processEnded returns the channel that is closed when the current process ends.
+// It also identifies the process, since each process has its own channel.
+func (r *router) processEnded() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
-// signal sends a signal and returns the channel that tells of the process's
-// end, or nil if none runs.
+// signal sends a signal to the process. It returns a channel that is closed when
+// the process ends, or nil if none is running.
 func (r *router) signal(sig syscall.Signal) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.process == nil {
 		return nil
 	}
-	_ = r.process.Process.Signal(sig) // it may have ended just now
+	_ = r.process.Process.Signal(sig) // fails if the process has just ended
 	return r.ended
 }
 
@@ -189,44 +190,47 @@
 	r.signal(syscall.SIGCONT)
 }
 
-// touch notes that a fault hits the router now.
-func (r *router) touch() {
+// markFault records that a fault affects the router now.
+func (r *router) markFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.touched = time.Now()
+	r.lastFault = time.Now()
 }
 
-// wellSince reports whether nothing has hit the router since a moment.
-func (r *router) wellSince(at time.Time) bool {
+// healthySince reports whether the router is running and no fault has affected it
+// since a time.
+func (r *router) healthySince(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.process != nil && !r.paused && r.touched.Before(at)
+	return r.process != nil && !r.paused && r.lastFault.Before(at)
 }
 
-// heal ends all faults of the router.
-func (r *router) heal(seeds string) {
+// clearFaults ends all faults of the router and starts it if it is not running.
+// It waits for the end of a process that was asked to stop in the last 10 s.
+func (r *router) clearFaults(seeds string) {
 	r.pause(false)
-	r.peers.Set(proxy.Mode{})
-	r.store.Set(proxy.Mode{})
+	r.peerProxy.SetMode(proxy.Mode{})
+	r.storeProxy.SetMode(proxy.Mode{})
 	r.mu.Lock()
-	ended, leaving := r.ended, r.process != nil && time.Since(r.leaving) < 10*time.Second
+	ended, leaving := r.ended, r.process != nil && time.Since(r.stopRequested) < 10*time.Second
 	r.mu.Unlock()
 	if leaving {
 		<-ended
 	}
 	if err := r.start(seeds); err != nil {
-		r.soak.breaks("router %d does not start: %v", r.n, err)
+		r.soak.reportViolation("router %d does not start: %v", r.n, err)
 	}
 }
 
-// readyTimeout is how long the balancer waits for a router's word.
+// readyTimeout is how long the load balancer waits for a readiness response.
 const readyTimeout = 300 * time.Millisecond
 
-// ready asks as the platform's balancer does.
-func (r *router) ready() bool {
+// isReady queries the readiness of the router as the platform's load balancer
+// does.
+func (r *router) isReady() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.readiness+"/wisteriaspool/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.readinessAddress+"/wisteriaspool/readyz", nil)
 	if err != nil {
 		return false
 	}
--- a/wisteriarouter/caller/api.go
+++ b/wisteriarouter/caller/api.go
@@ -15,15 +15,15 @@
 	"wisteriaspool/coordination/outcome"
 )
 
-// chatInput is a chat request as huma reads it.
+// chatInput is a chat request as decoded by huma.
 type chatInput struct {
 	ChatHeaders
 	Body    chatBody
 	RawBody []byte
 }
 
-// Register adds the callers' operations to api, which has to be one of the
-// humago adapter.
+// Register adds the operations for callers to api, which must use the humago
+// adapter.
 func (s *Server) Register(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID:  "create-chat-completion",
@@ -32,8 +32,8 @@
 		Summary:      "Answer a chat",
 		Description:  "OpenAI-compatible. The answer carries its outcome and a route hint; see docs/PROTOCOLS.md.",
 		Tags:         []string{"callers"},
-		MaxBodyBytes: s.Limits.BodyBytes,
-		Middlewares:  huma.Middlewares{s.limitWriting},
+		MaxBodyBytes: s.Limits.MaxBodyBytes,
+		Middlewares:  huma.Middlewares{s.limitWriteTime},
 	}, s.createChat)
 	huma.Register(api, huma.Operation{
 		OperationID:  "run-action",
@@ -42,20 +42,20 @@
 		Summary:      "Run an action of a plain service",
 		Description:  "An action that the settings mark as non-idempotent needs an Idempotency-Key and runs at most once.",
 		Tags:         []string{"callers"},
-		MaxBodyBytes: s.Limits.BodyBytes,
-		Middlewares:  huma.Middlewares{s.limitWriting},
+		MaxBodyBytes: s.Limits.MaxBodyBytes,
+		Middlewares:  huma.Middlewares{s.limitWriteTime},
 	}, s.runAction)
 }
 
-// bodyWait is how long huma waits for a body.
-const bodyWait = 5 * time.Second
+// bodyReadTimeout is how long huma waits for a request body.
+const bodyReadTimeout = 5 * time.Second
 
-// limitWriting limits the time in which a caller has to take a refusal by huma.
-// A caller that sends one bad request after the other and never reads would
-// otherwise hold its connection for ever.
-func (s *Server) limitWriting(ctx huma.Context, next func(huma.Context)) {
+// limitWriteTime sets the time limit for a caller to read a refusal by huma. A
+// caller that sends invalid requests and never reads the responses would
+// otherwise keep its connection open forever.
+func (s *Server) limitWriteTime(ctx huma.Context, next func(huma.Context)) {
 	_, w := humago.Unwrap(ctx)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(bodyWait + s.Limits.WriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(bodyReadTimeout + s.Limits.WriteTimeout))
 	next(ctx)
 }
 
@@ -72,20 +72,21 @@
 	}
 	return &huma.StreamResponse{Body: func(ctx huma.Context) {
 		_, w := humago.Unwrap(ctx)
-		w.Header().Set(headerRequest, c.request)
+		w.Header().Set(headerRequest, c.requestID)
 		out := newWriter(w, s.Limits.WriteTimeout)
 		if c.stream {
 			s.serve(ctx.Context(), c, &streamSink{writer: out})
 			return
 		}
-		s.serve(ctx.Context(), c, &wholeSink{writer: out, model: in.Body.Model})
+		s.serve(ctx.Context(), c, &jsonSink{writer: out, model: in.Body.Model})
 	}}, nil
 }
 
-// newRequestID returns a name for a request whose caller gave it none.
+// newRequestID returns an id for a request that carries none.
 func newRequestID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// refusedChat answers a chat that never went anywhere, and logs that.
+// refusedChat logs and returns the refusal of a chat request that was sent to
+// no endpoint.
 func (s *Server) refusedChat(request string, r *outcome.Refusal) *huma.StreamResponse {
 	s.logRefusal(request, r)
 	res := s.refused("chat", r)
@@ -97,58 +98,59 @@
 	return res
 }
 
-// refused answers a request that never went anywhere.
+// refused counts and returns the refusal of a request that was sent to no
+// endpoint.
 func (s *Server) refused(kind string, r *outcome.Refusal) *huma.StreamResponse {
-	s.Metrics.ended(kind, r.Outcome, string(r.Code))
+	s.Metrics.requestEnded(kind, r.Outcome, string(r.Code))
 	return &huma.StreamResponse{Body: func(ctx huma.Context) {
 		_, w := humago.Unwrap(ctx)
 		newWriter(w, s.Limits.WriteTimeout).refuse(r)
 	}}
 }
 
-// Fault is the error of a request that the HTTP layer refused before any
-// handler saw it, in the form of every other refusal.
-type Fault struct {
+// RefusalError is the error of a request that the HTTP layer refused before a
+// handler was called. It is encoded as every other refusal.
+type RefusalError struct {
 	refusal outcome.Refusal
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.refusal.Error() }
+func (f *RefusalError) Error() string { return f.refusal.Error() }
 
 // GetStatus implements huma.StatusError.
-func (f *Fault) GetStatus() int { return f.refusal.Code.HTTPStatus() }
+func (f *RefusalError) GetStatus() int { return f.refusal.Code.HTTPStatus() }
 
 // MarshalJSON implements json.Marshaler.
-func (f *Fault) MarshalJSON() ([]byte, error) { return json.Marshal(f.refusal.Envelope()) }
+func (f *RefusalError) MarshalJSON() ([]byte, error) { return json.Marshal(f.refusal.Envelope()) }
 
-// Schema implements huma.SchemaProvider. It also keeps huma from sending a copy
-// of the exported fields, of which a Fault has none, with a link to the schema
-// in place of the fault: the caller would be told nothing at all.
-func (f *Fault) Schema(r huma.Registry) *huma.Schema {
+// Schema implements huma.SchemaProvider. It also prevents huma from adding a
+// link to the schema: to do so it would send a copy of the exported fields, of
+// which RefusalError has none, and the caller would be told nothing.
+func (f *RefusalError) Schema(r huma.Registry) *huma.Schema {
 	return huma.SchemaFromType(r, reflect.TypeFor[outcome.Envelope]())
 }
 
 // ContentType implements huma.ContentTypeFilter.
-func (f *Fault) ContentType(string) string { return "application/json" }
+func (f *RefusalError) ContentType(string) string { return "application/json" }
 
 // GetHeaders implements huma.HeadersError.
-func (f *Fault) GetHeaders() http.Header {
+func (f *RefusalError) GetHeaders() http.Header {
 	h := http.Header{}
 	h.Set(outcome.Header, f.refusal.Outcome.String())
 	h.Set(headerRetryAfter, "5")
 	return h
 }
 
-// Errors of huma have the form of a router's refusals in the whole process.
+// init makes huma encode its errors as refusals, in the whole process.
 func init() {
-	huma.NewError = NewFault
-	huma.NewErrorWithContext = newFaultIn
+	huma.NewError = NewRefusalError
+	huma.NewErrorWithContext = newRefusalErrorWithContext
 }
 
-// newFaultIn is NewFault with the headers set, too: huma itself sets those of
-// an error only when a handler returns it.
-func newFaultIn(ctx huma.Context, status int, message string, errs ...error) huma.StatusError {
-	f := NewFault(status, message, errs...)
+// newRefusalErrorWithContext is NewRefusalError that also sets the headers:
+// huma sets those of an error only if a handler returns it.
+func newRefusalErrorWithContext(ctx huma.Context, status int, message string, errs ...error) huma.StatusError {
+	f := NewRefusalError(status, message, errs...)
 	if h, ok := f.(huma.HeadersError); ok && ctx != nil {
 		for name, values := range h.GetHeaders() {
 			ctx.SetHeader(name, values[0])
@@ -157,9 +159,9 @@
 	return f
 }
 
-// NewFault makes the error of a request that huma refuses. It is meant for
-// huma.NewError.
-func NewFault(status int, message string, errs ...error) huma.StatusError {
+// NewRefusalError returns the error of a request that huma refuses. It is
+// meant for huma.NewError.
+func NewRefusalError(status int, message string, errs ...error) huma.StatusError {
 	code := outcome.Malformed
 	if status == http.StatusRequestEntityTooLarge {
 		code = outcome.TooLarge
@@ -167,5 +169,5 @@
 	for _, err := range errs {
 		message += "; " + err.Error()
 	}
-	return &Fault{refusal: *refuse(code, message)}
+	return &RefusalError{refusal: *refuse(code, message)}
 }
--- a/wisteriarouter/daemon/actions.go
+++ b/wisteriarouter/daemon/actions.go
@@ -16,9 +16,9 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// The bounds of what teams may set, on all routers alike: a record made under a
-// shorter bound could vanish while another router still accepts its key. The
-// table of settings allows no more.
+// The upper limits of the retention and clock skew that a team may set. They are
+// the same on all routers: a record made under a shorter limit could expire while
+// another router still accepts its key. The settings schema allows no more.
 const (
 	maxRetention = 24 * time.Hour
 	maxSkew      = time.Minute
@@ -38,14 +38,14 @@
 		ClockSkew:   maxSkew,
 		Observe:     observer.Observe,
 	})
-	observer.Follow(ledger)
+	observer.RegisterOpenRecords(ledger)
 	onStop(i, func() {
 		drain(ledger)
 		closeLedger()
 	})
 	return &service.Runner{
-		Plans:   do.MustInvoke[*teams](i),
-		Placer:  do.MustInvoke[*placing](i),
+		Planner: do.MustInvoke[*teamSettings](i),
+		Placer:  do.MustInvoke[*placer](i),
 		Retries: do.MustInvoke[*teamRetries](i),
 		Client:  client,
 		Ledger:  ledger,
@@ -53,38 +53,38 @@
 	}, nil
 }
 
-// drainWait is how long a router that stops waits for the records of actions
-// that have ended. One left open would keep its key in progress, and its caller
-// without an answer, until it expires.
-const drainWait = 5 * time.Second
+// drainTimeout limits how long a stopping router waits for the records of
+// finished actions to be written. A record left open would keep its key in
+// progress, and its caller without an answer, until the record expires.
+const drainTimeout = 5 * time.Second
 
 func drain(l *execution.Ledger) {
-	ctx, cancel := context.WithTimeout(context.Background(), drainWait)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	l.Drain(ctx)
 }
 
-// PlanAction implements service.Plans.
-func (t *teams) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
+// PlanAction implements [service.ActionPlanner].
+func (t *teamSettings) PlanAction(a caller.Action) (service.Plan, *outcome.Refusal) {
 	team, refusal := t.find(a.Team, a.Account)
 	if refusal != nil {
 		return service.Plan{}, refusal
 	}
 	s, ok := team.Service(a.Service)
 	if !ok {
-		return service.Plan{}, unknown(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
+		return service.Plan{}, unknownRefusal(outcome.UnknownService, "team %q has no service %q", a.Team, a.Service)
 	}
 	rules := team.Actions()
 	return service.Plan{
 		Pool:          s.Pool(),
 		Priority:      team.Priority(a.Priority, a.Priority != coordination.Priority(0)),
-		StartWithin:   team.Deadline(),
+		StartTimeout:  team.Deadline(),
 		Timeout:       s.ActionTimeout,
 		NonIdempotent: s.NonIdempotent(a.Action),
 		Rules: execution.Rules{
-			Retention: rules.Retention,
-			ClockSkew: rules.ClockSkew,
-			KeepLimit: rules.AnswerLimit,
+			Retention:   rules.Retention,
+			ClockSkew:   rules.ClockSkew,
+			AnswerLimit: rules.AnswerLimit,
 		},
 	}, nil
 }
--- a/wisteriarouter/daemon/bounded_test.go
+++ b/wisteriarouter/daemon/bounded_test.go
@@ -20,17 +20,17 @@
 	"wisteriaspool/coordination/suspicion"
 )
 
-// keys is how many different ids, accounts or keys each test below sends. CI
-// takes few, for the race detector makes a million last minutes; what is kept
-// for each shows with few, too.
-var keys = flag.Int("keys", 30_000, "different keys that the tests of bounded memory send")
+// keyCount is how many different ids, accounts or keys each test below sends. CI
+// uses few, because a million take minutes with the race detector; state kept for
+// each key shows with few as well.
+var keyCount = flag.Int("keys", 30_000, "number of different keys sent by the tests of bounded memory")
 
-// leftBytes is the memory that the keys may leave behind together. One entry of
-// a map for each would be several times as much.
-const leftBytes = 512 << 10
+// maxRetainedBytes is the memory that all keys together may leave allocated. A map
+// entry for each key would take several times as much.
+const maxRetainedBytes = 512 << 10
 
-// heap returns the bytes of the live heap.
-func heap() int64 {
+// liveHeapBytes returns the size of the live heap after garbage collection.
+func liveHeapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -38,57 +38,57 @@
 	return int64(m.HeapAlloc)
 }
 
-// left runs fn once to make what it needs, then with keys numbers, and returns
-// the bytes that it leaves behind.
-func left(fn func(n int)) int64 {
+// retainedBytes runs fn once as a warm-up and then keyCount times with different
+// numbers, and returns by how many bytes the live heap has grown.
+func retainedBytes(fn func(n int)) int64 {
 	fn(0)
-	before := heap()
-	for n := range *keys {
+	before := liveHeapBytes()
+	for n := range *keyCount {
 		fn(n + 1)
 	}
-	return heap() - before
+	return liveHeapBytes() - before
 }
 
-// checkBounded checks that fn leaves little behind for all keys together.
+// checkBounded checks that fn retains less than maxRetainedBytes for all keys
+// together.
 func checkBounded(t *testing.T, fn func(n int)) {
 	t.Helper()
-	n := left(fn)
-	t.Logf("%d bytes left by %d keys", n, *keys)
-	assert.Assert(t, n < leftBytes, "%d bytes left by %d keys", n, *keys)
+	n := retainedBytes(fn)
+	t.Logf("%d bytes retained for %d keys", n, *keyCount)
+	assert.Assert(t, n < maxRetainedBytes, "%d bytes retained for %d keys", n, *keyCount)
 }
 
-// A part keeps one small entry for each key. The check has to see it, or its
-// silence means nothing.
-func TestCheckSeesAnEntryForEachKey(t *testing.T) {
+// Verifies the check itself: one small map entry for each key must exceed the bound.
+func TestBoundCheckDetectsEntryPerKey(t *testing.T) {
 	kept := make(map[int]bool)
-	n := left(func(n int) { kept[n] = true })
-	assert.Assert(t, n >= leftBytes, "%d bytes", n)
+	n := retainedBytes(func(n int) { kept[n] = true })
+	assert.Assert(t, n >= maxRetainedBytes, "%d bytes", n)
 	runtime.KeepAlive(kept)
 }
 
-// lonely is the transport of a router without others.
-type lonely struct{}
+// isolatedTransport is the transport of a router that has no peers.
+type isolatedTransport struct{}
 
-var errLonely = errors.New("no other router")
+var errNoOtherRouter = errors.New("no other router")
 
-func (lonely) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
-	return nil, errLonely
+func (isolatedTransport) Call(context.Context, coordination.Instance, string, []byte) ([]byte, error) {
+	return nil, errNoOtherRouter
 }
 
-// unread is a reader of loads that reads none.
-type unread struct{}
+// failingLoadReader fails to read any load.
+type failingLoadReader struct{}
 
-func (unread) ReadLoad(context.Context, coordination.Endpoint) (placement.Report, error) {
-	return placement.Report{}, errLonely
+func (failingLoadReader) ReadLoad(context.Context, coordination.Endpoint) (placement.Report, error) {
+	return placement.Report{}, errNoOtherRouter
 }
 
-// A caller sends a new chat id, and names a new client account, with each of a
-// million requests. Were any state kept for each, the router would run out of
-// memory some days later.
+// A caller uses a new chat id and a new client account with each of a million
+// requests. If placement kept state for each, the router would run out of memory
+// within days.
 func TestPlacementForgetsChatsAndAccounts(t *testing.T) {
 	self := placement.EntryID{Instance: "r1", Incarnation: 1}
 	owner := placement.NewOwner(self.Instance, placement.Config{})
-	entry := placement.NewEntry(self, owner, lonely{}, unread{}, placement.Config{})
+	entry := placement.NewEntry(self, owner, isolatedTransport{}, failingLoadReader{}, placement.Config{})
 	set := placement.NewSet([]placement.Descriptor{{ID: "e1", Pool: "m@1", Incarnation: 1, Capacity: 16}})
 	routers := placement.NewRouters([]placement.Router{{ID: self.Instance, Incarnation: 1}}, 0)
 	owner.Update(set, routers)
@@ -108,40 +108,40 @@
 	})
 }
 
-// agreeable is a platform that accepts and forgets everything.
-type agreeable struct {
+// acceptingStore is a platform store that accepts every write and keeps nothing.
+type acceptingStore struct {
 	revision kv.Revision
 }
 
-func (a *agreeable) CompareAndSwap(context.Context, string, []byte, kv.Revision, kv.Lease) kv.Result {
+func (a *acceptingStore) CompareAndSwap(context.Context, string, []byte, kv.Revision, kv.Lease) kv.Result {
 	a.revision++
 	return kv.Result{Status: kv.Applied, Revision: a.revision}
 }
 
-func (a *agreeable) Grant(context.Context, time.Duration) (kv.Lease, kv.Result) {
+func (a *acceptingStore) Grant(context.Context, time.Duration) (kv.Lease, kv.Result) {
 	return 1, kv.Result{Status: kv.Applied}
 }
 
-// done is an action that has run.
-type done struct{}
+// finishedAction is an action that runs at once with status 200.
+type finishedAction struct{}
 
-func (done) Send(context.Context) execution.Result {
+func (finishedAction) Send(context.Context) execution.Result {
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200}}
 }
 
-// A caller runs a million actions, each with a key of its own. Their records
-// live at the platform for a day; a router must keep nothing of them.
+// A caller runs a million actions, each with its own key. Their records stay in the
+// platform store for a day; the router must retain nothing of them.
 func TestLedgerForgetsKeys(t *testing.T) {
-	ledger, cleanup := execution.New(execution.Config{Store: &agreeable{}, Holder: "r1"})
+	ledger, cleanup := execution.New(execution.Config{Store: &acceptingStore{}, Holder: "r1"})
 	defer cleanup()
 	checkBounded(t, func(n int) {
-		res := ledger.Run(t.Context(), execution.Request{Team: "demo", Key: execution.Key(fmt.Sprintf("key-%d", n)), IssuedAt: time.Now()}, done{})
+		res := ledger.Run(t.Context(), execution.Request{Team: "demo", Key: execution.Key(fmt.Sprintf("key-%d", n)), IssuedAt: time.Now()}, finishedAction{})
 		assert.Equal(t, res.Outcome, outcome.Ran, "%+v", res)
 	})
 }
 
-// A caller names a million teams that do not exist, and sends a million
-// conversations that nobody suspects. Looking them up must not enter them.
+// A caller names a million unknown teams and sends a million conversations that are
+// under no suspicion. Looking them up must not create entries.
 func TestLookupsEnterNothing(t *testing.T) {
 	replica := &settings.Replica{}
 	table := suspicion.NewTable(suspicion.Config{})
--- a/wisteriarouter/daemon/callers.go
+++ b/wisteriarouter/daemon/callers.go
@@ -18,23 +18,23 @@
 	"wisteriaspool/wisteriarouter/service"
 )
 
-// version is shown on the OpenAPI pages.
+// version is the API version in the OpenAPI documents.
 const version = "0.1.0"
 
 func newCallers(i do.Injector) (*caller.Server, error) {
-	lim := settingsOf(i).Limits
+	lim := configOf(i).Limits
 	st := stateOf(i)
 	return &caller.Server{
-		Teams:    do.MustInvoke[*teams](i),
-		Placer:   do.MustInvoke[*placing](i),
+		Planner:  do.MustInvoke[*teamSettings](i),
+		Placer:   do.MustInvoke[*placer](i),
 		Engines:  do.MustInvoke[*engine.Client](i),
-		Suspects: do.MustInvoke[*suspects](i),
+		Suspects: do.MustInvoke[*crashSuspicion](i),
 		Retries:  do.MustInvoke[*teamRetries](i),
 		Actions:  do.MustInvoke[*service.Runner](i),
 		Limits: caller.Limits{
-			BodyBytes:    int64(lim.BodyBytes),
-			WriteTimeout: lim.WriteTimeout,
-			CancelFor:    lim.CancelFor,
+			MaxBodyBytes:  int64(lim.BodyBytes),
+			WriteTimeout:  lim.WriteTimeout,
+			CancelTimeout: lim.CancelFor,
 		},
 		Log:      logOf(i),
 		Metrics:  caller.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
@@ -42,16 +42,17 @@
 	}, nil
 }
 
-// newServers serves on the three listeners when all that they serve stands.
+// newServers starts the servers for peers, operators and callers once all the
+// components that they serve have been created.
 func newServers(i do.Injector) (*servers, error) {
 	cfg := newServerConfig(i)
 	bound := do.MustInvoke[*listeners](i)
 	node := do.MustInvoke[*peer.Node](i)
-	do.MustInvoke[*order.Giver](i)
+	do.MustInvoke[*order.Reconciler](i)
 	s := &servers{node: node, log: logOf(i), failed: make(chan struct{})}
 	s.peers = newServer(bound.peers, peerHandler(node), cfg, s.fail)
 	s.operators = newServer(bound.operators, operatorHandler(i), cfg, s.fail)
-	s.callers = newServer(bound.callers, do.MustInvoke[*transfers](i).named(callerHandler(i)), cfg, s.fail)
+	s.callers = newServer(bound.callers, do.MustInvoke[*transfers](i).withAccount(callerHandler(i)), cfg, s.fail)
 	stateOf(i).inFlight = s.callers.Active
 	onStop(i, s.close)
 	for _, each := range []*server{s.peers, s.operators, s.callers} {
@@ -61,15 +62,15 @@
 	onStop(i, cancel)
 	go readiness{
 		state:    stateOf(i),
-		settings: do.MustInvoke[*teams](i).sync.Ready(),
+		settings: do.MustInvoke[*teamSettings](i).sync.Ready(),
 		node:     s.node,
 		log:      s.log,
 	}.run(ctx)
 	return s, nil
 }
 
-// readiness declares the router ready once it has settings: before, it would
-// refuse every team as unknown.
+// readiness marks the router ready once it has loaded the settings. Before that,
+// it would refuse every team as unknown.
 type readiness struct {
 	state    *state
 	settings <-chan struct{}
@@ -97,12 +98,13 @@
 func callerHandler(i do.Injector) http.Handler {
 	mux := http.NewServeMux()
 	do.MustInvoke[*caller.Server](i).Register(humago.New(mux, huma.DefaultConfig("wisteriaspool", version)))
-	addHealth(mux, stateOf(i))
+	addHealthChecks(mux, stateOf(i))
 	return mux
 }
 
-// addHealth adds the checks of the balancer and of the platform.
-func addHealth(mux *http.ServeMux, st *state) {
+// addHealthChecks adds the health and readiness endpoints that the load balancer
+// and the platform query.
+func addHealthChecks(mux *http.ServeMux, st *state) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
 	})
@@ -119,7 +121,7 @@
 	mux := http.NewServeMux()
 	registry := do.MustInvoke[*prometheus.Registry](i)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	addHealth(mux, stateOf(i))
-	addOperators(i, humago.New(mux, huma.DefaultConfig("wisteriaspool operators", version)))
+	addHealthChecks(mux, stateOf(i))
+	addOperatorAPI(i, humago.New(mux, huma.DefaultConfig("wisteriaspool operators", version)))
 	return mux
 }
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -10,47 +10,50 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// observer implements relay.Observer: it weighs what one attempt shows by what
-// this router has seen elsewhere in the pool, and has the grant tell the
-// endpoint's owner.
+// observer implements relay.Observer. It scores the result of one attempt
+// against what this router has seen elsewhere in the pool, and has the grant
+// report the score to the endpoint's owner.
 type observer struct {
-	watch *outlier.Watch
-	grant *placement.Grant
-	sight outlier.Sight
-	told  atomic.Bool // that the answer is overdue; an attempt speaks once
+	monitor  *outlier.Monitor
+	grant    *placement.Grant
+	request  outlier.Request
+	reported atomic.Bool // whether a result is recorded; an attempt counts once
 }
 
-// Answered implements relay.Observer.
-func (o *observer) Answered(took time.Duration) { o.watch.Answered(time.Now(), o.sight, took) }
+// RecordFirstByte implements relay.Observer.
+func (o *observer) RecordFirstByte(took time.Duration) {
+	o.monitor.RecordFirstByte(time.Now(), o.request, took)
+}
 
 // Overdue implements relay.Observer.
 func (o *observer) Overdue(ctx context.Context) (out bool) {
-	if o.told.Swap(true) {
-		return o.grant.Tell(ctx, 0)
+	if o.reported.Swap(true) {
+		return o.grant.ReportEvidence(ctx, 0)
 	}
-	return o.grant.Tell(ctx, o.watch.Failed(time.Now(), o.sight))
+	return o.grant.ReportEvidence(ctx, o.monitor.RecordFailure(time.Now(), o.request))
 }
 
-// Served implements relay.Observer.
-func (o *observer) Served() {
-	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Served(time.Now(), o.sight))
+// RecordSuccess implements relay.Observer.
+func (o *observer) RecordSuccess() {
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordSuccess(time.Now(), o.request))
 	}
 }
 
-// Failed implements relay.Observer.
-func (o *observer) Failed() {
-	if !o.told.Swap(true) {
-		o.grant.Saw(o.watch.Failed(time.Now(), o.sight))
+// RecordFailure implements relay.Observer.
+func (o *observer) RecordFailure() {
+	if !o.reported.Swap(true) {
+		o.grant.RecordEvidence(o.monitor.RecordFailure(time.Now(), o.request))
 	}
 }
 
-// outlierLogger logs that an endpoint is taken out for its failures, or back.
+// outlierLogger logs that an endpoint is ejected for its failures or returned
+// to use.
 type outlierLogger struct{ log event.Log }
 
-func (l outlierLogger) tell(j placement.OutlierChange) {
+func (l outlierLogger) logChange(change placement.OutlierChange) {
 	l.log.Emit(event.EndpointOutlier,
-		event.F("endpoint", j.Endpoint), event.F("incarnation", j.Incarnation), event.F("pool", j.Pool),
-		event.F("zone", j.Zone), event.F("standing", j.Standing.String()),
-		event.F("evidence", int(j.Score)), event.F("pause-ms", j.Pause.Milliseconds()))
+		event.F("endpoint", change.Endpoint), event.F("incarnation", change.Incarnation), event.F("pool", change.Pool),
+		event.F("zone", change.Zone), event.F("standing", change.Standing.String()),
+		event.F("evidence", int(change.Score)), event.F("pause-ms", change.Pause.Milliseconds()))
 }
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -19,18 +19,18 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// addOperators adds the operations for operators.
-func addOperators(i do.Injector, api huma.API) {
-	t := do.MustInvoke[*teams](i)
+// addOperatorAPI registers the operator API.
+func addOperatorAPI(i do.Injector, api huma.API) {
+	t := do.MustInvoke[*teamSettings](i)
 	node := do.MustInvoke[*peer.Node](i)
 	store := budgetedStore{store: do.MustInvoke[*platform.Client](i), budget: do.MustInvoke[*budget.Budget](i)}
-	st := &status{
+	st := &statusReporter{
 		state:     stateOf(i),
-		zone:      settingsOf(i).Zone,
+		zone:      configOf(i).Zone,
 		teams:     t,
 		node:      node,
 		directory: do.MustInvoke[*endpoint.Directory](i),
-		placing:   do.MustInvoke[*placing](i),
+		placing:   do.MustInvoke[*placer](i),
 	}
 	s := &operator.Server{
 		Self:    st.state.instance,
@@ -43,7 +43,7 @@
 	s.Register(api)
 }
 
-// Get implements settings.EditorStore.
+// Get implements [settings.EditorStore].
 func (s budgetedStore) Get(ctx context.Context, key string) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -51,7 +51,7 @@
 	return s.store.Get(ctx, key)
 }
 
-// CompareAndSwap implements settings.EditorStore.
+// CompareAndSwap implements [settings.EditorStore].
 func (s budgetedStore) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
@@ -59,17 +59,17 @@
 	return s.store.CompareAndSwap(ctx, key, value, expect, lease)
 }
 
-// status gathers what operators see of this router.
-type status struct {
+// statusReporter assembles the status of this router for the operator API.
+type statusReporter struct {
 	state     *state
 	zone      coordination.Zone
-	teams     *teams
+	teams     *teamSettings
 	node      *peer.Node
 	directory *endpoint.Directory
-	placing   *placing
+	placing   *placer
 }
 
-func (s *status) report() operator.Status {
+func (s *statusReporter) report() operator.Status {
 	return operator.Status{
 		Instance:    s.state.instance,
 		Incarnation: s.state.incarnation,
@@ -82,28 +82,28 @@
 		Peers: lo.Map(s.node.Members(), func(m membership.Member, _ int) operator.PeerStatus {
 			return operator.PeerStatus{Instance: m.Instance, Zone: m.Zone, State: m.State.String()}
 		}),
-		Endpoints: lo.Map(s.directory.All(), func(k endpoint.Known, _ int) operator.EndpointStatus {
+		Endpoints: lo.Map(s.directory.All(), func(k endpoint.Info, _ int) operator.EndpointStatus {
 			return s.endpoint(k)
 		}),
 	}
 }
 
-func (s *status) platform() operator.PlatformStatus {
+func (s *statusReporter) platform() operator.PlatformStatus {
 	p := operator.PlatformStatus{Watching: s.teams.sync.Watching(), ConfirmedMsAgo: -1}
-	if age, ever := s.teams.sync.Fresh(); ever {
+	if age, ever := s.teams.sync.ConfirmationAge(); ever {
 		p.ConfirmedMsAgo = age.Round(time.Millisecond).Milliseconds()
 	}
 	return p
 }
 
-func (s *status) endpoint(k endpoint.Known) operator.EndpointStatus {
+func (s *statusReporter) endpoint(k endpoint.Info) operator.EndpointStatus {
 	return operator.EndpointStatus{
 		Endpoint: k.ID,
 		Pool:     k.Pool,
 		Zone:     k.Zone,
 		State:    k.State.String(),
-		Running:  s.placing.running(k.ID),
+		Running:  s.placing.runningRequests(k.ID),
 		Capacity: k.Capacity,
-		Owner:    s.placing.view.Load().Owner(k.ID, k.Zone),
+		Owner:    s.placing.routers.Load().Owner(k.ID, k.Zone),
 	}
 }
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -22,19 +22,20 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// orders tells what the engines of the pools should have loaded.
-type orders struct {
+// poolOrders derives from the settings in force what the engines of each pool
+// should have loaded. It implements [order.Pools].
+type poolOrders struct {
 	self      coordination.Instance
-	teams     *teams
-	placing   *placing
+	teams     *teamSettings
+	placing   *placer
 	directory *endpoint.Directory
 }
 
-func newOrders(i do.Injector) (*order.Giver, error) {
-	o := &orders{
+func newOrders(i do.Injector) (*order.Reconciler, error) {
+	o := &poolOrders{
 		self:      stateOf(i).instance,
-		teams:     do.MustInvoke[*teams](i),
-		placing:   do.MustInvoke[*placing](i),
+		teams:     do.MustInvoke[*teamSettings](i),
+		placing:   do.MustInvoke[*placer](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 	}
 	given := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -55,8 +56,8 @@
 	return g, nil
 }
 
-// models returns what the teams have set for the models of a pool.
-func (o *orders) models(p coordination.Pool) []settings.Model {
+// models returns the model settings of all teams that use a pool.
+func (o *poolOrders) models(p coordination.Pool) []settings.Model {
 	var all []settings.Model
 	for _, snapshot := range o.teams.replica.Snapshots() {
 		for _, m := range snapshot.Settings.Models() {
@@ -68,28 +69,30 @@
 	return all
 }
 
-// Duties implements order.Pools: the pools of which this router is the root and
-// for which some team has set anything to load.
-func (o *orders) Duties() []coordination.Pool {
-	view := o.placing.view.Load()
+// AssignedPools implements [order.Pools]. It returns the pools of which this router is
+// the root and for which at least one team has set something to load.
+func (o *poolOrders) AssignedPools() []coordination.Pool {
+	view := o.placing.routers.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
-		return view.Root(p, nobody) == o.self && len(o.Plan(p)) > 0
+		return view.Root(p, noneSilent) == o.self && len(o.Plan(p)) > 0
 	})
 }
 
-// nobody is silent: the lease passes on by itself when a root has died.
-func nobody(coordination.Instance) bool { return false }
+// noneSilent reports no router as silent: when a root dies, its lease expires and
+// passes to another router without that information.
+func noneSilent(coordination.Instance) bool { return false }
 
-// Targets implements order.Pools.
-func (o *orders) Targets(p coordination.Pool) []order.Target {
-	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Known, _ int) (order.Target, bool) {
+// Targets implements [order.Pools].
+func (o *poolOrders) Targets(p coordination.Pool) []order.Target {
+	return lo.FilterMap(o.directory.Pool(p), func(k endpoint.Info, _ int) (order.Target, bool) {
 		t := order.Target{Endpoint: k.ID, Incarnation: k.Incarnation, Address: k.Address}
 		return t, k.State != placement.Leaving && k.Kind == platform.Engine
 	})
 }
 
-// Plan implements order.Pools. Teams that share a pool get the adapters of all.
-func (o *orders) Plan(p coordination.Pool) order.Plan {
+// Plan implements [order.Pools]. The engines of a pool that several teams share
+// load the adapters of all of them.
+func (o *poolOrders) Plan(p coordination.Pool) order.Plan {
 	var adapters []order.Order
 	for _, m := range o.models(p) {
 		for _, a := range m.Adapters {
@@ -100,8 +103,9 @@
 	return slices.Compact(adapters)
 }
 
-// pace returns the longest time between two loads that a team has set.
-func (o *orders) pace(p coordination.Pool) time.Duration {
+// pace returns the least time between two loads in a pool: the longest that any
+// of its teams has set.
+func (o *poolOrders) pace(p coordination.Pool) time.Duration {
 	var pace time.Duration
 	for _, m := range o.models(p) {
 		pace = max(pace, m.LoadPace)
@@ -109,12 +113,12 @@
 	return pace
 }
 
-// orderStore spends this router's share of calls on the leases of orders.
+// orderStore charges lease calls for orders to this router's platform call budget.
 type orderStore struct {
 	budgetedStore
 }
 
-// Grant implements order.Store.
+// Grant implements [order.Store].
 func (s orderStore) Grant(ctx context.Context, ttl time.Duration) (kv.Lease, kv.Result) {
 	if res, ok := s.spend(); !ok {
 		return 0, res
@@ -122,7 +126,7 @@
 	return s.store.Grant(ctx, ttl)
 }
 
-// KeepAlive implements order.Store.
+// KeepAlive implements [order.Store].
 func (s orderStore) KeepAlive(ctx context.Context, id kv.Lease) kv.Result {
 	if res, ok := s.spend(); !ok {
 		return res
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -20,14 +20,14 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// provide declares how each part is made. A part is made when the first other
-// one asks for it.
+// provide registers the constructors of the parts. A part is created when it is
+// first requested.
 func provide(i do.Injector) {
 	provideShared(i)
 	do.Provide(i, newPlatform)
 	do.Provide(i, newEngines)
 	do.Provide(i, newDirectory)
-	do.Provide(i, newPlacing)
+	do.Provide(i, newPlacer)
 	do.Provide(i, newTeams)
 	do.Provide(i, newTeamRetries)
 	do.Provide(i, newActions)
@@ -37,7 +37,7 @@
 	do.Provide(i, newServers)
 }
 
-// provideShared declares the parts that every router has.
+// provideShared registers the constructors of the parts that every router has.
 func provideShared(i do.Injector) {
 	do.Provide(i, newListeners)
 	do.Provide(i, newRegistry)
@@ -48,13 +48,14 @@
 	do.Provide(i, newSuspects)
 }
 
-func settingsOf(i do.Injector) *config.Config { return do.MustInvoke[*config.Config](i) }
+func configOf(i do.Injector) *config.Config { return do.MustInvoke[*config.Config](i) }
 
 func logOf(i do.Injector) event.Log { return do.MustInvoke[event.Log](i) }
 
 func stateOf(i do.Injector) *state { return do.MustInvoke[*state](i) }
 
-// onStop has fn called when the router ends, behind the parts made later.
+// onStop registers fn to be called when the router stops, after the parts
+// created later have stopped.
 func onStop(i do.Injector, fn func()) { do.MustInvoke[*cleanups](i).add(fn) }
 
 func newRegistry(do.Injector) (*prometheus.Registry, error) {
@@ -65,12 +66,12 @@
 }
 
 func newBudget(i do.Injector) (*budget.Budget, error) {
-	return budget.New(settingsOf(i).Platform.Calls), nil
+	return budget.New(configOf(i).Platform.Calls), nil
 }
 
-// newPlatform makes the client of the platform, whose calls are counted.
+// newPlatform creates the client of the platform and the metrics of its calls.
 func newPlatform(i do.Injector) (*platform.Client, error) {
-	cfg := settingsOf(i).Platform
+	cfg := configOf(i).Platform
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wisteria_platform_calls_total",
 		Help: "Calls to the platform by operation and result.",
@@ -82,7 +83,7 @@
 	}, []string{"op"})
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(calls, seconds)
 	c, cleanup, err := platform.New(platform.Config{
-		Endpoints:    urls(cfg.KV),
+		Endpoints:    httpURLs(cfg.KV),
 		InstancesURL: "http://" + cfg.Instances,
 		Timeout:      cfg.Timeout,
 		OnCall: func(op platform.Op, status kv.Status, d time.Duration) {
@@ -97,7 +98,7 @@
 	return c, nil
 }
 
-func urls(addresses []string) []string {
+func httpURLs(addresses []string) []string {
 	all := make([]string, 0, len(addresses))
 	for _, a := range addresses {
 		all = append(all, "http://"+a)
@@ -105,9 +106,9 @@
 	return all
 }
 
-// newNode makes this router's part in the fleet.
+// newNode creates this router's membership in the fleet.
 func newNode(i do.Injector) (*peer.Node, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	st := stateOf(i)
 	advertise := cfg.Listen.Advertise
 	if advertise == "" {
@@ -124,9 +125,9 @@
 			Owner:       true,
 		},
 		Seeds:      cfg.Peers.Seeds,
-		Membership: membership.Config{Budget: cfg.Peers.Bytes},
-		Topics:     topics,
-		OnEvent:    peerEvents{log: logOf(i)}.emit,
+		Membership: membership.Config{BytesPerSecond: cfg.Peers.Bytes},
+		Topics:     rumorTopics,
+		OnEvent:    peerEventLogger{log: logOf(i)}.emit,
 	})
 	if err != nil {
 		return nil, err
@@ -139,50 +140,52 @@
 }
 
 func newEngines(i do.Injector) (*engine.Client, error) {
-	c, cleanup := engine.NewClient(engine.Options{Call: settingsOf(i).Limits.EngineCall})
+	c, cleanup := engine.NewClient(engine.Options{CallTimeout: configOf(i).Limits.EngineCall})
 	onStop(i, cleanup)
 	return c, nil
 }
 
-// listPause is the time between two reads of the list of instances by any
-// router of the fleet: the platform's rates do not grow as the fleet does.
-// Leaving endpoints are known sooner, from their own word and from rumours.
-const listPause = 10 * time.Millisecond
+// minListInterval is the minimum time between two reads of the instance list by
+// any router of the fleet, so that the call rate at the platform does not grow
+// with the fleet. Leaving endpoints are known sooner, from their own load
+// reports and from rumors.
+const minListInterval = 10 * time.Millisecond
 
-// refreshEvery returns how often one of so many routers reads the list.
-func refreshEvery(configured time.Duration, routers int) time.Duration {
-	return max(configured, time.Duration(routers)*listPause)
+// refreshInterval returns how often each router reads the instance list, given
+// the number of routers.
+func refreshInterval(configured time.Duration, routers int) time.Duration {
+	return max(configured, time.Duration(routers)*minListInterval)
 }
 
-// newDirectory makes the directory of endpoints and keeps it fresh. What one
-// router notices of a leaving endpoint reaches the others as a rumour, long
-// before the platform's list shows it.
+// newDirectory creates the directory of endpoints and starts to refresh it. A
+// router that learns that an endpoint is leaving tells the others by a rumor,
+// long before the platform's list shows it.
 func newDirectory(i do.Injector) (*endpoint.Directory, error) {
-	cfg := settingsOf(i)
+	cfg := configOf(i)
 	node := do.MustInvoke[*peer.Node](i)
-	d := &endpoint.Directory{OnLeaving: leavingTeller{node: node, log: logOf(i)}.tell}
-	node.OnRumor(topicLeaving, leavingListener{directory: d}.hear)
+	d := &endpoint.Directory{OnLeaving: leavingBroadcaster{node: node, log: logOf(i)}.broadcast}
+	node.OnRumor(topicLeaving, leavingReceiver{directory: d}.receive)
 	r := &endpoint.Refresher{
 		Directory: d,
 		Lister:    do.MustInvoke[*platform.Client](i),
-		Interval:  func() time.Duration { return refreshEvery(cfg.Platform.Refresh, len(node.Members())) },
+		Interval:  func() time.Duration { return refreshInterval(cfg.Platform.Refresh, len(node.Members())) },
 		Log:       logOf(i),
 	}
 	onStop(i, r.Start(context.Background()))
 	return d, nil
 }
 
-// newReach makes what notices routers that do not answer.
-func newReach(i do.Injector) (*peer.Reach, error) {
-	r, cleanup := peer.NewReach(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.told)
+// newReach creates the detector of routers that do not answer.
+func newReach(i do.Injector) (*peer.FailureDetector, error) {
+	r, cleanup := peer.NewFailureDetector(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
 	onStop(i, cleanup)
 	return r, nil
 }
 
-// reachLogger logs that a router has gone away or is back.
+// reachLogger logs that a router has become unreachable or reachable again.
 type reachLogger struct{ log event.Log }
 
-func (l reachLogger) told(id coordination.Instance, away bool) {
+func (l reachLogger) logChange(id coordination.Instance, away bool) {
 	kind := event.PeerBack
 	if away {
 		kind = event.PeerAway
--- a/wisteriarouter/daemon/process_test.go
+++ b/wisteriarouter/daemon/process_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// processes is a fleet of separate processes on loopback.
+// processes is a fleet of separate processes on loopback addresses.
 type processes struct {
 	t        *testing.T
 	dir      string
@@ -27,7 +27,8 @@
 	services []string
 }
 
-// start runs a program. Whatever still runs at the end of the test is killed.
+// start starts a program, which is killed at the end of the test if it still
+// runs.
 func (p *processes) start(name string, args ...string) *exec.Cmd {
 	logs, err := os.Create(filepath.Join(p.dir, name+".log"))
 	assert.NilError(p.t, err)
@@ -43,8 +44,8 @@
 	return c
 }
 
-// listen starts a stand-in and returns the address that it listens on.
-func (p *processes) listen(name string, args ...string) string {
+// startStandin starts a stand-in and returns the address that it listens on.
+func (p *processes) startStandin(name string, args ...string) string {
 	file := filepath.Join(p.dir, name+".addr")
 	p.start(name, append(append([]string{"standin"}, args...), "-addr-file", file)...)
 	var address []byte
@@ -58,7 +59,7 @@
 	return strings.TrimSpace(string(address))
 }
 
-// freeAddresses returns addresses that nobody used a moment ago.
+// freeAddresses returns addresses that were unused a moment ago.
 func freeAddresses(t *testing.T, n int) []string {
 	var all []string
 	for range n {
@@ -75,16 +76,16 @@
 	build := exec.Command("go", "build", "-o", p.dir+"/", "wisteriaspool/wisteriarouter", "wisteriaspool/standin")
 	out, err := build.CombinedOutput()
 	assert.NilError(t, err, string(out))
-	p.platform = p.listen("platform", "platform")
+	p.platform = p.startStandin("platform", "platform")
 	for n := range engines {
-		p.listen(fmt.Sprintf("e%d", n+1), "engine", "-id", fmt.Sprintf("e%d", n+1), "-pool", "m@1", "-platform", "http://"+p.platform)
+		p.startStandin(fmt.Sprintf("e%d", n+1), "engine", "-id", fmt.Sprintf("e%d", n+1), "-pool", "m@1", "-platform", "http://"+p.platform)
 	}
-	p.services = append(p.services, p.listen("s1", "service", "-id", "s1", "-time", "5ms", "-platform", "http://"+p.platform))
+	p.services = append(p.services, p.startStandin("s1", "service", "-id", "s1", "-time", "5ms", "-platform", "http://"+p.platform))
 	p.startRouters(freeAddresses(t, 3*routers))
-	w := &world{t: t, address: p.platform}
+	w := &testCluster{t: t, address: p.platform}
 	w.put(teamText)
 	for _, address := range p.callers {
-		poll.WaitOn(t, ready(address), poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
+		poll.WaitOn(t, checkReady(address), poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 	}
 	return p
 }
@@ -101,8 +102,8 @@
 	}
 }
 
-// ready checks that a router has settings and serves the team.
-func ready(address string) poll.Check {
+// checkReady checks that a router has settings and serves requests.
+func checkReady(address string) poll.Check {
 	return func(poll.LogT) poll.Result {
 		res, err := http.Get("http://" + address + "/readyz")
 		if err != nil {
@@ -116,15 +117,17 @@
 	}
 }
 
-// load runs callers, who check that each answer is whole and its own, that no
-// action runs twice and that no outcome is false.
-func (p *processes) load() *exec.Cmd {
+// startLoad starts the load generator. It checks that each answer is complete
+// and belongs to its request, that no action runs twice and that no reported
+// outcome is false.
+func (p *processes) startLoad() *exec.Cmd {
 	return p.start("load", "standin", "load", "-routers", strings.Join(p.callers, ","), "-duration", "6s",
 		"-rate", "8", "-pause", "1s", "-action-rate", "4", "-services", strings.Join(p.services, ","), "-retries", "6")
 }
 
-// finish waits for the callers, whose verdict is their exit status.
-func (p *processes) finish(c *exec.Cmd) {
+// waitLoad waits for the load generator and fails the test if its exit status
+// reports an error.
+func (p *processes) waitLoad(c *exec.Cmd) {
 	err := c.Wait()
 	report, _ := os.ReadFile(filepath.Join(p.dir, "load.log"))
 	assert.NilError(p.t, err, string(report))
@@ -134,10 +137,10 @@
 	assert.NilError(p.t, p.running[name].Process.Signal(s))
 }
 
-// Routers are killed, frozen and stopped as processes while callers stream and
-// send actions. Callers of a dead router reconnect to another one. Nobody hears
-// a wrong or broken answer, and no action runs twice.
-func TestProcessesInTrouble(t *testing.T) {
+// Router processes are killed, frozen and stopped while callers stream and send
+// actions. Callers of a dead router reconnect to another one. No caller may
+// receive a wrong or incomplete answer, and no action may run twice.
+func TestProcessFaults(t *testing.T) {
 	for name, trouble := range map[string]func(p *processes){
 		"a router killed": func(p *processes) {
 			time.Sleep(2 * time.Second)
@@ -153,7 +156,7 @@
 			time.Sleep(2 * time.Second)
 			p.signal("r1", syscall.SIGTERM)
 			p.signal("r2", syscall.SIGTERM)
-			w := &world{t: p.t, address: p.platform}
+			w := &testCluster{t: p.t, address: p.platform}
 			w.put(teamText + "\n[account \"label\"]\nweight = 2\n")
 			for _, each := range []string{"r1", "r2"} {
 				assert.NilError(p.t, p.running[each].Wait(), "%s did not stop cleanly", each)
@@ -162,9 +165,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newProcesses(t, 4, 4)
-			load := p.load()
+			load := p.startLoad()
 			trouble(p)
-			p.finish(load)
+			p.waitLoad(load)
 		})
 	}
 }
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -11,53 +11,53 @@
 	instances "wisteriaspool/wisteriarouter/platform"
 )
 
-// newListedDirectory makes the directory of endpoints from their entries in
-// the store.
-func newListedDirectory(i do.Injector) (*endpoint.Directory, error) {
-	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.tell}, nil
+// newStoreDirectory creates a directory for the endpoints listed in the store.
+func newStoreDirectory(i do.Injector) (*endpoint.Directory, error) {
+	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.logLeaving}, nil
 }
 
-// newRegister has the entries in the store taken into the directory.
-func newRegister(i do.Injector) (*endpoint.Register, error) {
+// newRegister creates the register that applies the store's entries to the
+// directory.
+func newRegister(i do.Injector) (*endpoint.EntryTracker, error) {
 	m := do.MustInvoke[*mirror.Mirror](i)
-	r := &endpoint.Register{
-		Directory: do.MustInvoke[*endpoint.Directory](i),
-		Away:      func() bool { return m.Age() > mirror.AwayAfter },
-		Log:       logOf(i),
+	r := &endpoint.EntryTracker{
+		Directory:        do.MustInvoke[*endpoint.Directory](i),
+		StoreUnavailable: func() bool { return m.Age() > mirror.OutageThreshold },
+		Log:              logOf(i),
 	}
-	m.OnReturn(r.StoreBack)
-	m.Observe(entryReader{register: r, log: logOf(i)}.take)
+	m.OnStoreRecovery(r.StoreRecovered)
+	m.Observe(entryReader{register: r, log: logOf(i)}.applyChanges)
 	return r, nil
 }
 
 type leavingLogger struct{ log event.Log }
 
-func (l leavingLogger) tell(id coordination.Endpoint, n coordination.Incarnation) {
+func (l leavingLogger) logLeaving(id coordination.Endpoint, n coordination.Incarnation) {
 	l.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
-// entryReader turns items of the store into changes of endpoints.
+// entryReader converts store items into endpoint changes.
 type entryReader struct {
-	register *endpoint.Register
+	register *endpoint.EntryTracker
 	log      event.Log
 }
 
-func (r entryReader) take(n mirror.News) {
+func (r entryReader) applyChanges(n mirror.Changes) {
 	changes := make([]endpoint.Change, 0, len(n.Items))
 	for _, item := range n.Items {
 		if !platform.IsEntry(item.Key) {
 			continue
 		}
-		if c, ok := r.change(item); ok {
+		if c, ok := r.decodeChange(item); ok {
 			changes = append(changes, c)
 		}
 	}
-	r.register.Take(changes)
+	r.register.Apply(changes)
 }
 
-func (r entryReader) change(item mirror.Item) (endpoint.Change, bool) {
+func (r entryReader) decodeChange(item mirror.Item) (endpoint.Change, bool) {
 	if item.Deleted {
-		return endpoint.Change{Entry: instances.Entry{ID: platform.EntryID(item.Key)}, Gone: true}, true
+		return endpoint.Change{Entry: instances.Entry{ID: platform.EntryID(item.Key)}, Removed: true}, true
 	}
 	e, err := platform.DecodeEntry(item.Key, item.Value)
 	if err != nil {
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -24,129 +24,134 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// newRelayPlacing makes placing for endpoints that are not asked for their
-// loads: each such question has a price, and the owners' grants say the same.
-func newRelayPlacing(i do.Injector) (*placing, error) {
-	p := buildPlacing(i, nil, relayConfig)
-	p.watch()
-	p.drive(i)
+// newRelayBasePlacer creates a placer that does not poll the loads of
+// endpoints: each call has a cost, and the owners' grants give the same
+// information.
+func newRelayBasePlacer(i do.Injector) (*placer, error) {
+	p := buildPlacer(i, nil, relayPlacementConfig)
+	p.watchLists()
+	p.startLoop(i)
 	return p, nil
 }
 
-// relayConfig is what placement goes by before the first desired state. A
-// router that is killed is back within seconds; until its lease has run out,
-// its requests count at the owners.
-var relayConfig = placement.Config{
+// relayPlacementConfig configures placement before the first desired state. A router
+// that is killed restarts within seconds. The requests of its earlier
+// incarnation count at the owners until their lease has expired.
+var relayPlacementConfig = placement.Config{
 	Grace:      250 * time.Millisecond,
 	EntryLease: 3 * time.Second,
-	// An endpoint that has died is back within seconds, or its entry is gone.
-	// One that lives and was taken for dead, by a packet that was lost, would
-	// be missed; if it is the only one of its pool, all is refused meanwhile.
-	LostFor: time.Second,
-	// A router has one request at an endpoint in the mean; three are a burst.
-	AloneLimit: 3,
+	// An endpoint that has died either returns within seconds or its entry is
+	// removed. One that was taken for dead because of a lost packet is still
+	// usable; if it is the only one of its pool, all requests are refused
+	// meanwhile.
+	LostTTL: time.Second,
+	// A router has one request at an endpoint on average; three allow for a
+	// burst.
+	FallbackLimit: 3,
 }
 
-// bounds puts the bounds of a desired state's pools in force.
-func (p *placing) bounds(s route.State, cfg *config.Relay) {
-	c := relayConfig
-	c.Bound, c.Slack, c.Ahead = cfg.LoadFactor, cfg.LoadSlack, engineAhead
+// applyBounds applies the load bounds of a desired state's pools.
+func (p *placer) applyBounds(s route.State, cfg *config.Relay) {
+	c := relayPlacementConfig
+	c.Bound, c.Slack, c.Overcommit = cfg.LoadFactor, cfg.LoadSlack, engineOvercommit
 	c.Pools = make(map[coordination.Pool]placement.PoolBound)
 	for name, pool := range s.Pools {
 		if !pool.Engine {
-			c.Pools[name] = placement.PoolBound{Bound: plainFactor, Slack: plainSlack, Ahead: plainAhead}
+			c.Pools[name] = placement.PoolBound{Bound: plainBound, Slack: plainSlack, Overcommit: plainOvercommit}
 		}
 	}
 	p.owner.Configure(c)
 	p.entry.Configure(c)
-	p.changed()
+	p.signalChange()
 }
 
-// plainFactor is the bound of a plain service, whose endpoints have nothing
-// cached: as even as can be.
+// plainBound and plainSlack bound the load of a plain service. Its endpoints
+// have no cache, so the load is kept as even as possible.
 const (
-	plainFactor = 1.25
-	plainSlack  = 2
-	// plainAhead is half of an endpoint's slots: 30 ms of 60 ms of work.
-	plainAhead = 0.5
-	// engineAhead is less, since a stream lasts a second and more.
-	engineAhead = 0.25
+	plainBound = 1.25
+	plainSlack = 2
+	// plainOvercommit is half of an endpoint's slots, for a delay of 30 ms with
+	// requests of 60 ms.
+	plainOvercommit = 0.5
+	// engineOvercommit is lower because a stream lasts 1 s or more.
+	engineOvercommit = 0.25
 )
 
 // relayPlacer implements relay.Placer.
 type relayPlacer struct {
-	*placing
-	holders atomic.Pointer[placement.Holders]
-	watched outlier.Watch
+	*placer
+	holders atomic.Pointer[placement.CacheHolders]
+	monitor outlier.Monitor
 
-	near     placement.Key // this router's
-	affinity placement.Affinity
-	conns    reuser
+	subsetKey placement.Key // this router's key for subsets of a pool
+	affinity  placement.Affinity
+	conns     reusePredictor
 }
 
-// reuser tells for how long connections to a group of endpoints can be used
-// again.
-type reuser interface {
+// reusePredictor estimates for how long idle connections to a group of
+// endpoints can be reused.
+type reusePredictor interface {
 	Reusable(group string) time.Duration
 }
 
 func newRelayPlacer(i do.Injector) (*relayPlacer, error) {
-	p := &relayPlacer{placing: do.MustInvoke[*placing](i), conns: do.MustInvoke[*upstream.Client](i)}
-	p.near = placement.KeyOf(coordination.Chat(p.self))
-	p.observe(p.list)
+	p := &relayPlacer{placer: do.MustInvoke[*placer](i), conns: do.MustInvoke[*upstream.Client](i)}
+	p.subsetKey = placement.KeyOf(coordination.Chat(p.self))
+	p.observe(p.updateHolders)
 	return p, nil
 }
 
-// list takes in a change of the list of endpoints.
-func (p *relayPlacer) list(listed []endpoint.Known) {
+// updateHolders updates the cache holders after a change of the list of
+// endpoints.
+func (p *relayPlacer) updateHolders(listed []endpoint.Info) {
 	if len(listed) == 0 {
 		return
 	}
-	all := lo.Map(listed, func(k endpoint.Known, _ int) placement.Descriptor { return k.Descriptor })
-	p.holders.Store(placement.NewHolders(time.Now(), all, p.holders.Load()))
+	all := lo.Map(listed, func(k endpoint.Info, _ int) placement.Descriptor { return k.Descriptor })
+	p.holders.Store(placement.NewCacheHolders(time.Now(), all, p.holders.Load()))
 }
 
 // Place implements relay.Placer.
-func (p *relayPlacer) Place(ctx context.Context, w relay.Want) (relay.Place, *outcome.Refusal) {
+func (p *relayPlacer) Place(ctx context.Context, w relay.PlaceRequest) (relay.Place, *outcome.Refusal) {
 	req := placement.Request{
-		Pool:     w.Pool,
-		Key:      placement.KeyOf(coordination.Chat(w.Key)),
-		Account:  w.Account,
-		Priority: w.Priority,
-		Alone:    w.Alone,
-		Avoid:    w.Exclude,
-		Once:     w.Once,
-		Now:      w.Now,
-		Target:   w.Target,
-		Waited:   time.Since(w.Arrived),
+		Pool:         w.Pool,
+		Key:          placement.KeyOf(coordination.Chat(w.Key)),
+		Account:      w.Account,
+		Priority:     w.Priority,
+		Isolated:     w.RunAlone,
+		Avoid:        w.Exclude,
+		NonRetryable: w.LastAttempt,
+		NoWait:       w.NoWait,
+		Target:       w.FirstByteTarget,
+		Waited:       time.Since(w.Arrived),
 	}
-	if !w.Cached {
-		req.Near = p.near
-		req.Width = p.affinity.Width(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
+	if !w.PrefixCached {
+		req.SubsetKey = p.subsetKey
+		req.SubsetSize = p.affinity.SubsetSize(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
 	}
-	g, k, refusal := p.acquire(ctx, req, w.Start)
+	g, k, refusal := p.acquire(ctx, req, w.StartBy)
 	if refusal != nil {
 		return relay.Place{}, refusal
 	}
-	seen := &observer{watch: &p.watched, grant: g, sight: outlier.Sight{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
+	seen := &observer{monitor: &p.monitor, grant: g, request: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
 	place := relay.Place{
-		Patience:    p.watched.Patience(time.Now(), seen.sight),
-		Observer:    seen,
-		Endpoint:    k.ID,
-		Incarnation: g.Endpoint.Incarnation,
-		Address:     k.Address,
-		Rank:        g.Rank,
-		Release:     g.Release,
+		FirstByteLimit: p.monitor.FirstByteLimit(time.Now(), seen.request),
+		Observer:       seen,
+		Endpoint:       k.ID,
+		Incarnation:    g.Endpoint.Incarnation,
+		Address:        k.Address,
+		Rank:           g.Rank,
+		Release:        g.Release,
 	}
-	if w.Cached {
-		place.Cache = p.cache(w.Pool, req.Key, k.ID)
+	if w.PrefixCached {
+		place.CacheSource = p.cacheSource(w.Pool, req.Key, k.ID)
 	}
 	return place, nil
 }
 
-// cache returns the address of the endpoint that has the request's shared
-// parts if the chosen one has not.
-func (p *relayPlacer) cache(pool coordination.Pool, key placement.Key, chosen coordination.Endpoint) string {
+// cacheSource returns the address of the endpoint that has the shared parts of
+// the request cached, or an empty string if that is the chosen one or unknown.
+func (p *relayPlacer) cacheSource(pool coordination.Pool, key placement.Key, chosen coordination.Endpoint) string {
 	d := p.holders.Load().Source(pool, key, chosen)
 	if d == nil {
 		return ""
@@ -158,28 +163,28 @@
 	return k.Address
 }
 
-// poolRetries holds a retry budget for each pool. It implements relay.Retries.
-// The share is that of all requests, so that it holds for the fleet if each
-// router keeps it; of the burst each router has its part.
+// poolRetries holds a retry budget for each pool. It implements relay.RetryBudget.
+// The share is a fraction of all requests, so it holds for the fleet if each
+// router keeps to it. The burst is divided among the routers.
 type poolRetries struct {
 	share float64
 	burst int
 	log   event.Log
 
 	mu      sync.Mutex
-	routers int // the most seen: routers that are cut off do not all take more
+	routers int // the largest number seen, so that partitioned routers do not each claim a larger part of the burst
 	budgets map[coordination.Pool]*retry.Budget
 }
 
 func newPoolRetries(i do.Injector) (*poolRetries, error) {
-	cfg := settingsOf(i).Relay
+	cfg := configOf(i).Relay
 	r := &poolRetries{share: cfg.RetryShare, burst: cfg.RetryBurst, log: logOf(i), routers: 1, budgets: make(map[coordination.Pool]*retry.Budget)}
-	do.MustInvoke[*peer.Node](i).OnChange(r.members)
+	do.MustInvoke[*peer.Node](i).OnChange(r.setMembers)
 	return r, nil
 }
 
-// members takes in a new list of routers.
-func (r *poolRetries) members(all []membership.Member) {
+// setMembers applies a new list of routers.
+func (r *poolRetries) setMembers(all []membership.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(all) > r.routers {
@@ -188,7 +193,7 @@
 	}
 }
 
-// configure takes in new settings of this router.
+// configure applies reloaded settings of this router.
 func (r *poolRetries) configure(cfg config.Relay) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,15 +214,15 @@
 	return b
 }
 
-// left returns what is left of each budget.
-func (r *poolRetries) left() map[coordination.Pool]int {
+// remaining returns the number of retries left in each pool's budget.
+func (r *poolRetries) remaining() map[coordination.Pool]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return lo.MapValues(r.budgets, func(b *retry.Budget, _ coordination.Pool) int { return b.Left() })
 }
 
-// Request implements relay.Retries.
-func (r *poolRetries) Request(p coordination.Pool) { r.budget(p).Request() }
+// RecordRequest implements relay.RetryBudget.
+func (r *poolRetries) RecordRequest(p coordination.Pool) { r.budget(p).RecordRequest() }
 
-// Take implements relay.Retries.
+// Take implements relay.RetryBudget.
 func (r *poolRetries) Take(p coordination.Pool) bool { return r.budget(p).Take() }
--- a/wisteriarouter/daemon/relay_test.go
+++ b/wisteriarouter/daemon/relay_test.go
@@ -17,8 +17,8 @@
 	"wisteriaspool/standin/replica"
 )
 
-func TestRelayServesEachKind(t *testing.T) {
-	s := newSite(t, 2, 2, 2)
+func TestRelayServesEachRouteType(t *testing.T) {
+	s := newRelayCluster(t, 2, 2, 2)
 	for router := range s.routers {
 		whole := s.send(router, "/safe/1")
 		assert.NilError(t, whole.err)
@@ -34,30 +34,31 @@
 	}
 }
 
-// A caller names a client account, and headers that only the fleet sets. The
-// endpoint must see the account that holds the caller's key.
-func TestRelayTellsEndpointsWhoCalls(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+// A caller sets the headers for the client account and for cache transfers,
+// which only the fleet may set. The endpoint must see the account of the
+// caller's API key and no transfer header.
+func TestRelayReplacesInternalHeaders(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	assert.Equal(t, s.send(0, "/safe/1", "X-Tenant", "zeta", "Kv-Fetch", "10.0.0.1:1").status, 200)
 	a := s.replicas[0].Arrivals()[0]
 	assert.Equal(t, a.Tenant, "acme")
-	assert.Equal(t, a.Fetch, "")
+	assert.Equal(t, a.KVFetch, "")
 }
 
-// An endpoint dies in the middle of an event of a stream that may go on
-// elsewhere. The caller gets every event once, and none in part.
-func TestRelayGoesOnWithAStreamElsewhere(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
+// An endpoint dies in the middle of an event of a resumable stream. The caller
+// must receive every event once, and none in part.
+func TestRelayResumesStreamAtAnotherEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutAfter: 2})
+		r.SetFaults(replica.Faults{CutAfter: 2})
 	}
-	// The endpoint that goes on gets the id of the last whole event, and cuts
-	// nothing, since it sends the third event on.
+	// The endpoint that resumes the stream gets the id of the last complete
+	// event. It also cuts the stream, in the middle of the third event.
 	first := s.send(0, "/resumable/1")
-	assert.Assert(t, first.err != nil, "both endpoints cut: the stream must not look complete")
+	assert.Assert(t, first.err != nil, "both endpoints cut the stream: it must not look complete")
 	assert.Assert(t, strings.HasPrefix(events(1, 5), first.body), "%q", first.body)
-	s.replicas[1].Fail(replica.Faults{})
-	s.replicas[0].Fail(replica.Faults{CutAfter: 2})
+	s.replicas[1].SetFaults(replica.Faults{})
+	s.replicas[0].SetFaults(replica.Faults{CutAfter: 2})
 	for range 8 {
 		got := s.send(0, "/resumable/2", "X-Prefix-Hash", freshID()+":50,cc:10")
 		assert.NilError(t, got.err)
@@ -65,12 +66,12 @@
 	}
 }
 
-// A stream that must not run twice breaks off. The caller sees that it is not
-// complete, and no other endpoint runs it.
-func TestRelayDoesNotRepeatAStream(t *testing.T) {
-	s := newSite(t, 1, 0, 2)
+// A stream that must not run twice breaks off. The caller must see that it is
+// incomplete, and no other endpoint may run it.
+func TestRelayDoesNotRetryNonResumableStream(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 2)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutAfter: 2})
+		r.SetFaults(replica.Faults{CutAfter: 2})
 	}
 	got := s.send(0, "/stream/1")
 	assert.Assert(t, got.err != nil)
@@ -78,13 +79,13 @@
 	assert.Equal(t, s.runs("/stream/1"), 1)
 }
 
-// An endpoint runs an order and its answer is lost. Nobody can tell whether it
-// ran, so the caller must not be told that it did not, and it must not run
+// An endpoint runs an unsafe request and its answer is lost. Whether it ran is
+// unknown, so the caller must not be told that it did not, and it must not run
 // again.
-func TestRelayNeverRepeatsAnOrder(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
+func TestRelayNeverRetriesUnsafeRequest(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{CutLate: true})
+		r.SetFaults(replica.Faults{CutLate: true})
 	}
 	assert.Equal(t, s.send(0, "/unsafe/1").status, 502)
 	assert.Equal(t, s.runs("/unsafe/1"), 1)
@@ -92,33 +93,33 @@
 	assert.Equal(t, s.runs("/safe/1"), 2)
 }
 
-func TestRelaySendsASafeRequestAgain(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
-	s.replicas[0].Fail(replica.Faults{Status: 500})
+func TestRelayRetriesSafeRequest(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
+	s.replicas[0].SetFaults(replica.Faults{Status: 500})
 	for range 8 {
 		assert.Equal(t, s.send(0, "/safe/1").status, 200)
 	}
 }
 
-// The only endpoint of a pool fails requests now and then. A safe request is
-// tried there again, as it may be; if it fails for good, the caller gets the
-// endpoint's own answer and not one that the router makes up.
-func TestRelayTriesTheOnlyEndpointAgain(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
-	s.replicas[0].Fail(replica.Faults{Status: 500})
+// The only endpoint of a pool sometimes fails. A safe request is retried there.
+// If the retry fails as well, the caller must receive the endpoint's own
+// response and not one made by the router.
+func TestRelayRetriesAtOnlyEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
+	s.replicas[0].SetFaults(replica.Faults{Status: 500})
 	got := s.send(0, "/safe/1")
 	assert.Equal(t, got.status, 500)
 	assert.Assert(t, got.header.Get("X-Server-Signature") != "")
 	assert.Equal(t, s.runs("/safe/1"), 2)
-	s.replicas[0].Fail(replica.Faults{Status: 500, Times: 1})
+	s.replicas[0].SetFaults(replica.Faults{Status: 500, Times: 1})
 	assert.Equal(t, s.send(0, "/safe/2").status, 200)
 	assert.Equal(t, s.send(0, "/unsafe/3").status, 200)
 }
 
-// The router that owns all endpoints of a pool is killed without a word. Until
-// the others do without it, they place by what they know themselves.
+// The router that owns the endpoints of a pool goes away. Until the other
+// router has taken over, it must place requests by its own knowledge.
 func TestRelayServesWhileAnOwnerIsDead(t *testing.T) {
-	s := newSite(t, 2, 3, 0)
+	s := newRelayCluster(t, 2, 3, 0)
 	go stopper{s.stops[1], make(chan int, 1)}.run()
 	for range 20 {
 		assert.Equal(t, s.send(0, "/unsafe/1").status, 200)
@@ -126,12 +127,12 @@
 	}
 }
 
-// All endpoints are full. The caller is told at once that its order was not
-// run, and when to come back.
-func TestRelayRefusesAtOnceWhenAllIsFull(t *testing.T) {
-	s := newSite(t, 1, 2, 0)
+// All endpoints are full. The caller must be told at once that its unsafe
+// request did not run and when to retry.
+func TestRelayRefusesAtOnceIfAllEndpointsAreFull(t *testing.T) {
+	s := newRelayCluster(t, 1, 2, 0)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{Full: true})
+		r.SetFaults(replica.Faults{Full: true})
 	}
 	start := time.Now()
 	got := s.send(0, "/unsafe/1")
@@ -142,10 +143,10 @@
 	assert.Equal(t, s.runs("/unsafe/1"), 0)
 }
 
-// An endpoint is killed. Until its entry is gone, requests meet nobody at its
-// address; they have not run there and go elsewhere.
-func TestRelayGoesRoundADeadEndpoint(t *testing.T) {
-	s := newSite(t, 2, 3, 0)
+// An endpoint is killed. Until its entry is removed, connections to its address
+// fail. Those requests have not run and must be sent to another endpoint.
+func TestRelayAvoidsDeadEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 2, 3, 0)
 	s.kill[1]()
 	for n := range 12 {
 		assert.Equal(t, s.send(n%2, "/unsafe/1").status, 200)
@@ -153,11 +154,11 @@
 	assert.Equal(t, s.runs("/unsafe/1"), 12)
 }
 
-// The caller goes away in the middle of a stream. The endpoint must stop
-// within half a second: nobody reads what it makes, and somebody pays.
-func TestRelayStopsTheEndpointWhenTheCallerLeaves(t *testing.T) {
-	s := newSite(t, 1, 0, 1)
-	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Pause: 20 * time.Millisecond})
+// The caller disconnects during a stream. The endpoint must stop within 500 ms,
+// because nobody reads its output and the work is still paid for.
+func TestRelayCancelsAttemptIfCallerDisconnects(t *testing.T) {
+	s := newRelayCluster(t, 1, 0, 1)
+	slow := s.addReplica(replica.Options{ID: "slow", Service: "model", Zone: "a", Events: 1000, Delay: 20 * time.Millisecond})
 	s.kill[0]()
 	s.store.Delete(s.replicas[0].Key())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -165,48 +166,48 @@
 		defer cancel()
 		resp, err := s.client.Do(s.request(ctx, 0, "/stream/1"))
 		if err != nil || resp.StatusCode != 200 {
-			return poll.Continue("not served yet")
+			return poll.Continue("the stream is not served yet")
 		}
 		_, _ = bufio.NewReader(resp.Body).ReadString('\n')
 		return poll.Success()
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, a := range slow.Arrivals() {
-			if a.Left {
+			if a.Disconnected {
 				return poll.Success()
 			}
 		}
-		return poll.Continue("the endpoint is still at work")
+		return poll.Continue("the endpoint is still running")
 	}, poll.WithTimeout(500*time.Millisecond), poll.WithDelay(10*time.Millisecond))
 }
 
-// An operator takes a key away while the store turns one router away. A caller
-// that comes through that router must be refused like through all others.
-func TestRelayHearsOfARevokedKeyFromPeers(t *testing.T) {
-	s := newSite(t, 3, 1, 0)
+// An API key is revoked while the store delivers the change to no watch. Every
+// router must learn of it and refuse the key.
+func TestRelayLearnsOfRevokedKeyFromPeers(t *testing.T) {
+	s := newRelayCluster(t, 3, 1, 0)
 	for n := range s.routers {
 		assert.Equal(t, s.send(n, "/safe/1", "Authorization", "Bearer k2").status, 200)
 	}
-	s.store.Fail(hub.Faults{Mute: true}) // no watch hears of the change
+	s.store.SetFaults(hub.Faults{StallWatches: true}) // no watch receives the change
 	next := plainState()
 	next.tenants = next.tenants[:1]
 	s.put(next)
-	s.store.Fail(hub.Faults{})
-	s.store.Forget()
+	s.store.SetFaults(hub.Faults{})
+	s.store.Compact()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for n := range s.routers {
 			if s.send(n, "/safe/1", "Authorization", "Bearer k2").status != 401 {
-				return poll.Continue("router %d takes the key", n)
+				return poll.Continue("router %d still accepts the key", n)
 			}
 		}
 		return poll.Success()
 	}, poll.WithTimeout(4*time.Second))
 }
 
-// Something unreadable is written over the desired state, and foreign entries
-// beside those of the endpoints. The last good state stays in force.
-func TestRelayKeepsTheLastGoodState(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+// The desired state is overwritten by an invalid value, and malformed entries
+// are added to those of the endpoints. The last valid state must stay in force.
+func TestRelayKeepsLastValidState(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	s.store.Put("op/config", []byte("{not json"))
 	s.store.Put("servers/foreign", []byte(`{"backend":7}`))
 	s.store.Put("servers/\xff", []byte{0xff})
@@ -214,43 +215,43 @@
 		if len(s.logs.lines("settings-invalid")) > 0 && len(s.logs.lines("endpoint-malformed")) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("no word of it in the log")
+		return poll.Continue("the log does not report both yet")
 	})
 	assert.Equal(t, s.send(0, "/safe/1").status, 200)
 }
 
-// The store goes away and the leases of all entries run out. The routers serve
-// on with what they know.
+// The store becomes unavailable and the leases of all entries expire. The
+// routers must go on serving with their last known state.
 func TestRelayServesWithoutTheStore(t *testing.T) {
-	s := newSite(t, 2, 2, 1)
-	s.store.Fail(hub.Faults{Down: true})
+	s := newRelayCluster(t, 2, 2, 1)
+	s.store.SetFaults(hub.Faults{Outage: true})
 	time.Sleep(300 * time.Millisecond)
 	for _, r := range s.replicas {
 		s.store.Delete(r.Key())
 	}
 	assert.Equal(t, s.send(0, "/safe/1").status, 200)
-	s.store.Fail(hub.Faults{})
+	s.store.SetFaults(hub.Faults{})
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, s.send(1, "/safe/1").status, 200)
 	for _, r := range s.replicas {
-		r.List()
+		r.Register()
 	}
 	time.Sleep(2500 * time.Millisecond)
 	assert.Equal(t, s.send(1, "/safe/1").status, 200)
 	assert.NilError(t, s.send(0, "/stream/1").err)
 }
 
-// A router is stopped while it serves. What it has begun it finishes, and it
-// says at once that it takes no new callers.
+// A router is stopped while it serves a stream. It must become unready at once
+// and complete the stream.
 func TestRelayStopsGracefully(t *testing.T) {
-	s := newSite(t, 2, 1, 1)
-	done := make(chan gotReply, 1)
+	s := newRelayCluster(t, 2, 1, 1)
+	done := make(chan relayResponse, 1)
 	go streamer{s, done}.run()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s.runs("/stream/long") > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("not begun")
+		return poll.Continue("the stream has not started")
 	}, poll.WithDelay(2*time.Millisecond))
 	left := make(chan int, 1)
 	go stopper{s.stops[0], left}.run()
@@ -258,7 +259,7 @@
 		if !s.ready(0) {
 			return poll.Success()
 		}
-		return poll.Continue("still ready")
+		return poll.Continue("the router is still ready")
 	}, poll.WithDelay(2*time.Millisecond))
 	got := <-done
 	assert.NilError(t, got.err)
@@ -267,11 +268,11 @@
 }
 
 type streamer struct {
-	site *site
-	done chan<- gotReply
+	cluster *relayCluster
+	done    chan<- relayResponse
 }
 
-func (s streamer) run() { s.done <- s.site.send(0, "/stream/long") }
+func (s streamer) run() { s.done <- s.cluster.send(0, "/stream/long") }
 
 type stopper struct {
 	stop func() int
@@ -280,10 +281,9 @@
 
 func (s stopper) run() { s.left <- s.stop() }
 
-// An endpoint announces that it stops. Requests that it has begun end there;
-// none begins.
-func TestRelayLeavesADrainingEndpoint(t *testing.T) {
-	s := newSite(t, 2, 2, 0)
+// An endpoint announces that it stops. It must receive no new requests.
+func TestRelayAvoidsDrainingEndpoint(t *testing.T) {
+	s := newRelayCluster(t, 2, 2, 0)
 	s.replicas[0].Drain()
 	time.Sleep(300 * time.Millisecond)
 	before := len(s.replicas[0].Arrivals())
@@ -293,14 +293,14 @@
 	assert.Equal(t, len(s.replicas[0].Arrivals()), before)
 }
 
-// A route gives its answers half a second, and an endpoint takes longer. The
-// caller has a final answer in time, and the endpoint is let off.
-func TestRelayKeepsToTheRoutesTimeout(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+// An endpoint takes longer than the timeout of the route. The caller must get a
+// final response in time, and the endpoint's work must be cancelled.
+func TestRelayEnforcesRouteTimeout(t *testing.T) {
+	s := newRelayCluster(t, 1, 1, 0)
 	next := plainState()
 	next.routes[0]["timeoutMs"] = 300
 	s.put(next)
-	slow := s.addReplica(replica.Options{ID: "slow", Service: "desk", Zone: "a", Pause: 5 * time.Second})
+	slow := s.addReplica(replica.Options{ID: "slow", Service: "desk", Zone: "a", Delay: 5 * time.Second})
 	s.replicas[0].Drain()
 	time.Sleep(300 * time.Millisecond)
 	start := time.Now()
@@ -308,17 +308,17 @@
 	assert.Equal(t, got.status, 504)
 	assert.Assert(t, time.Since(start) < 800*time.Millisecond, "%v", time.Since(start))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if a := slow.Arrivals(); len(a) == 1 && a[0].Left {
+		if a := slow.Arrivals(); len(a) == 1 && a[0].Disconnected {
 			return poll.Success()
 		}
-		return poll.Continue("still at work")
+		return poll.Continue("the endpoint is still running")
 	})
 }
 
-// What a caller smuggles behind a request, or with two lengths, must not run
-// as somebody's request.
+// Text smuggled behind a request, or with conflicting lengths, must not run as
+// a request of its own.
 func TestRelayRefusesSmuggling(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
+	s := newRelayCluster(t, 1, 1, 0)
 	head := "POST /safe/smuggled HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: a\r\nAuthorization: Bearer k1\r\n"
 	evil := "GET /safe/evil HTTP/1.1\r\nHost: desk.example\r\nX-Attempt-Id: b\r\n\r\n"
 	for name, text := range map[string]string{
@@ -337,19 +337,19 @@
 		_, _ = io.ReadAll(c)
 		_ = c.Close()
 		for _, a := range s.replicas[0].Arrivals() {
-			assert.Assert(t, a.Path != "/safe/evil" || a.Tenant == "", "%s: ran with somebody's account", name)
+			assert.Assert(t, a.Path != "/safe/evil" || a.Tenant == "", "%s: ran with a client account", name)
 		}
 	}
 	assert.Equal(t, s.runs("/safe/evil"), 0)
 }
 
-// A request crashes each endpoint that runs it, and its caller sends it again
-// and again, as soon as the routers can have heard of each other. It may take
-// two endpoints, not the whole pool.
-func TestRelayConvictsARequestThatCrashesEndpoints(t *testing.T) {
-	s := newSite(t, 2, 0, 5)
+// A request crashes each endpoint that runs it, and its caller retries it as
+// soon as the routers can have learned of the crash. It may crash two endpoints
+// at most, not the whole pool.
+func TestRelayRefusesRequestThatCrashesEndpoints(t *testing.T) {
+	s := newRelayCluster(t, 2, 0, 5)
 	for _, r := range s.replicas {
-		r.Fail(replica.Faults{Crash: "/resumable/poison"})
+		r.SetFaults(replica.Faults{Crash: "/resumable/poison"})
 	}
 	for n := range 6 {
 		s.send(n%2, "/resumable/poison")
@@ -361,10 +361,11 @@
 	}
 }
 
-// A router gets a few requests a second for a pool of ten endpoints. Sent to all of
-// them, each would need a new connection.
-func TestRelayKeepsToAFewEndpoints(t *testing.T) {
-	s := newSite(t, 1, 10, 0)
+// A router receives a few requests per second for a pool of ten endpoints. It
+// must use a small subset, because each request would need a new connection if
+// all endpoints were used.
+func TestRelayUsesFewEndpointsAtLowRate(t *testing.T) {
+	s := newRelayCluster(t, 1, 10, 0)
 	for n := range 24 {
 		assert.Equal(t, s.send(0, fmt.Sprintf("/safe/%d", n)).status, 200)
 		time.Sleep(100 * time.Millisecond)
@@ -375,5 +376,5 @@
 			met++
 		}
 	}
-	assert.Assert(t, met >= 2 && met <= 6, "%d endpoints were met", met)
+	assert.Assert(t, met >= 2 && met <= 6, "%d endpoints received requests", met)
 }
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -16,38 +16,39 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// server is one bound listener with what it serves.
+// server serves HTTP on a bound listener.
 type server struct {
 	*downstream.Server
 	close  func()
 	onFail func(error)
 }
 
-// newServer serves h on l.
+// newServer creates a server for l. It calls onFail if the listener fails.
 func newServer(l net.Listener, h http.Handler, cfg downstream.Config, onFail func(error)) *server {
 	s, closeAll := downstream.NewServer(l, h, cfg)
 	return &server{Server: s, close: closeAll, onFail: onFail}
 }
 
-// newServerConfig returns the limits of all listeners.
+// newServerConfig returns the configuration shared by all listeners.
 func newServerConfig(i do.Injector) downstream.Config {
-	lim := settingsOf(i).Limits
+	lim := configOf(i).Limits
 	return downstream.Config{
-		HeaderWait:  lim.HeaderWait,
-		HeaderBytes: lim.HeaderBytes,
-		IdleTimeout: idleTimeout,
-		Observer:    newDrops(i),
+		HeaderTimeout:  lim.HeaderWait,
+		MaxHeaderBytes: lim.HeaderBytes,
+		IdleTimeout:    idleTimeout,
+		Observer:       newDropObserver(i),
 	}
 }
 
-// drops implements downstream.Observer.
-type drops struct {
+// dropObserver implements downstream.Observer. It counts and logs dropped
+// requests.
+type dropObserver struct {
 	log   event.Log
 	count prometheus.Counter
 }
 
-func newDrops(i do.Injector) *drops {
-	d := &drops{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
+func newDropObserver(i do.Injector) *dropObserver {
+	d := &dropObserver{log: logOf(i), count: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wisteria_requests_dropped_total",
 		Help: "Requests that were read, in part or whole, on connections that ended without an answer.",
 	})}
@@ -56,18 +57,18 @@
 }
 
 // Dropped implements downstream.Observer.
-func (d *drops) Dropped(each downstream.Drop) {
+func (d *dropObserver) Dropped(each downstream.Drop) {
 	d.count.Inc()
 	d.log.Emit(event.RequestDropped,
-		event.F("bytes", each.Read),
-		event.F("waited-ms", each.Waited.Milliseconds()),
-		event.F("first", each.First),
-		event.F("gone", each.Gone),
+		event.F("bytes", each.BytesRead),
+		event.F("waited-ms", each.Elapsed.Milliseconds()),
+		event.F("first", each.FirstRequest),
+		event.F("gone", each.PeerClosed),
 		event.F("draining", each.Draining))
 }
 
-// listeners are bound before anything else is made, so that a port in use is
-// found first, and other routers are told the port that was bound.
+// listeners are bound before any other part is created, so that a port in use
+// is detected first, and other routers learn the port that was bound.
 type listeners struct {
 	callers   net.Listener
 	operators net.Listener
@@ -75,18 +76,18 @@
 	readiness net.Listener // nil unless the router relays
 }
 
-// boundListener is a listener to be bound, and where it goes.
-type boundListener struct {
-	address string
-	bound   *net.Listener
+// listenTarget is an address to listen on and where its listener is stored.
+type listenTarget struct {
+	address  string
+	listener *net.Listener
 }
 
 func newListeners(i do.Injector) (*listeners, error) {
-	cfg := settingsOf(i).Listen
+	cfg := configOf(i).Listen
 	ls := &listeners{}
-	wanted := []boundListener{{cfg.Callers, &ls.callers}, {cfg.Operators, &ls.operators}, {cfg.Peers, &ls.peers}}
-	if r := settingsOf(i).Relay; r != nil {
-		wanted = append(wanted, boundListener{r.Readiness, &ls.readiness})
+	wanted := []listenTarget{{cfg.Callers, &ls.callers}, {cfg.Operators, &ls.operators}, {cfg.Peers, &ls.peers}}
+	if r := configOf(i).Relay; r != nil {
+		wanted = append(wanted, listenTarget{r.Readiness, &ls.readiness})
 	}
 	for _, each := range wanted {
 		l, err := net.Listen("tcp", each.address)
@@ -94,12 +95,12 @@
 			return nil, err
 		}
 		onStop(i, func() { _ = l.Close() })
-		*each.bound = l
+		*each.listener = l
 	}
 	return ls, nil
 }
 
-// idleTimeout is how long a connection without a request stays open.
+// idleTimeout is how long a connection without a request is kept open.
 const idleTimeout = 90 * time.Second
 
 func (s *server) address() string { return s.Addr().String() }
@@ -110,7 +111,7 @@
 	}
 }
 
-// servers are the listeners of a router.
+// servers holds the servers of all listeners of a router.
 type servers struct {
 	callers   *server
 	operators *server
@@ -123,7 +124,7 @@
 	cause     error
 }
 
-// fail notes that a listener cannot go on.
+// fail records that a listener has failed. Only the first failure counts.
 func (s *servers) fail(err error) {
 	s.once.Do(func() {
 		s.cause = err
@@ -141,21 +142,23 @@
 	}
 }
 
-// leave tells callers and the other routers that this one takes no more requests.
+// leave tells callers and the other routers that this router accepts no more
+// requests.
 func (s *servers) leave(ctx context.Context) {
-	s.callers.Leave()
+	s.callers.DisableKeepAlives()
 	s.node.SetReady(false)
 	s.node.Leave(ctx)
 }
 
-// drain waits until no request is in flight and no connection of callers is left,
-// then closes the listeners. It returns how many requests were left when ctx ended.
+// drain waits until no request is in flight and no connection of callers is
+// open, then closes the listeners. It returns the number of requests left when
+// ctx ended.
 func (s *servers) drain(ctx context.Context) int {
 	left := s.callers.Drain(ctx)
 	return left + s.operators.Drain(ctx)
 }
 
-// close ends all connections at once.
+// close closes all connections at once.
 func (s *servers) close() {
 	for _, each := range s.all() {
 		each.close()
--- a/wisteriarouter/daemon/transfer.go
+++ b/wisteriarouter/daemon/transfer.go
@@ -18,63 +18,64 @@
 	"wisteriaspool/wisteriarouter/platform"
 )
 
-// transfers moves the KV caches of chats away from engines that are leaving.
-// Whatever fails here costs chats their caches and nothing else.
+// transfers moves the KV caches of chats away from engines that are leaving. A
+// failure loses the caches of the chats and nothing else.
 type transfers struct {
 	cfg       transfer.Config
 	directory *endpoint.Directory
-	placed    placed
-	engines   kvEngines
+	placement placementInfo
+	engines   kvClient
 	metrics   *transferMetrics
-	changes   chan struct{} // a sign that the directory has changed
-	begun     map[coordination.Endpoint]coordination.Incarnation
+	changes   chan struct{} // signals that the directory has changed; capacity 1
+	started   map[coordination.Endpoint]coordination.Incarnation
 	running   sync.WaitGroup
 }
 
-// placed tells what placement goes by.
-type placed interface {
+// placementInfo is what transfers needs to know of placement.
+type placementInfo interface {
 	// owns reports whether this router owns an endpoint.
-	owns(k endpoint.Known) bool
-	// bound returns the load bound in force, or zero for the default.
-	bound() float64
+	owns(k endpoint.Info) bool
+	// loadBound returns the load bound in force, or zero if the default applies.
+	loadBound() float64
 }
 
-// bound implements placed.
-func (p *placing) bound() float64 { return p.tuning.Load().placement.Bound }
+// loadBound implements [placementInfo].
+func (p *placer) loadBound() float64 { return p.settings.Load().placement.Bound }
 
-// kvEngines are the calls to engines that moves need.
-type kvEngines interface {
+// kvClient makes the calls to engines that moves need.
+type kvClient interface {
 	CacheEvents(ctx context.Context, address string, since transfer.Sequence) (engine.CacheEvents, error)
 	Export(ctx context.Context, address string, chat coordination.Chat) (engine.KV, error)
 	Import(ctx context.Context, address string, kv engine.KV) (int64, error)
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// newTransfers starts moving the chats of the engines that this router owns.
+// newTransfers starts moving the chats of leaving engines that this router owns.
 func newTransfers(i do.Injector) (*transfers, error) {
 	metrics := newTransferMetrics()
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(metrics.results, metrics.bytes)
-	t, stop := startTransfers(transferConfig(settingsOf(i).Transfer), do.MustInvoke[*endpoint.Directory](i),
-		do.MustInvoke[*placing](i), do.MustInvoke[*engine.Client](i), metrics)
+	t, stop := startTransfers(transferConfig(configOf(i).Transfer), do.MustInvoke[*endpoint.Directory](i),
+		do.MustInvoke[*placer](i), do.MustInvoke[*engine.Client](i), metrics)
 	onStop(i, stop)
 	return t, nil
 }
 
-// startTransfers returns with the function that ends all moves.
+// startTransfers starts transfers. The returned function ends all moves and waits
+// for them.
 func startTransfers(
-	cfg transfer.Config, d *endpoint.Directory, p placed, engines kvEngines, m *transferMetrics,
+	cfg transfer.Config, d *endpoint.Directory, p placementInfo, engines kvClient, m *transferMetrics,
 ) (*transfers, func()) {
 	t := &transfers{
 		cfg:       cfg.WithDefaults(),
 		directory: d,
-		placed:    p,
+		placement: p,
 		engines:   engines,
 		metrics:   m,
 		changes:   make(chan struct{}, 1),
-		begun:     make(map[coordination.Endpoint]coordination.Incarnation),
+		started:   make(map[coordination.Endpoint]coordination.Incarnation),
 	}
-	d.Watch(t.changed)
-	t.changed()
+	d.Watch(t.notifyChange)
+	t.notifyChange()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.running.Go(func() { t.loop(ctx) })
 	return t, func() {
@@ -83,8 +84,8 @@
 	}
 }
 
-// changed notes that the directory has changed.
-func (t *transfers) changed() {
+// notifyChange signals loop that the directory has changed. It never blocks.
+func (t *transfers) notifyChange() {
 	select {
 	case t.changes <- struct{}{}:
 	default:
@@ -97,68 +98,69 @@
 		case <-ctx.Done():
 			return
 		case <-t.changes:
-			t.begin(ctx)
+			t.startEvacuations(ctx)
 		}
 	}
 }
 
-// begin starts an evacuation of each engine that this router owns and that is
-// first seen to leave. If two routers take an engine for theirs, some chats are
-// moved twice. Nothing is asked of engines where computing beats moving.
-func (t *transfers) begin(ctx context.Context) {
-	if !t.cfg.Pays(unknownSize) {
+// startEvacuations starts the evacuation of each engine that this router owns and
+// that has newly begun to leave. If two routers both consider themselves the owner
+// of an engine, some chats are moved twice. Where recomputing a cache is cheaper
+// than moving it, engines are not called at all.
+func (t *transfers) startEvacuations(ctx context.Context) {
+	if !t.cfg.Worthwhile(unknownSize) {
 		return
 	}
 	for _, k := range t.directory.All() {
-		if k.Kind != platform.Engine || k.State != placement.Leaving || t.begun[k.ID] >= k.Incarnation || !t.placed.owns(k) {
+		if k.Kind != platform.Engine || k.State != placement.Leaving || t.started[k.ID] >= k.Incarnation || !t.placement.owns(k) {
 			continue
 		}
-		t.begun[k.ID] = k.Incarnation
+		t.started[k.ID] = k.Incarnation
 		e := newEvacuation(t, k)
 		t.running.Go(func() { e.run(ctx) })
 	}
-	t.forget()
+	t.pruneStarted()
 }
 
-// unknownSize is the size of any chat's KV cache before it is asked for.
+// unknownSize stands for the size of a KV cache that has not been requested yet.
 const unknownSize = -1
 
-// forget drops what is noted of engines that are no longer listed.
-func (t *transfers) forget() {
-	for id := range t.begun {
+// pruneStarted removes engines that are no longer listed from started.
+func (t *transfers) pruneStarted() {
+	for id := range t.started {
 		if _, ok := t.directory.Find(id); !ok {
-			delete(t.begun, id)
+			delete(t.started, id)
 		}
 	}
 }
 
-// target returns the engine that the next request of a chat will go to first:
-// the hint of its last answer names the engine that is leaving, which is no
-// candidate any more.
-func (t *transfers) target(p coordination.Pool, chat coordination.Chat) (endpoint.Known, bool) {
-	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Known, _ int) placement.Descriptor {
+// destination returns the engine that the next request of a chat will try first.
+// The hint of its last answer is ignored: it names the leaving engine, which is no
+// longer a candidate.
+func (t *transfers) destination(p coordination.Pool, chat coordination.Chat) (endpoint.Info, bool) {
+	set := placement.NewSet(lo.Map(t.directory.Pool(p), func(k endpoint.Info, _ int) placement.Descriptor {
 		return k.Descriptor
 	}))
 	first := set.Candidates(nil, p, placement.KeyOf(chat), 0, 1)
 	if len(first) == 0 {
-		return endpoint.Known{}, false
+		return endpoint.Info{}, false
 	}
 	return t.directory.Find(first[0].ID)
 }
 
-// named has each request carry its client account to the calls of engines, so
-// that they name its chat as keyOf does.
-func (t *transfers) named(h http.Handler) http.Handler {
+// withAccount adds the client account of each request to its context, so that
+// calls to engines name the chat by the same key as placement does.
+func (t *transfers) withAccount(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account := coordination.Account(r.Header.Get(headerAccount))
+		account := coordination.Account(r.Header.Get(accountHeader))
 		h.ServeHTTP(w, r.WithContext(engine.WithAccount(r.Context(), account)))
 	})
 }
 
-// headerAccount is the header in which callers name the client account.
-const headerAccount = "X-Client-Account"
+// accountHeader is the request header with the client account.
+const accountHeader = "X-Client-Account"
 
-// transferMetrics count the moves.
+// transferMetrics counts moves by result and the bytes they took.
 type transferMetrics struct {
 	results *prometheus.CounterVec
 	bytes   prometheus.Counter
@@ -177,11 +179,11 @@
 	}
 }
 
-// transferConfig returns the settings of this router for transfers.
+// transferConfig converts the router's configuration of transfers.
 func transferConfig(c config.Transfer) transfer.Config {
 	return transfer.Config{
-		Budget:        float64(c.Link),
-		BytesPerToken: c.BytesPerToken,
-		Prefill:       c.Prefill,
+		Bandwidth:       float64(c.Link),
+		BytesPerToken:   c.BytesPerToken,
+		PrefillPerToken: c.Prefill,
 	}
 }
--- a/wisteriarouter/daemon/transfer_run.go
+++ b/wisteriarouter/daemon/transfer_run.go
@@ -13,42 +13,43 @@
 	"wisteriaspool/wisteriarouter/engine"
 )
 
-// evacuation moves the chats of one leaving engine for as long as it answers.
+// evacuation moves the chats of one leaving engine for as long as the engine
+// responds.
 type evacuation struct {
 	*transfers
-	from  endpoint.Known
-	plan  *transfer.Plan // used by run alone
-	since transfer.Sequence
-	read  time.Time // when the cache events were last read
-	ended chan moveEnd
+	from     endpoint.Info
+	plan     *transfer.Plan // used only by run
+	since    transfer.Sequence
+	lastRead time.Time // when the cache events were last read
+	outcomes chan moveOutcome
 
 	mu    sync.Mutex
 	loads transfer.Loads
 }
 
-// moveEnd tells what became of a move.
-type moveEnd struct {
+// moveOutcome is the result of a move and the bytes that it took from the engine.
+type moveOutcome struct {
 	chat   coordination.Chat
 	result transfer.Result
 	bytes  int64
 }
 
-func newEvacuation(t *transfers, k endpoint.Known) *evacuation {
+func newEvacuation(t *transfers, k endpoint.Info) *evacuation {
 	return &evacuation{
 		transfers: t,
 		from:      k,
 		plan:      transfer.NewPlan(time.Now(), t.cfg),
-		ended:     make(chan moveEnd, t.cfg.Concurrent),
+		outcomes:  make(chan moveOutcome, t.cfg.MaxConcurrent),
 	}
 }
 
-// run does one step after another until the plan or ctx ends, or the engine
-// has gone. Moves under way come to their own end.
+// run executes the steps of the plan until the plan or ctx ends, or the engine is
+// no longer listed. It then waits for the moves in progress.
 func (e *evacuation) run(ctx context.Context) {
 	var moves sync.WaitGroup
 	defer e.finish(&moves)
-	for ctx.Err() == nil && e.leaving() {
-		e.learn(ctx)
+	for ctx.Err() == nil && e.stillListed() {
+		e.readCacheEvents(ctx)
 		step := e.plan.Next(time.Now())
 		switch step.Action {
 		case transfer.Stop:
@@ -62,27 +63,28 @@
 	}
 }
 
-// leaving reports whether the same life of the engine is still listed. Another
-// life under its address has other caches.
-func (e *evacuation) leaving() bool {
+// stillListed reports whether the same incarnation of the engine is still listed.
+// Another incarnation at its address has other caches.
+func (e *evacuation) stillListed() bool {
 	k, ok := e.directory.Find(e.from.ID)
 	return ok && k.Incarnation == e.from.Incarnation
 }
 
-// learn reads the cache events if the last read is old enough. The engine's
-// last answers end while it leaves, and theirs are the warmest chats of all.
-func (e *evacuation) learn(ctx context.Context) {
-	if time.Since(e.read) < e.cfg.Interval {
+// readCacheEvents reads the cache events again once the last read is older than
+// the configured interval. Answers that end while the engine leaves add chats,
+// which are the most recently used of all.
+func (e *evacuation) readCacheEvents(ctx context.Context) {
+	if time.Since(e.lastRead) < e.cfg.Interval {
 		return
 	}
-	e.read = time.Now()
+	e.lastRead = time.Now()
 	events, err := e.engines.CacheEvents(ctx, e.from.Address, e.since)
 	if err != nil {
-		e.plan.Fail()
+		e.plan.ReadFailed()
 		return
 	}
 	e.since = max(e.since, events.Next)
-	e.plan.Learn(events.Events)
+	e.plan.AddEvents(events.Events)
 }
 
 func (e *evacuation) wait(ctx context.Context, d time.Duration) {
@@ -91,62 +93,63 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case end := <-e.ended:
-		e.end(end)
+	case outcome := <-e.outcomes:
+		e.recordOutcome(outcome)
 	}
 }
 
-// finish waits for the moves under way.
+// finish waits for the moves in progress and records their outcomes.
 func (e *evacuation) finish(moves *sync.WaitGroup) {
 	moves.Wait()
-	for len(e.ended) > 0 {
-		e.end(<-e.ended)
+	for len(e.outcomes) > 0 {
+		e.recordOutcome(<-e.outcomes)
 	}
 }
 
-func (e *evacuation) end(m moveEnd) {
-	e.plan.End(time.Now(), m.chat, m.result, m.bytes)
+func (e *evacuation) recordOutcome(m moveOutcome) {
+	e.plan.MoveEnded(time.Now(), m.chat, m.result, m.bytes)
 	e.metrics.results.WithLabelValues(m.result.String()).Inc()
 	e.metrics.bytes.Add(float64(m.bytes))
 }
 
-// move is the move of one chat.
+// move transfers the KV cache of one chat.
 type move struct {
 	*evacuation
 	chat coordination.Chat
 }
 
 func (m move) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.cfg.Longest)
+	ctx, cancel := context.WithTimeout(ctx, m.cfg.MoveTimeout)
 	defer cancel()
-	result, n := m.do(ctx)
-	m.ended <- moveEnd{chat: m.chat, result: result, bytes: n}
+	result, n := m.execute(ctx)
+	m.outcomes <- moveOutcome{chat: m.chat, result: result, bytes: n}
 }
 
-// do makes the move and returns the bytes that it took from the engine.
-func (m move) do(ctx context.Context) (transfer.Result, int64) {
-	to, ok := m.target(m.from.Pool, m.chat)
+// execute makes the move and returns its result and the bytes taken from the
+// leaving engine.
+func (m move) execute(ctx context.Context) (transfer.Result, int64) {
+	to, ok := m.destination(m.from.Pool, m.chat)
 	if !ok {
 		return transfer.Skipped, 0
 	}
-	if !m.room(ctx, to) {
+	if !m.hasRoom(ctx, to) {
 		return transfer.Busy, 0
 	}
 	kv, err := m.engines.Export(ctx, m.from.Address, m.chat)
-	if errors.Is(err, engine.ErrGone) {
+	if errors.Is(err, engine.ErrNotFound) {
 		return transfer.Cold, 0
 	}
 	if err != nil {
 		return transfer.Lost, 0
 	}
 	defer kv.Body.Close()
-	if !m.cfg.Pays(kv.Size) {
+	if !m.cfg.Worthwhile(kv.Size) {
 		return transfer.Skipped, 0
 	}
 	n, err := m.engines.Import(ctx, to.Address, kv)
 	n = max(n, kv.Size)
 	switch {
-	case errors.Is(err, engine.ErrCut):
+	case errors.Is(err, engine.ErrTruncated):
 		return transfer.Lost, n
 	case err != nil:
 		return transfer.Refused, n
@@ -154,9 +157,9 @@
 	return transfer.Moved, n
 }
 
-// room reports whether an engine may receive a chat. It reads the engine's load
-// itself: the engine may have another owner.
-func (m move) room(ctx context.Context, to endpoint.Known) bool {
+// hasRoom reports whether an engine can receive a chat. It reads the load from the
+// engine, because another router may own the engine.
+func (m move) hasRoom(ctx context.Context, to endpoint.Info) bool {
 	m.mu.Lock()
 	fresh := m.loads.Fresh(time.Now(), to.ID)
 	m.mu.Unlock()
@@ -168,7 +171,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !fresh && err == nil {
-		m.loads.Learn(to.ID, l.Room(time.Now()))
+		m.loads.Update(to.ID, l.TransferLoad(time.Now()))
 	}
-	return err == nil && to.State == placement.Live && m.loads.Room(to.ID, m.cfg.Under(m.placed.bound()))
+	return err == nil && to.State == placement.Live && m.loads.CanAccept(to.ID, m.cfg.WithPlacementBound(m.placement.loadBound()))
 }
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -12,23 +12,23 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// tuning turns the settings in force into what placement goes by. Teams may
-// share a pool, and an endpoint has one load: of several values for it the
-// strictest counts.
-type tuning struct {
+// placementSettings holds the settings of all teams in the form that placement
+// needs. Teams may share a pool, and an endpoint has one load, so the strictest
+// of several values applies.
+type placementSettings struct {
 	placement placement.Config
-	capacity  map[coordination.Pool]int // requests for each endpoint
+	capacity  map[coordination.Pool]int // maximum number of requests for each endpoint
 }
 
-func newTuning(snapshots []*settings.Snapshot) *tuning {
-	t := &tuning{capacity: make(map[coordination.Pool]int)}
+func newPlacementSettings(snapshots []*settings.Snapshot) *placementSettings {
+	t := &placementSettings{capacity: make(map[coordination.Pool]int)}
 	t.placement.AccountWeights = make(map[coordination.Account]float64)
 	for _, s := range snapshots {
 		for _, m := range s.Settings.Models() {
-			t.model(m)
+			t.addModel(m)
 		}
 		for _, each := range s.Settings.Services() {
-			t.limit(each.Pool(), each.Capacity)
+			t.addCapacity(each.Pool(), each.Capacity)
 		}
 		for account, weight := range s.Settings.Weights() {
 			t.placement.AccountWeights[account] = weight
@@ -37,8 +37,8 @@
 	return t
 }
 
-func (t *tuning) model(m settings.Model) {
-	t.limit(m.Pool(), m.Capacity)
+func (t *placementSettings) addModel(m settings.Model) {
+	t.addCapacity(m.Pool(), m.Capacity)
 	c := &t.placement
 	if c.Bound == 0 { // the first model; a bound is never zero
 		c.Bound, c.WarmWait, c.QueueLimit = m.LoadBound, m.WarmWait, m.Queue
@@ -49,12 +49,12 @@
 	c.QueueLimit = min(c.QueueLimit, m.Queue)
 }
 
-// limit notes a capacity, of which zero says nothing.
-func (t *tuning) limit(p coordination.Pool, capacity int) {
+// addCapacity applies a capacity to a pool; zero means no limit.
+func (t *placementSettings) addCapacity(p coordination.Pool, capacity int) {
 	t.capacity[p] = strictest(t.capacity[p], capacity)
 }
 
-// strictest returns the smaller of two limits, of which zero is none.
+// strictest returns the smaller of two limits; zero means no limit.
 func strictest(a, b int) int {
 	if a == 0 || b == 0 {
 		return cmp.Or(a, b)
@@ -62,39 +62,40 @@
 	return min(a, b)
 }
 
-// descriptor returns d with its pool's capacity.
-func (t *tuning) descriptor(d placement.Descriptor) placement.Descriptor {
+// descriptor returns d with the capacity limited to that of its pool.
+func (t *placementSettings) descriptor(d placement.Descriptor) placement.Descriptor {
 	d.Capacity = strictest(d.Capacity, t.capacity[d.Pool])
 	return d
 }
 
-// teamRetries holds a retry budget for each team, by its share in force. It
-// implements caller.Retries.
+// teamRetries holds a retry budget for each team, with the share from its
+
+// settings. It implements caller.RetryBudget.
 type teamRetries struct {
 	replica *settings.Replica
 	mu      sync.Mutex
 	budgets map[coordination.Team]*retry.Budget
 }
 
-// Request implements caller.Retries.
-func (r *teamRetries) Request(team coordination.Team) { r.budget(team).Request() }
+// RecordRequest implements caller.RetryBudget.
+func (r *teamRetries) RecordRequest(team coordination.Team) { r.budget(team).RecordRequest() }
 
-// Take implements caller.Retries.
+// Take implements caller.RetryBudget.
 func (r *teamRetries) Take(team coordination.Team) bool { return r.budget(team).Take() }
 
-// retryBurst is how many retries of a team may come at once: the streams that a
-// few endpoints run when they die in the same moment.
+// retryBurst is the number of retries that a team may make at once: the streams
+// that a few endpoints run when they fail at the same time.
 const retryBurst = 32
 
-// budget returns the team's budget, a new one if its share has changed. Only
-// teams with settings have requests, so that the map stays small.
+// budget returns the team's budget and replaces it if the share has changed.
+// Only teams with settings have requests, so the map stays small.
 func (r *teamRetries) budget(team coordination.Team) *retry.Budget {
 	share := retry.DefaultShare
 	if t, ok := r.replica.Team(team); ok {
 		share = t.RetryBudget()
 	}
 	if share == 0 {
-		share = -1 // none beyond the burst; zero would mean the default
+		share = -1 // no retries beyond the burst; zero would select the default share
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,18 +107,18 @@
 	return b
 }
 
-// tune puts the settings in force into effect.
-func (p *placing) tune(snapshots []*settings.Snapshot) {
-	t := newTuning(snapshots)
-	p.tuning.Store(t)
+// applySettings applies the settings of all teams to placement.
+func (p *placer) applySettings(snapshots []*settings.Snapshot) {
+	t := newPlacementSettings(snapshots)
+	p.settings.Store(t)
 	p.owner.Configure(t.placement)
 	p.entry.Configure(t.placement)
-	p.changed()
+	p.signalChange()
 }
 
 func newTeamRetries(i do.Injector) (*teamRetries, error) {
 	return &teamRetries{
-		replica: do.MustInvoke[*teams](i).replica,
+		replica: do.MustInvoke[*teamSettings](i).replica,
 		budgets: make(map[coordination.Team]*retry.Budget),
 	}, nil
 }
--- a/wisteriarouter/endpoint/directory_test.go
+++ b/wisteriarouter/endpoint/directory_test.go
@@ -22,7 +22,8 @@
 	return platform.Entry{ID: id, Address: string(id) + ":1", Zone: "a", Kind: platform.Engine, Pool: "m", State: state, Incarnation: n}
 }
 
-// state returns the state of an endpoint as placement sees it.
+// state returns the state of an endpoint; an unknown endpoint counts as
+// leaving.
 func state(d *endpoint.Directory, id coordination.Endpoint) placement.State {
 	k, ok := d.Find(id)
 	if !ok {
@@ -31,15 +32,15 @@
 	return k.State
 }
 
-// An endpoint says that it is stopping, and the platform's list, which lags,
-// goes on naming it as live. A router that believed the list would send it new
-// work, and the shutdown would cut that off.
+// An endpoint reports its shutdown while the lagging platform list still has it
+// as live. A router that believed the list would send it new requests, which
+// the shutdown would cut off.
 func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
 	var d endpoint.Directory
 	d.Update([]platform.Entry{listed("e1", 5, platform.Live)})
-	d.Hear(endpoint.Report{ID: "e1", Incarnation: 5, Leaving: true})
+	d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: 5, Leaving: true})
 	d.Update([]platform.Entry{listed("e1", 5, platform.Live)})
-	d.Hear(endpoint.Report{ID: "e1", Incarnation: 5})
+	d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: 5})
 	assert.Equal(t, state(&d, "e1"), placement.Leaving)
 	d.Update([]platform.Entry{listed("e1", 6, platform.Live)})
 	assert.Equal(t, state(&d, "e1"), placement.Live)
@@ -47,9 +48,9 @@
 	assert.Equal(t, state(&d, "e1"), placement.Live)
 }
 
-// Words about two incarnations of one endpoint arrive in any order and number,
-// as they do from lists that lag and from rumours. Whatever the order, an
-// incarnation that was once called leaving is never live again.
+// Lagging lists and rumors deliver reports about several incarnations of an
+// endpoint in any order and number. An incarnation that was once reported as
+// leaving must never become live again.
 func TestLeavingNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d endpoint.Directory
@@ -63,9 +64,9 @@
 			case 1:
 				d.Update([]platform.Entry{listed("e1", n, platform.Leaving)})
 			case 2:
-				d.Hear(endpoint.Report{ID: "e1", Incarnation: n, Leaving: rapid.Bool().Draw(t, "leaving")})
+				d.ApplyReport(endpoint.Report{ID: "e1", Incarnation: n, Leaving: rapid.Bool().Draw(t, "leaving")})
 			default:
-				d.Leave("e1", n)
+				d.RecordLeaving("e1", n)
 			}
 			k, ok := d.Find("e1")
 			if ok && k.State == placement.Live && told[k.Incarnation] {
@@ -75,9 +76,9 @@
 	})
 }
 
-// One list is cut short. Dropping what it does not name would move every chat
-// of the missing endpoints to a cold one.
-func TestOneShortListDropsNothing(t *testing.T) {
+// One list is truncated. Removing the endpoints that it omits would move their
+// chats to endpoints without their KV caches.
+func TestSingleTruncatedListRemovesNothing(t *testing.T) {
 	var d endpoint.Directory
 	full := []platform.Entry{listed("e1", 1, platform.Live), listed("e2", 1, platform.Live)}
 	d.Update(full)
@@ -90,12 +91,12 @@
 	assert.Equal(t, len(d.Pool("m")), 1)
 }
 
-// brokenLister answers with its list, or not at all.
-type brokenLister struct {
+// failingLister returns its list, or an error if it has none.
+type failingLister struct {
 	list atomic.Pointer[[]platform.Entry]
 }
 
-func (l *brokenLister) Instances(context.Context) ([]platform.Entry, error) {
+func (l *failingLister) Instances(context.Context) ([]platform.Entry, error) {
 	list := l.list.Load()
 	if list == nil {
 		return nil, errors.New("no answer")
@@ -103,12 +104,12 @@
 	return *list, nil
 }
 
-// The platform does not answer for a while. The endpoints that are known are
-// served on, and a change is seen soon after the platform is back.
+// The platform is unavailable for a while. The known endpoints are kept, and a
+// change is applied soon after the platform is available again.
 func TestListOutageChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d endpoint.Directory
-		var l brokenLister
+		var l failingLister
 		one := []platform.Entry{listed("e1", 1, platform.Live)}
 		two := append(one, listed("e2", 1, platform.Live))
 		l.list.Store(&one)
@@ -126,9 +127,9 @@
 	})
 }
 
-type loads map[string]engine.Load
+type fakeLoadReader map[string]engine.Load
 
-func (l loads) Load(_ context.Context, address string) (engine.Load, error) {
+func (l fakeLoadReader) Load(_ context.Context, address string) (engine.Load, error) {
 	load, ok := l[address]
 	if !ok {
 		return engine.Load{}, errors.New("no answer")
@@ -136,17 +137,17 @@
 	return load, nil
 }
 
-func TestPollerAsksOnlyWhatItOwns(t *testing.T) {
+func TestPollerReadsOnlyOwnedEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d endpoint.Directory
 		d.Update([]platform.Entry{listed("e1", 1, platform.Live), listed("e2", 1, platform.Live), listed("e3", 1, platform.Live)})
 		asked := map[coordination.Endpoint]int{}
 		p := endpoint.Poller{
 			Directory: &d,
-			Loads:     loads{"e1:1": {Incarnation: 1, State: "leaving"}, "e2:1": {Incarnation: 2}},
+			Loads:     fakeLoadReader{"e1:1": {Incarnation: 1, State: "leaving"}, "e2:1": {Incarnation: 2}},
 			Interval:  time.Second,
-			Owned:     func(k endpoint.Known) bool { return k.ID != "e2" },
-			OnLoad:    func(k endpoint.Known, _ engine.Load) { asked[k.ID]++ },
+			Owned:     func(k endpoint.Info) bool { return k.ID != "e2" },
+			OnLoad:    func(k endpoint.Info, _ engine.Load) { asked[k.ID]++ },
 		}
 		stop := p.Start(t.Context())
 		time.Sleep(2500 * time.Millisecond)
--- a/wisteriarouter/endpoint/refresh.go
+++ b/wisteriarouter/endpoint/refresh.go
@@ -15,25 +15,26 @@
 	Instances(ctx context.Context) ([]platform.Entry, error)
 }
 
-// Refresher reads the platform's list into a directory.
+// Refresher periodically loads the platform's list into a directory.
 type Refresher struct {
 	Directory *Directory
 	Lister    Lister
-	Interval  func() time.Duration // between two reads
+	Interval  func() time.Duration // time between two reads
 	Log       event.Log
 
-	lost bool
+	failing bool
 }
 
-// Start reads the list once, if it can, and then goes on reading it until the
-// returned function is called.
+// Start reads the list once, ignoring a failure, and then periodically until
+// the returned function is called.
 func (r *Refresher) Start(ctx context.Context) func() {
 	r.refresh(ctx)
-	return start(ctx, r.loop)
+	return startLoop(ctx, r.loop)
 }
 
-// start runs fn until the returned function is called, which waits for it.
-func start(ctx context.Context, fn func(context.Context)) func() {
+// startLoop runs fn in a goroutine. The returned function cancels its context
+// and waits for it.
+func startLoop(ctx context.Context, fn func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { fn(ctx) })
@@ -54,51 +55,51 @@
 	}
 }
 
-// refresh reads the list once. A list that cannot be read changes nothing: the
-// endpoints that were known are served on.
+// refresh reads the list once. If the read fails, the directory keeps the known
+// endpoints.
 func (r *Refresher) refresh(ctx context.Context) {
 	list, err := r.Lister.Instances(ctx)
 	if err != nil {
-		if !r.lost && ctx.Err() == nil {
+		if !r.failing && ctx.Err() == nil {
 			r.Log.Emit(event.PlatformLost, event.F("service", "instances"), event.F("error", err.Error()))
 		}
-		r.lost = true
+		r.failing = true
 		return
 	}
-	if r.lost {
-		r.lost = false
+	if r.failing {
+		r.failing = false
 		r.Log.Emit(event.PlatformBack, event.F("service", "instances"))
 	}
 	r.Directory.Update(list)
 }
 
-// Loads reads an engine's own report.
-type Loads interface {
+// LoadReader reads an engine's load report.
+type LoadReader interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// Poller reads the reports of the engines that this router owns. Each engine
-// is asked by one router only, so that an engine's cost for reporting does not
-// grow with the fleet.
+// Poller reads the load reports of the engines that this router owns. Each
+// engine is polled by only one router, so that the cost of reporting does not
+// grow with the number of routers.
 type Poller struct {
 	Directory *Directory
-	Loads     Loads
+	Loads     LoadReader
 	Interval  time.Duration
-	// Owned tells whether this router owns the endpoint.
-	Owned func(k Known) bool
-	// OnLoad takes each report that came.
-	OnLoad func(k Known, l engine.Load)
-	// Soon, if set, brings a sign to read the reports before the interval has
-	// passed.
-	Soon <-chan struct{}
+	// Owned reports whether this router owns the endpoint.
+	Owned func(k Info) bool
+	// OnLoad is called with each report, possibly from several goroutines.
+	OnLoad func(k Info, l engine.Load)
+	// Trigger, if set, requests a poll before the interval has passed.
+	Trigger <-chan struct{}
 }
 
-// pollers bounds the calls that run at a time, so that a zone of frozen
-// engines does not hold up the reports of the others for long.
-const pollers = 16
+// maxConcurrentPolls limits the number of concurrent calls, while allowing
+// enough of them that the frozen engines of an availability zone do not delay
+// the reports of the others for long.
+const maxConcurrentPolls = 16
 
-// Start polls until the returned function is called.
-func (p *Poller) Start(ctx context.Context) func() { return start(ctx, p.loop) }
+// Start polls every Interval until the returned function is called.
+func (p *Poller) Start(ctx context.Context) func() { return startLoop(ctx, p.loop) }
 
 func (p *Poller) loop(ctx context.Context) {
 	t := time.NewTicker(p.Interval)
@@ -108,7 +109,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-p.Soon:
+		case <-p.Trigger:
 		}
 		p.poll(ctx)
 	}
@@ -116,35 +117,35 @@
 
 func (p *Poller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, pollers)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, k := range p.Directory.All() {
 		if k.Kind != platform.Engine || !p.Owned(k) {
 			continue
 		}
 		slots <- struct{}{}
-		q := inquiry{poller: p, of: k, done: func() { <-slots }}
+		q := pollTask{poller: p, target: k, release: func() { <-slots }}
 		wg.Go(func() { q.run(ctx) })
 	}
 	wg.Wait()
 }
 
-// inquiry is one question to one engine.
-type inquiry struct {
-	poller *Poller
-	of     Known
-	done   func()
+// pollTask is one poll of one engine.
+type pollTask struct {
+	poller  *Poller
+	target  Info
+	release func()
 }
 
-func (q inquiry) run(ctx context.Context) {
-	defer q.done()
-	q.poller.ask(ctx, q.of)
+func (q pollTask) run(ctx context.Context) {
+	defer q.release()
+	q.poller.pollEndpoint(ctx, q.target)
 }
 
-func (p *Poller) ask(ctx context.Context, k Known) {
+func (p *Poller) pollEndpoint(ctx context.Context, k Info) {
 	l, err := p.Loads.Load(ctx, k.Address)
 	if err != nil {
 		return
 	}
-	p.Directory.Hear(Report{ID: k.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
+	p.Directory.ApplyReport(Report{ID: k.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
 	p.OnLoad(k, l)
 }
--- a/wisteriarouter/engine/kv_bench_test.go
+++ b/wisteriarouter/engine/kv_bench_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkMoveKV measures what it costs to pass the KV cache of a chat from
-// one engine to another over loopback. The processor time is that of the
-// process, in which both engines run as well: a router's own is less.
+// BenchmarkMoveKV measures the transfer of a chat's KV cache from one engine to
+// another over loopback. The CPU time is that of the whole process, which
+// includes both engines, so a router's own share is lower.
 //
 //	go test -run xxx -bench MoveKV ./engine
 func BenchmarkMoveKV(b *testing.B) {
@@ -35,7 +35,7 @@
 	c, closeClient := NewClient(Options{})
 	defer closeClient()
 	b.SetBytes(size)
-	before := used()
+	before := processCPUTime()
 	for b.Loop() {
 		kv, err := c.Export(b.Context(), strings.TrimPrefix(from.URL, "http://"), "c")
 		assert.NilError(b, err)
@@ -44,11 +44,11 @@
 		assert.Equal(b, n, int64(size))
 		kv.Body.Close()
 	}
-	b.ReportMetric((used()-before).Seconds()/float64(b.N)/size*1e9, "cpu-s/GB")
+	b.ReportMetric((processCPUTime()-before).Seconds()/float64(b.N)/size*1e9, "cpu-s/GB")
 }
 
-// used returns the processor time that the process has used.
-func used() time.Duration {
+// processCPUTime returns the user and system CPU time of the process.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
--- a/wisteriarouter/engine/order.go
+++ b/wisteriarouter/engine/order.go
@@ -9,15 +9,15 @@
 	"wisteriaspool/coordination/order"
 )
 
-// orderBody is an order on the wire.
+// orderBody is the JSON body of an order.
 type orderBody struct {
-	Fencing order.Fencing `json:"fencing"`
+	Fencing order.FencingToken `json:"fencing"`
 	order.Order
 }
 
-// Order gives an order to an engine. It implements order.Engines.
-func (c *Client) Order(ctx context.Context, t order.Target, o order.Order, f order.Fencing) order.Result {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+// Order sends an order to an engine. It implements order.EngineClient.
+func (c *Client) Order(ctx context.Context, t order.Target, o order.Order, f order.FencingToken) order.Result {
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	data, err := json.Marshal(orderBody{Fencing: f, Order: o})
 	if err != nil {
--- a/wisteriarouter/event/event_test.go
+++ b/wisteriarouter/event/event_test.go
@@ -18,11 +18,12 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-const page = "../../docs/EVENTS.md"
+const eventsPage = "../../docs/EVENTS.md"
 
-// The page is what operators search when an alert shows a number, so it holds
-// exactly the rows of the catalogue. WISTERIA_UPDATE=1 writes it anew.
-func TestPageHoldsCatalogue(t *testing.T) {
+// Operators look up the numbers of alerts on the page, so it must hold exactly
+// the rows of the catalogue. Run the test with WISTERIA_UPDATE=1 to regenerate
+// the page.
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery log line of a router carries `event`, one of these numbers. A test holds\nthis page and package event together.\n\n")
 	b.WriteString("| number | name | level | meaning, and what to do |\n| --- | --- | --- | --- |\n")
@@ -30,9 +31,9 @@
 		fmt.Fprintf(&b, "| %d | `%s` | %s | %s |\n", k.Number, k.Name, k.Level, k.Help)
 	}
 	if os.Getenv("WISTERIA_UPDATE") != "" {
-		assert.NilError(t, os.WriteFile(page, []byte(b.String()), 0o644))
+		assert.NilError(t, os.WriteFile(eventsPage, []byte(b.String()), 0o644))
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(eventsPage)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), b.String())
 }
@@ -42,18 +43,18 @@
 	last := event.Number(0)
 	for _, k := range event.Catalogue() {
 		assert.Assert(t, k.Number > last, "%d is not in order", k.Number)
-		assert.Assert(t, !names[k.Name], "%s stands twice", k.Name)
+		assert.Assert(t, !names[k.Name], "%s is listed twice", k.Name)
 		last = k.Number
 		names[k.Name] = true
 	}
 }
 
 func TestCatalogueIsComplete(t *testing.T) {
-	assert.Equal(t, len(declared(t)), len(event.Catalogue()))
+	assert.Equal(t, len(declaredKinds(t)), len(event.Catalogue()))
 }
 
-// declared returns the names of the kinds that the catalogue's file declares.
-func declared(t *testing.T) []string {
+// declaredKinds returns the names of the kinds that catalogue.go declares.
+func declaredKinds(t *testing.T) []string {
 	f, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	assert.NilError(t, err)
 	var names []string
@@ -79,7 +80,7 @@
 	event.Log{}.Emit(event.Started)
 }
 
-// An operator waits for a number that the page promises and nothing ever logs.
+// The page would otherwise document events that the router never logs.
 func TestEveryEventIsEmitted(t *testing.T) {
 	var code strings.Builder
 	files, err := filepath.Glob("../*/*.go")
@@ -92,7 +93,7 @@
 		assert.NilError(t, err)
 		code.Write(text)
 	}
-	for _, name := range declared(t) {
+	for _, name := range declaredKinds(t) {
 		used := regexp.MustCompile(`(event\.|\bwrite\()` + name + `\b`).MatchString(code.String())
 		assert.Check(t, used, "nothing emits %s", name)
 	}
--- a/wisteriarouter/operator/fleet_test.go
+++ b/wisteriarouter/operator/fleet_test.go
@@ -26,7 +26,8 @@
 	"wisteriaspool/wisteriarouter/peer"
 )
 
-// nodePeers is a node as settings and the operators' API see it.
+// nodePeers adapts a peer.Node to the interfaces of packages settings and
+// operator.
 type nodePeers struct{ *peer.Node }
 
 func (p nodePeers) Members() []settings.Member {
@@ -43,16 +44,18 @@
 	p.Node.Handle(topic, fn)
 }
 
-// real is a router with real connections to its peers, on loopback, and the
-// fake platform.
-type real struct {
+// testRouter is a router with real loopback connections to its peers and the
+// in-memory platform of package kvtest.
+type testRouter struct {
 	node    *peer.Node
 	replica *settings.Replica
 	sync    *settings.Sync
 	url     string
 }
 
-func startReal(t testing.TB, store *kvtest.Store, i int, seeds []string) (*real, string) {
+// startRouter starts the router i, which joins the fleet through seeds. It also
+// returns the router's peer address.
+func startRouter(t testing.TB, store *kvtest.Store, i int, seeds []string) (*testRouter, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -65,14 +68,14 @@
 			Incarnation: coordination.Incarnation(time.Now().UnixMilli()),
 		},
 		Seeds:  seeds,
-		Topics: map[string]membership.Topic{settings.TopicChange: {Keep: true}, settings.TopicFresh: {}},
+		Topics: map[string]membership.Topic{settings.TopicChange: {Persistent: true}, settings.TopicConfirmation: {}},
 	})
 	assert.NilError(t, err)
 	links := http.NewServeMux()
 	links.Handle(peer.Path, node)
 	peerServer := &http.Server{Handler: links, ReadHeaderTimeout: time.Second}
 	go func() { _ = peerServer.Serve(l) }()
-	r := &real{node: node, replica: &settings.Replica{}}
+	r := &testRouter{node: node, replica: &settings.Replica{}}
 	var stopSync func()
 	r.sync, stopSync = settings.NewSync(settings.Config{Self: self, Zone: zone}, r.replica, store, nodePeers{node})
 	mux := http.NewServeMux()
@@ -92,14 +95,13 @@
 	return r, l.Addr().String()
 }
 
-// startFleet starts n routers and returns when all know each other and are
-// ready.
-func startFleet(t testing.TB, store *kvtest.Store, n int) []*real {
+// startFleet starts n routers and returns once all are ready and know each other.
+func startFleet(t testing.TB, store *kvtest.Store, n int) []*testRouter {
 	t.Helper()
-	var routers []*real
+	var routers []*testRouter
 	var seeds []string
 	for i := range n {
-		r, address := startReal(t, store, i, seeds)
+		r, address := startRouter(t, store, i, seeds)
 		routers = append(routers, r)
 		if len(seeds) < 2 {
 			seeds = append(seeds, address)
@@ -116,11 +118,11 @@
 	return routers
 }
 
-// The whole way over real connections: an operator changes settings through
-// one router and is told by another that they are in force on all.
+// An operator changes settings through one router, and another one reports that
+// they are in force on all. Guards the whole path over real connections.
 func TestChangeOverRealPeers(t *testing.T) {
 	routers := startFleet(t, kvtest.New(), 5)
-	b := &bench{}
+	b := &fixture{}
 	for _, r := range routers {
 		b.apis = append(b.apis, proxyTo(r.url))
 	}
@@ -136,7 +138,7 @@
 	}
 }
 
-// proxyTo sends what a test asks to the router at url.
+// proxyTo forwards requests to the router at url.
 func proxyTo(url string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req, _ := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.RequestURI(), r.Body)
@@ -152,25 +154,26 @@
 	})
 }
 
-// BenchmarkInForce reports the time from the acceptance of a change until it
-// is in force on the last router, over real connections on loopback in one
-// process, and the bytes that a router sends for each change and, at rest, for
-// confirmations. The team has a full history.
+// BenchmarkInForce measures the time from the acceptance of a change until it is
+// in force on the last router, over loopback connections in one process. It also
+// reports the platform writes for each change, the bytes that a router sends for
+// each change, and the bytes a second that it sends for confirmations, also at
+// rest. The team has a full history.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{7, 15, 30, 60} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			store := kvtest.New()
-			first := &real{replica: &settings.Replica{}}
+			first := &testRouter{replica: &settings.Replica{}}
 			for i := range 70 {
 				first.change(b, store, i)
 			}
 			routers := startFleet(b, store, n)
-			writes, start := store.Calls("cas"), sent(routers)
+			writes, start := store.Calls("cas"), totalSent(routers)
 			var times []time.Duration
 			for i := 0; b.Loop(); i++ {
-				times = append(times, spread(b, store, routers, i))
+				times = append(times, measurePropagation(b, store, routers, i))
 			}
-			end := sent(routers)
+			end := totalSent(routers)
 			slices.Sort(times)
 			perRouter := func(bytes uint64) float64 { return float64(bytes) / float64(n) }
 			b.ReportMetric(times[len(times)/2].Seconds()*1000, "p50-ms")
@@ -183,19 +186,21 @@
 	}
 }
 
-// bytesSent is what the routers of a fleet have sent about settings.
+// bytesSent holds the bytes that the routers of a fleet have sent for settings
+// up to a point in time.
 type bytesSent struct {
 	changes, fresh uint64
 	at             time.Time
 }
 
-func sent(routers []*real) bytesSent {
+// totalSent sums the bytes that routers have sent for settings so far.
+func totalSent(routers []*testRouter) bytesSent {
 	s := bytesSent{at: time.Now()}
 	for _, r := range routers {
 		for _, t := range r.node.Stats().Traffic {
 			switch {
 			case !t.Sent || !strings.HasPrefix(t.Topic, settings.TopicChange):
-			case t.Topic == settings.TopicFresh:
+			case t.Topic == settings.TopicConfirmation:
 				s.fresh += t.Bytes
 			default:
 				s.changes += t.Bytes
@@ -205,8 +210,8 @@
 	return s
 }
 
-// change makes the change i through r and returns its position.
-func (r *real) change(b *testing.B, store *kvtest.Store, i int) settings.Position {
+// change puts the change i through r and returns its position.
+func (r *testRouter) change(b *testing.B, store *kvtest.Store, i int) settings.Position {
 	base := settings.Position{}
 	if in, ok := r.replica.Snapshot("solco"); ok {
 		base = in.Position
@@ -219,11 +224,12 @@
 	return out.Position
 }
 
-// spread makes the change i and returns after how long it is in force on all.
-func spread(b *testing.B, store *kvtest.Store, routers []*real, i int) time.Duration {
+// measurePropagation puts the change i and returns the time until it is in force
+// on all routers.
+func measurePropagation(b *testing.B, store *kvtest.Store, routers []*testRouter, i int) time.Duration {
 	p := routers[i*5%len(routers)].change(b, store, i)
 	start := time.Now()
-	for !lo.EveryBy(routers, func(r *real) bool {
+	for !lo.EveryBy(routers, func(r *testRouter) bool {
 		in, ok := r.replica.Snapshot("solco")
 		return ok && !in.Position.Before(p)
 	}) {
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -15,30 +15,34 @@
 	"wisteriaspool/coordination/settings"
 )
 
-// topicInForce is the question of a router to another.
+// topicInForce is the topic of calls by which a router asks another which
+// position of a team's settings it has in force.
 const topicInForce = "settings-in-force"
 
 const (
-	maxAsked  = 32 // routers asked at a time
-	maxWait   = 10 * time.Second
-	askSlack  = time.Second // for the way to the router and back
-	lookEvery = 50 * time.Millisecond
+	maxConcurrentCalls = 32 // concurrent calls of one query
+	maxWait            = 10 * time.Second
+	callMargin         = time.Second // allowance for the network round trip, beyond the wait
+	pollInterval       = 50 * time.Millisecond
 )
 
-// inForceRequest asks what a router has in force, and to wait until that is at
-// least Want. Waiting there saves asking again and again.
+// inForceRequest asks which position a router has in force. The router waits up
+// to WaitMs milliseconds until it has reached Want, which saves the caller from
+// polling.
 type inForceRequest struct {
 	Team   coordination.Team `cbor:"1,keyasint"`
 	Want   settings.Position `cbor:"2,keyasint"`
 	WaitMs int64             `cbor:"3,keyasint,omitempty"`
 }
 
-type inForceAnswer struct {
+// inForceResponse holds the position in force and, if the router refuses a
+// value, that value's revision.
+type inForceResponse struct {
 	Position settings.Position `cbor:"1,keyasint"`
 	Refused  kv.Revision       `cbor:"2,keyasint,omitempty"`
 }
 
-// RouterInForce is what one router has in force of a team.
+// RouterInForce holds the position of a team's settings in force on one router.
 type RouterInForce struct {
 	Instance coordination.Instance `json:"instance"`
 	Revision kv.Revision           `json:"revision"`
@@ -46,7 +50,7 @@
 	Refused  kv.Revision           `json:"refused_revision,omitempty" doc:"The revision that the router refuses, if any."`
 }
 
-// InForce tells on how many routers a change, or a later one, is in force.
+// InForce reports on how many routers a change, or a later one, is in force.
 type InForce struct {
 	Team        coordination.Team       `json:"team"`
 	Revision    kv.Revision             `json:"revision"`
@@ -74,12 +78,12 @@
 	if !settings.ValidTeam(req.Team) {
 		return nil, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	c := &census{s: s, req: req, slots: make(chan struct{}, maxAsked)}
-	return &inForceOutput{Body: c.take(ctx)}, nil
+	c := &inForceQuery{s: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
+	return &inForceOutput{Body: c.collect(ctx)}, nil
 }
 
-// reached reports whether in is want or later. Without a sequence, revisions
-// are compared.
+// reached reports whether position in is want or later. It compares revisions
+// if want has no sequence.
 func reached(in, want settings.Position) bool {
 	if want.Sequence == 0 {
 		return in.Revision >= want.Revision
@@ -87,8 +91,8 @@
 	return !in.Before(want)
 }
 
-// census asks all routers the same question.
-type census struct {
+// inForceQuery sends the same request to all routers and collects the responses.
+type inForceQuery struct {
 	s     *Server
 	req   inForceRequest
 	slots chan struct{}
@@ -98,9 +102,11 @@
 	result InForce
 }
 
-func (c *census) take(ctx context.Context) InForce {
+// collect queries all known routers, this one included, and returns once each
+// has answered or timed out.
+func (c *inForceQuery) collect(ctx context.Context) InForce {
 	wait := min(time.Duration(c.req.WaitMs)*time.Millisecond, maxWait)
-	ctx, cancel := context.WithTimeout(ctx, wait+askSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
 	members := c.s.Peers.Members()
 	c.result = InForce{
@@ -110,7 +116,7 @@
 	deadline := time.Now().Add(wait)
 	for _, m := range members {
 		c.group.Add(1)
-		go c.run(ctx, m.Instance, deadline)
+		go c.queryRouter(ctx, m.Instance, deadline)
 	}
 	c.group.Wait()
 	slices.SortFunc(c.result.Behind, func(a, b RouterInForce) int { return cmp.Compare(a.Instance, b.Instance) })
@@ -118,14 +124,14 @@
 	return c.result
 }
 
-// run asks one router.
-func (c *census) run(ctx context.Context, to coordination.Instance, deadline time.Time) {
+// queryRouter queries one router and records its response.
+func (c *inForceQuery) queryRouter(ctx context.Context, to coordination.Instance, deadline time.Time) {
 	defer c.group.Done()
 	c.slots <- struct{}{}
 	defer func() { <-c.slots }()
 	req := c.req
 	req.WaitMs = max(time.Until(deadline).Milliseconds(), 0)
-	a, err := c.ask(ctx, to, req)
+	a, err := c.call(ctx, to, req)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -140,44 +146,45 @@
 	}
 }
 
-func (c *census) ask(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceAnswer, err error) {
+// call sends req to one router, or serves it locally if to is this router.
+func (c *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceResponse, err error) {
 	if to == c.s.Self {
-		return c.s.await(ctx, req), nil
+		return c.s.waitInForce(ctx, req), nil
 	}
 	payload, err := cbor.Marshal(req)
 	if err != nil {
-		return a, fmt.Errorf("operator: encoding a question: %w", err)
+		return a, fmt.Errorf("operator: encoding in-force request: %w", err)
 	}
 	data, err := c.s.Peers.Call(ctx, to, topicInForce, payload)
 	if err != nil {
 		return a, err
 	}
 	if err := cbor.Unmarshal(data, &a); err != nil {
-		return a, fmt.Errorf("operator: answer of %s: %w", to, err)
+		return a, fmt.Errorf("operator: decoding in-force response from %s: %w", to, err)
 	}
 	return a, nil
 }
 
-// answerInForce answers another router.
-func (s *Server) answerInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
+// handleInForce serves an inForceRequest from another router.
+func (s *Server) handleInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req inForceRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("operator: question about settings: %w", err)
+		return nil, fmt.Errorf("operator: decoding in-force request: %w", err)
 	}
-	data, err := cbor.Marshal(s.await(ctx, req))
+	data, err := cbor.Marshal(s.waitInForce(ctx, req))
 	if err != nil {
-		return nil, fmt.Errorf("operator: encoding an answer: %w", err)
+		return nil, fmt.Errorf("operator: encoding in-force response: %w", err)
 	}
 	return data, nil
 }
 
-// await returns what is in force here once that is what req wants, or its time
-// is over.
-func (s *Server) await(ctx context.Context, req inForceRequest) inForceAnswer {
+// waitInForce waits until this router has reached the position that req wants,
+// req.WaitMs has passed or ctx ends, and returns the position then in force.
+func (s *Server) waitInForce(ctx context.Context, req inForceRequest) inForceResponse {
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		a := s.inForce(req.Team)
@@ -192,16 +199,17 @@
 	}
 }
 
-func (s *Server) inForce(team coordination.Team) inForceAnswer {
+// inForce returns the position of a team's settings in force on this router.
+func (s *Server) inForce(team coordination.Team) inForceResponse {
 	for _, st := range s.Replica.Status() {
 		if st.Team != team {
 			continue
 		}
-		a := inForceAnswer{Position: st.Position}
+		a := inForceResponse{Position: st.Position}
 		if st.Refused != nil {
 			a.Refused = st.Refused.Revision
 		}
 		return a
 	}
-	return inForceAnswer{}
+	return inForceResponse{}
 }
--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -9,18 +9,19 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// Settings is what an operator sees of a team's settings.
+// Settings holds a team's settings as stored in the platform, or those in force
+// on this router if the platform cannot be read.
 type Settings struct {
 	Team     coordination.Team `json:"team"`
 	Text     string            `json:"text"`
 	Revision kv.Revision       `json:"revision" doc:"The base of the next change."`
-	// Fresh is false if the platform did not answer or has lost the key: then
-	// the text is the one in force on the router that answered.
+	// Fresh is false if the platform did not answer or has lost the key. Text is
+	// then the one in force on the router that answered.
 	Fresh   bool              `json:"fresh"`
 	Change  *settings.Change  `json:"change,omitempty"`
 	InForce settings.Position `json:"in_force" doc:"What the router that answered has in force."`
 	Refused *settings.Refusal `json:"refused,omitempty" doc:"A value that stands in the platform and is not in force."`
-	// InForceText is what a change on top of a refused value starts from.
+	// InForceText is the text to base a change on if the stored value is refused.
 	InForceText string `json:"in_force_text,omitempty" doc:"The text in force, if a value that stands in the platform is refused."`
 }
 
@@ -32,31 +33,35 @@
 
 func (s *Server) getSettings(ctx context.Context, in *teamInput) (*settingsOutput, error) {
 	team := coordination.Team(in.Team)
-	standing, fresh, failure := s.read(ctx, team)
+	current, fresh, failure := s.readSettings(ctx, team)
 	if failure != nil {
 		return nil, failure
 	}
-	return &settingsOutput{Body: s.view(team, standing, fresh)}, nil
+	return &settingsOutput{Body: s.settingsFor(team, current, fresh)}, nil
 }
 
-func (s *Server) read(ctx context.Context, team coordination.Team) (settings.Standing, bool, *Failure) {
+// readSettings reads a team's settings. It reports whether they come from the
+// platform rather than from this router's replica.
+func (s *Server) readSettings(ctx context.Context, team coordination.Team) (settings.Current, bool, *Failure) {
 	if !settings.ValidTeam(team) {
-		return settings.Standing{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
+		return settings.Current{}, false, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	standing, fresh := s.Editor.Read(ctx, team)
+	current, fresh := s.Editor.Read(ctx, team)
 	switch {
-	case standing.Revision == 0 && fresh:
-		return standing, fresh, &Failure{Code: CodeUnknownTeam, Message: "the team has no settings; put the first ones with base revision 0"}
-	case standing.Revision == 0:
-		return standing, fresh, &Failure{Code: CodeUnavailable, Message: "the platform does not answer, and nothing is in force here", RetryAfterMs: 1000}
+	case current.Revision == 0 && fresh:
+		return current, fresh, &Failure{Code: CodeUnknownTeam, Message: "the team has no settings; put the first ones with base revision 0"}
+	case current.Revision == 0:
+		return current, fresh, &Failure{Code: CodeUnavailable, Message: "the platform does not answer, and nothing is in force here", RetryAfterMs: 1000}
 	}
-	return standing, fresh, nil
+	return current, fresh, nil
 }
 
-func (s *Server) view(team coordination.Team, standing settings.Standing, fresh bool) Settings {
-	v := Settings{Team: team, Text: standing.Text, Revision: standing.Revision, Fresh: fresh}
-	if standing.Value != nil {
-		v.Change = &standing.Value.Change
+// settingsFor combines the given settings with the state of this router's
+// replica.
+func (s *Server) settingsFor(team coordination.Team, current settings.Current, fresh bool) Settings {
+	v := Settings{Team: team, Text: current.Text, Revision: current.Revision, Fresh: fresh}
+	if current.Value != nil {
+		v.Change = &current.Value.Change
 	}
 	for _, st := range s.Replica.Status() {
 		if st.Team == team {
@@ -80,7 +85,7 @@
 	}
 }
 
-// Accepted is the answer to a change that is durable.
+// Accepted is the response to a change that has been stored durably.
 type Accepted struct {
 	Team     coordination.Team `json:"team"`
 	Revision kv.Revision       `json:"revision"`
@@ -109,17 +114,18 @@
 	}}, nil
 }
 
+// failure converts the outcome of a rejected or uncertain change to a Failure.
 func (s *Server) failure(p settings.Put, out settings.Outcome) *Failure {
 	f := &Failure{RetryAfterMs: out.RetryAfter.Milliseconds()}
 	switch out.Status {
-	case settings.Conflicting:
-		standing := s.view(p.Team, out.Standing, true)
-		f.Code, f.Standing, f.Diff = CodeConflict, &standing, out.Diff
+	case settings.Conflict:
+		current := s.settingsFor(p.Team, out.Current, true)
+		f.Code, f.Current, f.Diff = CodeConflict, &current, out.Diff
 		f.Message = "another change stands; nothing was written. The difference leads from it to yours"
 	case settings.Rejected:
 		f.Code, f.Problems = CodeInvalid, out.Problems
 		f.Message = "the change has problems; nothing was written"
-	case settings.Unwritten:
+	case settings.Unavailable:
 		f.Code = CodeUnavailable
 		f.Message = "the platform could not be reached; nothing was written. The settings in force stay"
 	default:
@@ -140,7 +146,7 @@
 	s.Log.Emit(event.SettingsRejected, append(fields, event.F("outcome", out.Status.String()))...)
 }
 
-// History is the audit trail of a team's settings.
+// History is the change history of a team's settings.
 type History struct {
 	Team    coordination.Team `json:"team"`
 	Fresh   bool              `json:"fresh"`
@@ -151,22 +157,25 @@
 
 func (s *Server) getHistory(ctx context.Context, in *teamInput) (*historyOutput, error) {
 	team := coordination.Team(in.Team)
-	standing, fresh, failure := s.read(ctx, team)
+	current, fresh, failure := s.readSettings(ctx, team)
 	if failure != nil {
 		return nil, failure
 	}
 	h := History{Team: team, Fresh: fresh}
-	if standing.Value != nil {
-		h.Entries = standing.Value.History(standing.Revision)
+	if current.Value != nil {
+		h.Entries = current.Value.History(current.Revision)
 	}
-	// An old or unreadable value that was put in past the routers hides later
-	// changes, which the settings in force still know of.
-	if in, ok := s.Replica.Snapshot(team); ok && hides(standing, in) {
+	// A value that was written without the routers may be outdated or
+	// unreadable and so lack later changes. The settings in force still have
+	// them in their history.
+	if in, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, in) {
 		h.Entries = in.Value.History(in.Position.Revision)
 	}
 	return &historyOutput{Body: h}, nil
 }
 
-func hides(standing settings.Standing, in *settings.Snapshot) bool {
-	return standing.Value == nil || standing.Value.Change.Sequence < in.Position.Sequence
+// olderOrUnreadable reports whether the stored value cannot be read or is older
+// than the settings in force.
+func olderOrUnreadable(current settings.Current, in *settings.Snapshot) bool {
+	return current.Value == nil || current.Value.Change.Sequence < in.Position.Sequence
 }
--- a/wisteriarouter/peer/codec_test.go
+++ b/wisteriarouter/peer/codec_test.go
@@ -9,7 +9,7 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// samples are one message of each kind.
+// samples returns messages of every kind.
 func samples() []*message {
 	record := membership.Member{
 		Instance: "router-017", Incarnation: 1_800_000_000_000, Version: 3, State: membership.Alive,
@@ -20,12 +20,12 @@
 		{Kind: kindGossip, Gossip: &membership.Message{Heartbeat: &membership.Heartbeat{Neighbor: true, Fingerprints: [3]uint32{1 << 30, 1 << 30, 1 << 30}}}},
 		{Kind: kindGossip, Gossip: &membership.Message{Members: []membership.Member{record}}},
 		{Kind: kindGossip, Gossip: &membership.Message{Members: []membership.Member{{Instance: "router-017", Incarnation: 1_800_000_000_000, Version: 3, State: membership.Suspect}}}},
-		{Kind: kindGossip, Gossip: &membership.Message{Rumors: []membership.Rumor{{Topic: "load", Key: "model@1", Version: 1 << 40, Origin: "router-017", Payload: make([]byte, 40), Life: 20000}}}},
-		{Kind: kindGossip, Gossip: &membership.Message{Digests: []membership.Digest{{Table: membership.KeptTable, Buckets: make([]byte, 128)}}}},
+		{Kind: kindGossip, Gossip: &membership.Message{Rumors: []membership.Rumor{{Topic: "load", Key: "model@1", Version: 1 << 40, Origin: "router-017", Payload: make([]byte, 40), TTLMillis: 20000}}}},
+		{Kind: kindGossip, Gossip: &membership.Message{Digests: []membership.Digest{{Table: membership.PersistentTable, Buckets: make([]byte, 128)}}}},
 		{Kind: kindGossip, Gossip: &membership.Message{Listings: []membership.Listing{{Table: membership.MemberTable, Buckets: 1, Rows: make([]byte, 120)}}}},
-		{Kind: kindGossip, Gossip: &membership.Message{Probe: &membership.Probe{Kind: membership.PingFor, Nonce: 1000, Target: "router-017"}}},
-		{Kind: kindGossip, Gossip: &membership.Message{Haves: make([]byte, 80)}},
-		{Kind: kindGossip, Gossip: &membership.Message{Wants: make([]byte, 4)}},
+		{Kind: kindGossip, Gossip: &membership.Message{Probe: &membership.Probe{Kind: membership.PingRequest, Nonce: 1000, Target: "router-017"}}},
+		{Kind: kindGossip, Gossip: &membership.Message{Announcements: make([]byte, 80)}},
+		{Kind: kindGossip, Gossip: &membership.Message{Requests: make([]byte, 4)}},
 		{Kind: kindRequest, ID: 1000, Topic: "admit", Payload: make([]byte, 60), Timeout: 300},
 		{Kind: kindAnswer, ID: 1000, Topic: "admit", Payload: make([]byte, 30)},
 		{Kind: kindNotice, Topic: "release", Payload: make([]byte, 60)},
@@ -44,8 +44,9 @@
 	}
 }
 
-// FuzzDecode feeds the decoder, and a membership machine behind it, what a
-// faulty peer might send. Neither may panic, nor hold more than it may.
+// FuzzDecode feeds arbitrary input to the decoder and decoded gossip to a
+// membership machine. Neither may panic, and the machine must respect its limit of
+// members.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples() {
 		f.Add(encode(m))
--- a/wisteriarouter/peer/idle_test.go
+++ b/wisteriarouter/peer/idle_test.go
@@ -14,14 +14,14 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// polite answers the pings on a connection until it is muted.
-type polite struct {
+// pingResponder answers the pings on a connection until it is muted.
+type pingResponder struct {
 	ws     *websocket.Conn
 	pinged atomic.Bool
 	muted  atomic.Bool
 }
 
-func (p *polite) run(ctx context.Context) {
+func (p *pingResponder) run(ctx context.Context) {
 	for {
 		_, b, err := p.ws.Read(ctx)
 		if err != nil {
@@ -42,11 +42,11 @@
 	shortDeath = 600 * time.Millisecond
 )
 
-// crowd connects as many routers that answer pings.
-func crowd(t *testing.T, r *router) []*polite {
-	var all []*polite
+// connectMany connects manyPeers routers that answer pings.
+func connectMany(t *testing.T, r *router) []*pingResponder {
+	var all []*pingResponder
 	for i := range manyPeers {
-		p := &polite{ws: raw(t, r, helloOf(fmt.Sprint("x", i)))}
+		p := &pingResponder{ws: dialRaw(t, r, helloOf(fmt.Sprint("x", i)))}
 		go p.run(t.Context())
 		all = append(all, p)
 	}
@@ -54,11 +54,11 @@
 	return all
 }
 
-// A router of a large fleet has a connection to nearly every other one and seldom
-// uses each. One that keeps all of them awake does little else.
+// A router of a large fleet has a connection to nearly every other router and
+// rarely uses each. If it kept all of them alive, it would send little but pings.
 func TestIdleConnectionsAreNotPinged(t *testing.T) {
 	r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
-	all := crowd(t, r)
+	all := connectMany(t, r)
 	time.Sleep(3 * shortDeath)
 	pinged := 0
 	for _, p := range all {
@@ -68,11 +68,12 @@
 	}
 	const mostNeighbors = 8
 	assert.Assert(t, pinged <= mostNeighbors, "%d of %d", pinged, manyPeers)
-	assert.Equal(t, r.Stats().Conns, manyPeers, "idle connections stay")
+	assert.Equal(t, r.Stats().Conns, manyPeers, "idle connections were closed")
 }
 
-// mute mutes a router that is no neighbour of r, and returns its name.
-func mute(t *testing.T, r *router, all []*polite) coordination.Instance {
+// mute makes a router that is not a neighbour of r stop answering pings, and
+// returns its instance.
+func mute(t *testing.T, r *router, all []*pingResponder) coordination.Instance {
 	for _, c := range r.connections() {
 		if r.isNeighbor(c) {
 			continue
@@ -83,13 +84,14 @@
 		all[i].muted.Store(true)
 		return c.peer.Instance
 	}
-	t.Fatal("all are neighbours")
+	t.Fatal("all routers are neighbours")
 	return ""
 }
 
-// A connection that has fallen silent without an end stays in use for good, and
-// each call on it is in vain, unless what is sent on it has the peer answer.
-func TestSilentConnectionIsFoundByItsUse(t *testing.T) {
+// A connection may stop delivering messages without being closed. Unless sending on
+// it requires a reply from the peer, the failure is never detected and each call on
+// it fails.
+func TestSilentConnectionIsDetectedOnUse(t *testing.T) {
 	uses := map[string]func(ctx context.Context, r *router, to coordination.Instance){
 		"call":   func(ctx context.Context, r *router, to coordination.Instance) { _, _ = r.Call(ctx, to, "echo", nil) },
 		"notice": func(ctx context.Context, r *router, to coordination.Instance) { _ = r.Notify(ctx, to, "echo", nil) },
@@ -97,9 +99,9 @@
 	for name, use := range uses {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, listen(t), "r00", nil, func(cfg *Config) { cfg.DeadAfter = shortDeath })
-			to := mute(t, r, crowd(t, r))
+			to := mute(t, r, connectMany(t, r))
 			time.Sleep(shortDeath)
-			assert.Assert(t, r.current(to) != nil, "nothing is awaited")
+			assert.Assert(t, r.current(to) != nil, "connection closed though no reply was pending")
 			used := time.Now()
 			use(within(t, shortDeath/2), r, to)
 			eventually(t, "end of the connection", func() bool { return r.current(to) == nil })
@@ -108,9 +110,9 @@
 	}
 }
 
-// While hundreds of routers start, each message brings a few of them. A router that
-// works out anew who owns what for each has no time left for callers.
-func TestQuickChangesAreToldTogether(t *testing.T) {
+// While hundreds of routers start, each message adds a few members. A router that
+// recomputed the ownership for each of them would have no time left for requests.
+func TestRapidMemberChangesAreCoalesced(t *testing.T) {
 	const work = 2 * time.Millisecond
 	r := start(t, listen(t), "r00", nil, nil)
 	var told, last atomic.Int64
@@ -120,8 +122,8 @@
 		last.Store(int64(len(members)))
 	})
 	begun := time.Now()
-	crowd(t, r)
+	connectMany(t, r)
 	eventually(t, "all members", func() bool { return last.Load() == manyPeers+1 })
-	most := int64(3 + time.Since(begun)/coordination.Rest(work))
+	most := int64(3 + time.Since(begun)/coordination.Cooldown(work))
 	assert.Assert(t, told.Load() <= most, "%d in %v", told.Load(), time.Since(begun))
 }
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -13,79 +13,80 @@
 	"wisteriaspool/coordination/membership"
 )
 
-// Node is a router's part in the fleet.
+// Node connects one router with the other routers of the fleet.
 type Node struct {
 	cfg    Config
 	client *http.Client
 	ctx    context.Context
 	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 
 	mu      sync.Mutex // guards machine
 	machine *membership.Machine
 
-	// linkMu keeps what the machine is told of connections in the order in
-	// which they changed. It is taken before mu and connMu.
+	// linkMu keeps the calls of machine.LinkUp and LinkDown in the order in which
+	// connections changed. It is acquired before mu and connMu.
 	linkMu   sync.Mutex
 	connMu   sync.Mutex
 	conns    map[coordination.Instance]*conn
 	draining map[*conn]struct{}
-	dialings map[string]*dialing
+	dialings map[string]*dialAttempt
 	stopped  bool
 
-	topicMu   sync.RWMutex
-	byTopic   map[string]Handler
-	listeners map[string][]rumorFunc
-	watchers  []func([]membership.Member)
-	replays   []replay
+	topicMu        sync.RWMutex
+	topicHandlers  map[string]Handler
+	rumorListeners map[string][]rumorFunc
+	memberWatchers []func([]membership.Member)
+	replays        []replay
 
-	handlers  chan struct{} // places for calls being handled
-	wake      chan struct{} // to the dispatcher
-	counts    traffic
-	dropped   atomic.Uint64
-	malformed atomic.Uint64
-	busy      atomic.Uint64
+	handlerSlots chan struct{} // semaphore of calls being handled
+	wake         chan struct{} // wakes the dispatcher
+	counts       traffic
+	dropped      atomic.Uint64
+	malformed    atomic.Uint64
+	busy         atomic.Uint64
 }
 
-// New starts a node. The function that it returns tells the other routers
-// that this one has left, closes all connections and waits for their end.
+// New starts a node. The returned function announces to the other routers that this
+// one has left, closes all connections and waits for their goroutines. New fails if
+// Self lacks its instance, address or incarnation.
 func New(cfg Config) (*Node, func(), error) {
 	if cfg.Self.Instance == "" || cfg.Self.Address == "" || cfg.Self.Incarnation == 0 {
-		return nil, nil, fmt.Errorf("peer: config: self needs instance, address and incarnation")
+		return nil, nil, fmt.Errorf("peer: config: Self.Instance, Self.Address and Self.Incarnation are required")
 	}
 	cfg = cfg.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
-		cfg:       cfg,
-		client:    newClient(cfg.DialTimeout),
-		ctx:       ctx,
-		cancel:    cancel,
-		machine:   membership.New(cfg.Membership, cfg.Self, time.Now()),
-		conns:     make(map[coordination.Instance]*conn),
-		draining:  make(map[*conn]struct{}),
-		dialings:  make(map[string]*dialing),
-		byTopic:   make(map[string]Handler),
-		listeners: make(map[string][]rumorFunc),
-		handlers:  make(chan struct{}, cfg.MaxHandlers),
-		wake:      make(chan struct{}, 1),
+		cfg:            cfg,
+		client:         newClient(cfg.DialTimeout),
+		ctx:            ctx,
+		cancel:         cancel,
+		machine:        membership.New(cfg.Membership, cfg.Self, time.Now()),
+		conns:          make(map[coordination.Instance]*conn),
+		draining:       make(map[*conn]struct{}),
+		dialings:       make(map[string]*dialAttempt),
+		topicHandlers:  make(map[string]Handler),
+		rumorListeners: make(map[string][]rumorFunc),
+		handlerSlots:   make(chan struct{}, cfg.MaxHandlers),
+		wake:           make(chan struct{}, 1),
 	}
-	n.wait.Add(2)
+	n.wg.Add(2)
 	go n.run()
 	d := &dispatcher{node: n}
 	go d.run()
 	return n, n.stop, nil
 }
 
-// newClient returns a client that dials peers straight, without a proxy.
+// newClient returns a client that connects to peers directly, without a proxy.
 func newClient(timeout time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: 30 * time.Second}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}
 }
 
-// run advances the membership protocol and looks after the connections.
+// run advances the membership protocol and maintains the connections.
 func (n *Node) run() {
-	defer n.wait.Done()
-	t := time.NewTicker(tick)
+	defer n.wg.Done()
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -93,12 +94,13 @@
 			return
 		case <-t.C:
 			n.step(func(now time.Time) membership.Output { return n.machine.Tick(now) })
-			n.tend(time.Now())
+			n.maintainConns(time.Now())
 		}
 	}
 }
 
-// step runs f on the machine and does what it wants done.
+// step runs f on the state machine and performs the sends and dials that it
+// returns.
 func (n *Node) step(f func(now time.Time) membership.Output) {
 	n.mu.Lock()
 	out := f(time.Now())
@@ -129,7 +131,7 @@
 		return
 	}
 	if err := c.post(&message{Kind: kindGossip, Gossip: &s.Message}); err != nil {
-		if dropped := n.dropped.Add(1); dropped%eventEvery == 1 {
+		if dropped := n.dropped.Add(1); dropped%lossesPerEvent == 1 {
 			n.event(Event{Kind: Overflow, Peer: s.To, Address: s.Address, Count: dropped, Err: err})
 		}
 		return
@@ -148,7 +150,7 @@
 	})
 }
 
-// linkUp tells the machine of c, unless it has been replaced already.
+// linkUp reports c to the state machine unless c has been replaced already.
 func (n *Node) linkUp(c *conn) {
 	n.event(Event{Kind: Connected, Peer: c.peer.Instance, Incarnation: c.peer.Incarnation, Address: c.peer.Address})
 	n.linkMu.Lock()
@@ -162,8 +164,8 @@
 	})
 }
 
-// linkDown tells the machine that c has ended, unless another connection to
-// the peer stands by now.
+// linkDown reports to the state machine that c has ended, unless there is another
+// connection to the peer by now.
 func (n *Node) linkDown(c *conn) {
 	n.linkMu.Lock()
 	defer n.linkMu.Unlock()
@@ -190,22 +192,23 @@
 	})
 }
 
-// tend pings quiet connections, ends broken ones, and retires those that were
-// made for calls and are no longer used. Of these, only one on which something is
-// awaited is looked after: a router of a large fleet has one to nearly every
-// other, seldom uses each, and would send little but pings.
-func (n *Node) tend(now time.Time) {
+// maintainConns pings quiet connections, closes broken ones and retires connections
+// made for calls that are no longer used. Connections to members other than
+// neighbours are checked only while a reply or a call is pending: a router of a
+// large fleet has one to nearly every other router, rarely uses each, and would
+// otherwise send little but pings.
+func (n *Node) maintainConns(now time.Time) {
 	var spare []*conn
 	for _, c := range n.connections() {
 		neighbor := n.isNeighbor(c)
 		switch {
-		case !neighbor && !c.waits(now):
-		case c.silence(now) > n.cfg.DeadAfter:
-			c.cancel(errSilent)
+		case !neighbor && !c.active(now):
+		case c.silentFor(now) > n.cfg.DeadAfter:
+			c.cancel(errPeerTimeout)
 		case c.queued.Load() == 0:
 			c.pingIfQuiet(now)
 		}
-		if !neighbor && now.Sub(c.since) > min(n.cfg.IdleTimeout, drainMost) && c.idle() {
+		if !neighbor && now.Sub(c.connectedAt) > min(n.cfg.IdleTimeout, maxDrain) && c.idle() {
 			spare = append(spare, c)
 		}
 	}
@@ -213,12 +216,12 @@
 	n.closeDrained(now)
 }
 
-// retireIdle retires connections that were long unused, and if there are too
-// many, those that were unused for longest.
+// retireIdle retires the connections that were unused for longer than IdleTimeout
+// and, if more than MaxOnDemand remain, the least recently used ones.
 func (n *Node) retireIdle(now time.Time, spare []*conn) {
 	sortByUse(spare)
 	for i, c := range spare {
-		unused := c.used.Ago(now)
+		unused := c.lastUsed.Ago(now)
 		if unused > n.cfg.IdleTimeout || len(spare)-i > n.cfg.MaxOnDemand {
 			n.retire(c, true)
 		}
@@ -230,7 +233,7 @@
 	defer n.connMu.Unlock()
 	for c := range n.draining {
 		age := c.drainedFor(now)
-		if age > drainMost || age > drainLeast && c.idle() {
+		if age > maxDrain || age > minDrain && c.idle() {
 			c.cancel(errDuplicate)
 		}
 	}
@@ -249,7 +252,7 @@
 func (n *Node) isNeighbor(c *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.machine.Neighbor(c.peer.Instance)
+	return n.machine.IsNeighbor(c.peer.Instance)
 }
 
 func (n *Node) event(e Event) {
@@ -258,15 +261,15 @@
 	}
 }
 
-// stop is the function that New returns.
+// stop implements the function that New returns.
 func (n *Node) stop() {
 	n.step(func(now time.Time) membership.Output {
-		n.machine.Left(now)
+		n.machine.CompleteLeave(now)
 		return n.machine.Tick(now)
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), farewell)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	n.settle(ctx, func(c *conn) bool { return c.idle() })
+	n.awaitConns(ctx, func(c *conn) bool { return c.idle() })
 	n.connMu.Lock()
 	n.stopped = true
 	for _, c := range n.conns {
@@ -277,11 +280,11 @@
 	}
 	n.connMu.Unlock()
 	n.cancel()
-	n.wait.Wait()
+	n.wg.Wait()
 }
 
-// settle waits until all connections are settled or ctx ends.
-func (n *Node) settle(ctx context.Context, settled func(*conn) bool) {
+// awaitConns waits until settled returns true for all connections or ctx ends.
+func (n *Node) awaitConns(ctx context.Context, settled func(*conn) bool) {
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
 	for {
--- a/wisteriarouter/peer/reach_test.go
+++ b/wisteriarouter/peer/reach_test.go
@@ -15,22 +15,22 @@
 	"wisteriaspool/coordination/synctest"
 )
 
-// oneRouter is a fleet with one other router, r2.
-type oneRouter struct {
+// fakeTransport is a Transport with one other router, r2.
+type fakeTransport struct {
 	mu     sync.Mutex
 	dead   bool // refuses connections
-	frozen bool // answers nothing
-	gone   bool // is no member any more
+	frozen bool // does not answer
+	gone   bool // is no longer a member
 	calls  int
 }
 
-func (f *oneRouter) set(change func(f *oneRouter)) {
+func (f *fakeTransport) set(change func(f *fakeTransport)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *oneRouter) Members() []membership.Member {
+func (f *fakeTransport) Members() []membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.gone {
@@ -39,7 +39,7 @@
 	return []membership.Member{{Instance: "r2", Owner: true}}
 }
 
-func (f *oneRouter) Call(ctx context.Context, to coordination.Instance, topic string, _ []byte) ([]byte, error) {
+func (f *fakeTransport) Call(ctx context.Context, to coordination.Instance, topic string, _ []byte) ([]byte, error) {
 	f.mu.Lock()
 	f.calls++
 	dead, frozen := f.dead, f.frozen
@@ -54,11 +54,11 @@
 	return nil, nil
 }
 
-// Handle is not needed: nobody probes this router.
-func (f *oneRouter) Handle(string, Handler) {}
+// Handle does nothing, as no router probes this one.
+func (f *fakeTransport) Handle(string, Handler) {}
 
-// Notify reaches a router that stands still, which reads it later.
-func (f *oneRouter) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
+// Notify succeeds for a frozen router, which reads the message later.
+func (f *fakeTransport) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
 	f.mu.Lock()
 	dead := f.dead
 	f.mu.Unlock()
@@ -69,46 +69,46 @@
 	return err
 }
 
-// reachOf returns a Reach that ends with the test.
-func reachOf(t *testing.T, f *oneRouter) *Reach {
-	r, stop := NewReach(f, func(coordination.Instance, bool) {})
+// reachOf returns a FailureDetector that is stopped when the test ends.
+func reachOf(t *testing.T, f *fakeTransport) *FailureDetector {
+	r, stop := NewFailureDetector(f, func(coordination.Instance, bool) {})
 	t.Cleanup(stop)
 	return r
 }
 
-// ask makes a call as placement does.
-func ask(r *Reach) {
+// ask makes a call as package placement does.
+func ask(r *FailureDetector) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, _ = r.Call(ctx, "r2", "place-admit", nil)
 }
 
-// A router is killed or stands still for longer than a moment. For the ten
-// seconds until the fleet holds it for dead its endpoints would take almost no
-// work, and first tokens come seconds late. It is done without after half a
-// second, and taken back when it answers.
-func TestSilentRouterIsDoneWithout(t *testing.T) {
-	for name, fail := range map[string]func(f *oneRouter){
-		"killed": func(f *oneRouter) { f.dead = true },
-		"frozen": func(f *oneRouter) { f.frozen = true },
+// A router is killed, or suspended for more than a moment. In the ten seconds until
+// the fleet declares it dead, its endpoints would get almost no work, which delays
+// first tokens by seconds. It must be considered unresponsive after half a second,
+// and responsive again once it answers.
+func TestUnresponsiveRouterIsDetected(t *testing.T) {
+	for name, fail := range map[string]func(f *fakeTransport){
+		"killed": func(f *fakeTransport) { f.dead = true },
+		"frozen": func(f *fakeTransport) { f.frozen = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &oneRouter{}
+				f := &fakeTransport{}
 				r := reachOf(t, f)
 				var changes atomic.Int32
 				r.Watch(func() { changes.Add(1) })
 				ask(r)
 				f.set(fail)
 				ask(r)
-				assert.Assert(t, !r.Away("r2"), "away after one call")
-				time.Sleep(2 * awayAfter)
-				assert.Assert(t, r.Away("r2"))
+				assert.Assert(t, !r.Unresponsive("r2"), "unresponsive after one call")
+				time.Sleep(2 * unresponsiveAfter)
+				assert.Assert(t, r.Unresponsive("r2"))
 				time.Sleep(5 * time.Second)
 				assert.Equal(t, changes.Load(), int32(1))
-				f.set(func(f *oneRouter) { f.dead, f.frozen = false, false })
+				f.set(func(f *fakeTransport) { f.dead, f.frozen = false, false })
 				time.Sleep(2 * time.Second)
-				assert.Assert(t, !r.Away("r2"))
+				assert.Assert(t, !r.Unresponsive("r2"))
 				assert.Equal(t, changes.Load(), int32(2))
 			})
 		})
@@ -116,53 +116,53 @@
 }
 
 // One call is lost, as on a link that drops packets, or a router pauses for a
-// quarter of a second. To take it for away would move its endpoints to other
-// owners and back again.
+// quarter of a second. If the router were considered unresponsive, its endpoints
+// would move to other owners and back.
 func TestShortSilenceChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{frozen: true}
+		f := &fakeTransport{frozen: true}
 		r := reachOf(t, f)
-		r.Watch(func() { t.Error("taken for away") })
+		r.Watch(func() { t.Error("router considered unresponsive") })
 		ask(r)
 		time.Sleep(150 * time.Millisecond)
-		f.set(func(f *oneRouter) { f.frozen = false })
+		f.set(func(f *fakeTransport) { f.frozen = false })
 		time.Sleep(time.Minute)
-		f.set(func(f *oneRouter) { assert.Assert(t, f.calls < 6, "%d calls: it is probed on", f.calls) })
+		f.set(func(f *fakeTransport) { assert.Assert(t, f.calls < 6, "%d calls: probing went on", f.calls) })
 	})
 }
 
-// A dead router is at last held for dead by the fleet. It is probed no more,
-// or every router that ever died would cost the others bytes for ever.
-func TestDeadRouterIsProbedNoMore(t *testing.T) {
+// Once the fleet has declared a router dead, probing must stop. Otherwise every
+// router that ever died would cause traffic for ever.
+func TestProbingStopsForRemovedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{dead: true}
+		f := &fakeTransport{dead: true}
 		r := reachOf(t, f)
 		ask(r)
 		time.Sleep(10 * time.Second)
-		f.set(func(f *oneRouter) { f.gone = true })
+		f.set(func(f *fakeTransport) { f.gone = true })
 		time.Sleep(time.Second)
 		calls := 0
-		f.set(func(f *oneRouter) { calls = f.calls })
+		f.set(func(f *fakeTransport) { calls = f.calls })
 		time.Sleep(time.Minute)
-		f.set(func(f *oneRouter) { assert.Equal(t, f.calls, calls) })
+		f.set(func(f *fakeTransport) { assert.Equal(t, f.calls, calls) })
 	})
 }
 
-// A list of routers that is not made again when one of them falls silent has
-// requests wait for it until it is declared dead.
-func TestAnsweringFollowsWhoIsAway(t *testing.T) {
+// If the list of responsive routers is not recomputed when one stops responding,
+// requests wait for that router until it is declared dead.
+func TestResponsiveListIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &oneRouter{}
+		f := &fakeTransport{}
 		r := reachOf(t, f)
-		assert.Equal(t, len(r.Answering()), 1)
-		f.set(func(f *oneRouter) { f.dead = true })
+		assert.Equal(t, len(r.Responsive()), 1)
+		f.set(func(f *fakeTransport) { f.dead = true })
 		ask(r)
-		time.Sleep(awayAfter + 2*probePause)
-		assert.Equal(t, len(r.Answering()), 0)
-		f.set(func(f *oneRouter) { f.dead = false })
-		time.Sleep(2 * backAfter * probePause)
-		assert.Equal(t, len(r.Answering()), 1)
-		f.set(func(f *oneRouter) { f.gone = true })
-		assert.Equal(t, len(r.Answering()), 0)
+		time.Sleep(unresponsiveAfter + 2*probeInterval)
+		assert.Equal(t, len(r.Responsive()), 0)
+		f.set(func(f *fakeTransport) { f.dead = false })
+		time.Sleep(2 * recoveryProbes * probeInterval)
+		assert.Equal(t, len(r.Responsive()), 1)
+		f.set(func(f *fakeTransport) { f.gone = true })
+		assert.Equal(t, len(r.Responsive()), 0)
 	})
 }
--- a/wisteriarouter/relay/relay_test.go
+++ b/wisteriarouter/relay/relay_test.go
@@ -9,14 +9,14 @@
 	"wisteriaspool/platform"
 )
 
-// What may be repeated decides whether an order is booked twice, and whether a
-// lookup that failed for a moment reaches its caller.
-func TestPolicy(t *testing.T) {
-	once, twice := policy{attempts: 2}, policy{idempotent: true, attempts: 2}
+// The retry policy must not book an order twice, and must hide transient failures of
+// a lookup from its caller.
+func TestRetryPolicy(t *testing.T) {
+	once, twice := retryPolicy{attempts: 2}, retryPolicy{idempotent: true, attempts: 2}
 	tests := []struct {
 		name       string
-		policy     policy
-		end        ending
+		policy     retryPolicy
+		end        attemptResult
 		sends, met int
 		want       bool
 	}{
@@ -34,30 +34,30 @@
 		{"an answer", twice, delivered, 1, 0, false},
 	}
 	for _, test := range tests {
-		assert.Equal(t, test.policy.again(test.end, test.sends, test.met), test.want, test.name)
+		assert.Equal(t, test.policy.mayRetry(test.end, test.sends, test.met), test.want, test.name)
 	}
 }
 
-// A status that promises "not run" is believed only with the endpoint's own
-// word, and a success only if the endpoint vouches for it.
+// A request counts as not run only if the endpoint reports it, whatever the status,
+// and a success counts only if the endpoint signed it.
 func TestClassify(t *testing.T) {
-	signed := platform.Answer{Signed: true}
+	signed := platform.Response{Signed: true}
 	tests := []struct {
 		status int
-		says   platform.Answer
-		want   ending
+		says   platform.Response
+		want   attemptResult
 	}{
 		{200, signed, delivered},
-		{200, platform.Answer{}, broken},
+		{200, platform.Response{}, broken},
 		{404, signed, delivered},
-		{404, platform.Answer{}, delivered},
+		{404, platform.Response{}, delivered},
 		{500, signed, failed},
 		{504, signed, failed},
-		{503, platform.Answer{NotRun: true}, declined},
-		{421, platform.Answer{NotRun: true}, declined},
+		{503, platform.Response{NotExecuted: true}, declined},
+		{421, platform.Response{NotExecuted: true}, declined},
 		{503, signed, broken},
-		{429, platform.Answer{}, broken},
-		{408, platform.Answer{}, broken},
+		{429, platform.Response{}, broken},
+		{408, platform.Response{}, broken},
 	}
 	for _, test := range tests {
 		assert.Equal(t, classify(test.status, test.says), test.want, "%d %+v", test.status, test.says)
@@ -88,20 +88,20 @@
 	}
 }
 
-// An endpoint that is to go on with a stream sends an event that the caller has.
-func TestAfter(t *testing.T) {
-	assert.Assert(t, after("3", "2"))
-	assert.Assert(t, !after("2", "2"))
-	assert.Assert(t, !after("2", "10"))
-	assert.Assert(t, after("x", "2"), "ids that are no numbers cannot be compared")
-	assert.Assert(t, after("1", ""))
+// An endpoint that continues a stream may send an event that the caller already has.
+func TestIDAfter(t *testing.T) {
+	assert.Assert(t, idAfter("3", "2"))
+	assert.Assert(t, !idAfter("2", "2"))
+	assert.Assert(t, !idAfter("2", "10"))
+	assert.Assert(t, idAfter("x", "2"), "ids that are not numbers cannot be compared")
+	assert.Assert(t, idAfter("1", ""))
 }
 
-func TestWithoutHops(t *testing.T) {
+func TestWithoutHopByHop(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"timeout=5"},
 		"Te": {"trailers"}, "Upgrade": {"h2c"}, "X-Other": {"2"},
 	}
-	assert.DeepEqual(t, withoutHops(h), http.Header{"X-Other": {"2"}})
-	assert.Equal(t, h.Get("X-Mine"), "1", "the caller's own headers stay as they are")
+	assert.DeepEqual(t, withoutHopByHop(h), http.Header{"X-Other": {"2"}})
+	assert.Equal(t, h.Get("X-Mine"), "1", "the caller's headers were modified")
 }
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -31,7 +31,7 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// The variables that make this test binary a router process.
+// Environment variables that make this test binary run as a router.
 const (
 	envPlatform = "WISTERIA_TEST_PLATFORM" // URL
 	envDesks    = "WISTERIA_TEST_DESKS"    // addresses, separated by commas
@@ -44,8 +44,8 @@
 	os.Exit(m.Run())
 }
 
-// process is a router in a process of its own: it runs the order whose key is
-// the path, and answers with what its caller is told.
+// process is the handler of a router in its own process. It runs the order
+// whose key is the path, and responds with what the caller is told.
 type process struct{ runner *router.Runner }
 
 type processAnswer struct {
@@ -65,7 +65,7 @@
 		DispatchLimit: 300 * time.Millisecond,
 		CallTimeout:   300 * time.Millisecond,
 	})
-	s := &site{random: rand.New(rand.NewPCG(1, uint64(os.Getpid()))), nonIdempotent: true}
+	s := &cluster{random: rand.New(rand.NewPCG(1, uint64(os.Getpid()))), nonIdempotent: true}
 	s.addresses = strings.Split(os.Getenv(envDesks), ",")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,10 +73,11 @@
 	}
 	go parent{}.run()
 	fmt.Println(l.Addr())
-	panic(http.Serve(l, process{&router.Runner{Plans: s, Placer: s, Retries: s, Client: client, Ledger: ledger}}))
+	panic(http.Serve(l, process{&router.Runner{Planner: s, Placer: s, Retries: s, Client: client, Ledger: ledger}}))
 }
 
-// parent is the test process, whose end ends this one.
+// parent ends this process when the test process ends, which closes standard
+// input.
 type parent struct{}
 
 func (parent) run() {
@@ -108,7 +109,7 @@
 	cmd.Env = append(os.Environ(), envPlatform+"="+platformURL, envDesks+"="+strings.Join(desks, ","))
 	out, err := cmd.StdoutPipe()
 	assert.NilError(t, err)
-	_, err = cmd.StdinPipe() // closed when we end
+	_, err = cmd.StdinPipe() // closed when the test process ends
 	assert.NilError(t, err)
 	assert.NilError(t, cmd.Start())
 	c := &child{cmd: cmd}
@@ -126,10 +127,10 @@
 	_ = c.cmd.Wait()
 }
 
-// fleet is the routers as their callers know them.
+// fleet holds the current router processes.
 type fleet struct {
 	mu       sync.Mutex
-	children [siteRouters]*child
+	children [clusterRouters]*child
 }
 
 func (f *fleet) get(i int) *child {
@@ -144,50 +145,51 @@
 	f.children[i] = c
 }
 
-// buyer repeats one order through the routers until the test ends.
-type buyer struct {
-	site  *site
-	fleet *fleet
-	key   string
+// processCaller repeats one order through the routers until the test ends.
+type processCaller struct {
+	cluster *cluster
+	fleet   *fleet
+	key     string
 }
 
-func (b *buyer) run(ctx context.Context, done *sync.WaitGroup) {
+func (b *processCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	client := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		t := b.order(client, b.fleet.get(b.site.intN(siteRouters)).address)
-		b.site.mu.Lock()
-		b.site.told[b.key] = append(b.site.told[b.key], t)
-		b.site.mu.Unlock()
-		time.Sleep(time.Duration(b.site.intN(300)) * time.Millisecond)
+		t := b.order(client, b.fleet.get(b.cluster.intN(clusterRouters)).address)
+		b.cluster.mu.Lock()
+		b.cluster.results[b.key] = append(b.cluster.results[b.key], t)
+		b.cluster.mu.Unlock()
+		time.Sleep(time.Duration(b.cluster.intN(300)) * time.Millisecond)
 	}
 }
 
-func (b *buyer) order(client *http.Client, address string) told {
+func (b *processCaller) order(client *http.Client, address string) callResult {
 	res, err := client.Post("http://"+address+"/"+b.key, "", nil)
 	if err != nil {
-		return told{}
+		return callResult{}
 	}
 	defer res.Body.Close()
 	var ans processAnswer
 	if json.NewDecoder(res.Body).Decode(&ans) != nil {
-		return told{}
+		return callResult{}
 	}
-	return told{outcome: ans.Outcome, body: ans.Body}
+	return callResult{outcome: ans.Outcome, body: ans.Body}
 }
 
-// Routers are processes here, stopped by SIGSTOP for longer than their dispatch
-// limit and woken, or killed and replaced, while their callers repeat orders
-// through the others and the platform loses answers and goes down.
+// Router processes are stopped by SIGSTOP for longer than their dispatch limit
+// and continued, or killed and replaced, while their callers repeat orders
+// through the others and the platform loses replies and is down. The results
+// must stand up to the check of TestWholePathAtMostOnce.
 func TestProcessesFrozenAndKilled(t *testing.T) {
 	server, stop := standin.New(standin.Options{Seed: 1})
 	defer stop()
 	platformServer := httptest.NewServer(server)
 	defer platformServer.Close()
-	s := &site{random: rand.New(rand.NewPCG(1, 1)), told: map[string][]told{}}
+	s := &cluster{random: rand.New(rand.NewPCG(1, 1)), results: map[string][]callResult{}}
 	var desks []string
-	for i := range siteDesks {
-		desk, stop := service.New(service.Options{Seed: uint64(i), Time: 20 * time.Millisecond})
+	for i := range clusterDesks {
+		desk, stop := service.New(service.Options{Seed: uint64(i), ActionTime: 20 * time.Millisecond})
 		defer stop()
 		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.1})
 		srv := httptest.NewServer(desk)
@@ -196,22 +198,22 @@
 		desks = append(desks, address(srv.URL))
 	}
 	f := &fleet{}
-	for i := range siteRouters {
+	for i := range clusterRouters {
 		f.set(i, startChild(t, platformServer.URL, desks))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	var buyers sync.WaitGroup
+	var callersDone sync.WaitGroup
 	const rounds = 12
 	for n := range rounds {
 		for range 3 {
 			key := booking(t).Key
 			for range 3 {
-				buyers.Add(1)
-				go (&buyer{s, f, key}).run(ctx, &buyers)
+				callersDone.Add(1)
+				go (&processCaller{s, f, key}).run(ctx, &callersDone)
 			}
 		}
 		assert.NilError(t, server.SetFaults(standin.Faults{LoseReply: 0.1, Outage: n%4 == 3}))
-		i := s.intN(siteRouters)
+		i := s.intN(clusterRouters)
 		c := f.get(i)
 		c.signal(syscall.SIGSTOP)
 		time.Sleep(400 * time.Millisecond)
@@ -223,13 +225,13 @@
 		c.signal(syscall.SIGCONT)
 	}
 	cancel()
-	buyers.Wait()
-	assert.NilError(t, s.fault())
+	callersDone.Wait()
+	assert.NilError(t, s.check())
 	runs, calls := 0, 0
-	for key, all := range s.told {
+	for key, all := range s.results {
 		runs += s.runs(key)
 		calls += len(all)
 	}
-	t.Logf("%d orders, %d calls, %d ran", len(s.told), calls, runs)
+	t.Logf("%d orders, %d calls, %d ran", len(s.results), calls, runs)
 	assert.Assert(t, runs > 0)
 }
--- a/wisteriarouter/upstream/trust.go
+++ b/wisteriarouter/upstream/trust.go
@@ -5,74 +5,75 @@
 	"time"
 )
 
-// trust learns for how long the unused connections of each group can be relied
-// on. Some endpoints drop them without a word, long before the time that they
-// name: whatever is sent next is reset, and a request that must not run twice
-// is lost. Requests that may run twice show what holds: for them a drop costs
-// one more attempt. The zero value trusts what endpoints say, but for requests
-// that run once.
-type trust struct {
+// idleLimits learns how long the connections of each group can stay idle and still
+// be reused. Some endpoints silently drop idle connections long before the timeout
+// that they announce: the next request on one is reset, and a request that must not
+// run twice is lost. Repeatable requests reveal the real limit, since a drop costs
+// them only another attempt. The zero value relies on the announced timeouts, except
+// for requests that may run at most once.
+type idleLimits struct {
 	mu     sync.Mutex
-	groups map[string]evidence
+	groups map[string]idleRecord
 }
 
-// evidence is what a group's connections have shown.
-type evidence struct {
-	proven time.Duration // the longest time unused after which one has served
-	limit  time.Duration // from which on they may be dropped; zero if none was
+// idleRecord is what a group's connections have shown.
+type idleRecord struct {
+	proven time.Duration // longest idle time after which a connection was reused successfully
+	limit  time.Duration // idle time from which connections may be dropped; zero if no drop was seen
 }
 
 const (
-	// dropWithin is the time within which a dropped connection is reset when
-	// it is used: one way there and back, 7 ms between availability zones, and
-	// a lost packet on the way. An endpoint that fails later had the request.
+	// dropWithin is the time within which a dropped connection is reset when it is
+	// used: a round trip of 7 ms between availability zones and one lost packet. If
+	// the failure comes later, the endpoint had received the request.
 	dropWithin = 100 * time.Millisecond
-	// trustShare is the part of a time unused that led to a drop, or was
-	// proven, for which the next connections are relied on.
-	trustShare = 0.6
-	// leastTrust keeps bursts on few connections; below it a drop is taken for
-	// chance.
-	leastTrust = 200 * time.Millisecond
+	// idleLimitFactor is the fraction of an idle time that led to a drop, or was
+	// proven, for which the next connections are reused.
+	idleLimitFactor = 0.6
+	// minIdleLimit keeps bursts on few connections; a drop after a shorter idle
+	// time is considered accidental.
+	minIdleLimit = 200 * time.Millisecond
 )
 
-// longest returns for how long a connection may have been unused for a request;
-// zero for no limit but the endpoint's. A request that runs once relies only on
-// what has been proven, and on least anyway.
-func (t *trust) longest(group string, once bool, least, most time.Duration) time.Duration {
+// maxIdle returns how long a connection may have been idle to be reused for a
+// request; zero for no limit other than the endpoint's. With once set, it is
+// derived from the longest proven idle time, between least and most, and does not
+// exceed the group's limit.
+func (t *idleLimits) maxIdle(group string, once bool, least, most time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
 	if !once {
 		return e.limit
 	}
-	longest := min(max(least, time.Duration(trustShare*float64(e.proven))), most)
+	longest := min(max(least, time.Duration(idleLimitFactor*float64(e.proven))), most)
 	if e.limit > 0 {
 		longest = min(longest, e.limit)
 	}
 	return longest
 }
 
-// served takes in that a connection has served after a time unused.
-func (t *trust) served(group string, unused time.Duration) {
+// recordSuccess records that a connection was reused successfully after an idle time.
+func (t *idleLimits) recordSuccess(group string, idleTime time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
-	if unused > e.proven && (e.limit == 0 || unused < e.limit) {
-		e.proven = unused
+	if idleTime > e.proven && (e.limit == 0 || idleTime < e.limit) {
+		e.proven = idleTime
 		t.put(group, e)
 	}
 }
 
-// failed takes in that a connection has failed on which a request was sent.
-func (t *trust) failed(group string, c *conn, sent, now time.Time) {
-	unused := sent.Sub(c.unused)
-	if c.served < 2 || now.Sub(sent) > dropWithin || unused < leastTrust {
+// recordFailure records that a connection failed on which a request was sent.
+func (t *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
+	idleTime := sent.Sub(c.idleSince)
+	if c.served < 2 || now.Sub(sent) > dropWithin || idleTime < minIdleLimit {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.groups[group]
-	limit := max(time.Duration(trustShare*float64(unused)), leastTrust)
+	limit := max(time.Duration(idleLimitFactor*float64(idleTime)), minIdleLimit)
 	if e.limit == 0 || limit < e.limit {
 		e.limit = limit
 	}
@@ -80,9 +81,9 @@
 	t.put(group, e)
 }
 
-func (t *trust) put(group string, e evidence) {
+func (t *idleLimits) put(group string, e idleRecord) {
 	if t.groups == nil {
-		t.groups = make(map[string]evidence)
+		t.groups = make(map[string]idleRecord)
 	}
 	t.groups[group] = e
 }
