--- a/wisteriarouter/upstream/upstream_test.go
+++ b/wisteriarouter/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// endpoint is a server that answers as a test wants, byte by byte.
+// endpoint is a server whose responses a test writes byte by byte.
 type endpoint struct {
 	listener net.Listener
 	start    sync.Once
@@ -57,13 +57,13 @@
 	s.serve(s.conn, bufio.NewReader(s.conn), s.n)
 }
 
-// address returns where the endpoint listens. It serves from then on.
+// address starts the endpoint, if it is not running, and returns its address.
 func (e *endpoint) address() string {
 	e.start.Do(func() { go e.run() })
 	return e.listener.Addr().String()
 }
 
-// read reads one request with its body and returns its id.
+// read reads one request including its body and returns its id.
 func (e *endpoint) read(r *bufio.Reader) (id string, err error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return req.Header.Get("Id"), err
 }
 
-// each returns a server that answers every request of a connection.
+// each returns a function that answers every request on a connection.
 func (e *endpoint) each(answer func(id string) string) func(net.Conn, *bufio.Reader, int) {
 	return func(c net.Conn, r *bufio.Reader, _ int) {
 		for {
@@ -96,11 +96,11 @@
 func request(id string) *upstream.Request {
 	return &upstream.Request{
 		Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-// do sends a request and returns its whole answer.
+// do sends a request and returns the body of its response.
 func do(c *upstream.Client, address string, r *upstream.Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -119,7 +119,7 @@
 	return c
 }
 
-func TestConnectionServesAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
 	c := newClient(t, upstream.Config{})
@@ -131,8 +131,9 @@
 	assert.Equal(t, e.conns.Load(), int32(1))
 }
 
-// An endpoint closes the connection on which it has just got a request. A
-// client that sends the request again by itself books an order twice.
+// Guards against a client that repeats a request by itself: an endpoint closes the
+// connection on which it has just received a request, and a repeated order would be
+// booked twice.
 func TestNothingIsSentTwice(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -143,7 +144,7 @@
 		if _, err := io.WriteString(c, ok(id)); err != nil {
 			return
 		}
-		_, _ = e.read(r) // and close without an answer
+		_, _ = e.read(r) // then close without a response
 	}
 	for _, method := range []string{"GET", "POST", "HEAD"} {
 		c := newClient(t, upstream.Config{})
@@ -154,13 +155,13 @@
 		r.Method = method
 		_, err = do(c, e.address(), r)
 		assert.Assert(t, errorx.IsOfType(err, upstream.ErrBroken), "%v", err)
-		assert.Assert(t, upstream.Sent(err))
+		assert.Assert(t, upstream.MayHaveSent(err))
 		assert.Equal(t, e.arrivals.Load(), int32(2), method)
 	}
 }
 
-// Nobody listens at an endpoint's address. The caller may be told that the
-// request has not run.
+// A refused connection proves that nothing was sent, so that the caller can be told
+// that the request has not run.
 func TestNothingWasSentIfNobodyListens(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -169,14 +170,14 @@
 	c := newClient(t, upstream.Config{})
 	_, err = do(c, address, request("1"))
 	assert.Assert(t, errorx.IsOfType(err, upstream.ErrDial), "%v", err)
-	assert.Assert(t, !upstream.Sent(err))
+	assert.Assert(t, !upstream.MayHaveSent(err))
 	assert.Assert(t, !c.Alive(t.Context(), address))
 }
 
-// An endpoint sends a second answer to a request, late, where the next request
-// on the connection expects its own. The next caller would get the order of
-// somebody else.
-func TestSecondAnswerGoesToNobody(t *testing.T) {
+// Guards against giving a response to the wrong caller: an endpoint answers a request
+// twice, and the second response arrives in place of the response to the next request
+// on the connection.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer func(c net.Conn, id string)
@@ -212,9 +213,9 @@
 	}
 }
 
-// The answer to the request before stands in front of the right one, since it
-// came after that request had been given up.
-func TestAnswerToAnotherRequestIsReadPast(t *testing.T) {
+// A response to an earlier request, sent after that request was abandoned, precedes
+// the right one.
+func TestForeignResponseIsDiscarded(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return ok("other") + ok(id) })
 	c := newClient(t, upstream.Config{})
@@ -223,18 +224,18 @@
 	assert.Equal(t, body, "ok")
 }
 
-func TestOnlyAnswersToOthersIsAnError(t *testing.T) {
+func TestOnlyForeignResponsesIsAnError(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(string) string { return ok("a") + ok("b") + ok("c") + ok("d") })
 	c := newClient(t, upstream.Config{})
 	_, err := do(c, e.address(), request("1"))
-	assert.Assert(t, errorx.IsOfType(err, upstream.ErrForeign), "%v", err)
-	assert.Assert(t, upstream.Sent(err))
+	assert.Assert(t, errorx.IsOfType(err, upstream.ErrMismatch), "%v", err)
+	assert.Assert(t, upstream.MayHaveSent(err))
 }
 
-// An endpoint dies in the middle of an answer. What has come so far must not
-// pass for the whole.
-func TestAnswerThatBreaksOffIsAnError(t *testing.T) {
+// Guards against taking a truncated response for a complete one when an endpoint dies
+// while sending it.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	tests := []struct{ name, answer string }{
 		{"with a length", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf"},
 		{"in chunks", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
@@ -258,9 +259,9 @@
 	}
 }
 
-// An answer without a length ends with its connection. If the connection is
-// reset rather than closed, a part of the answer is missing.
-func TestAnswerWithoutLengthThatIsResetIsAnError(t *testing.T) {
+// A response without a length ends when its connection closes. If the connection is
+// reset instead, part of the response is missing.
+func TestResetOfResponseWithoutLengthIsAnError(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		e := newEndpoint(t, nil)
 		e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -268,7 +269,7 @@
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf")
-			time.Sleep(20 * time.Millisecond) // a reset overtakes what has not been read
+			time.Sleep(20 * time.Millisecond) // a reset discards data that has not been read
 			if reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
@@ -280,10 +281,10 @@
 	}
 }
 
-// An endpoint refuses a long request before it has read it all, keeps the
-// connection, and reads on later. Were the next request sent there, its first
-// bytes would be taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// Guards against reusing a connection with a partially sent request: an endpoint
+// refuses a long request before it has read all of it, and later reads on. It would
+// take the next request for the rest of the body.
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
 		if _, err := r.ReadString('\n'); err != nil {
@@ -302,8 +303,8 @@
 	assert.Equal(t, e.conns.Load(), int32(2))
 }
 
-// The caller has gone, and the endpoint goes on with work that nobody will
-// read and somebody pays for. It notices only that the connection ends.
+// Guards against work for a caller that has disconnected: the endpoint stops only
+// when its connection is closed.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
 	e := newEndpoint(t, nil)
@@ -326,7 +327,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestEndpointsWordOnConnections(t *testing.T) {
+func TestConnectionAndKeepAliveHeaders(t *testing.T) {
 	tests := []struct {
 		name, header string
 		pause        time.Duration
@@ -355,27 +356,26 @@
 	}
 }
 
-// An endpoint drops unused connections without a word, sooner than it says. A
-// request that must not run twice would be lost on one, since nobody can tell
-// whether it ran.
-func TestRequestThatRunsOnceTakesNoOldConnection(t *testing.T) {
+// Guards against losing a request that must not run twice: endpoints silently drop
+// idle connections sooner than announced, and whether a request sent on a dropped
+// connection has run cannot be determined.
+func TestAtMostOnceRequestUsesNoStaleConnection(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
-	c := newClient(t, upstream.Config{OnceIdle: 50 * time.Millisecond})
+	c := newClient(t, upstream.Config{AtMostOnceIdle: 50 * time.Millisecond})
 	_, err := do(c, e.address(), request("1"))
 	assert.NilError(t, err)
 	time.Sleep(100 * time.Millisecond)
 	once := request("2")
-	once.Once = true
+	once.AtMostOnce = true
 	_, err = do(c, e.address(), once)
 	assert.NilError(t, err)
 	assert.Equal(t, e.conns.Load(), int32(2))
 }
 
-// Endpoints drop unused connections after a while and say nothing. Each router
-// would lose an order on each of its connections; after the first loss it makes
-// new ones in time.
-func TestDroppedConnectionsAreLearnedFrom(t *testing.T) {
+// Guards against repeated losses when endpoints silently drop idle connections: after
+// the first loss the client must open new connections in time.
+func TestIdleLimitIsLearnedFromDrops(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
 		var answered time.Time
@@ -399,7 +399,7 @@
 	lost := 0
 	for i := range 8 {
 		once := request(fmt.Sprint(i))
-		once.Once, once.Group = true, "desk"
+		once.AtMostOnce, once.Group = true, "desk"
 		if _, err := do(c, e.address(), once); err != nil {
 			lost++
 		}
@@ -408,8 +408,8 @@
 	assert.Equal(t, lost, 1)
 }
 
-// A connection that the endpoint has closed while it was unused is found out
-// before a request is sent on it.
+// A connection that the endpoint closed while it was idle is detected before a request
+// is sent on it.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = func(c net.Conn, r *bufio.Reader, _ int) {
@@ -426,7 +426,7 @@
 	assert.Equal(t, e.arrivals.Load(), int32(3))
 }
 
-func TestInterimAnswersArePassedOver(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return "HTTP/1.1 103 Early Hints\r\n\r\n" + ok(id) })
 	body, err := do(newClient(t, upstream.Config{}), e.address(), request("1"))
@@ -434,8 +434,8 @@
 	assert.Equal(t, body, "ok")
 }
 
-// What a caller sends in a header or target must not become a second request
-// at the endpoint.
+// Guards against request smuggling: a header or target from a caller must not become
+// a second request at the endpoint.
 func TestHeadersCannotSmuggle(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(ok)
@@ -459,5 +459,5 @@
 }
 
 func TestSentOfOtherErrors(t *testing.T) {
-	assert.Assert(t, upstream.Sent(errors.New("anything")))
+	assert.Assert(t, upstream.MayHaveSent(errors.New("anything")))
 }
