--- a/coordination/execution/gate.go
+++ b/coordination/execution/breaker.go
@@ -30,41 +30,41 @@
 
 // allow reports whether a call may be made: always while the breaker is closed,
 // and as an occasional probe while it is open.
-func (g *breaker) allow() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.failures < breakerThreshold {
+func (b *breaker) allow() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.failures < breakerThreshold {
 		return true
 	}
 	now := time.Now()
-	if now.Before(g.nextProbe) {
+	if now.Before(b.nextProbe) {
 		return false
 	}
-	g.scheduleProbe(now)
+	b.scheduleProbe(now)
 	return true
 }
 
 // record records the status of a call and reports whether it opened or closed
 // the breaker, with the event to observe. A call refused for its rate counts as
 // answered.
-func (g *breaker) record(s kv.Status) (e Event, changed bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *breaker) record(s kv.Status) (e Event, changed bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if s != kv.Unknown && s != kv.Unavailable {
-		changed = g.failures >= breakerThreshold
-		g.failures = 0
+		changed = b.failures >= breakerThreshold
+		b.failures = 0
 		return PlatformBack, changed
 	}
-	g.failures++
-	if g.failures != breakerThreshold {
+	b.failures++
+	if b.failures != breakerThreshold {
 		return 0, false
 	}
-	g.scheduleProbe(time.Now())
+	b.scheduleProbe(time.Now())
 	return PlatformLost, true
 }
 
-func (g *breaker) scheduleProbe(now time.Time) {
-	g.nextProbe = now.Add(probeInterval/2 + rand.N(probeInterval))
+func (b *breaker) scheduleProbe(now time.Time) {
+	b.nextProbe = now.Add(probeInterval/2 + rand.N(probeInterval))
 }
 
 // recordStatus records the status of a platform call and reports changes of the
--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -44,22 +44,22 @@
 	return &randomSource{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (c *randomSource) percent(n int) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rng.IntN(100) < n
+func (s *randomSource) percent(n int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rng.IntN(100) < n
 }
 
-func (c *randomSource) duration(most time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Duration(c.rng.Int64N(int64(most)))
+func (s *randomSource) duration(most time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Duration(s.rng.Int64N(int64(most)))
 }
 
-func (c *randomSource) intN(n int) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rng.IntN(n)
+func (s *randomSource) intN(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rng.IntN(n)
 }
 
 // fleet is a set of routers with one platform and one service.
@@ -232,49 +232,49 @@
 }
 
 // run makes the call. If the router dies, the outcome stays unknown.
-func (x *exchange) run() {
-	defer x.router.fleet.work.Done()
-	defer close(x.done)
-	x.router.step()
-	res := x.router.ledger.Run(context.Background(), x.request(), x)
-	if x.router.fleet.fault == takeOver && x.deleteOverdueRecord(res) {
-		res = x.router.ledger.Run(context.Background(), x.request(), x)
+func (e *exchange) run() {
+	defer e.router.fleet.work.Done()
+	defer close(e.done)
+	e.router.step()
+	res := e.router.ledger.Run(context.Background(), e.request(), e)
+	if e.router.fleet.fault == takeOver && e.deleteOverdueRecord(res) {
+		res = e.router.ledger.Run(context.Background(), e.request(), e)
 	}
-	x.router.step()
-	x.out.outcome = res.Outcome
+	e.router.step()
+	e.out.outcome = res.Outcome
 	if res.Outcome == outcome.Ran {
-		_, _ = fmt.Sscan(string(res.Answer.Body), &x.out.answer)
+		_, _ = fmt.Sscan(string(res.Answer.Body), &e.out.answer)
 	}
 }
 
-func (x *exchange) request() execution.Request {
-	return execution.Request{Team: "team", Key: execution.Key(x.key), IssuedAt: x.issued, Timeout: 10 * time.Second}
+func (e *exchange) request() execution.Request {
+	return execution.Request{Team: "team", Key: execution.Key(e.key), IssuedAt: e.issued, Timeout: 10 * time.Second}
 }
 
 // Send implements execution.Sender. It simulates the service and the connection
 // to it.
-func (x *exchange) Send(context.Context) execution.Result {
-	r, rates := x.router, x.router.fleet.rates
+func (e *exchange) Send(context.Context) execution.Result {
+	r, rates := e.router, e.router.fleet.rates
 	r.step() // a freeze between the last check and sending
 	switch {
 	case r.random.percent(rates.refuse), r.random.percent(rates.decline):
 		return execution.Result{Outcome: outcome.NotRun, Refusal: &outcome.Refusal{Outcome: outcome.NotRun}}
 	}
-	r.fleet.history.arrive(x.key, x.id)
+	r.fleet.history.arrive(e.key, e.id)
 	time.Sleep(r.random.duration(200 * time.Millisecond))
 	if r.random.percent(rates.loseAnswer) {
-		return x.resultOfCut()
+		return e.resultOfCut()
 	}
 	r.step()
-	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: fmt.Append(nil, int(x.id))}}
+	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: fmt.Append(nil, int(e.id))}}
 }
 
 // resultOfCut returns the result of a call whose connection broke after the
 // action was sent.
-func (x *exchange) resultOfCut() execution.Result {
-	switch x.router.fleet.fault {
+func (e *exchange) resultOfCut() execution.Result {
+	switch e.router.fleet.fault {
 	case retryAfterCut:
-		return x.Send(context.Background())
+		return e.Send(context.Background())
 	case denyAfterSending:
 		return execution.Result{Outcome: outcome.NotRun, Refusal: &outcome.Refusal{Outcome: outcome.NotRun}}
 	}
@@ -283,12 +283,12 @@
 
 // deleteOverdueRecord frees the key of a holder that has not reported by its
 // deadline, as a design based on timeouts would.
-func (x *exchange) deleteOverdueRecord(res execution.Result) bool {
+func (e *exchange) deleteOverdueRecord(res execution.Result) bool {
 	if res.Refusal == nil || res.Refusal.Code != outcome.InProgress {
 		return false
 	}
-	store := x.router.fleet.store
-	path := execution.Prefix + "team/" + x.key
+	store := e.router.fleet.store
+	path := execution.Prefix + "team/" + e.key
 	got := store.Get(context.Background(), path)
 	if len(got.Pairs) == 0 {
 		return false
@@ -350,19 +350,19 @@
 	ended  chan struct{}
 }
 
-func (w *faultInjector) run() {
-	defer w.fleet.work.Done()
+func (in *faultInjector) run() {
+	defer in.fleet.work.Done()
 	for {
 		select {
-		case <-w.ended:
-			w.fleet.store.SetFaults(kvtest.Faults{})
+		case <-in.ended:
+			in.fleet.store.SetFaults(kvtest.Faults{})
 			return
 		case <-time.After(10 * time.Second):
 		}
-		w.fleet.store.SetFaults(kvtest.Faults{Down: w.random.percent(w.fleet.rates.outage)})
-		for i := range w.fleet.routers {
-			if w.fleet.router(i).isDead() {
-				w.fleet.start(i)
+		in.fleet.store.SetFaults(kvtest.Faults{Down: in.random.percent(in.fleet.rates.outage)})
+		for i := range in.fleet.routers {
+			if in.fleet.router(i).isDead() {
+				in.fleet.start(i)
 			}
 		}
 	}
--- a/coordination/execution/history_test.go
+++ b/coordination/execution/history_test.go
@@ -95,7 +95,7 @@
 func newHistory() *history { return &history{calls: map[string]callID{}} }
 
 // begin records the start of a call and returns its index and ID.
-func (h *history) begin(client int, key string) (place int, id callID) {
+func (h *history) begin(client int, key string) (index int, id callID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id = h.calls[key]
@@ -105,12 +105,12 @@
 	return len(h.ops) - 1, id
 }
 
-func (h *history) end(place int, out output) {
+func (h *history) end(index int, out output) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.clock++
-	h.ops[place].Output = out
-	h.ops[place].Return = h.clock
+	h.ops[index].Output = out
+	h.ops[index].Return = h.clock
 }
 
 // arrive records an arrival at the service, which is the run of the action.
--- a/coordination/execution/lease.go
+++ b/coordination/execution/lease.go
@@ -43,16 +43,16 @@
 
 // current returns a usable lease, or else a channel that is closed when the
 // grant in progress ends. If it returns neither, the caller must grant a lease.
-func (s *leaseCache) current(bucket time.Duration) (kv.Lease, <-chan struct{}) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.id != 0 && elapsed(s.granted) < bucket {
-		return s.id, nil
+func (c *leaseCache) current(reusePeriod time.Duration) (kv.Lease, <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.id != 0 && elapsed(c.granted) < reusePeriod {
+		return c.id, nil
 	}
-	if s.granting != nil {
-		return 0, s.granting
+	if c.granting != nil {
+		return 0, c.granting
 	}
-	s.granting = make(chan struct{})
+	c.granting = make(chan struct{})
 	return 0, nil
 }
 
@@ -66,24 +66,24 @@
 		cancel()
 		l.recordStatus(res.Status)
 	}
-	s := &l.leases
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	c := &l.leases
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if res.Status == kv.Applied {
-		s.id, s.granted = id, start
+		c.id, c.granted = id, start
 	}
-	close(s.granting)
-	s.granting = nil
+	close(c.granting)
+	c.granting = nil
 	return id, res
 }
 
 // drop discards a lease after the service refused a record attached to it,
 // since the service may have lost the lease.
-func (s *leaseCache) drop(id kv.Lease) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.id == id && elapsed(s.granted) > minLeaseAge {
-		s.id = 0
+func (c *leaseCache) drop(id kv.Lease) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.id == id && elapsed(c.granted) > minLeaseAge {
+		c.id = 0
 	}
 }
 
--- a/coordination/execution/ledger.go
+++ b/coordination/execution/ledger.go
@@ -193,12 +193,12 @@
 
 // resolveExisting decides by the record that exists under the key. It returns
 // false if the create is to be retried, over an abandoned record or none.
-func (l *Ledger) resolveExisting(c *claim, standing []kv.Pair) (Decision, bool) {
-	if len(standing) == 0 {
+func (l *Ledger) resolveExisting(c *claim, existing []kv.Pair) (Decision, bool) {
+	if len(existing) == 0 {
 		c.expect = 0
 		return Decision{}, false
 	}
-	p := standing[0]
+	p := existing[0]
 	r, err := DecodeRecord(p.Value)
 	switch {
 	case err != nil:
@@ -218,15 +218,15 @@
 	return Decision{}, false
 }
 
-// The backoff between attempts doubles from firstBackoff to longestBackoff.
+// The backoff between attempts doubles from initialBackoff to maxBackoff.
 const (
-	firstBackoff   = 50 * time.Millisecond
-	longestBackoff = 5 * time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 5 * time.Second
 )
 
 // backoff returns the wait after the given attempt, counted from zero, with
 // jitter.
 func backoff(try int) time.Duration {
-	d := min(firstBackoff<<min(try, 10), longestBackoff)
+	d := min(initialBackoff<<min(try, 10), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
--- a/coordination/execution/ledger_test.go
+++ b/coordination/execution/ledger_test.go
@@ -344,9 +344,9 @@
 
 type fixedBudget struct{ left int }
 
-func (a *fixedBudget) Allow(budget.Class) (bool, time.Duration) {
-	a.left--
-	return a.left >= 0, 3 * time.Second
+func (b *fixedBudget) Allow(budget.Class) (bool, time.Duration) {
+	b.left--
+	return b.left >= 0, 3 * time.Second
 }
 
 func TestBudgetRefusesBeforeCalling(t *testing.T) {
--- a/coordination/execution/rate_test.go
+++ b/coordination/execution/rate_test.go
@@ -75,17 +75,17 @@
 	key    string
 }
 
-func (o *surgeAction) Send(context.Context) execution.Result {
+func (a *surgeAction) Send(context.Context) execution.Result {
 	time.Sleep(20 * time.Millisecond)
 	return execution.Result{Outcome: outcome.Ran, Answer: &execution.Answer{Status: 200, Body: []byte("booked")}}
 }
 
-func (o *surgeAction) run(ctx context.Context, work *sync.WaitGroup) {
+func (a *surgeAction) run(ctx context.Context, work *sync.WaitGroup) {
 	defer work.Done()
 	start := time.Now()
-	res := o.ledger.Run(ctx, newRequest(execution.Key(o.key)), o)
+	res := a.ledger.Run(ctx, newRequest(execution.Key(a.key)), a)
 	took := time.Since(start)
-	s := o.surge
+	s := a.surge
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/coordination/execution/settlement.go
+++ b/coordination/execution/settlement.go
@@ -111,15 +111,15 @@
 
 // resolveConflict decides by the record that exists instead of the expected
 // revision. It reports whether the settlement has ended.
-func (s *settlement) resolveConflict(standing []kv.Pair) bool {
-	if len(standing) > 0 {
-		r, err := DecodeRecord(standing[0].Value)
+func (s *settlement) resolveConflict(existing []kv.Pair) bool {
+	if len(existing) > 0 {
+		r, err := DecodeRecord(existing[0].Value)
 		if err == nil && r.Nonce == s.record.Nonce {
 			if r.State == s.record.State {
 				s.report() // the answer to an earlier attempt was lost
 				return true
 			}
-			s.expect = standing[0].Revision // the create took effect late
+			s.expect = existing[0].Revision // the create took effect late
 			return false
 		}
 	}
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -63,14 +63,14 @@
 const DefaultTTL = 30 * time.Second
 
 const (
-	maxHelpers         = 3        // members that probe another on request, and alternative sources of a rumor
-	maxName            = 256      // bytes of an instance, address, topic or key
-	maxCounter         = 1 << 62  // incarnation and version, so that both can still be incremented
-	maxRecords         = 64       // member records per message
-	minRecords         = 8        // the same, when many links have records queued
-	typicalRecordBytes = 90       // size of the record of a live member
-	maxRumors          = 64       // rumors per message
-	maxRumorBytes      = 16 << 10 // bytes of rumors per message
+	maxAlternativePeers = 3        // members that probe another on request, and alternative sources of a rumor
+	maxName             = 256      // bytes of an instance, address, topic or key
+	maxCounter          = 1 << 62  // incarnation and version, so that both can still be incremented
+	maxRecords          = 64       // member records per message
+	minRecords          = 8        // the same, when many links have records queued
+	typicalRecordBytes  = 90       // size of the record of a live member
+	maxRumors           = 64       // rumors per message
+	maxRumorBytes       = 16 << 10 // bytes of rumors per message
 	// recordRateFactor is the rate limit of member records and rumor repairs as
 	// a multiple of BytesPerSecond. It takes effect when a large part of the
 	// fleet starts or comes back.
--- a/coordination/membership/digest.go
+++ b/coordination/membership/digest.go
@@ -204,8 +204,8 @@
 }
 
 // makeListing returns a listing of the buckets in mask, up to maxRows rows.
-func makeListing(t Table, rows []row, mask uint32, answer bool) Listing {
-	l := Listing{Table: t, Buckets: mask, IsReply: answer}
+func makeListing(t Table, rows []row, mask uint32, isReply bool) Listing {
+	l := Listing{Table: t, Buckets: mask, IsReply: isReply}
 	for _, r := range rows {
 		if mask&(1<<(r.key%buckets)) == 0 || len(l.Rows) >= maxRows*rowBytes {
 			continue
--- a/coordination/membership/flush.go
+++ b/coordination/membership/flush.go
@@ -52,8 +52,8 @@
 	}
 	// Up to an eighth less than the interval, so that members do not send in lockstep.
 	l.nextHeartbeat = m.now.Add(m.cfg.HeartbeatInterval - time.Duration(m.rand.Int64N(int64(m.cfg.HeartbeatInterval/8))))
-	_, wanted := m.meshNeighbors[l.peer]
-	msg.Heartbeat = &Heartbeat{Neighbor: wanted, Fingerprints: m.fingerprints()}
+	_, isNeighbor := m.meshNeighbors[l.peer]
+	msg.Heartbeat = &Heartbeat{Neighbor: isNeighbor, Fingerprints: m.fingerprints()}
 }
 
 // addRecords adds up to most queued member records to msg. Records are never
--- a/coordination/membership/machine.go
+++ b/coordination/membership/machine.go
@@ -174,14 +174,14 @@
 func (m *Machine) LinkDown(now time.Time, peer coordination.Instance) {
 	m.advance(now)
 	delete(m.links, peer)
-	w := m.monitors[peer]
-	if w == nil {
+	mon := m.monitors[peer]
+	if mon == nil {
 		return
 	}
 	// The connections of a process that dies are reset, so probe the peer soon.
 	soon := now.Add(m.cfg.HeartbeatInterval - m.cfg.ProbeAfter)
-	if w.lastHeard.After(soon) {
-		w.lastHeard = soon
+	if mon.lastHeard.After(soon) {
+		mon.lastHeard = soon
 	}
 }
 
@@ -284,8 +284,8 @@
 	if gap < pauseThreshold {
 		return
 	}
-	for _, w := range m.monitors {
-		*w = peerMonitor{lastHeard: now}
+	for _, mon := range m.monitors {
+		*mon = peerMonitor{lastHeard: now}
 	}
 	for _, e := range m.table {
 		if e.State == Suspect {
--- a/coordination/membership/mesh.go
+++ b/coordination/membership/mesh.go
@@ -38,16 +38,16 @@
 	members := m.Members()
 	links := buildMesh(members)
 	self := slices.IndexFunc(members, func(o Member) bool { return o.Instance == m.self.Instance })
-	wanted := make(map[coordination.Instance]time.Time)
+	neighbors := make(map[coordination.Instance]time.Time)
 	for _, i := range links[self] {
 		id := members[i].Instance
 		since, ok := m.meshNeighbors[id]
 		if !ok {
 			since = m.now
 		}
-		wanted[id] = since
+		neighbors[id] = since
 	}
-	m.meshNeighbors = wanted
+	m.meshNeighbors = neighbors
 	m.broadcastTree = make(map[coordination.Instance]bool)
 	for i, parent := range buildTree(links) {
 		switch {
@@ -64,13 +64,13 @@
 // must be sorted by instance.
 func buildMesh(members []Member) [][]int {
 	links := make([][]int, len(members))
-	for seed, part := range rings {
-		parts := make(map[string][]int)
+	for seed, ringKey := range rings {
+		byKey := make(map[string][]int)
 		for i := range members {
-			key := part(&members[i])
-			parts[key] = append(parts[key], i)
+			key := ringKey(&members[i])
+			byKey[key] = append(byKey[key], i)
 		}
-		for _, ring := range parts {
+		for _, ring := range byKey {
 			connectRing(links, members, uint64(seed), ring)
 		}
 	}
@@ -82,11 +82,11 @@
 
 // connectRing connects each member of a ring to the next one.
 func connectRing(links [][]int, members []Member, seed uint64, ring []int) {
-	places := make(map[int]uint64, len(ring))
+	positions := make(map[int]uint64, len(ring))
 	for _, i := range ring {
-		places[i] = ringPosition(seed, members[i].Instance)
+		positions[i] = ringPosition(seed, members[i].Instance)
 	}
-	slices.SortFunc(ring, func(a, b int) int { return cmp.Compare(places[a], places[b]) })
+	slices.SortFunc(ring, func(a, b int) int { return cmp.Compare(positions[a], positions[b]) })
 	for i, a := range ring {
 		b := ring[(i+1)%len(ring)]
 		if a == b || slices.Contains(links[a], b) {
@@ -136,7 +136,7 @@
 // addRemaining attaches each member that has no parent yet to the neighbor with the
 // fewest children. It reports whether it attached any.
 func (t *tree) addRemaining(links [][]int) bool {
-	adopted := false
+	attached := false
 	for i, parent := range t.parents {
 		if parent >= 0 {
 			continue
@@ -149,10 +149,10 @@
 		}
 		if best >= 0 {
 			t.addChild(best, i)
-			adopted = true
+			attached = true
 		}
 	}
-	return adopted
+	return attached
 }
 
 // ringPosition returns the position of id in the ring with the given seed.
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -27,8 +27,8 @@
 
 // recordContact records that id has just shown that it is alive.
 func (m *Machine) recordContact(id coordination.Instance) {
-	if w := m.monitors[id]; w != nil {
-		*w = peerMonitor{lastHeard: m.now}
+	if mon := m.monitors[id]; mon != nil {
+		*mon = peerMonitor{lastHeard: m.now}
 	}
 	// Tell a suspect that is reachable of the suspicion, so that it can refute.
 	if e := m.table[id]; e != nil && e.State == Suspect {
@@ -41,16 +41,16 @@
 func (m *Machine) probe() {
 	m.updateMonitors()
 	for _, id := range slices.Sorted(maps.Keys(m.monitors)) {
-		w := m.monitors[id]
+		mon := m.monitors[id]
 		e := m.table[id]
 		if e.State == Suspect {
-			m.startProbe(id, w)
+			m.startProbe(id, mon)
 			continue
 		}
 		switch {
-		case w.nonce == 0 && m.now.Sub(w.lastHeard) >= m.cfg.ProbeAfter:
-			m.startProbe(id, w)
-		case w.nonce != 0 && !m.now.Before(w.deadline):
+		case mon.nonce == 0 && m.now.Sub(mon.lastHeard) >= m.cfg.ProbeAfter:
+			m.startProbe(id, mon)
+		case mon.nonce != 0 && !m.now.Before(mon.deadline):
 			m.stats.Suspicions++
 			m.suspect("", e)
 		}
@@ -79,16 +79,16 @@
 
 // startProbe pings id and asks other members to ping it too, unless a probe of id
 // is still running.
-func (m *Machine) startProbe(id coordination.Instance, w *peerMonitor) {
-	if w.nonce != 0 && m.now.Before(w.deadline) {
+func (m *Machine) startProbe(id coordination.Instance, mon *peerMonitor) {
+	if mon.nonce != 0 && m.now.Before(mon.deadline) {
 		return
 	}
 	m.nonce++
-	w.nonce = m.nonce
-	w.deadline = m.now.Add(m.cfg.ProbeTimeout)
-	m.send(id, Message{Probe: &Probe{Kind: Ping, Nonce: w.nonce}})
+	mon.nonce = m.nonce
+	mon.deadline = m.now.Add(m.cfg.ProbeTimeout)
+	m.send(id, Message{Probe: &Probe{Kind: Ping, Nonce: mon.nonce}})
 	for _, h := range m.pickIndirectProbers(id) {
-		m.send(h, Message{Probe: &Probe{Kind: PingRequest, Nonce: w.nonce, Target: id}})
+		m.send(h, Message{Probe: &Probe{Kind: PingRequest, Nonce: mon.nonce, Target: id}})
 	}
 }
 
@@ -104,7 +104,7 @@
 		}
 	}
 	m.rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(maxHelpers, len(peers))]
+	return peers[:min(maxAlternativePeers, len(peers))]
 }
 
 // handleProbe handles a probe message from a peer.
@@ -137,9 +137,9 @@
 		m.send(r.to, Message{Probe: &Probe{Kind: Ack, Nonce: r.nonce}})
 		return
 	}
-	for _, w := range m.monitors {
-		if w.nonce == p.Nonce && w.nonce != 0 {
-			*w = peerMonitor{lastHeard: m.now}
+	for _, mon := range m.monitors {
+		if mon.nonce == p.Nonce && mon.nonce != 0 {
+			*mon = peerMonitor{lastHeard: m.now}
 		}
 	}
 }
--- a/coordination/membership/push.go
+++ b/coordination/membership/push.go
@@ -182,7 +182,7 @@
 func (m *Machine) requestRumor(l *link, h, version uint32) {
 	r := m.requests[h]
 	if r != nil && int32(version-r.version) <= 0 {
-		if len(r.alternatives) < maxHelpers {
+		if len(r.alternatives) < maxAlternativePeers {
 			r.alternatives = append(r.alternatives, l.peer)
 		}
 		return
--- a/coordination/membership/rumor.go
+++ b/coordination/membership/rumor.go
@@ -108,20 +108,20 @@
 	if old != nil && !newer(r, old.Rumor) {
 		return false
 	}
-	keep := m.cfg.Topics[r.Topic].Persistent
-	if !r.valid() || !keep && r.TTLMillis == 0 || old == nil && m.full(keep) {
+	isPersistent := m.cfg.Topics[r.Topic].Persistent
+	if !r.valid() || !isPersistent && r.TTLMillis == 0 || old == nil && m.full(isPersistent) {
 		m.stats.RumorsRefused++
 		return false
 	}
-	stored := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: keep, arrived: m.now}
-	if !keep {
+	stored := &rumor{Rumor: r, hash: uint32(hash(k.topic + "\x00" + k.key)), persistent: isPersistent, arrived: m.now}
+	if !isPersistent {
 		// The local configuration limits the lifetime that a peer claims.
 		life := min(r.TTLMillis, m.ttlMillis(r.Topic))
 		stored.expires = m.now.Add(time.Duration(life) * time.Millisecond)
 	}
 	m.rumors[k] = stored
 	m.byHash[stored.hash] = k
-	if keep {
+	if isPersistent {
 		m.views[PersistentTable].valid = false
 	}
 	if from != "" {
@@ -138,8 +138,8 @@
 
 // full reports whether no new key can be stored. Persistent rumors may use
 // capacity that ephemeral ones cannot.
-func (m *Machine) full(keep bool) bool {
-	if keep {
+func (m *Machine) full(persistent bool) bool {
+	if persistent {
 		return len(m.rumors) >= m.cfg.MaxRumors+m.cfg.MaxPersistentRumors
 	}
 	return len(m.rumors) >= m.cfg.MaxRumors
--- a/coordination/mirror/feed.go
+++ b/coordination/mirror/feed.go
@@ -201,11 +201,11 @@
 // currentWatchers returns the routers that watch the store now. Other routers
 // take over at once from those that the store rejects.
 func (f *Feed) currentWatchers() []coordination.Instance {
-	r := f.currentCandidates()
-	if lo.EveryBy(r.defaults, f.mayReachStore) {
-		return r.defaults
+	c := f.currentCandidates()
+	if lo.EveryBy(c.defaults, f.mayReachStore) {
+		return c.defaults
 	}
-	return r.current(StoreReach{Possible: f.mayReachStore, Confirmed: f.confirmedRecently})
+	return c.current(StoreReach{Possible: f.mayReachStore, Confirmed: f.confirmedRecently})
 }
 
 // currentCandidates returns the watcher candidates among the routers that are
--- a/coordination/mirror/fleet_test.go
+++ b/coordination/mirror/fleet_test.go
@@ -112,36 +112,36 @@
 }
 
 // feed returns the feed of a router.
-func (l peerTransport) feed(to coordination.Instance) (*mirror.Feed, error) {
+func (p peerTransport) feed(to coordination.Instance) (*mirror.Feed, error) {
 	var i int
 	if _, err := fmt.Sscan(string(to), &i); err != nil {
 		return nil, err
 	}
-	return l.fleet.feeds[i], nil
+	return p.fleet.feeds[i], nil
 }
 
 // Call implements mirror.Transport.
-func (l peerTransport) Call(ctx context.Context, to coordination.Instance, _ string, payload []byte) ([]byte, error) {
-	feed, err := l.feed(to)
+func (p peerTransport) Call(ctx context.Context, to coordination.Instance, _ string, payload []byte) ([]byte, error) {
+	feed, err := p.feed(to)
 	if err != nil {
 		return nil, err
 	}
-	l.fleet.countCall(l.fleet.routers[l.router].ID, to)
-	time.Sleep(l.fleet.delay)
-	b, err := feed.Handle(ctx, l.fleet.routers[l.router].ID, payload)
-	time.Sleep(l.fleet.delay)
+	p.fleet.countCall(p.fleet.routers[p.router].ID, to)
+	time.Sleep(p.fleet.delay)
+	b, err := feed.Handle(ctx, p.fleet.routers[p.router].ID, payload)
+	time.Sleep(p.fleet.delay)
 	return b, err
 }
 
 // Notify implements mirror.Transport.
-func (l peerTransport) Notify(_ context.Context, to coordination.Instance, _ string, payload []byte) error {
-	feed, err := l.feed(to)
+func (p peerTransport) Notify(_ context.Context, to coordination.Instance, _ string, payload []byte) error {
+	feed, err := p.feed(to)
 	if err != nil {
 		return err
 	}
-	l.fleet.countHint(payload)
-	time.Sleep(l.fleet.delay)
-	return feed.HandleHint(l.fleet.routers[l.router].ID, payload)
+	p.fleet.countHint(payload)
+	time.Sleep(p.fleet.delay)
+	return feed.HandleHint(p.fleet.routers[p.router].ID, payload)
 }
 
 // countHint counts hints that report the loss of the store.
@@ -159,18 +159,18 @@
 	router int
 }
 
-func (c routerStore) isRefused() (refused bool) {
-	c.fleet.store.withLock(func() { refused = c.fleet.refused[c.router] })
+func (s routerStore) isRefused() (refused bool) {
+	s.fleet.store.withLock(func() { refused = s.fleet.refused[s.router] })
 	return refused
 }
 
-func (c routerStore) isSilent() (silent bool) {
-	c.fleet.store.withLock(func() { silent = c.fleet.silent[c.router] })
+func (s routerStore) isSilent() (silent bool) {
+	s.fleet.store.withLock(func() { silent = s.fleet.silent[s.router] })
 	return silent
 }
 
-func (c routerStore) extraDelay() (d time.Duration) {
-	c.fleet.store.withLock(func() { d = c.fleet.storeDelay })
+func (s routerStore) extraDelay() (d time.Duration) {
+	s.fleet.store.withLock(func() { d = s.fleet.storeDelay })
 	return d
 }
 
@@ -180,12 +180,12 @@
 
 // awaitAnswer reports whether the reply of the store reaches the router. If it
 // does not, awaitAnswer returns when the call has timed out or ctx ends.
-func (c routerStore) awaitAnswer(ctx context.Context, timeout <-chan time.Time) bool {
-	if c.isRefused() {
+func (s routerStore) awaitAnswer(ctx context.Context, timeout <-chan time.Time) bool {
+	if s.isRefused() {
 		return false
 	}
-	if !c.isSilent() {
-		return coordination.Sleep(ctx, c.extraDelay())
+	if !s.isSilent() {
+		return coordination.Sleep(ctx, s.extraDelay())
 	}
 	select {
 	case <-timeout:
@@ -194,33 +194,33 @@
 	return false
 }
 
-func (c routerStore) Ping(ctx context.Context) kv.Result {
+func (s routerStore) Ping(ctx context.Context) kv.Result {
 	timeout := time.After(storeTimeout)
-	if !coordination.Sleep(ctx, 2*c.fleet.delay) || !c.awaitAnswer(ctx, timeout) {
+	if !coordination.Sleep(ctx, 2*s.fleet.delay) || !s.awaitAnswer(ctx, timeout) {
 		return kv.Result{Status: kv.Unavailable, Err: errDown}
 	}
-	return c.fleet.store.Ping(ctx)
+	return s.fleet.store.Ping(ctx)
 }
 
-func (c routerStore) List(ctx context.Context, prefix string) kv.Result {
+func (s routerStore) List(ctx context.Context, prefix string) kv.Result {
 	timeout := time.After(storeTimeout)
-	time.Sleep(2 * c.fleet.delay)
-	res := c.fleet.store.List(ctx, prefix)
-	if !c.awaitAnswer(ctx, timeout) {
+	time.Sleep(2 * s.fleet.delay)
+	res := s.fleet.store.List(ctx, prefix)
+	if !s.awaitAnswer(ctx, timeout) {
 		return kv.Result{Status: kv.Unavailable, Err: errDown}
 	}
 	return res
 }
 
-func (c routerStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Batch, kv.Result) {
+func (s routerStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) (kv.Batch, kv.Result) {
 	timeout := time.After(wait + storeTimeout)
-	if c.isRefused() {
+	if s.isRefused() {
 		return kv.Batch{}, kv.Result{Status: kv.Unavailable, Err: errDown}
 	}
-	time.Sleep(c.fleet.delay)
-	b, res := c.fleet.store.Watch(ctx, prefix, after, wait)
-	time.Sleep(c.fleet.delay)
-	if !c.awaitAnswer(ctx, timeout) {
+	time.Sleep(s.fleet.delay)
+	b, res := s.fleet.store.Watch(ctx, prefix, after, wait)
+	time.Sleep(s.fleet.delay)
+	if !s.awaitAnswer(ctx, timeout) {
 		return kv.Batch{}, kv.Result{Status: kv.Unavailable, Err: errDown}
 	}
 	return b, res
--- a/coordination/mirror/hint.go
+++ b/coordination/mirror/hint.go
@@ -202,13 +202,13 @@
 	hint Hint
 }
 
-func (n hintDelivery) run(ctx context.Context) {
-	cfg := n.feed.cfg
+func (d hintDelivery) run(ctx context.Context) {
+	cfg := d.feed.cfg
 	sendCtx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
-	err := cfg.Transport.Notify(sendCtx, n.to, TopicHint, encode(n.hint))
+	err := cfg.Transport.Notify(sendCtx, d.to, TopicHint, encode(d.hint))
 	if err != nil && ctx.Err() == nil {
-		n.feed.reportHintFailure(n.to, err)
+		d.feed.reportHintFailure(d.to, err)
 	}
 }
 
@@ -239,9 +239,9 @@
 
 // signal puts a value into a channel with a buffer of one unless it already
 // holds one.
-func signal(due chan<- struct{}) {
+func signal(pending chan<- struct{}) {
 	select {
-	case due <- struct{}{}:
+	case pending <- struct{}{}:
 	default:
 	}
 }
--- a/coordination/mirror/peers.go
+++ b/coordination/mirror/peers.go
@@ -227,17 +227,17 @@
 func (s *Server) cachedReply(req Request, u Update) reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.cache {
-		if p.prefix == req.Prefix && p.after == req.After && p.asOf == u.AsOf {
-			return p.reply
+	for _, c := range s.cache {
+		if c.prefix == req.Prefix && c.after == req.After && c.asOf == u.AsOf {
+			return c.reply
 		}
 	}
-	p := cachedUpdate{prefix: req.Prefix, after: req.After, asOf: u.AsOf, reply: encodeUpdate(u)}
-	s.cache = append(s.cache, p)
+	c := cachedUpdate{prefix: req.Prefix, after: req.After, asOf: u.AsOf, reply: encodeUpdate(u)}
+	s.cache = append(s.cache, c)
 	if len(s.cache) > maxCachedUpdates {
 		s.cache = s.cache[1:]
 	}
-	return p.reply
+	return c.reply
 }
 
 func encode(v any) []byte {
--- a/coordination/mirror/pace.go
+++ b/coordination/mirror/watchers.go
@@ -83,18 +83,18 @@
 }
 
 // current returns the routers that watch the store now.
-func (r *watcherCandidates) current(reach StoreReach) []coordination.Instance {
-	if lo.SomeBy(r.defaults, reach.Possible) {
-		return DefaultWatchers(lo.Filter(r.members, func(m placement.Router, _ int) bool { return reach.Possible(m.ID) }))
+func (c *watcherCandidates) current(reach StoreReach) []coordination.Instance {
+	if lo.SomeBy(c.defaults, reach.Possible) {
+		return DefaultWatchers(lo.Filter(c.members, func(m placement.Router, _ int) bool { return reach.Possible(m.ID) }))
 	}
-	fallbacks := lo.Filter(r.fallbacks(), func(id coordination.Instance, _ int) bool { return reach.Possible(id) })
+	fallbacks := lo.Filter(c.fallbacks(), func(id coordination.Instance, _ int) bool { return reach.Possible(id) })
 	if confirmed := lo.Filter(fallbacks, func(id coordination.Instance, _ int) bool { return reach.Confirmed(id) }); len(confirmed) >= enoughFallbacks {
 		return confirmed[:min(len(confirmed), minWatchers)]
 	}
 	if len(fallbacks) > 0 {
 		return fallbacks
 	}
-	return r.defaults
+	return c.defaults
 }
 
 // waitPerMember is how much longer a router waits at another one for each
--- a/coordination/order/giver.go
+++ b/coordination/order/reconciler.go
@@ -74,7 +74,7 @@
 // New starts a reconciler and returns it with the function that stops it. After
 // that, its leases expire on their own.
 func New(cfg Config, store Store, pools Pools, engines EngineClient) (*Reconciler, func()) {
-	g := &Reconciler{
+	r := &Reconciler{
 		cfg:     cfg.withDefaults(),
 		store:   store,
 		pools:   pools,
@@ -83,40 +83,40 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { g.loop(ctx) })
-	return g, func() {
+	wg.Go(func() { r.loop(ctx) })
+	return r, func() {
 		cancel()
 		wg.Wait()
 	}
 }
 
-func (g *Reconciler) loop(ctx context.Context) {
+func (r *Reconciler) loop(ctx context.Context) {
 	for {
-		g.reconcileAll(ctx)
+		r.reconcileAll(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(g.cfg.Interval):
+		case <-time.After(r.cfg.Interval):
 		}
 	}
 }
 
 // reconcileAll runs one round for each assigned pool. A pool that is no longer
 // assigned is dropped: its lease expires, and another router can acquire it.
-func (g *Reconciler) reconcileAll(ctx context.Context) {
+func (r *Reconciler) reconcileAll(ctx context.Context) {
 	assigned := make(map[coordination.Pool]bool)
-	for _, p := range g.pools.AssignedPools() {
+	for _, p := range r.pools.AssignedPools() {
 		assigned[p] = true
-		h := g.active[p]
-		if h == nil {
-			h = &poolReconciler{parent: g, pool: p}
-			g.active[p] = h
+		pr := r.active[p]
+		if pr == nil {
+			pr = &poolReconciler{parent: r, pool: p}
+			r.active[p] = pr
 		}
-		h.reconcile(ctx)
+		pr.reconcile(ctx)
 	}
-	for p := range g.active {
+	for p := range r.active {
 		if !assigned[p] {
-			delete(g.active, p)
+			delete(r.active, p)
 		}
 	}
 }
@@ -133,15 +133,15 @@
 	lastHeavy  time.Time      // when the last order that reads weights was sent
 }
 
-func (h *poolReconciler) reconcile(ctx context.Context) {
-	if !h.ensureLease(ctx) {
+func (pr *poolReconciler) reconcile(ctx context.Context) {
+	if !pr.ensureLease(ctx) {
 		return
 	}
-	h.refreshPlan()
-	targets := h.parent.pools.Targets(h.pool)
-	h.forgetRemoved(targets)
+	pr.refreshPlan()
+	targets := pr.parent.pools.Targets(pr.pool)
+	pr.forgetRemoved(targets)
 	for _, t := range targets {
-		if !h.sendPending(ctx, t) {
+		if !pr.sendPending(ctx, t) {
 			return
 		}
 	}
@@ -149,22 +149,22 @@
 
 // ensureLease acquires or renews the lease and reports whether orders may be
 // sent.
-func (h *poolReconciler) ensureLease(ctx context.Context) bool {
-	cfg := h.parent.cfg
+func (pr *poolReconciler) ensureLease(ctx context.Context) bool {
+	cfg := pr.parent.cfg
 	ctx, cancel := context.WithTimeout(ctx, cfg.TTL/5)
 	defer cancel()
 	now := time.Now()
-	if h.lease.fencing != 0 && now.Sub(h.lease.renewed) > cfg.TTL/5 {
-		h.lease.renew(ctx, h.parent.store)
+	if pr.lease.fencing != 0 && now.Sub(pr.lease.renewed) > cfg.TTL/5 {
+		pr.lease.renew(ctx, pr.parent.store)
 	}
-	if h.lease.usable(time.Now()) {
+	if pr.lease.usable(time.Now()) {
 		return true
 	}
-	if !h.lease.acquire(ctx, h.parent.store, h.pool, cfg.Self, cfg.TTL) {
+	if !pr.lease.acquire(ctx, pr.parent.store, pr.pool, cfg.Self, cfg.TTL) {
 		return false
 	}
-	h.acquiredAt, h.restarted = time.Now(), false
-	h.progress = make(map[Target]int)
+	pr.acquiredAt, pr.restarted = time.Now(), false
+	pr.progress = make(map[Target]int)
 	return true
 }
 
@@ -172,60 +172,60 @@
 // once more when twice the TTL has passed since the lease was acquired: an
 // engine that ignores fencing tokens may since have carried out an order that
 // the previous holder sent before it was paused.
-func (h *poolReconciler) refreshPlan() {
-	plan := h.parent.pools.Plan(h.pool)
-	if !plan.Equal(h.plan) {
-		h.plan = plan
-		h.progress = make(map[Target]int)
+func (pr *poolReconciler) refreshPlan() {
+	plan := pr.parent.pools.Plan(pr.pool)
+	if !plan.Equal(pr.plan) {
+		pr.plan = plan
+		pr.progress = make(map[Target]int)
 	}
-	if !h.restarted && time.Since(h.acquiredAt) > 2*h.parent.cfg.TTL {
-		h.restarted = true
-		h.progress = make(map[Target]int)
+	if !pr.restarted && time.Since(pr.acquiredAt) > 2*pr.parent.cfg.TTL {
+		pr.restarted = true
+		pr.progress = make(map[Target]int)
 	}
 }
 
 // forgetRemoved drops the progress of engines that have left or restarted.
-func (h *poolReconciler) forgetRemoved(targets []Target) {
-	for t := range h.progress {
+func (pr *poolReconciler) forgetRemoved(targets []Target) {
+	for t := range pr.progress {
 		if !slices.Contains(targets, t) {
-			delete(h.progress, t)
+			delete(pr.progress, t)
 		}
 	}
 }
 
 // sendPending sends one engine the orders that it lacks, and reports whether
 // the round continues with the next engine.
-func (h *poolReconciler) sendPending(ctx context.Context, t Target) bool {
-	for h.progress[t] < len(h.plan) {
-		o := h.plan[h.progress[t]]
-		if o.Kind.ReadsWeights() && time.Since(h.lastHeavy) < h.parent.cfg.Pace(h.pool) {
+func (pr *poolReconciler) sendPending(ctx context.Context, t Target) bool {
+	for pr.progress[t] < len(pr.plan) {
+		o := pr.plan[pr.progress[t]]
+		if o.Kind.ReadsWeights() && time.Since(pr.lastHeavy) < pr.parent.cfg.Pace(pr.pool) {
 			return false
 		}
 		// Checked right before sending: the process may have been paused since
 		// ensureLease.
-		if !h.lease.usable(time.Now()) {
+		if !pr.lease.usable(time.Now()) {
 			return false
 		}
-		r := h.send(ctx, t, o)
+		r := pr.send(ctx, t, o)
 		if r == Fenced {
-			h.lease.fencing = 0
+			pr.lease.fencing = 0
 			return false
 		}
 		if r == Unknown {
 			return true // retried in the next round
 		}
-		h.progress[t]++
+		pr.progress[t]++
 	}
 	return true
 }
 
-func (h *poolReconciler) send(ctx context.Context, t Target, o Order) Result {
-	ctx, cancel := context.WithTimeout(ctx, h.parent.cfg.TTL/5)
+func (pr *poolReconciler) send(ctx context.Context, t Target, o Order) Result {
+	ctx, cancel := context.WithTimeout(ctx, pr.parent.cfg.TTL/5)
 	defer cancel()
 	if o.Kind.ReadsWeights() {
-		h.lastHeavy = time.Now()
+		pr.lastHeavy = time.Now()
 	}
-	r := h.parent.engines.Order(ctx, t, o, h.lease.fencing)
-	h.parent.cfg.OnResult(h.pool, t, o, r)
+	r := pr.parent.engines.Order(ctx, t, o, pr.lease.fencing)
+	pr.parent.cfg.OnResult(pr.pool, t, o, r)
 	return r
 }
--- a/coordination/settings/editor.go
+++ b/coordination/settings/editor.go
@@ -209,14 +209,14 @@
 	return Outcome{Status: Conflict, Current: current, Diff: Diff(current.Text, p.Text)}
 }
 
-// excludes reports whether the history of s contains another change than id that
+// excludes reports whether the history of c contains another change than id that
 // replaced the revision previous, which proves that id was not accepted there.
-func (s Current) excludes(id ChangeID, previous kv.Revision) bool {
-	if s.Value == nil {
+func (c Current) excludes(id ChangeID, previous kv.Revision) bool {
+	if c.Value == nil {
 		return false
 	}
-	for _, c := range s.Value.History(s.Revision) {
-		if c.Previous == previous && c.ID != id {
+	for _, e := range c.Value.History(c.Revision) {
+		if e.Previous == previous && e.ID != id {
 			return true
 		}
 	}
--- a/coordination/settings/put.go
+++ b/coordination/settings/put.go
@@ -56,9 +56,9 @@
 	Value    *Value // nil if the value has no valid change record
 }
 
-// position returns the position of s, whose Value must not be nil.
-func (s Current) position() Position {
-	return Position{Sequence: s.Value.Change.Sequence, Revision: s.Revision}
+// position returns the position of c, whose Value must not be nil.
+func (c Current) position() Position {
+	return Position{Sequence: c.Value.Change.Sequence, Revision: c.Revision}
 }
 
 // Outcome is the result of a Put with its details.
@@ -112,13 +112,13 @@
 	inForce  Position
 }
 
-// updateNewest replaces b.newest by s if s is later.
-func (b *putBase) updateNewest(s Current) {
-	if s.Value == nil {
+// updateNewest replaces b.newest by c if c is later.
+func (b *putBase) updateNewest(c Current) {
+	if c.Value == nil {
 		return
 	}
-	if b.newest.Value == nil || b.newest.position().Before(s.position()) {
-		b.newest = s
+	if b.newest.Value == nil || b.newest.position().Before(c.position()) {
+		b.newest = c
 	}
 }
 
--- a/coordination/settings/schema/file.go
+++ b/coordination/settings/schema/file.go
@@ -47,8 +47,8 @@
 		return nil, sc.problems
 	}
 	f := &File{name: file, schema: s}
-	for _, p := range sc.order {
-		f.values = append(f.values, sc.values(p, source.Section(p.title)))
+	for _, entry := range sc.order {
+		f.values = append(f.values, sc.values(entry, source.Section(entry.title)))
 	}
 	f.addDefaults(sc)
 	if len(sc.problems) > 0 {
@@ -58,19 +58,19 @@
 	return f, nil
 }
 
-// values parses the keys of the section at p.
-func (s *scanner) values(p *sectionEntry, source *ini.Section) Values {
-	v := Values{Name: p.name, Line: p.line, file: s.file, section: p.section, keys: make(map[string]value)}
+// values parses the keys of the section that entry describes.
+func (s *scanner) values(entry *sectionEntry, source *ini.Section) Values {
+	v := Values{Name: entry.name, Line: entry.line, file: s.file, section: entry.section, keys: make(map[string]value)}
 	written := source.KeysHash()
-	for _, k := range p.section.Keys {
-		line, set := p.keys[k.Name]
+	for _, k := range entry.section.Keys {
+		line, set := entry.keys[k.Name]
 		if !set {
-			v.keys[k.Name] = s.defaultValue(p, k)
+			v.keys[k.Name] = s.defaultValue(entry, k)
 			continue
 		}
 		val, err := k.parse(written[k.Name])
 		if err != nil {
-			s.problem(line, p.title, k.Name, err.Error())
+			s.problem(line, entry.title, k.Name, err.Error())
 		}
 		val.line = line
 		v.keys[k.Name] = val
@@ -80,9 +80,9 @@
 
 // defaultValue returns the default of k, or reports that a required key is
 // missing. It panics if the declared default is invalid.
-func (s *scanner) defaultValue(p *sectionEntry, k Key) value {
+func (s *scanner) defaultValue(entry *sectionEntry, k Key) value {
 	if k.Required {
-		s.problem(p.line, p.title, k.Name, "the key is missing; write "+k.expected())
+		s.problem(entry.line, entry.title, k.Name, "the key is missing; write "+k.expected())
 		return value{}
 	}
 	if k.Default == "" {
@@ -105,11 +105,11 @@
 			sc.problem(0, sec.Name, "", "the section is missing")
 			continue
 		}
-		p := &sectionEntry{section: sec, title: sec.Name}
+		entry := &sectionEntry{section: sec, title: sec.Name}
 		v := Values{file: sc.file, section: sec, keys: make(map[string]value)}
 		for _, k := range sec.Keys {
 			if !sec.Optional || !k.Required {
-				v.keys[k.Name] = sc.defaultValue(p, k)
+				v.keys[k.Name] = sc.defaultValue(entry, k)
 			}
 		}
 		f.values = append(f.values, v)
--- a/coordination/settings/schema/scan.go
+++ b/coordination/settings/schema/scan.go
@@ -58,17 +58,17 @@
 }
 
 // scanLine returns the text that the INI library gets in place of line n.
-func (s *scanner) scanLine(n int, scanLine string) string {
+func (s *scanner) scanLine(n int, line string) string {
 	switch {
-	case !utf8.ValidString(scanLine) || strings.ContainsRune(scanLine, 0):
+	case !utf8.ValidString(line) || strings.ContainsRune(line, 0):
 		s.problemf(n, "", "the line is not UTF-8 text")
 		return ""
-	case scanLine == "" || scanLine[0] == ';' || scanLine[0] == '#':
+	case line == "" || line[0] == ';' || line[0] == '#':
 		return ""
-	case scanLine[0] == '[':
-		return s.scanHeader(n, scanLine)
+	case line[0] == '[':
+		return s.scanHeader(n, line)
 	default:
-		return s.scanKey(n, scanLine)
+		return s.scanKey(n, line)
 	}
 }
 
@@ -86,29 +86,29 @@
 		s.problem(n, m[1], "", "unknown section; known are "+s.schema.titles())
 		return ""
 	}
-	p := &sectionEntry{section: sec, name: name, title: sec.title(name), line: n, keys: make(map[string]int)}
-	if !s.checkHeader(p) {
+	entry := &sectionEntry{section: sec, name: name, title: sec.title(name), line: n, keys: make(map[string]int)}
+	if !s.checkHeader(entry) {
 		return ""
 	}
-	s.entries[p.title] = p
-	s.order = append(s.order, p)
-	s.current = p
-	return "[" + p.title + "]"
+	s.entries[entry.title] = entry
+	s.order = append(s.order, entry)
+	s.current = entry
+	return "[" + entry.title + "]"
 }
 
-// checkHeader reports whether the header of p is valid, and records a problem if
+// checkHeader reports whether the header of entry is valid, and records a problem if
 // it is not.
-func (s *scanner) checkHeader(p *sectionEntry) bool {
-	earlier, duplicate := s.entries[p.title]
+func (s *scanner) checkHeader(entry *sectionEntry) bool {
+	earlier, duplicate := s.entries[entry.title]
 	switch {
-	case p.section.Named && p.name == "":
-		s.problem(p.line, p.section.Name, "", fmt.Sprintf(`the section needs a name: [%s "name"]`, p.section.Name))
-	case p.section.Named && !ValidName(p.name):
-		s.problem(p.line, p.title, "", fmt.Sprintf("%q is not a valid name; use letters, digits and . _ @ : / -, at most 128", p.name))
-	case !p.section.Named && p.name != "":
-		s.problem(p.line, p.section.Name, "", fmt.Sprintf("the section takes no name; write [%s]", p.section.Name))
+	case entry.section.Named && entry.name == "":
+		s.problem(entry.line, entry.section.Name, "", fmt.Sprintf(`the section needs a name: [%s "name"]`, entry.section.Name))
+	case entry.section.Named && !ValidName(entry.name):
+		s.problem(entry.line, entry.title, "", fmt.Sprintf("%q is not a valid name; use letters, digits and . _ @ : / -, at most 128", entry.name))
+	case !entry.section.Named && entry.name != "":
+		s.problem(entry.line, entry.section.Name, "", fmt.Sprintf("the section takes no name; write [%s]", entry.section.Name))
 	case duplicate:
-		s.problem(p.line, p.title, "", fmt.Sprintf("the section is already defined at line %d; write its keys there", earlier.line))
+		s.problem(entry.line, entry.title, "", fmt.Sprintf("the section is already defined at line %d; write its keys there", earlier.line))
 	default:
 		return true
 	}
@@ -125,24 +125,24 @@
 	if s.current == nil {
 		return "" // below an invalid header, which is already reported
 	}
-	p := s.current
+	entry := s.current
 	if !found {
 		s.problemf(n, "", "%q is neither a section nor a key; write key = value", line)
 		return ""
 	}
-	if _, known := p.section.key(key); !known || !keyPattern.MatchString(key) {
-		s.problem(n, p.title, key, "unknown key; known are "+p.section.keyNames())
+	if _, known := entry.section.key(key); !known || !keyPattern.MatchString(key) {
+		s.problem(n, entry.title, key, "unknown key; known are "+entry.section.keyNames())
 		return ""
 	}
-	if earlier, duplicate := p.keys[key]; duplicate {
-		s.problem(n, p.title, key, fmt.Sprintf("the key is already set at line %d", earlier))
+	if earlier, duplicate := entry.keys[key]; duplicate {
+		s.problem(n, entry.title, key, fmt.Sprintf("the key is already set at line %d", earlier))
 		return ""
 	}
 	if strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`") {
-		s.problem(n, p.title, key, "a value must be on one line, plain or in double quotes")
+		s.problem(n, entry.title, key, "a value must be on one line, plain or in double quotes")
 		return ""
 	}
-	p.keys[key] = n
+	entry.keys[key] = n
 	return line
 }
 
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -95,11 +95,11 @@
 
 // handleChangeRumor requests the value of a change that the replica lacks.
 func (s *Sync) handleChangeRumor(key string, _ uint64, payload []byte) {
-	var a changeNotice
-	if cbor.Unmarshal(payload, &a) != nil || !ValidTeam(coordination.Team(key)) {
+	var n changeNotice
+	if cbor.Unmarshal(payload, &n) != nil || !ValidTeam(coordination.Team(key)) {
 		return
 	}
-	s.requestValue(coordination.Team(key), a.Position, a.Origin)
+	s.requestValue(coordination.Team(key), n.Position, n.Origin)
 }
 
 // confirm announces that the platform responded at revision, unless a router has
--- a/coordination/settings/sync.go
+++ b/coordination/settings/sync.go
@@ -268,13 +268,13 @@
 		s.mu.Unlock()
 		return
 	}
-	spread := max(2*maxConfirmationAge, time.Duration(len(s.members))*listSpacing)
+	maxDelay := max(2*maxConfirmationAge, time.Duration(len(s.members))*listSpacing)
 	if s.nextListAt.IsZero() {
-		s.nextListAt = now.Add(rand.N(spread))
+		s.nextListAt = now.Add(rand.N(maxDelay))
 	}
 	due := !now.Before(s.nextListAt)
 	if due {
-		s.nextListAt = now.Add(maxConfirmationAge + rand.N(spread))
+		s.nextListAt = now.Add(maxConfirmationAge + rand.N(maxDelay))
 	}
 	s.mu.Unlock()
 	if due {
--- a/coordination/settings/team.go
+++ b/coordination/settings/team.go
@@ -174,12 +174,12 @@
 }
 
 // Priority returns the effective priority of a request: the requested one,
-// limited to the team's cap, or the default if named is false.
-func (t *TeamSettings) Priority(asked coordination.Priority, named bool) coordination.Priority {
-	if !named {
+// limited to the team's cap, or the default if specified is false.
+func (t *TeamSettings) Priority(requested coordination.Priority, specified bool) coordination.Priority {
+	if !specified {
 		return t.priorityDefault
 	}
-	return min(asked, t.priorityCap)
+	return min(requested, t.priorityCap)
 }
 
 // RetryBudget returns the fraction of requests that may be retried, from 0 to 1.
