--- a/coordination/execution/fleet_test.go
+++ b/coordination/execution/fleet_test.go
@@ -17,10 +17,10 @@
 
 // faultRates holds the probabilities of faults, in percent.
 type faultRates struct {
-	loseCall, loseReply, landLate, slow int // of platform calls
-	refuse, decline, loseAnswer         int // of service calls
-	freeze, kill                        int // of a router, at each step
-	outage                              int // of the platform, every ten seconds
+	loseCall, loseReply, applyLate, slow int // of platform calls
+	refuse, decline, loseAnswer          int // of service calls
+	freeze, kill                         int // of a router, at each step
+	outage                               int // of the platform, every ten seconds
 }
 
 // injectedFault is a design fault that the history check must detect.
@@ -170,22 +170,22 @@
 func (r *router) CompareAndSwap(ctx context.Context, key string, value []byte, expect kv.Revision, lease kv.Lease) kv.Result {
 	r.step()
 	defer r.step()
-	c, rates := r.random, r.fleet.rates
+	random, rates := r.random, r.fleet.rates
 	lost := kv.Result{Status: kv.Unknown}
-	if c.percent(rates.slow) {
-		time.Sleep(c.duration(900 * time.Millisecond))
+	if random.percent(rates.slow) {
+		time.Sleep(random.duration(900 * time.Millisecond))
 	}
 	switch {
-	case c.percent(rates.loseCall):
+	case random.percent(rates.loseCall):
 		return lost
-	case c.percent(rates.landLate):
-		w := &lateWrite{store: r.fleet.store, key: key, value: value, expect: expect, lease: lease, after: c.duration(time.Minute)}
+	case random.percent(rates.applyLate):
+		w := &lateWrite{store: r.fleet.store, key: key, value: value, expect: expect, lease: lease, after: random.duration(time.Minute)}
 		r.fleet.work.Add(1)
 		go w.run(&r.fleet.work)
 		return lost
 	}
 	res := r.fleet.store.CompareAndSwap(context.WithoutCancel(ctx), key, value, expect, lease)
-	if c.percent(rates.loseReply) {
+	if random.percent(rates.loseReply) {
 		return lost
 	}
 	return res
--- a/coordination/execution/safety_test.go
+++ b/coordination/execution/safety_test.go
@@ -17,12 +17,12 @@
 	name  string
 	rates faultRates
 }{
-	{"lost answers", faultRates{loseCall: 5, loseReply: 15, landLate: 10, slow: 10, loseAnswer: 5}},
+	{"lost answers", faultRates{loseCall: 5, loseReply: 15, applyLate: 10, slow: 10, loseAnswer: 5}},
 	{"freezes", faultRates{freeze: 3, loseReply: 3}},
 	{"kills", faultRates{kill: 2, loseReply: 3}},
-	{"outages", faultRates{outage: 40, refuse: 10, decline: 10, landLate: 3}},
+	{"outages", faultRates{outage: 40, refuse: 10, decline: 10, applyLate: 3}},
 	{"all together", faultRates{
-		loseCall: 5, loseReply: 10, landLate: 5, slow: 10,
+		loseCall: 5, loseReply: 10, applyLate: 5, slow: 10,
 		refuse: 10, decline: 5, loseAnswer: 10, freeze: 1, kill: 1, outage: 20,
 	}},
 }
--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -35,13 +35,13 @@
 }
 
 func benchControl(b *testing.B, members, rate int) {
-	f := newSimNetwork(1)
-	f.addNodes(members, 2, 3, Config{Topics: testTopics})
-	start := f.startAll(b)
-	f.run(20 * time.Second)
-	f.size = encodedSize
-	f.cpu = 0
-	for _, n := range f.nodes {
+	sim := newSimNetwork(1)
+	sim.addNodes(members, 2, 3, Config{Topics: testTopics})
+	start := sim.startAll(b)
+	sim.run(20 * time.Second)
+	sim.size = encodedSize
+	sim.cpu = 0
+	for _, n := range sim.nodes {
 		n.bytes, n.sent = 0, 0
 	}
 	const seconds = 30
@@ -49,12 +49,12 @@
 	for i := range seconds * 10 {
 		for j := range rate / 10 {
 			k := i*rate/10 + j
-			f.nodes[k%members].machine.Broadcast(f.now, "load", fmt.Sprint("pool-", k%100), uint64(k+1), payload)
+			sim.nodes[k%members].machine.Broadcast(sim.now, "load", fmt.Sprint("pool-", k%100), uint64(k+1), payload)
 		}
-		f.run(100 * time.Millisecond)
+		sim.run(100 * time.Millisecond)
 	}
 	bytes, sent, most := 0, 0, 0
-	for _, n := range f.nodes {
+	for _, n := range sim.nodes {
 		bytes += n.bytes
 		sent += n.sent
 		most = max(most, n.bytes)
@@ -63,19 +63,19 @@
 	b.ReportMetric(float64(bytes)/perSecond, "B/s")
 	b.ReportMetric(float64(most)/seconds, "most-B/s")
 	b.ReportMetric(float64(sent)/perSecond, "msgs/s")
-	b.ReportMetric(f.cpu.Seconds()/perSecond*100, "cpu-%")
+	b.ReportMetric(sim.cpu.Seconds()/perSecond*100, "cpu-%")
 	b.ReportMetric(start.Seconds(), "start-s")
-	b.ReportMetric(worstSpread(b, f).Seconds(), "spread-s")
+	b.ReportMetric(worstSpread(b, sim).Seconds(), "spread-s")
 	b.ReportMetric(0, "ns/op")
 }
 
 // worstSpread returns the longest time that any of ten rumors takes to reach all
 // members.
-func worstSpread(b *testing.B, f *simNetwork) time.Duration {
+func worstSpread(b *testing.B, sim *simNetwork) time.Duration {
 	var worst time.Duration
 	for i := range 10 {
-		f.nodes[i%len(f.nodes)].machine.Broadcast(f.now, "load", "spread", uint64(i+1), nil)
-		worst = max(worst, f.runUntil(b, time.Minute, "rumor at all members", f.allHave("load", "spread", uint64(i+1))))
+		sim.nodes[i%len(sim.nodes)].machine.Broadcast(sim.now, "load", "spread", uint64(i+1), nil)
+		worst = max(worst, sim.runUntil(b, time.Minute, "rumor at all members", sim.allHave("load", "spread", uint64(i+1))))
 	}
 	return worst
 }
@@ -86,17 +86,17 @@
 	for _, members := range []int{30, 330} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			for range b.N {
-				f := newSimNetwork(1)
-				f.addNodes(members, 2, 3, Config{Topics: testTopics})
-				f.startAll(b)
-				f.partition(func(n *node) bool { return n.self.Region == "region-0" })
-				f.run(2 * time.Minute)
-				f.heal()
-				f.size = encodedSize
-				f.bytes = 0
-				took := f.runUntil(b, time.Minute, "agreement after the partition", f.agreed)
+				sim := newSimNetwork(1)
+				sim.addNodes(members, 2, 3, Config{Topics: testTopics})
+				sim.startAll(b)
+				sim.partition(func(n *node) bool { return n.self.Region == "region-0" })
+				sim.run(2 * time.Minute)
+				sim.heal()
+				sim.size = encodedSize
+				sim.bytes = 0
+				took := sim.runUntil(b, time.Minute, "agreement after the partition", sim.agreed)
 				b.ReportMetric(took.Seconds(), "agree-s")
-				b.ReportMetric(float64(f.bytes)/float64(members), "B/member")
+				b.ReportMetric(float64(sim.bytes)/float64(members), "B/member")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,15 +15,15 @@
 // seeds are the seeds of all randomized tests.
 var seeds = []uint64{1, 2, 3}
 
-func eachSeed(t *testing.T, run func(t *testing.T, f *simNetwork)) {
+func eachSeed(t *testing.T, run func(t *testing.T, sim *simNetwork)) {
 	t.Helper()
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			f := newSimNetwork(seed)
-			f.checker = newChecker()
-			run(t, f)
-			f.checker.check(t)
+			sim := newSimNetwork(seed)
+			sim.checker = newChecker()
+			run(t, sim)
+			sim.checker.check(t)
 		})
 	}
 }
@@ -39,18 +39,18 @@
 	for _, n := range []int{7, 30, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
 			t.Parallel()
-			f := newSimNetwork(uint64(n))
-			f.checker = newChecker()
-			f.checker.mayLose = isStopped
-			f.addNodes(n, 1+n/50, 3, Config{})
-			start := f.startAll(t)
-			last := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
-			last.cfg.Seeds = f.nodes[0].cfg.Seeds
+			sim := newSimNetwork(uint64(n))
+			sim.checker = newChecker()
+			sim.checker.mayLose = isStopped
+			sim.addNodes(n, 1+n/50, 3, Config{})
+			start := sim.startAll(t)
+			last := sim.add("router-new", "region-0", "zone-0", sim.nodes[0].cfg)
+			last.cfg.Seeds = sim.nodes[0].cfg.Seeds
 			last.start()
-			join := f.runUntil(t, 10*time.Second, "agreement after a join", f.agreed)
-			f.nodes[1].kill()
-			kill := f.runUntil(t, 16*time.Second, "agreement after a kill", f.agreed)
-			f.checker.check(t)
+			join := sim.runUntil(t, 10*time.Second, "agreement after a join", sim.agreed)
+			sim.nodes[1].kill()
+			kill := sim.runUntil(t, 16*time.Second, "agreement after a kill", sim.agreed)
+			sim.checker.check(t)
 			t.Logf("start %v, join %v, kill %v", start, join, kill)
 		})
 	}
@@ -59,19 +59,19 @@
 // A process is paused for a few seconds, by the hypervisor or a debugger. Declaring
 // it dead would move its grants and callers unnecessarily.
 func TestShortPause(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.checker.mayLose = isStopped
-		f.addNodes(30, 1, 3, Config{})
-		f.startAll(t)
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.checker.mayLose = isStopped
+		sim.addNodes(30, 1, 3, Config{})
+		sim.startAll(t)
 		for i := range 5 {
-			n := f.nodes[(7*i+3)%30]
+			n := sim.nodes[(7*i+3)%30]
 			n.pause()
-			f.run(8 * time.Second)
+			sim.run(8 * time.Second)
 			n.resume()
-			f.run(5 * time.Second)
+			sim.run(5 * time.Second)
 		}
-		assert.Equal(t, f.deaths(), uint64(0))
-		assert.Assert(t, f.agreed())
+		assert.Equal(t, sim.deaths(), uint64(0))
+		assert.Assert(t, sim.agreed())
 	})
 }
 
@@ -79,22 +79,22 @@
 // Members that flapped for that reason would keep moving placements.
 func TestPoorLinks(t *testing.T) {
 	poor := map[string]func(*simNetwork){
-		"loss": func(f *simNetwork) { f.loss = 0.2 },
-		"delay": func(f *simNetwork) {
-			f.delay = func(_, _ *node) time.Duration { return time.Duration(f.rand.Int64N(int64(1500 * time.Millisecond))) }
+		"loss": func(sim *simNetwork) { sim.loss = 0.2 },
+		"delay": func(sim *simNetwork) {
+			sim.delay = func(_, _ *node) time.Duration { return time.Duration(sim.rand.Int64N(int64(1500 * time.Millisecond))) }
 		},
 	}
 	for name, spoil := range poor {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, f *simNetwork) {
-				f.checker.mayLose = isStopped
-				f.addNodes(30, 1, 3, Config{})
-				f.startAll(t)
-				spoil(f)
-				f.run(3 * time.Minute)
-				assert.Equal(t, f.deaths(), uint64(0))
+			eachSeed(t, func(t *testing.T, sim *simNetwork) {
+				sim.checker.mayLose = isStopped
+				sim.addNodes(30, 1, 3, Config{})
+				sim.startAll(t)
+				spoil(sim)
+				sim.run(3 * time.Minute)
+				assert.Equal(t, sim.deaths(), uint64(0))
 				var suspicions uint64
-				for _, n := range f.nodes {
+				for _, n := range sim.nodes {
 					suspicions += n.machine.Stats().Suspicions
 				}
 				t.Logf("%d suspicions in 3 min", suspicions)
@@ -112,16 +112,16 @@
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, f *simNetwork) {
-				f.checker.mayLose = isStopped
-				f.addNodes(30, 1, 3, Config{})
-				f.startAll(t)
-				a := f.nodes[4]
-				b := f.byID[slices.Sorted(maps.Keys(a.machine.meshNeighbors))[0]]
-				f.cut = func(from, to *node) bool { return cut(a, b, from, to) }
-				f.after(10*time.Second, func() { f.unlink(a, b) })
-				f.run(2 * time.Minute)
-				assert.Equal(t, f.deaths(), uint64(0))
+			eachSeed(t, func(t *testing.T, sim *simNetwork) {
+				sim.checker.mayLose = isStopped
+				sim.addNodes(30, 1, 3, Config{})
+				sim.startAll(t)
+				a := sim.nodes[4]
+				b := sim.byID[slices.Sorted(maps.Keys(a.machine.meshNeighbors))[0]]
+				sim.cut = func(from, to *node) bool { return cut(a, b, from, to) }
+				sim.after(10*time.Second, func() { sim.unlink(a, b) })
+				sim.run(2 * time.Minute)
+				assert.Equal(t, sim.deaths(), uint64(0))
 			})
 		})
 	}
@@ -131,16 +131,16 @@
 // lower than the one its peers know. If they ignored it, it would get no work until
 // the clock has caught up.
 func TestClockSetBack(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(10, 1, 2, Config{})
-		f.startAll(t)
-		n := f.nodes[6]
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(10, 1, 2, Config{})
+		sim.startAll(t)
+		n := sim.nodes[6]
 		old := n.self.Incarnation
 		n.kill()
-		f.run(time.Duration(f.rand.Int64N(int64(20 * time.Second))))
-		f.checker.forgetObserver(n)
+		sim.run(time.Duration(sim.rand.Int64N(int64(20 * time.Second))))
+		sim.checker.forgetObserver(n)
 		n.startAs(old - 1_000_000)
-		f.runUntil(t, 20*time.Second, "agreement after the restart", f.agreed)
+		sim.runUntil(t, 20*time.Second, "agreement after the restart", sim.agreed)
 		assert.Assert(t, n.machine.Self().Incarnation > old)
 	})
 }
@@ -149,21 +149,21 @@
 // members. Until a router contacts both groups, they place work without regard to
 // each other.
 func TestSplitListsHeal(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.checker.mayLose = isStopped
-		f.addNodes(30, 1, 3, Config{})
-		for i, n := range f.nodes {
-			n.cfg.Seeds = []string{f.nodes[i%2].self.Address}
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.checker.mayLose = isStopped
+		sim.addNodes(30, 1, 3, Config{})
+		for i, n := range sim.nodes {
+			n.cfg.Seeds = []string{sim.nodes[i%2].self.Address}
 		}
-		for _, n := range f.nodes {
+		for _, n := range sim.nodes {
 			n.start()
 		}
-		f.run(20 * time.Second)
-		assert.Assert(t, !f.agreed())
-		bridge := f.add("router-bridge", "region-0", "zone-0", Config{})
-		bridge.cfg.Seeds = []string{f.nodes[0].self.Address, f.nodes[1].self.Address}
+		sim.run(20 * time.Second)
+		assert.Assert(t, !sim.agreed())
+		bridge := sim.add("router-bridge", "region-0", "zone-0", Config{})
+		bridge.cfg.Seeds = []string{sim.nodes[0].self.Address, sim.nodes[1].self.Address}
 		bridge.start()
-		took := f.runUntil(t, 10*time.Second, "agreement after the bridge started", f.agreed)
+		took := sim.runUntil(t, 10*time.Second, "agreement after the bridge started", sim.agreed)
 		t.Logf("agreed after %v", took)
 	})
 }
@@ -172,19 +172,19 @@
 // routers. When the partition ends, the lists must merge without any router losing
 // a member of its own region.
 func TestRegionPartition(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(60, 2, 3, Config{})
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(60, 2, 3, Config{})
 		near := func(n *node) bool { return n.self.Region == "region-0" }
-		f.checker.mayLose = func(observer, member *node) bool { return near(observer) != near(member) }
-		f.startAll(t)
-		f.partition(near)
-		f.run(5 * time.Minute)
-		assert.Assert(t, f.agreedAmong(near))
-		assert.Assert(t, f.agreedAmong(func(n *node) bool { return !near(n) }))
-		f.heal()
-		f.bytes = 0
-		took := f.runUntil(t, time.Minute, "agreement after the partition", f.agreed)
-		t.Logf("agreed after %v, %d bytes/s per member", took, int(float64(f.bytes)/took.Seconds()/60))
+		sim.checker.mayLose = func(observer, member *node) bool { return near(observer) != near(member) }
+		sim.startAll(t)
+		sim.partition(near)
+		sim.run(5 * time.Minute)
+		assert.Assert(t, sim.agreedAmong(near))
+		assert.Assert(t, sim.agreedAmong(func(n *node) bool { return !near(n) }))
+		sim.heal()
+		sim.bytes = 0
+		took := sim.runUntil(t, time.Minute, "agreement after the partition", sim.agreed)
+		t.Logf("agreed after %v, %d bytes/s per member", took, int(float64(sim.bytes)/took.Seconds()/60))
 	})
 }
 
@@ -192,20 +192,20 @@
 // declared it dead and must accept it again in a new incarnation. It must not
 // declare them dead because it heard nothing from them.
 func TestLongPause(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(30, 1, 3, Config{})
-		f.startAll(t)
-		frozen := f.nodes[11]
-		f.checker.mayLose = func(_, member *node) bool { return member == frozen }
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(30, 1, 3, Config{})
+		sim.startAll(t)
+		frozen := sim.nodes[11]
+		sim.checker.mayLose = func(_, member *node) bool { return member == frozen }
 		before := frozen.machine.Self().Incarnation
 		frozen.pause()
-		f.runUntil(t, 20*time.Second, "death", func() bool {
-			m, _ := f.nodes[0].machine.Lookup(frozen.self.Instance)
+		sim.runUntil(t, 20*time.Second, "death", func() bool {
+			m, _ := sim.nodes[0].machine.Lookup(frozen.self.Instance)
 			return m.State == Dead
 		})
-		f.run(2 * time.Minute)
+		sim.run(2 * time.Minute)
 		frozen.resume()
-		took := f.runUntil(t, 30*time.Second, "agreement after the pause", f.agreed)
+		took := sim.runUntil(t, 30*time.Second, "agreement after the pause", sim.agreed)
 		assert.Assert(t, frozen.machine.Self().Incarnation > before)
 		t.Logf("back after %v", took)
 	})
@@ -215,22 +215,22 @@
 // records of a router arrive out of order. An old record must never revive an
 // incarnation that has ended.
 func TestChurnWithLoss(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(40, 2, 2, Config{})
-		f.startAll(t)
-		f.loss = 0.1
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(40, 2, 2, Config{})
+		sim.startAll(t)
+		sim.loss = 0.1
 		for range 30 {
-			n := f.nodes[3+f.rand.IntN(37)]
+			n := sim.nodes[3+sim.rand.IntN(37)]
 			if n.running {
 				n.kill()
 			} else {
-				f.checker.forgetObserver(n)
+				sim.checker.forgetObserver(n)
 				n.start()
 			}
-			f.run(time.Duration(f.rand.Int64N(int64(8 * time.Second))))
+			sim.run(time.Duration(sim.rand.Int64N(int64(8 * time.Second))))
 		}
-		f.loss = 0
-		f.runUntil(t, time.Minute, "agreement after the churn", f.agreed)
+		sim.loss = 0
+		sim.runUntil(t, time.Minute, "agreement after the churn", sim.agreed)
 	})
 }
 
@@ -238,13 +238,13 @@
 // others must learn of it at once, and must consider it neither dead nor alive
 // again.
 func TestLeave(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(30, 1, 3, Config{})
-		f.startAll(t)
-		leaver := f.nodes[5]
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(30, 1, 3, Config{})
+		sim.startAll(t)
+		leaver := sim.nodes[5]
 		state := func(want State) func() bool {
 			return func() bool {
-				for _, n := range f.nodes {
+				for _, n := range sim.nodes {
 					m, _ := n.machine.Lookup(leaver.self.Instance)
 					if m.State != want || m.Ready {
 						return false
@@ -253,18 +253,18 @@
 				return true
 			}
 		}
-		leaver.machine.SetReady(f.now, true)
-		f.run(3 * time.Second)
-		leaver.machine.Leave(f.now)
-		f.runUntil(t, 2*time.Second, "leaving state at all members", state(Leaving))
-		f.run(30 * time.Second)
+		leaver.machine.SetReady(sim.now, true)
+		sim.run(3 * time.Second)
+		leaver.machine.Leave(sim.now)
+		sim.runUntil(t, 2*time.Second, "leaving state at all members", state(Leaving))
+		sim.run(30 * time.Second)
 		assert.Assert(t, state(Leaving)())
-		leaver.machine.CompleteLeave(f.now)
-		f.runUntil(t, 2*time.Second, "left state at all members", state(Left))
+		leaver.machine.CompleteLeave(sim.now)
+		sim.runUntil(t, 2*time.Second, "left state at all members", state(Left))
 		leaver.kill()
-		f.run(30 * time.Second)
+		sim.run(30 * time.Second)
 		assert.Assert(t, state(Left)())
-		assert.Equal(t, f.deaths(), uint64(0))
+		assert.Equal(t, sim.deaths(), uint64(0))
 	})
 }
 
@@ -360,9 +360,9 @@
 // callers wait.
 func TestLargeFleetConvergesQuickly(t *testing.T) {
 	const aim = 3 * time.Second
-	f := newSimNetwork(1)
-	f.addNodes(295, 1, 5, Config{Topics: testTopics})
-	took := f.startAll(t)
+	sim := newSimNetwork(1)
+	sim.addNodes(295, 1, 5, Config{Topics: testTopics})
+	took := sim.startAll(t)
 	t.Logf("agreed %v after the last start", took)
 	assert.Assert(t, took <= aim, "%v", took)
 }
@@ -378,16 +378,16 @@
 	for _, members := range []int{7, 64, 330, 1000} {
 		t.Run(fmt.Sprint(members), func(t *testing.T) {
 			t.Parallel()
-			f := newSimNetwork(1)
-			f.addNodes(members, 1, 5, Config{Topics: testTopics})
-			f.startWithFullTables()
-			f.run(10 * time.Second)
-			f.size = encodedSize
-			for _, n := range f.nodes {
+			sim := newSimNetwork(1)
+			sim.addNodes(members, 1, 5, Config{Topics: testTopics})
+			sim.startWithFullTables()
+			sim.run(10 * time.Second)
+			sim.size = encodedSize
+			for _, n := range sim.nodes {
 				n.bytes, n.sent = 0, 0
 			}
-			f.run(seconds * time.Second)
-			for _, n := range f.nodes {
+			sim.run(seconds * time.Second)
+			for _, n := range sim.nodes {
 				assert.Check(t, n.sent <= mostMessages*seconds, "%s sends %d messages in %d s", n.self.Instance, n.sent, seconds)
 				assert.Check(t, n.bytes <= mostBytes*seconds, "%s sends %d bytes in %d s", n.self.Instance, n.bytes, seconds)
 			}
--- a/coordination/membership/rumor_test.go
+++ b/coordination/membership/rumor_test.go
@@ -15,9 +15,9 @@
 
 // allHave returns a function that reports whether all running nodes have exactly
 // this version.
-func (f *simNetwork) allHave(topic, key string, version uint64) func() bool {
+func (sim *simNetwork) allHave(topic, key string, version uint64) func() bool {
 	return func() bool {
-		for _, n := range f.nodes {
+		for _, n := range sim.nodes {
 			if !n.running {
 				continue
 			}
@@ -33,22 +33,22 @@
 // Links drop one message in five while settings and loads are gossiped. A router
 // that missed a settings revision would keep using an old one indefinitely.
 func TestRumorsUnderLoss(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(60, 2, 3, Config{Topics: testTopics})
-		f.startAll(t)
-		f.loss = 0.2
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(60, 2, 3, Config{Topics: testTopics})
+		sim.startAll(t)
+		sim.loss = 0.2
 		for version := range uint64(20) {
 			for key := range 5 {
-				n := f.nodes[f.rand.IntN(60)]
-				n.machine.Broadcast(f.now, "settings", fmt.Sprint("team-", key), version+1, []byte("revision"))
-				n.machine.Broadcast(f.now, "load", fmt.Sprint("pool-", key), version+1, []byte("12"))
+				n := sim.nodes[sim.rand.IntN(60)]
+				n.machine.Broadcast(sim.now, "settings", fmt.Sprint("team-", key), version+1, []byte("revision"))
+				n.machine.Broadcast(sim.now, "load", fmt.Sprint("pool-", key), version+1, []byte("12"))
 			}
-			f.run(500 * time.Millisecond)
+			sim.run(500 * time.Millisecond)
 		}
 		for key := range 5 {
-			took := f.runUntil(t, 20*time.Second, "persistent rumor at all members", f.allHave("settings", fmt.Sprint("team-", key), 20))
+			took := sim.runUntil(t, 20*time.Second, "persistent rumor at all members", sim.allHave("settings", fmt.Sprint("team-", key), 20))
 			t.Logf("persistent rumor at all members %v after the last broadcasts", took)
-			f.runUntil(t, 15*time.Second, "ephemeral rumor at all members", f.allHave("load", fmt.Sprint("pool-", key), 20))
+			sim.runUntil(t, 15*time.Second, "ephemeral rumor at all members", sim.allHave("load", fmt.Sprint("pool-", key), 20))
 		}
 	})
 }
@@ -59,12 +59,12 @@
 	for _, n := range []int{7, 100} {
 		t.Run(fmt.Sprint(n, " members"), func(t *testing.T) {
 			t.Parallel()
-			f := newSimNetwork(uint64(n))
-			f.addNodes(n, 2, 3, Config{Topics: testTopics})
-			f.startAll(t)
+			sim := newSimNetwork(uint64(n))
+			sim.addNodes(n, 2, 3, Config{Topics: testTopics})
+			sim.startAll(t)
 			for i := range uint64(10) {
-				f.nodes[i%7].machine.Broadcast(f.now, "settings", "team", i+1, []byte("revision"))
-				took := f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", i+1))
+				sim.nodes[i%7].machine.Broadcast(sim.now, "settings", "team", i+1, []byte("revision"))
+				took := sim.runUntil(t, 5*time.Second, "persistent rumor at all members", sim.allHave("settings", "team", i+1))
 				t.Logf("at all members after %v", took)
 			}
 		})
@@ -74,30 +74,30 @@
 // A router starts, or a partition ends, after settings were gossiped. Rumors from
 // the meantime must reach it although nobody broadcasts them again.
 func TestRumorsCatchUp(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(30, 2, 2, Config{Topics: testTopics})
-		f.startAll(t)
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(30, 2, 2, Config{Topics: testTopics})
+		sim.startAll(t)
 		far := func(n *node) bool { return n.self.Region == "region-1" }
-		f.partition(far)
-		f.run(time.Minute)
+		sim.partition(far)
+		sim.run(time.Minute)
 		for i := range 100 {
-			f.nodes[0].machine.Broadcast(f.now, "settings", fmt.Sprint("team-", i), 3, []byte("near"))
-			f.nodes[1].machine.Broadcast(f.now, "settings", fmt.Sprint("team-", i), 2, []byte("far"))
+			sim.nodes[0].machine.Broadcast(sim.now, "settings", fmt.Sprint("team-", i), 3, []byte("near"))
+			sim.nodes[1].machine.Broadcast(sim.now, "settings", fmt.Sprint("team-", i), 2, []byte("far"))
 		}
-		f.run(5 * time.Second)
-		f.heal()
-		f.runUntil(t, 40*time.Second, "agreement", f.agreed)
-		f.runUntil(t, 20*time.Second, "persistent rumors in both regions", func() bool {
+		sim.run(5 * time.Second)
+		sim.heal()
+		sim.runUntil(t, 40*time.Second, "agreement", sim.agreed)
+		sim.runUntil(t, 20*time.Second, "persistent rumors in both regions", func() bool {
 			for i := range 100 {
-				if !f.allHave("settings", fmt.Sprint("team-", i), 3)() {
+				if !sim.allHave("settings", fmt.Sprint("team-", i), 3)() {
 					return false
 				}
 			}
 			return true
 		})
-		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
+		joiner := sim.add("router-new", "region-0", "zone-0", sim.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, 10*time.Second, "persistent rumors at the new member", func() bool {
+		took := sim.runUntil(t, 10*time.Second, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == 100
 		})
 		t.Logf("new member has all rumors after %v", took)
@@ -108,31 +108,31 @@
 // dropped then, but settings and membership must get through; otherwise a busy topic
 // would make a router miss a settings revision.
 func TestSheddingKeepsSettings(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.checker.mayLose = isStopped
-		f.addNodes(20, 1, 2, Config{Topics: testTopics})
-		f.startAll(t)
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.checker.mayLose = isStopped
+		sim.addNodes(20, 1, 2, Config{Topics: testTopics})
+		sim.startAll(t)
 		payload := make([]byte, MaxPayload)
-		for _, n := range f.nodes {
+		for _, n := range sim.nodes {
 			n.bytes = 0
 		}
 		for round := range uint64(60) {
 			for key := range 60 {
-				f.nodes[0].machine.Broadcast(f.now, "load", fmt.Sprint("noise-", key), round+1, payload)
+				sim.nodes[0].machine.Broadcast(sim.now, "load", fmt.Sprint("noise-", key), round+1, payload)
 			}
-			f.nodes[1].machine.Broadcast(f.now, "settings", "team", round+1, []byte("revision"))
-			f.run(time.Second)
+			sim.nodes[1].machine.Broadcast(sim.now, "settings", "team", round+1, []byte("revision"))
+			sim.run(time.Second)
 		}
-		f.runUntil(t, 5*time.Second, "persistent rumor at all members", f.allHave("settings", "team", 60))
+		sim.runUntil(t, 5*time.Second, "persistent rumor at all members", sim.allHave("settings", "team", 60))
 		var shed uint64
-		for _, n := range f.nodes {
+		for _, n := range sim.nodes {
 			shed += n.machine.Stats().RumorsShed
 			rate := n.bytes / 60
 			// One message may exceed the budget before the next rumor is dropped.
 			assert.Assert(t, rate < 12000+4000, "%s sent %d bytes/s", n.self.Instance, rate)
 		}
 		assert.Assert(t, shed > 0)
-		assert.Equal(t, f.deaths(), uint64(0))
+		assert.Equal(t, sim.deaths(), uint64(0))
 	})
 }
 
@@ -173,30 +173,30 @@
 // the new router forwarded them in turn, a rolling update would spend the byte budget
 // of the whole fleet on known rumors.
 func TestCatchUpIsPaced(t *testing.T) {
-	eachSeed(t, func(t *testing.T, f *simNetwork) {
-		f.addNodes(20, 1, 2, Config{Topics: testTopics})
-		f.startAll(t)
+	eachSeed(t, func(t *testing.T, sim *simNetwork) {
+		sim.addNodes(20, 1, 2, Config{Topics: testTopics})
+		sim.startAll(t)
 		const count, size = 300, 500
 		for i := range count {
-			f.nodes[i%20].machine.Broadcast(f.now, "settings", fmt.Sprint("team-", i), 1, make([]byte, size))
-			f.run(50 * time.Millisecond)
+			sim.nodes[i%20].machine.Broadcast(sim.now, "settings", fmt.Sprint("team-", i), 1, make([]byte, size))
+			sim.run(50 * time.Millisecond)
 		}
-		f.run(10 * time.Second)
-		f.bytes = 0
-		f.run(10 * time.Second)
-		steady := float64(f.bytes) / 10
-		f.bytes = 0
-		joiner := f.add("router-new", "region-0", "zone-0", f.nodes[0].cfg)
+		sim.run(10 * time.Second)
+		sim.bytes = 0
+		sim.run(10 * time.Second)
+		steady := float64(sim.bytes) / 10
+		sim.bytes = 0
+		joiner := sim.add("router-new", "region-0", "zone-0", sim.nodes[0].cfg)
 		joiner.start()
-		took := f.runUntil(t, time.Minute, "persistent rumors at the new member", func() bool {
+		took := sim.runUntil(t, time.Minute, "persistent rumors at the new member", func() bool {
 			return len(joiner.machine.Rumors("settings")) == count
 		})
-		f.run(5 * time.Second)
+		sim.run(5 * time.Second)
 		content := 0
 		for _, r := range joiner.machine.Rumors("settings") {
 			content += r.Size()
 		}
-		added := f.bytes - int(steady*(took+5*time.Second).Seconds())
+		added := sim.bytes - int(steady*(took+5*time.Second).Seconds())
 		t.Logf("caught up after %v, with %d bytes of additional gossip for %d bytes of rumors", took, added, content)
 		assert.Assert(t, added < 3*content/2)
 	})
--- a/coordination/membership/fabric_test.go
+++ b/coordination/membership/simnetwork_test.go
@@ -37,7 +37,7 @@
 
 // node is a router in a simNetwork.
 type node struct {
-	f       *simNetwork
+	sim     *simNetwork
 	machine *Machine
 	cfg     Config
 	self    Member
@@ -92,40 +92,40 @@
 	}
 }
 
-func (f *simNetwork) after(d time.Duration, do func()) {
-	f.serial++
-	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, do: do})
+func (sim *simNetwork) after(d time.Duration, do func()) {
+	sim.serial++
+	heap.Push(&sim.queue, event{at: sim.now.Add(d), serial: sim.serial, do: do})
 }
 
 // run advances the simulated time by d.
-func (f *simNetwork) run(d time.Duration) {
-	end := f.now.Add(d)
-	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
-		e := heap.Pop(&f.queue).(event)
-		f.now = e.at
+func (sim *simNetwork) run(d time.Duration) {
+	end := sim.now.Add(d)
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.do()
 	}
-	f.now = end
+	sim.now = end
 }
 
 // runUntil advances the simulated time until ok returns true, and returns the time
 // that passed. It fails the test if that exceeds most.
-func (f *simNetwork) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
+func (sim *simNetwork) runUntil(t testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
-	start := f.now
+	start := sim.now
 	for !ok() {
-		if f.now.Sub(start) > most {
+		if sim.now.Sub(start) > most {
 			t.Fatalf("no %s within %v", what, most)
 		}
-		f.run(50 * time.Millisecond)
+		sim.run(50 * time.Millisecond)
 	}
-	return f.now.Sub(start)
+	return sim.now.Sub(start)
 }
 
 // add adds a node without starting it.
-func (f *simNetwork) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
-	cfg.Seed = f.rand.Uint64()
-	n := &node{f: f, cfg: cfg, self: Member{
+func (sim *simNetwork) add(id string, region Region, zone coordination.Zone, cfg Config) *node {
+	cfg.Seed = sim.rand.Uint64()
+	n := &node{sim: sim, cfg: cfg, self: Member{
 		Instance: coordination.Instance(id),
 		Address:  "10.0.0.1:" + id,
 		Region:   region,
@@ -134,21 +134,21 @@
 		Protocol: 1,
 		Owner:    true,
 	}}
-	f.nodes = append(f.nodes, n)
-	f.byID[n.self.Instance] = n
-	f.byAddr[n.self.Address] = n
+	sim.nodes = append(sim.nodes, n)
+	sim.byID[n.self.Instance] = n
+	sim.byAddr[n.self.Address] = n
 	return n
 }
 
 // addNodes adds count nodes, spread evenly over the zones of all regions. The first
 // three are the seeds.
-func (f *simNetwork) addNodes(count, regions, zones int, cfg Config) {
+func (sim *simNetwork) addNodes(count, regions, zones int, cfg Config) {
 	for i := range min(3, count) {
 		cfg.Seeds = append(cfg.Seeds, "10.0.0.1:"+name(i))
 	}
 	for i := range count {
 		z := i % (regions * zones)
-		f.add(name(i), Region(fmt.Sprint("region-", z%regions)), coordination.Zone(fmt.Sprint("zone-", z)), cfg)
+		sim.add(name(i), Region(fmt.Sprint("region-", z%regions)), coordination.Zone(fmt.Sprint("zone-", z)), cfg)
 	}
 }
 
@@ -158,26 +158,26 @@
 
 // start starts n with a new incarnation.
 func (n *node) start() {
-	n.startAs(coordination.Incarnation(n.f.now.UnixMilli()))
+	n.startAs(coordination.Incarnation(n.sim.now.UnixMilli()))
 }
 
 func (n *node) startAs(incarnation coordination.Incarnation) {
 	n.self.Incarnation = incarnation
-	n.machine = New(n.cfg, n.self, n.f.now)
+	n.machine = New(n.cfg, n.self, n.sim.now)
 	n.links = make(map[coordination.Instance]bool)
 	n.running, n.paused, n.held = true, false, nil
-	n.loop(n.machine, time.Duration(n.f.rand.Int64N(int64(100*time.Millisecond))))
+	n.loop(n.machine, time.Duration(n.sim.rand.Int64N(int64(100*time.Millisecond))))
 }
 
 func (n *node) loop(machine *Machine, wait time.Duration) {
-	n.f.after(wait, func() {
+	n.sim.after(wait, func() {
 		if !n.running || n.machine != machine {
 			return
 		}
 		if !n.paused {
 			began := time.Now()
-			out := machine.Tick(n.f.now)
-			n.f.cpu += time.Since(began)
+			out := machine.Tick(n.sim.now)
+			n.sim.cpu += time.Since(began)
 			n.do(out)
 		}
 		n.loop(machine, 100*time.Millisecond)
@@ -195,7 +195,7 @@
 	n.paused = true
 	n.pauses++
 	this := n.pauses
-	n.f.after(10*time.Second, func() {
+	n.sim.after(10*time.Second, func() {
 		if n.paused && n.pauses == this {
 			n.unlinkAll()
 		}
@@ -204,13 +204,13 @@
 
 func (n *node) unlinkAll() {
 	for _, id := range slices.Sorted(maps.Keys(n.links)) {
-		n.f.unlink(n, n.f.byID[id])
+		n.sim.unlink(n, n.sim.byID[id])
 	}
 }
 
 func (n *node) resume() {
 	n.paused = false
-	n.do(n.machine.Tick(n.f.now))
+	n.do(n.machine.Tick(n.sim.now))
 	held := n.held
 	n.held = nil
 	for _, do := range held {
@@ -231,7 +231,7 @@
 
 // do carries out the actions that n's machine requested.
 func (n *node) do(out Output) {
-	n.f.checker.observe(n)
+	n.sim.checker.observe(n)
 	for _, s := range out.Sends {
 		n.send(s)
 	}
@@ -241,104 +241,104 @@
 }
 
 func (n *node) send(s Send) {
-	f := n.f
-	to := f.byID[s.To]
-	size := f.size(&s.Message)
+	sim := n.sim
+	to := sim.byID[s.To]
+	size := sim.size(&s.Message)
 	n.bytes += size
 	n.sent++
-	f.bytes += size
-	if to == nil || !to.running || f.cut(n, to) || f.rand.Float64() < f.loss {
+	sim.bytes += size
+	if to == nil || !to.running || sim.cut(n, to) || sim.rand.Float64() < sim.loss {
 		return
 	}
-	wait := f.delay(n, to)
+	wait := sim.delay(n, to)
 	if !n.links[s.To] {
 		// Only probes open a connection.
-		if s.Message.Probe == nil || f.cut(to, n) {
+		if s.Message.Probe == nil || sim.cut(to, n) {
 			return
 		}
-		wait += 2 * f.delay(to, n)
+		wait += 2 * sim.delay(to, n)
 	}
 	machine, msg := to.machine, s.Message
-	f.after(wait, func() {
+	sim.after(wait, func() {
 		to.deliver(machine, func() {
-			if f.tamper != nil {
-				f.tamper(to, n.self.Instance, &msg)
+			if sim.tamper != nil {
+				sim.tamper(to, n.self.Instance, &msg)
 			}
 			began := time.Now()
-			out := machine.Receive(f.now, n.self.Instance, msg)
-			f.cpu += time.Since(began)
+			out := machine.Receive(sim.now, n.self.Instance, msg)
+			sim.cpu += time.Since(began)
 			to.do(out)
 		})
 	})
 }
 
 func (n *node) dial(d Dial) {
-	f := n.f
-	to := f.byAddr[d.Address]
+	sim := n.sim
+	to := sim.byAddr[d.Address]
 	machine := n.machine
-	if to == nil || !to.running || to.paused || f.cut(n, to) || f.cut(to, n) {
-		f.after(time.Second, func() {
-			n.deliver(machine, func() { n.machine.DialFailed(f.now, d.Address) })
+	if to == nil || !to.running || to.paused || sim.cut(n, to) || sim.cut(to, n) {
+		sim.after(time.Second, func() {
+			n.deliver(machine, func() { n.machine.DialFailed(sim.now, d.Address) })
 		})
 		return
 	}
-	f.after(2*f.delay(n, to), func() {
+	sim.after(2*sim.delay(n, to), func() {
 		if n.running && n.machine == machine && to.running && !n.links[to.self.Instance] {
-			f.link(n, to)
+			sim.link(n, to)
 		}
 	})
 }
 
-func (f *simNetwork) link(a, b *node) {
+func (sim *simNetwork) link(a, b *node) {
 	a.links[b.self.Instance] = true
 	b.links[a.self.Instance] = true
-	a.deliver(a.machine, func() { a.machine.LinkUp(f.now, b.machine.Self(), true, true) })
-	b.deliver(b.machine, func() { b.machine.LinkUp(f.now, a.machine.Self(), true, false) })
+	a.deliver(a.machine, func() { a.machine.LinkUp(sim.now, b.machine.Self(), true, true) })
+	b.deliver(b.machine, func() { b.machine.LinkUp(sim.now, a.machine.Self(), true, false) })
 }
 
-func (f *simNetwork) unlink(a, b *node) {
+func (sim *simNetwork) unlink(a, b *node) {
 	for _, pair := range [][2]*node{{a, b}, {b, a}} {
 		n, id := pair[0], pair[1].self.Instance
 		if !n.links[id] {
 			continue
 		}
 		delete(n.links, id)
-		n.deliver(n.machine, func() { n.machine.LinkDown(f.now, id) })
+		n.deliver(n.machine, func() { n.machine.LinkDown(sim.now, id) })
 	}
 }
 
 // partition cuts all paths between the two sides. Their connections break after ten
 // seconds.
-func (f *simNetwork) partition(side func(*node) bool) {
-	f.cut = func(a, b *node) bool { return side(a) != side(b) }
-	f.after(10*time.Second, func() {
-		for _, a := range f.nodes {
+func (sim *simNetwork) partition(side func(*node) bool) {
+	sim.cut = func(a, b *node) bool { return side(a) != side(b) }
+	sim.after(10*time.Second, func() {
+		for _, a := range sim.nodes {
 			for _, id := range slices.Sorted(maps.Keys(a.links)) {
-				if b := f.byID[id]; f.cut(a, b) {
-					f.unlink(a, b)
+				if b := sim.byID[id]; sim.cut(a, b) {
+					sim.unlink(a, b)
 				}
 			}
 		}
 	})
 }
 
-func (f *simNetwork) heal() {
-	f.cut = func(_, _ *node) bool { return false }
+func (sim *simNetwork) heal() {
+	sim.cut = func(_, _ *node) bool { return false }
 }
 
 // agreed reports whether each running node lists exactly the running nodes.
-func (f *simNetwork) agreed() bool {
-	return f.agreedAmong(func(*node) bool { return true })
+func (sim *simNetwork) agreed() bool {
+	return sim.agreedAmong(func(*node) bool { return true })
 }
 
-func (f *simNetwork) agreedAmong(in func(*node) bool) bool {
+func (sim *simNetwork) agreedAmong(in func(*node) bool) bool {
 	running := 0
-	for _, n := range f.nodes {
+	for _, n := range sim.nodes {
 		if n.running && in(n) {
 			running++
 		}
 	}
-	for _, n := range f.nodes {
+	for _, n := range sim.nodes {
 		if !n.running || !in(n) {
 			continue
 		}
@@ -347,7 +347,7 @@
 			return false
 		}
 		for _, m := range members {
-			other := f.byID[m.Instance]
+			other := sim.byID[m.Instance]
 			if !other.running || !in(other) || m.State == Suspect || m.Incarnation != other.machine.Self().Incarnation {
 				return false
 			}
@@ -358,31 +358,31 @@
 
 // startAll starts all nodes within two seconds, waits until they agree, and returns
 // the time from the end of the two seconds to agreement.
-func (f *simNetwork) startAll(t testing.TB) time.Duration {
+func (sim *simNetwork) startAll(t testing.TB) time.Duration {
 	t.Helper()
-	for _, n := range f.nodes {
-		f.after(time.Duration(f.rand.Int64N(int64(2*time.Second))), n.start)
+	for _, n := range sim.nodes {
+		sim.after(time.Duration(sim.rand.Int64N(int64(2*time.Second))), n.start)
 	}
-	f.run(2 * time.Second)
-	return f.runUntil(t, time.Minute, "agreement after the start", f.agreed)
+	sim.run(2 * time.Second)
+	return sim.runUntil(t, time.Minute, "agreement after the start", sim.agreed)
 }
 
 // startWithFullTables starts all nodes without seeds, with each listing all others.
-func (f *simNetwork) startWithFullTables() {
-	for _, n := range f.nodes {
+func (sim *simNetwork) startWithFullTables() {
+	for _, n := range sim.nodes {
 		n.cfg.Seeds = nil
 		n.start()
 	}
-	for _, n := range f.nodes {
-		for _, other := range f.nodes {
+	for _, n := range sim.nodes {
+		for _, other := range sim.nodes {
 			n.machine.apply("", other.self)
 		}
 	}
 }
 
-func (f *simNetwork) deaths() uint64 {
+func (sim *simNetwork) deaths() uint64 {
 	var sum uint64
-	for _, n := range f.nodes {
+	for _, n := range sim.nodes {
 		if n.machine != nil {
 			sum += n.machine.Stats().Deaths
 		}
@@ -424,7 +424,7 @@
 
 // observeList checks that the cached member list of a node matches its table.
 func (c *checker) observeList(n *node) {
-	if len(n.f.nodes) > 60 {
+	if len(n.sim.nodes) > 60 {
 		return // small fleets cover all kinds of changes
 	}
 	if !n.machine.memberListMatchesTable() {
@@ -478,8 +478,8 @@
 		return
 	}
 	delete(c.seen, pair)
-	if !c.mayLose(n, n.f.byID[id]) {
-		c.violate("%s lost member %s after %v", n.self.Instance, id, n.f.now.Sub(n.f.begin))
+	if !c.mayLose(n, n.sim.byID[id]) {
+		c.violate("%s lost member %s after %v", n.self.Instance, id, n.sim.now.Sub(n.sim.begin))
 	}
 }
 
--- a/coordination/mirror/fleet_test.go
+++ b/coordination/mirror/fleet_test.go
@@ -40,12 +40,12 @@
 
 // takeCallCounts returns the largest number of calls from one router and to one
 // router, and resets the counts.
-func (f *fleet) takeCallCounts() (asks, asked int) {
+func (f *fleet) takeCallCounts() (mostFrom, mostTo int) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
-	asks, asked = lo.Max(lo.Values(f.callsFrom)), lo.Max(lo.Values(f.callsTo))
+	mostFrom, mostTo = lo.Max(lo.Values(f.callsFrom)), lo.Max(lo.Values(f.callsTo))
 	f.callsFrom, f.callsTo = make(map[coordination.Instance]int), make(map[coordination.Instance]int)
-	return asks, asked
+	return mostFrom, mostTo
 }
 
 // countCall counts a call. Calls before the first takeCallCounts are not
--- a/coordination/mirror/idle_test.go
+++ b/coordination/mirror/idle_test.go
@@ -18,8 +18,8 @@
 		seconds = 12
 		// A router asks once a second in a small fleet and less often in a
 		// large one. A watcher is asked by the routers for which it watches.
-		maxAsks  = 2  // calls a second from any router
-		maxAsked = 60 // calls a second to a watcher
+		maxCallsFrom = 2  // calls a second from any router
+		maxCallsTo   = 60 // calls a second to a watcher
 	)
 	for _, routers := range []int{7, 64, 330, 1000} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -31,12 +31,12 @@
 				f.store.resetCalls()
 				f.takeCallCounts()
 				time.Sleep(seconds * time.Second)
-				asks, asked := f.takeCallCounts()
+				mostFrom, mostTo := f.takeCallCounts()
 				watchers := len(mirror.DefaultWatchers(f.routers))
-				t.Logf("calls to the store: %d, from %d watchers; calls between routers: at most %d from one router and %d to one router", f.store.cost(), watchers, asks, asked)
+				t.Logf("calls to the store: %d, from %d watchers; calls between routers: at most %d from one router and %d to one router", f.store.cost(), watchers, mostFrom, mostTo)
 				assert.Check(t, f.store.cost() <= 3*seconds+watchers)
-				assert.Check(t, asks <= maxAsks*seconds)
-				assert.Check(t, asked <= maxAsked*seconds)
+				assert.Check(t, mostFrom <= maxCallsFrom*seconds)
+				assert.Check(t, mostTo <= maxCallsTo*seconds)
 			})
 		})
 	}
--- a/coordination/mirror/late_test.go
+++ b/coordination/mirror/late_test.go
@@ -40,10 +40,10 @@
 	return a
 }
 
-func (a *arrivals) observe(router int, n mirror.Changes) {
+func (a *arrivals) observe(router int, c mirror.Changes) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, item := range n.Items {
+	for _, item := range c.Items {
 		a.at[router][item.Revision] = time.Now()
 	}
 }
