--- a/wisteriarouter/caller/acquire.go
+++ b/wisteriarouter/caller/acquire.go
@@ -23,7 +23,7 @@
 // its caller with a partial answer or with an unknown outcome.
 func (a *chatRun) acquire(ctx context.Context) (Placement, *outcome.Refusal) {
 	req := a.chat.placementRequest(a.exclude)
-	req.Alone = a.tracked.Alone()
+	req.Isolated = a.tracked.Alone()
 	if a.offset > 0 {
 		req.Deadline = time.Time{} // it applies to the first token, which has been sent
 	}
--- a/wisteriarouter/caller/adopt.go
+++ b/wisteriarouter/caller/adopt.go
@@ -39,7 +39,7 @@
 	}
 	a.Metrics.adopted.Inc()
 	a.emit(event.StreamResumed, event.F("endpoint", e), event.F("offset", id.Offset), event.F("adopted", true))
-	return a.concludeAttempt(ctx, at, a.relayStream(ctx, at))
+	return a.concludeAttempt(ctx, at, a.forwardStream(ctx, at))
 }
 
 // adoptFailed handles a stream whose attempt no longer exists, and reports
--- a/wisteriarouter/caller/answer.go
+++ b/wisteriarouter/caller/answer.go
@@ -143,15 +143,15 @@
 	a.logPlacement(at, time.Since(requestedAt))
 	result := a.start(ctx, at)
 	if result == streamOpen {
-		result = a.relayStream(ctx, at)
+		result = a.forwardStream(ctx, at)
 	}
 	return a.concludeAttempt(ctx, at, result)
 }
 
 // reportDeadEndpoints reports the endpoints that placement found dead, which
 // another copy of this request may have crashed.
-func (a *chatRun) reportDeadEndpoints(ctx context.Context, lost []coordination.Endpoint) *outcome.Refusal {
-	for _, e := range lost {
+func (a *chatRun) reportDeadEndpoints(ctx context.Context, dead []coordination.Endpoint) *outcome.Refusal {
+	for _, e := range dead {
 		if refusal := a.tracked.FoundDead(ctx, e); refusal != nil {
 			return refusal
 		}
--- a/wisteriarouter/caller/caller.go
+++ b/wisteriarouter/caller/caller.go
@@ -38,7 +38,7 @@
 	Deadline    time.Time // latest start; zero for none
 	Exclude     []coordination.Endpoint
 	Fingerprint uint64 // of the conversation
-	Alone       bool   // the request is suspected of crashing endpoints
+	Isolated    bool   // the request is suspected of crashing endpoints
 }
 
 // Placement is capacity reserved at an endpoint. Release returns it and may be
@@ -56,7 +56,7 @@
 type Placer interface {
 	// Place returns a placement for an attempt, or the refusal to send to the
 	// caller.
-	Place(ctx context.Context, w PlacementRequest) (Placement, *outcome.Refusal)
+	Place(ctx context.Context, r PlacementRequest) (Placement, *outcome.Refusal)
 	// Adopt returns a placement for an attempt that already runs at e.
 	Adopt(e coordination.Endpoint) (Placement, bool)
 	// Dead records that an endpoint cannot be reached or has restarted.
--- a/wisteriarouter/caller/follow.go
+++ b/wisteriarouter/caller/follow.go
@@ -24,9 +24,9 @@
 // connection without a token.
 const emptyConnectionDelay = 50 * time.Millisecond
 
-// relayStream passes the stream on until the answer is complete or cannot
+// forwardStream passes the stream on until the answer is complete or cannot
 // continue at this endpoint.
-func (a *chatRun) relayStream(ctx context.Context, at *attempt) attemptResult {
+func (a *chatRun) forwardStream(ctx context.Context, at *attempt) attemptResult {
 	emptyConnections := 0 // consecutive connections without a token
 	for {
 		before := a.offset
--- a/wisteriarouter/daemon/daemon.go
+++ b/wisteriarouter/daemon/daemon.go
@@ -37,7 +37,7 @@
 	incarnation  coordination.Incarnation
 	started      time.Time
 	ready        atomic.Bool               // settings and endpoints are known
-	leaving      atomic.Bool               // the load balancer and the other routers are told
+	leaving      atomic.Bool               // the router announces that it is stopping
 	stopping     atomic.Bool               // new requests are refused
 	stopDeadline atomic.Pointer[time.Time] // when requests in flight are cut off; nil before stopping
 	drainCtx     context.Context           // done when requests in flight must be answered
--- a/wisteriarouter/daemon/fleet.go
+++ b/wisteriarouter/daemon/fleet.go
@@ -16,7 +16,7 @@
 // They are computed once for each change of the fleet, because their size
 // grows with the fleet and every call to another router reads them.
 type fleet struct {
-	reach    *peer.FailureDetector
+	detector *peer.FailureDetector
 	ownerCap int
 
 	mu           sync.Mutex
@@ -27,7 +27,7 @@
 }
 
 func newFleet(i do.Injector) (*fleet, error) {
-	return &fleet{reach: do.MustInvoke[*peer.FailureDetector](i), ownerCap: configOf(i).Peers.OwnerCap}, nil
+	return &fleet{detector: do.MustInvoke[*peer.FailureDetector](i), ownerCap: configOf(i).Peers.OwnerCap}, nil
 }
 
 // routers returns the routers that this one considers reachable. The caller
@@ -50,7 +50,7 @@
 // refresh recomputes the lists if the membership has changed. The caller holds
 // f.mu.
 func (f *fleet) refresh() {
-	members := f.reach.Responsive()
+	members := f.detector.Responsive()
 	if f.snapshot != nil && membership.SameList(members, f.members) {
 		return
 	}
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -21,7 +21,7 @@
 	var others sync.WaitGroup
 	beside := make([]*ordinaryTraffic, len(w.routers))
 	for n := range beside {
-		beside[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		beside[n] = &ordinaryTraffic{cluster: w, router: n, done: done}
 		others.Go(beside[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
--- a/wisteriarouter/daemon/observer.go
+++ b/wisteriarouter/daemon/observer.go
@@ -26,7 +26,7 @@
 }
 
 // Overdue implements relay.Observer.
-func (o *observer) Overdue(ctx context.Context) (out bool) {
+func (o *observer) Overdue(ctx context.Context) (failing bool) {
 	if o.reported.Swap(true) {
 		return o.grant.ReportEvidence(ctx, 0)
 	}
--- a/wisteriarouter/daemon/operators.go
+++ b/wisteriarouter/daemon/operators.go
@@ -30,7 +30,7 @@
 		teams:     t,
 		node:      node,
 		directory: do.MustInvoke[*endpoint.Directory](i),
-		placing:   do.MustInvoke[*placer](i),
+		placer:    do.MustInvoke[*placer](i),
 	}
 	s := &operator.Server{
 		Self:    st.state.instance,
@@ -66,7 +66,7 @@
 	teams     *teamSettings
 	node      *peer.Node
 	directory *endpoint.Directory
-	placing   *placer
+	placer    *placer
 }
 
 func (s *statusReporter) report() operator.Status {
@@ -102,8 +102,8 @@
 		Pool:     k.Pool,
 		Zone:     k.Zone,
 		State:    k.State.String(),
-		Running:  s.placing.runningRequests(k.ID),
+		Running:  s.placer.runningRequests(k.ID),
 		Capacity: k.Capacity,
-		Owner:    s.placing.routers.Load().Owner(k.ID, k.Zone),
+		Owner:    s.placer.routers.Load().Owner(k.ID, k.Zone),
 	}
 }
--- a/wisteriarouter/daemon/orders.go
+++ b/wisteriarouter/daemon/orders.go
@@ -27,7 +27,7 @@
 type poolOrders struct {
 	self      coordination.Instance
 	teams     *teamSettings
-	placing   *placer
+	placer    *placer
 	directory *endpoint.Directory
 }
 
@@ -35,7 +35,7 @@
 	o := &poolOrders{
 		self:      stateOf(i).instance,
 		teams:     do.MustInvoke[*teamSettings](i),
-		placing:   do.MustInvoke[*placer](i),
+		placer:    do.MustInvoke[*placer](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 	}
 	given := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -72,7 +72,7 @@
 // AssignedPools implements [order.Pools]. It returns the pools of which this router is
 // the root and for which at least one team has set something to load.
 func (o *poolOrders) AssignedPools() []coordination.Pool {
-	view := o.placing.routers.Load()
+	view := o.placer.routers.Load()
 	return lo.Filter(o.directory.Pools(), func(p coordination.Pool, _ int) bool {
 		return view.Root(p, noneSilent) == o.self && len(o.Plan(p)) > 0
 	})
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -28,7 +28,7 @@
 	do.Provide(i, newEngines)
 	do.Provide(i, newDirectory)
 	do.Provide(i, newPlacer)
-	do.Provide(i, newTeams)
+	do.Provide(i, newTeamSettings)
 	do.Provide(i, newTeamRetries)
 	do.Provide(i, newActions)
 	do.Provide(i, newOrders)
@@ -43,9 +43,9 @@
 	do.Provide(i, newRegistry)
 	do.Provide(i, newBudget)
 	do.Provide(i, newNode)
-	do.Provide(i, newReach)
+	do.Provide(i, newFailureDetector)
 	do.Provide(i, newFleet)
-	do.Provide(i, newSuspects)
+	do.Provide(i, newCrashSuspicion)
 }
 
 func configOf(i do.Injector) *config.Config { return do.MustInvoke[*config.Config](i) }
@@ -175,17 +175,17 @@
 	return d, nil
 }
 
-// newReach creates the detector of routers that do not answer.
-func newReach(i do.Injector) (*peer.FailureDetector, error) {
-	r, cleanup := peer.NewFailureDetector(do.MustInvoke[*peer.Node](i), reachLogger{logOf(i)}.logChange)
+// newFailureDetector creates the detector of unreachable routers.
+func newFailureDetector(i do.Injector) (*peer.FailureDetector, error) {
+	r, cleanup := peer.NewFailureDetector(do.MustInvoke[*peer.Node](i), reachabilityLogger{logOf(i)}.logChange)
 	onStop(i, cleanup)
 	return r, nil
 }
 
-// reachLogger logs that a router has become unreachable or reachable again.
-type reachLogger struct{ log event.Log }
+// reachabilityLogger logs that a router has become unreachable or reachable again.
+type reachabilityLogger struct{ log event.Log }
 
-func (l reachLogger) logChange(id coordination.Instance, away bool) {
+func (l reachabilityLogger) logChange(id coordination.Instance, away bool) {
 	kind := event.PeerBack
 	if away {
 		kind = event.PeerAway
--- a/wisteriarouter/daemon/placing.go
+++ b/wisteriarouter/daemon/placing.go
@@ -28,7 +28,7 @@
 	fleet        *fleet
 	directory    *endpoint.Directory
 	node         *peer.Node
-	reach        *peer.FailureDetector
+	detector     *peer.FailureDetector
 	owner        *placement.Owner
 	entry        *placement.Entry
 	changes      chan struct{} // signals that a list has changed
@@ -71,7 +71,7 @@
 		fleet:        do.MustInvoke[*fleet](i),
 		directory:    do.MustInvoke[*endpoint.Directory](i),
 		node:         do.MustInvoke[*peer.Node](i),
-		reach:        do.MustInvoke[*peer.FailureDetector](i),
+		detector:     do.MustInvoke[*peer.FailureDetector](i),
 		owner:        placement.NewOwner(cfg.Instance, config),
 		changes:      make(chan struct{}, 1),
 		incarnations: incarnationMap{},
@@ -79,7 +79,7 @@
 	}
 	id := placement.EntryID{Instance: cfg.Instance, Incarnation: st.incarnation}
 	p.owner.OnOutlier(outlierLogger{logOf(i)}.logChange)
-	p.entry = placement.NewEntry(id, p.owner, p.reach, loads, config)
+	p.entry = placement.NewEntry(id, p.owner, p.detector, loads, config)
 	p.settings.Store(newPlacementSettings(nil))
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(&placementCollector{owner: p.owner})
 	p.registerHandlers()
@@ -91,7 +91,7 @@
 // the endpoints.
 func (p *placer) watchLists() {
 	p.node.OnChange(func([]membership.Member) { p.signalChange() })
-	p.reach.Watch(p.signalChange)
+	p.detector.Watch(p.signalChange)
 	p.directory.Watch(p.signalChange)
 }
 
@@ -233,8 +233,8 @@
 	return p.routers.Load().Owner(k.ID, k.Zone) == p.self
 }
 
-// runningRequests returns the number of runningRequests requests in the last load report of an
-// endpoint that this router owns.
+// runningRequests returns the number of running requests in the last load report of
+// an endpoint that this router owns.
 func (p *placer) runningRequests(id coordination.Endpoint) int {
 	if l, ok := p.lastReports.Load(id); ok {
 		return l.(engine.Load).Running
@@ -279,17 +279,17 @@
 }
 
 // Place implements caller.Placer.
-func (p *placer) Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+func (p *placer) Place(ctx context.Context, r caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	req := placement.Request{
-		Pool:     w.Pool,
-		Key:      keyOf(w),
-		Hint:     placement.ParseHint(w.Hint),
-		Account:  w.Account,
-		Priority: w.Priority,
-		Isolated: w.Alone,
-		Avoid:    w.Exclude,
+		Pool:     r.Pool,
+		Key:      keyOf(r),
+		Hint:     placement.ParseHint(r.Hint),
+		Account:  r.Account,
+		Priority: r.Priority,
+		Isolated: r.Isolated,
+		Avoid:    r.Exclude,
 	}
-	g, k, refusal := p.acquire(ctx, req, w.Deadline)
+	g, k, refusal := p.acquire(ctx, req, r.Deadline)
 	if refusal != nil {
 		return caller.Placement{}, refusal
 	}
@@ -327,11 +327,11 @@
 // keyOf returns the key by which a request is assigned to an endpoint: the
 // client account and the chat, or the content's fingerprint for a request
 // without a chat.
-func keyOf(w caller.PlacementRequest) placement.Key {
-	if w.Chat == "" {
-		return placement.Key(w.Fingerprint)
+func keyOf(r caller.PlacementRequest) placement.Key {
+	if r.Chat == "" {
+		return placement.Key(r.Fingerprint)
 	}
-	return placement.KeyOf(coordination.Chat(string(w.Account) + "/" + string(w.Chat)))
+	return placement.KeyOf(coordination.Chat(string(r.Account) + "/" + string(r.Chat)))
 }
 
 // refusalOf converts a refusal of placement into one for callers. The request
--- a/wisteriarouter/daemon/poison_test.go
+++ b/wisteriarouter/daemon/poison_test.go
@@ -18,7 +18,7 @@
 // incarnationUpdater keeps the incarnations in the platform's list current, as the
 // platform does when an engine restarts.
 type incarnationUpdater struct {
-	world *testCluster
+	cluster *testCluster
 }
 
 func (l incarnationUpdater) run(ctx context.Context) {
@@ -30,17 +30,17 @@
 			return
 		case <-t.C:
 		}
-		for _, e := range l.world.platform.Instances() {
+		for _, e := range l.cluster.platform.Instances() {
 			l.updateIncarnation(e)
 		}
 	}
 }
 
 func (l incarnationUpdater) updateIncarnation(listed standinplatform.Instance) {
-	for n, e := range l.world.engines {
+	for n, e := range l.cluster.engines {
 		if listed.ID == engineID(n) && listed.Incarnation != e.Incarnation() {
 			listed.Incarnation = e.Incarnation()
-			l.world.platform.Register(listed)
+			l.cluster.platform.Register(listed)
 		}
 	}
 }
@@ -56,13 +56,13 @@
 
 // maxOrdinaryInFlight limits the requests in flight through one router. Three
 // routers have fewer in flight than two engines can run, so that none has to wait
-// for a place: on a busy machine, where a first token took 2 to 5 s, requests sent
-// at a fixed rate filled all engines, and some found no place in time.
+// for capacity: on a busy machine, where a first token took 2 to 5 s, requests sent
+// at a fixed rate filled all engines, and some got no placement in time.
 const maxOrdinaryInFlight = 10
 
 // ordinaryTraffic sends harmless requests through one router, each with new content.
 type ordinaryTraffic struct {
-	world    *testCluster
+	cluster  *testCluster
 	router   int
 	done     <-chan struct{}
 	requests []retryingChat
@@ -84,7 +84,7 @@
 		case inFlight <- struct{}{}:
 		}
 		c := retryingChat{
-			cluster: s.world, router: s.router, result: new(response),
+			cluster: s.cluster, router: s.router, result: new(response),
 			content: fmt.Sprintf("innocent %d through router %d", n, s.router+1),
 		}
 		s.requests = append(s.requests, c)
@@ -98,16 +98,16 @@
 // check fails the test unless each response is complete.
 func (s *ordinaryTraffic) check() {
 	for _, c := range s.requests {
-		assert.NilError(s.world.t, c.result.err)
-		assert.Equal(s.world.t, c.result.status, http.StatusOK, "%q: %s", c.content, c.result.body)
-		assert.Assert(s.world.t, strings.Contains(c.result.body, strings.TrimSpace(expectedAnswer(c.content))), c.result.body)
+		assert.NilError(s.cluster.t, c.result.err)
+		assert.Equal(s.cluster.t, c.result.status, http.StatusOK, "%q: %s", c.content, c.result.body)
+		assert.Assert(s.cluster.t, strings.Contains(c.result.body, strings.TrimSpace(expectedAnswer(c.content))), c.result.body)
 	}
 }
 
 // poisonSender sends one crashing request repeatedly, each time through another
 // router.
 type poisonSender struct {
-	world   *testCluster
+	cluster *testCluster
 	first   int
 	content string
 	sends   int
@@ -116,8 +116,8 @@
 
 func (p *poisonSender) run() {
 	for n := range p.sends {
-		router := (p.first + n) % len(p.world.routers)
-		p.answers = append(p.answers, p.world.chat(p.world.t.Context(), router, p.content))
+		router := (p.first + n) % len(p.cluster.routers)
+		p.answers = append(p.answers, p.cluster.chat(p.cluster.t.Context(), router, p.content))
 	}
 }
 
@@ -134,13 +134,13 @@
 	var others sync.WaitGroup
 	traffic := make([]*ordinaryTraffic, len(w.routers))
 	for n := range traffic {
-		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		traffic[n] = &ordinaryTraffic{cluster: w, router: n, done: done}
 		others.Go(traffic[n].run)
 	}
 	poison := make([]*poisonSender, 2)
 	var senders sync.WaitGroup
 	for n := range poison {
-		poison[n] = &poisonSender{world: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
+		poison[n] = &poisonSender{cluster: w, first: n, content: fmt.Sprintf("POISON %d", n), sends: 6}
 		senders.Go(poison[n].run)
 	}
 	senders.Wait()
@@ -175,7 +175,7 @@
 	var others sync.WaitGroup
 	traffic := make([]*ordinaryTraffic, len(w.routers))
 	for n := range traffic {
-		traffic[n] = &ordinaryTraffic{world: w, router: n, done: done}
+		traffic[n] = &ordinaryTraffic{cluster: w, router: n, done: done}
 		others.Go(traffic[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
--- a/wisteriarouter/daemon/relay.go
+++ b/wisteriarouter/daemon/relay.go
@@ -26,9 +26,9 @@
 	do.Provide(i, newStore)
 	do.Provide(i, newMirror)
 	do.Provide(i, newStoreDirectory)
-	do.Provide(i, newRegister)
+	do.Provide(i, newEntryTracker)
 	do.Provide(i, newRelayBasePlacer)
-	do.Provide(i, newDesired)
+	do.Provide(i, newDesiredState)
 	do.Provide(i, newRelayPlacer)
 	do.Provide(i, newPoolRetries)
 	do.Provide(i, newSender)
@@ -51,11 +51,11 @@
 
 func newRelay(i do.Injector) (*relay.Server, error) {
 	return &relay.Server{
-		Desired:         do.MustInvoke[*desired](i),
+		Desired:         do.MustInvoke[*desiredState](i),
 		Placer:          do.MustInvoke[*relayPlacer](i),
 		Sender:          do.MustInvoke[*upstream.Client](i),
 		Retries:         do.MustInvoke[*poolRetries](i),
-		Suspects:        relaySuspects{do.MustInvoke[*crashSuspicion](i)},
+		Suspects:        relaySuspectTracker{do.MustInvoke[*crashSuspicion](i)},
 		Log:             logOf(i),
 		Metrics:         relay.NewMetrics(do.MustInvoke[*prometheus.Registry](i)),
 		Stopping:        stateOf(i).leaving.Load,
@@ -64,11 +64,11 @@
 	}, nil
 }
 
-// relaySuspects implements relay.CrashGuard.
-type relaySuspects struct{ *crashSuspicion }
+// relaySuspectTracker implements relay.SuspectTracker.
+type relaySuspectTracker struct{ *crashSuspicion }
 
-// Follow implements relay.CrashGuard.
-func (s relaySuspects) Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.TrackedRequest, *outcome.Refusal) {
+// Track implements relay.SuspectTracker.
+func (s relaySuspectTracker) Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (relay.TrackedRequest, *outcome.Refusal) {
 	t, refusal := s.crashSuspicion.Track(ctx, fingerprint, p)
 	if refusal != nil {
 		return nil, refusal
@@ -87,7 +87,7 @@
 	bound := do.MustInvoke[*listeners](i)
 	node := do.MustInvoke[*peer.Node](i)
 	do.MustInvoke[*prometheus.Registry](i).MustRegister(&relayCollector{
-		desired:   do.MustInvoke[*desired](i),
+		desired:   do.MustInvoke[*desiredState](i),
 		directory: do.MustInvoke[*endpoint.Directory](i),
 		retries:   do.MustInvoke[*poolRetries](i),
 	})
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	onStop(i, cancel)
 	go relayReadiness{
-		readiness: readiness{state: stateOf(i), settings: do.MustInvoke[*desired](i).ready, node: node, log: s.log},
+		readiness: readiness{state: stateOf(i), settings: do.MustInvoke[*desiredState](i).ready, node: node, log: s.log},
 		entries:   do.MustInvoke[*mirror.Mirror](i),
 	}.run(ctx)
 	return s, nil
--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -16,8 +16,9 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// desired holds the desired state in force. It implements relay.Desired.
-type desired struct {
+// desiredState holds the desiredState state in force. It implements
+// relay.DesiredState.
+type desiredState struct {
 	log     event.Log
 	table   atomic.Pointer[route.Table]
 	placer  *placer
@@ -27,8 +28,8 @@
 	ready   chan struct{} // closed with the first desired state
 }
 
-func newDesired(i do.Injector) (*desired, error) {
-	d := &desired{
+func newDesiredState(i do.Injector) (*desiredState, error) {
+	d := &desiredState{
 		log:     logOf(i),
 		placer:  do.MustInvoke[*placer](i),
 		callLog: new(mirror.CallLog),
@@ -47,17 +48,17 @@
 }
 
 // Table implements relay.DesiredState.
-func (d *desired) Table() *route.Table { return d.table.Load() }
+func (d *desiredState) Table() *route.Table { return d.table.Load() }
 
 // Known implements relay.DesiredState.
-func (d *desired) Known() <-chan struct{} { return d.ready }
+func (d *desiredState) Known() <-chan struct{} { return d.ready }
 
 // Age implements relay.DesiredState.
-func (d *desired) Age() time.Duration { return d.mirror.Age() }
+func (d *desiredState) Age() time.Duration { return d.mirror.Age() }
 
 // applyChanges puts a new desired state in force. A state that cannot be
 // decoded, or that is not newer than the one in force, is ignored.
-func (d *desired) applyChanges(n mirror.Changes) {
+func (d *desiredState) applyChanges(n mirror.Changes) {
 	for _, item := range n.Items {
 		if item.Key == platform.StateKey && !item.Deleted {
 			d.apply(item, n)
@@ -65,7 +66,7 @@
 	}
 }
 
-func (d *desired) apply(item mirror.Item, n mirror.Changes) {
+func (d *desiredState) apply(item mirror.Item, n mirror.Changes) {
 	s, err := platform.DecodeState(item.Value)
 	if err != nil {
 		d.log.Emit(event.SettingsInvalid, event.F("revision", item.Revision), event.F("error", err.Error()))
@@ -100,7 +101,7 @@
 
 // logLate logs a version that reached this router late, with the routers that
 // it asked meanwhile.
-func (d *desired) logLate(v route.Version, n mirror.Changes) {
+func (d *desiredState) logLate(v route.Version, n mirror.Changes) {
 	if n.Behind < lateThreshold {
 		return
 	}
@@ -121,7 +122,7 @@
 }
 
 // configure applies reloaded settings of this router.
-func (d *desired) configure(cfg config.Relay) {
+func (d *desiredState) configure(cfg config.Relay) {
 	d.relay.Store(&cfg)
 	if t := d.table.Load(); t != nil {
 		d.placer.applyBounds(t.State, &cfg)
--- a/wisteriarouter/daemon/relay_entries.go
+++ b/wisteriarouter/daemon/relay_entries.go
@@ -16,9 +16,9 @@
 	return &endpoint.Directory{OnLeaving: leavingLogger{logOf(i)}.logLeaving}, nil
 }
 
-// newRegister creates the register that applies the store's entries to the
+// newEntryTracker creates the tracker that applies the store's entries to the
 // directory.
-func newRegister(i do.Injector) (*endpoint.EntryTracker, error) {
+func newEntryTracker(i do.Injector) (*endpoint.EntryTracker, error) {
 	m := do.MustInvoke[*mirror.Mirror](i)
 	r := &endpoint.EntryTracker{
 		Directory:        do.MustInvoke[*endpoint.Directory](i),
@@ -26,7 +26,7 @@
 		Log:              logOf(i),
 	}
 	m.OnStoreRecovery(r.StoreRecovered)
-	m.Observe(entryReader{register: r, log: logOf(i)}.applyChanges)
+	m.Observe(entryReader{tracker: r, log: logOf(i)}.applyChanges)
 	return r, nil
 }
 
@@ -38,8 +38,8 @@
 
 // entryReader converts store items into endpoint changes.
 type entryReader struct {
-	register *endpoint.EntryTracker
-	log      event.Log
+	tracker *endpoint.EntryTracker
+	log     event.Log
 }
 
 func (r entryReader) applyChanges(n mirror.Changes) {
@@ -52,7 +52,7 @@
 			changes = append(changes, c)
 		}
 	}
-	r.register.Apply(changes)
+	r.tracker.Apply(changes)
 }
 
 func (r entryReader) decodeChange(item mirror.Item) (endpoint.Change, bool) {
--- a/wisteriarouter/daemon/relay_metrics.go
+++ b/wisteriarouter/daemon/relay_metrics.go
@@ -79,7 +79,7 @@
 
 // relayCollector exports the state of a relaying router and its age as metrics.
 type relayCollector struct {
-	desired   *desired
+	desired   *desiredState
 	directory *endpoint.Directory
 	retries   *poolRetries
 }
--- a/wisteriarouter/daemon/relay_outlier_test.go
+++ b/wisteriarouter/daemon/relay_outlier_test.go
@@ -131,7 +131,7 @@
 
 // All engines are silent. Retrying the requests would double the load of a
 // failing pool, so an attempt is abandoned only if an engine that is not known
-// to fail grants a place, and only within the retry budget.
+// to fail grants a placement, and only within the retry budget.
 func TestRetriesAreBoundedIfAllEnginesAreSilent(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 3)
 	s.warmUp("/resumable/", 12)
--- a/wisteriarouter/daemon/relay_placing.go
+++ b/wisteriarouter/daemon/relay_placing.go
@@ -112,29 +112,29 @@
 }
 
 // Place implements relay.Placer.
-func (p *relayPlacer) Place(ctx context.Context, w relay.PlaceRequest) (relay.Place, *outcome.Refusal) {
+func (p *relayPlacer) Place(ctx context.Context, r relay.PlacementRequest) (relay.Placement, *outcome.Refusal) {
 	req := placement.Request{
-		Pool:         w.Pool,
-		Key:          placement.KeyOf(coordination.Chat(w.Key)),
-		Account:      w.Account,
-		Priority:     w.Priority,
-		Isolated:     w.RunAlone,
-		Avoid:        w.Exclude,
-		NonRetryable: w.LastAttempt,
-		NoWait:       w.NoWait,
-		Target:       w.FirstByteTarget,
-		Waited:       time.Since(w.Arrived),
+		Pool:         r.Pool,
+		Key:          placement.KeyOf(coordination.Chat(r.Key)),
+		Account:      r.Account,
+		Priority:     r.Priority,
+		Isolated:     r.Isolated,
+		Avoid:        r.Exclude,
+		NonRetryable: r.NonRetryable,
+		NoWait:       r.NoWait,
+		Target:       r.FirstByteTarget,
+		Waited:       time.Since(r.Arrived),
 	}
-	if !w.PrefixCached {
+	if !r.PrefixCached {
 		req.SubsetKey = p.subsetKey
-		req.SubsetSize = p.affinity.SubsetSize(time.Now(), w.Pool, p.conns.Reusable(string(w.Pool)))
+		req.SubsetSize = p.affinity.SubsetSize(time.Now(), r.Pool, p.conns.Reusable(string(r.Pool)))
 	}
-	g, k, refusal := p.acquire(ctx, req, w.StartBy)
+	g, k, refusal := p.acquire(ctx, req, r.Deadline)
 	if refusal != nil {
-		return relay.Place{}, refusal
+		return relay.Placement{}, refusal
 	}
-	seen := &observer{monitor: &p.monitor, grant: g, request: outlier.Request{Pool: w.Pool, Endpoint: k.ID, Kind: w.Kind}}
-	place := relay.Place{
+	seen := &observer{monitor: &p.monitor, grant: g, request: outlier.Request{Pool: r.Pool, Endpoint: k.ID, Kind: r.Kind}}
+	place := relay.Placement{
 		FirstByteLimit: p.monitor.FirstByteLimit(time.Now(), seen.request),
 		Observer:       seen,
 		Endpoint:       k.ID,
@@ -143,8 +143,8 @@
 		Rank:           g.Rank,
 		Release:        g.Release,
 	}
-	if w.PrefixCached {
-		place.CacheSource = p.cacheSource(w.Pool, req.Key, k.ID)
+	if r.PrefixCached {
+		place.CacheSource = p.cacheSource(r.Pool, req.Key, k.ID)
 	}
 	return place, nil
 }
--- a/wisteriarouter/daemon/relay_stop_test.go
+++ b/wisteriarouter/daemon/relay_stop_test.go
@@ -77,7 +77,7 @@
 	assert.Equal(t, <-left, 0)
 }
 
-// Requests that wait for a place, or for their endpoint, must be answered at
+// Requests that wait for a placement, or for their endpoint, must be answered at
 // the end of a shutdown and not cut off without a response.
 func TestRelayAnswersPendingRequestsAtEndOfStop(t *testing.T) {
 	s := newRelayCluster(t, 1, 0, 0)
--- a/wisteriarouter/daemon/relay_store.go
+++ b/wisteriarouter/daemon/relay_store.go
@@ -34,13 +34,13 @@
 // All observers of the mirror have to be set before.
 func startFeed(i do.Injector, m *mirror.Mirror, callLog *mirror.CallLog) {
 	node := do.MustInvoke[*peer.Node](i)
-	reach := do.MustInvoke[*peer.FailureDetector](i)
+	detector := do.MustInvoke[*peer.FailureDetector](i)
 	f := mirror.NewFeed(mirror.FeedConfig{
 		Self:          node.Self().Instance,
 		Prefix:        platform.WatchPrefix,
 		Mirror:        m,
 		Store:         do.MustInvoke[*platform.Store](i),
-		Transport:     reach,
+		Transport:     detector,
 		Routers:       do.MustInvoke[*fleet](i).routers,
 		OnState:       storeLogger{logOf(i)}.logStatus,
 		CallLog:       callLog,
@@ -50,24 +50,24 @@
 	node.Handle(mirror.TopicHint, func(_ context.Context, from coordination.Instance, payload []byte) ([]byte, error) {
 		return nil, f.HandleHint(from, payload)
 	})
-	reach.Watch(f.RecheckStore)
+	detector.Watch(f.RecheckStore)
 	onStop(i, f.Start())
 }
 
 // storeLogger logs that the store has become unavailable or available again.
 type storeLogger struct{ log event.Log }
 
-func (s storeLogger) logStatus(err error) {
+func (l storeLogger) logStatus(err error) {
 	if err == nil {
-		s.log.Emit(event.PlatformBack)
+		l.log.Emit(event.PlatformBack)
 		return
 	}
-	s.log.Emit(event.PlatformLost, event.F("error", err.Error()))
+	l.log.Emit(event.PlatformLost, event.F("error", err.Error()))
 }
 
 // hintFailureLogger logs hints that could not be sent or processed.
 type hintFailureLogger struct{ log event.Log }
 
-func (u hintFailureLogger) logFailure(id coordination.Instance, err error) {
-	u.log.Emit(event.HintFailed, event.F("peer", id), event.F("error", err.Error()))
+func (l hintFailureLogger) logFailure(id coordination.Instance, err error) {
+	l.log.Emit(event.HintFailed, event.F("peer", id), event.F("error", err.Error()))
 }
--- a/wisteriarouter/daemon/reload.go
+++ b/wisteriarouter/daemon/reload.go
@@ -23,7 +23,7 @@
 	}
 	d.logger.SetLevel(cfg.Log.Level)
 	if cfg.Relay != nil && do.MustInvoke[*config.Config](d.injector).Relay != nil {
-		do.MustInvoke[*desired](d.injector).configure(*cfg.Relay)
+		do.MustInvoke[*desiredState](d.injector).configure(*cfg.Relay)
 		do.MustInvoke[*poolRetries](d.injector).configure(*cfg.Relay)
 	}
 	d.log.Emit(event.Reloaded)
--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -41,9 +41,9 @@
 	log  event.Log
 }
 
-func (t leavingBroadcaster) broadcast(id coordination.Endpoint, n coordination.Incarnation) {
-	t.node.Broadcast(topicLeaving, string(id), uint64(n), nil)
-	t.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
+func (b leavingBroadcaster) broadcast(id coordination.Endpoint, n coordination.Incarnation) {
+	b.node.Broadcast(topicLeaving, string(id), uint64(n), nil)
+	b.log.Emit(event.EndpointLeaving, event.F("endpoint", id), event.F("incarnation", n))
 }
 
 // leavingReceiver applies the announcements of other routers to the directory.
--- a/wisteriarouter/daemon/suspects.go
+++ b/wisteriarouter/daemon/suspects.go
@@ -32,7 +32,7 @@
 	node        *peer.Node
 	gate        *suspicion.Gate
 	guard       *suspicion.Guard
-	place       *placer
+	placer      *placer
 	log         event.Log
 	liveRouters map[coordination.Instance]bool
 	table       *suspicion.Table
@@ -40,7 +40,7 @@
 	endpoints   *placement.Set
 }
 
-func newSuspects(i do.Injector) (*crashSuspicion, error) {
+func newCrashSuspicion(i do.Injector) (*crashSuspicion, error) {
 	st := stateOf(i)
 	node := do.MustInvoke[*peer.Node](i)
 	var cfg suspicion.Config
@@ -53,18 +53,18 @@
 		gate:        suspicion.NewGate(table),
 		table:       table,
 		endpoints:   placement.NewSet(nil),
-		place:       do.MustInvoke[*placer](i),
+		placer:      do.MustInvoke[*placer](i),
 		log:         logOf(i),
 		liveRouters: make(map[coordination.Instance]bool),
 	}
-	s.guard = suspicion.NewGuard(st.instance, st.incarnation, s.gate, s.place.reach, recordSpreader{node})
+	s.guard = suspicion.NewGuard(st.instance, st.incarnation, s.gate, s.placer.detector, recordSpreader{node})
 	node.Handle(suspicion.TopicGate, func(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 		return s.guard.HandleGate(ctx, payload)
 	})
 	node.OnRumor(suspicion.TopicRecord, s.handleRecord)
 	node.OnChange(s.membersChanged)
-	s.place.reach.Watch(s.updateGates)
-	s.place.observe(s.endpointsChanged)
+	s.placer.detector.Watch(s.updateGates)
+	s.placer.observe(s.endpointsChanged)
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.loop(ctx)
 	onStop(i, cancel)
@@ -128,7 +128,7 @@
 }
 
 // updateGates informs the guard that gates may have moved to other routers.
-func (s *crashSuspicion) updateGates() { s.guard.Update(context.Background(), s.place.fleet.owners()) }
+func (s *crashSuspicion) updateGates() { s.guard.Update(context.Background(), s.placer.fleet.owners()) }
 
 func (s *crashSuspicion) loop(ctx context.Context) {
 	t := time.NewTicker(claimRenewInterval)
--- a/wisteriarouter/daemon/teams.go
+++ b/wisteriarouter/daemon/teams.go
@@ -29,12 +29,12 @@
 	onApplied []func() // called after each change that came into force
 }
 
-func newTeams(i do.Injector) (*teamSettings, error) {
+func newTeamSettings(i do.Injector) (*teamSettings, error) {
 	cfg := configOf(i)
 	node := do.MustInvoke[*peer.Node](i)
-	place := do.MustInvoke[*placer](i)
+	p := do.MustInvoke[*placer](i)
 	t := &teamSettings{replica: &settings.Replica{}, log: logOf(i)}
-	t.onApplied = append(t.onApplied, func() { place.applySettings(t.replica.Snapshots()) })
+	t.onApplied = append(t.onApplied, func() { p.applySettings(t.replica.Snapshots()) })
 	t.replica.Observe(t.observe)
 	sync, stop := settings.NewSync(
 		settings.Config{Self: cfg.Instance, Zone: cfg.Zone},
--- a/wisteriarouter/daemon/tuning.go
+++ b/wisteriarouter/daemon/tuning.go
@@ -37,9 +37,9 @@
 	return t
 }
 
-func (t *placementSettings) addModel(m settings.Model) {
-	t.addCapacity(m.Pool(), m.Capacity)
-	c := &t.placement
+func (s *placementSettings) addModel(m settings.Model) {
+	s.addCapacity(m.Pool(), m.Capacity)
+	c := &s.placement
 	if c.Bound == 0 { // the first model; a bound is never zero
 		c.Bound, c.WarmWait, c.QueueLimit = m.LoadBound, m.WarmWait, m.Queue
 		return
@@ -50,8 +50,8 @@
 }
 
 // addCapacity applies a capacity to a pool; zero means no limit.
-func (t *placementSettings) addCapacity(p coordination.Pool, capacity int) {
-	t.capacity[p] = strictest(t.capacity[p], capacity)
+func (s *placementSettings) addCapacity(p coordination.Pool, capacity int) {
+	s.capacity[p] = strictest(s.capacity[p], capacity)
 }
 
 // strictest returns the smaller of two limits; zero means no limit.
@@ -63,13 +63,12 @@
 }
 
 // descriptor returns d with the capacity limited to that of its pool.
-func (t *placementSettings) descriptor(d placement.Descriptor) placement.Descriptor {
-	d.Capacity = strictest(d.Capacity, t.capacity[d.Pool])
+func (s *placementSettings) descriptor(d placement.Descriptor) placement.Descriptor {
+	d.Capacity = strictest(d.Capacity, s.capacity[d.Pool])
 	return d
 }
 
 // teamRetries holds a retry budget for each team, with the share from its
-
 // settings. It implements caller.RetryBudget.
 type teamRetries struct {
 	replica *settings.Replica
--- a/wisteriarouter/relay/attempt.go
+++ b/wisteriarouter/relay/attempt.go
@@ -16,7 +16,7 @@
 )
 
 // attempt sends the request to one endpoint and forwards its response.
-func (x *exchange) attempt(ctx context.Context, p Place) attemptResult {
+func (x *exchange) attempt(ctx context.Context, p Placement) attemptResult {
 	id := coordination.Attempt(strconv.Itoa(x.evidence.Attempts()))
 	x.status = 0
 	x.evidence.Begin(id)
@@ -83,7 +83,7 @@
 }
 
 // unanswered handles an attempt that got no response, and returns its result.
-func (x *exchange) unanswered(id coordination.Attempt, p Place, err error) attemptResult {
+func (x *exchange) unanswered(id coordination.Attempt, p Placement, err error) attemptResult {
 	if !upstream.MayHaveSent(err) {
 		x.evidence.NothingSent(id)
 		x.server.reportUnreachable(p, err)
@@ -116,7 +116,7 @@
 }
 
 // request returns the request for the endpoint of p.
-func (x *exchange) request(p Place) *upstream.Request {
+func (x *exchange) request(p Placement) *upstream.Request {
 	h := withoutHopByHop(x.r.Header)
 	f := platform.Forward{
 		Endpoint:           p.Endpoint,
@@ -240,7 +240,7 @@
 }
 
 // logPlacement logs the endpoint of an attempt and what determined the choice.
-func (x *exchange) logPlacement(p Place, took time.Duration) {
+func (x *exchange) logPlacement(p Placement, took time.Duration) {
 	x.server.Metrics.sent(x, p)
 	x.emit(event.RelayPlaced,
 		event.F("attempt", x.evidence.Attempts()+1),
@@ -283,7 +283,7 @@
 }
 
 // logAttempt logs the result of an attempt.
-func (x *exchange) logAttempt(p Place, end attemptResult) {
+func (x *exchange) logAttempt(p Placement, end attemptResult) {
 	x.emit(event.RelayAttempt,
 		event.F("attempt", x.evidence.Attempts()),
 		event.F("endpoint", p.Endpoint),
--- a/wisteriarouter/relay/exchange.go
+++ b/wisteriarouter/relay/exchange.go
@@ -35,15 +35,15 @@
 	body     []byte
 	deadline time.Time // by which the response must be complete; zero for no limit
 
-	evidence  outcome.Evidence
-	exclude   []coordination.Endpoint
-	sends     int // number of attempts that may have reached an endpoint
-	status    int // of the last response; 0 if there is none
-	stream    stream
-	failure   *failure       // failure response that was not forwarded; nil if there is none
-	watch     *responseWatch // on the current attempt
-	nextPlace *Place         // reserved for the next attempt after an overdue one; nil if there is none
-	tracked   TrackedRequest // nil for a request that is not tracked
+	evidence      outcome.Evidence
+	exclude       []coordination.Endpoint
+	sends         int // number of attempts that may have reached an endpoint
+	status        int // of the last response; 0 if there is none
+	stream        stream
+	failure       *failure       // failure response that was not forwarded; nil if there is none
+	watch         *responseWatch // on the current attempt
+	nextPlacement *Placement     // reserved for the next attempt after an overdue one; nil if there is none
+	tracked       TrackedRequest // nil for a request that is not tracked
 }
 
 // giveUpSlack is how long the router waits beyond the deadline given to the
@@ -189,7 +189,7 @@
 // run makes attempts until one delivers a response or no further attempt is
 // allowed. It reports whether a response was delivered.
 func (x *exchange) run(ctx context.Context) bool {
-	defer x.releaseNextPlace()
+	defer x.releaseNextPlacement()
 	for {
 		place, ok := x.acquire(ctx)
 		if !ok {
@@ -204,12 +204,12 @@
 			x.server.durations.record(x.route.Name, time.Since(x.arrived))
 			return true
 		}
-		goOn := end != broken && end != cut || x.checkCrash(ctx, place)
+		mayContinue := end != broken && end != cut || x.checkCrash(ctx, place)
 		if ctx.Err() != nil {
 			x.expire(ctx)
 			return false
 		}
-		if !goOn || !x.takeRetry(end) {
+		if !mayContinue || !x.takeRetry(end) {
 			x.fail(end)
 			return false
 		}
@@ -217,59 +217,60 @@
 	}
 }
 
-// releaseNextPlace releases a place that was reserved for an attempt that is not made.
-func (x *exchange) releaseNextPlace() {
-	if x.nextPlace != nil {
-		x.nextPlace.Release()
-		x.nextPlace = nil
+// releaseNextPlacement releases a placement that was reserved for an attempt that is
+// not made.
+func (x *exchange) releaseNextPlacement() {
+	if x.nextPlacement != nil {
+		x.nextPlacement.Release()
+		x.nextPlacement = nil
 	}
 }
 
-// acquire gets a place for the next attempt. If there is none it ends the request
+// acquire gets a placement for the next attempt. If there is none it ends the request
 // and returns false.
-func (x *exchange) acquire(ctx context.Context) (Place, bool) {
+func (x *exchange) acquire(ctx context.Context) (Placement, bool) {
 	asked := time.Now()
-	if x.nextPlace != nil {
-		place := *x.nextPlace
-		x.nextPlace = nil
+	if x.nextPlacement != nil {
+		place := *x.nextPlacement
+		x.nextPlacement = nil
 		x.logPlacement(place, 0)
 		return place, true
 	}
-	place, refusal := x.server.Placer.Place(ctx, x.placeRequest())
+	place, refusal := x.server.Placer.Place(ctx, x.placementRequest())
 	x.server.Metrics.placed(x.pool, time.Since(asked))
 	if refusal != nil && ctx.Err() == nil && x.failure != nil && len(x.exclude) > 0 {
 		// No other endpoint is available. An endpoint that returned a failure may
 		// succeed on a retry: 14 in 100 responses of a plain service are
 		// transient failures.
 		x.exclude = nil
-		place, refusal = x.server.Placer.Place(ctx, x.placeRequest())
+		place, refusal = x.server.Placer.Place(ctx, x.placementRequest())
 	}
 	switch {
 	case refusal != nil && ctx.Err() != nil:
 		x.expire(ctx)
-		return Place{}, false
+		return Placement{}, false
 	case refusal != nil:
 		x.respondWithoutResult(refusal.Message, refusal.RetryAfter)
-		return Place{}, false
+		return Placement{}, false
 	}
 	x.logPlacement(place, time.Since(asked))
 	return place, true
 }
 
-func (x *exchange) placeRequest() PlaceRequest {
-	return PlaceRequest{
+func (x *exchange) placementRequest() PlacementRequest {
+	return PlacementRequest{
 		Pool:            x.pool,
 		Key:             x.routingKey(),
 		Account:         x.account,
 		Priority:        x.priority,
-		StartBy:         x.deadline,
+		Deadline:        x.deadline,
 		FirstByteTarget: x.route.FirstTarget,
 		Arrived:         x.arrived,
 		Exclude:         slices.Clip(x.exclude),
 		PrefixCached:    x.route.Sticky,
-		RunAlone:        x.tracked != nil && x.tracked.Alone(),
+		Isolated:        x.tracked != nil && x.tracked.Alone(),
 		Kind:            x.route.Name,
-		LastAttempt:     !x.policy().mayRetry(broken, x.sends+1, len(x.exclude)+1),
+		NonRetryable:    !x.policy().mayRetry(broken, x.sends+1, len(x.exclude)+1),
 	}
 }
 
@@ -279,7 +280,7 @@
 	if !x.mayRetry(end) {
 		return false
 	}
-	if end == unsent || x.nextPlace != nil || x.server.Retries.Take(x.pool) {
+	if end == unsent || x.nextPlacement != nil || x.server.Retries.Take(x.pool) {
 		x.server.Metrics.retried(x.pool, end)
 		return true
 	}
--- a/wisteriarouter/relay/longest.go
+++ b/wisteriarouter/relay/longest.go
@@ -18,29 +18,29 @@
 }
 
 // record records the duration of a complete response.
-func (l *durationTracker) record(route string, took time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.rotate()
-	l.current[route] = max(l.current[route], took)
+func (t *durationTracker) record(route string, took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.rotate()
+	t.current[route] = max(t.current[route], took)
 }
 
 // longest returns the longest recent duration of the route; false if there is none.
-func (l *durationTracker) longest(route string) (time.Duration, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.rotate()
-	now, a := l.current[route]
-	before, b := l.previous[route]
+func (t *durationTracker) longest(route string) (time.Duration, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.rotate()
+	now, a := t.current[route]
+	before, b := t.previous[route]
 	return max(now, before), a || b
 }
 
 // rotate starts a new window if the current one is over.
-func (l *durationTracker) rotate() {
-	switch age := time.Since(l.since); {
-	case l.current == nil || age >= 2*durationWindow:
-		l.current, l.previous, l.since = make(map[string]time.Duration), nil, time.Now()
+func (t *durationTracker) rotate() {
+	switch age := time.Since(t.since); {
+	case t.current == nil || age >= 2*durationWindow:
+		t.current, t.previous, t.since = make(map[string]time.Duration), nil, time.Now()
 	case age >= durationWindow:
-		l.current, l.previous, l.since = make(map[string]time.Duration), l.current, time.Now()
+		t.current, t.previous, t.since = make(map[string]time.Duration), t.current, time.Now()
 	}
 }
--- a/wisteriarouter/relay/metrics.go
+++ b/wisteriarouter/relay/metrics.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (m *Metrics) sent(x *exchange, p Place) {
+func (m *Metrics) sent(x *exchange, p Placement) {
 	if m == nil {
 		return
 	}
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -18,28 +18,28 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// PlaceRequest describes the place that an attempt needs.
-type PlaceRequest struct {
+// PlacementRequest describes the placement that an attempt needs.
+type PlacementRequest struct {
 	Pool            coordination.Pool
 	Key             string // routing key of the shared prompt prefix; equal keys prefer the same endpoint
 	Account         coordination.Account
 	Priority        coordination.Priority
-	StartBy         time.Time     // latest time at which the request may start
+	Deadline        time.Time     // latest start; zero for none
 	FirstByteTarget time.Duration // time to first byte, counted from Arrived, that counts as on time; zero for no target
 	Arrived         time.Time
 	Exclude         []coordination.Endpoint
 	PrefixCached    bool   // endpoints cache the shared prefix of the request
-	RunAlone        bool   // the request is suspected of crashing endpoints
+	Isolated        bool   // the request is suspected of crashing endpoints
 	Kind            string // requests of one kind have similar latency and failure rates
-	// LastAttempt reports that a failure of this attempt cannot be retried.
-	LastAttempt bool
-	// NoWait reports that the attempt must not wait in a queue for a place.
+	// NonRetryable reports that a failure of this attempt cannot be retried.
+	NonRetryable bool
+	// NoWait reports that the attempt must not wait in a queue for capacity.
 	NoWait bool
 }
 
-// Place is a granted place at an endpoint. Release returns it and may be called
-// more than once.
-type Place struct {
+// Placement is capacity reserved at an endpoint. Release returns it and may be
+// called more than once.
+type Placement struct {
 	Endpoint    coordination.Endpoint
 	Incarnation coordination.Incarnation
 	Address     string
@@ -59,7 +59,7 @@
 }
 
 // Observer records what an attempt shows of its endpoint's health. It is called
-// before the place is released.
+// before the placement is released.
 type Observer interface {
 	// RecordFirstByte records the time to the first byte of the response.
 	RecordFirstByte(took time.Duration)
@@ -72,10 +72,10 @@
 	RecordFailure()
 }
 
-// Placer grants places.
+// Placer reserves capacity at endpoints.
 type Placer interface {
-	// Place returns a place for an attempt, or a refusal, which is final.
-	Place(ctx context.Context, w PlaceRequest) (Place, *outcome.Refusal)
+	// Place returns a placement for an attempt, or a refusal, which is final.
+	Place(ctx context.Context, r PlacementRequest) (Placement, *outcome.Refusal)
 	// Dead records that an endpoint cannot be reached.
 	Dead(e coordination.Endpoint, n coordination.Incarnation)
 }
@@ -111,7 +111,7 @@
 	Placer   Placer
 	Sender   Sender
 	Retries  RetryBudget
-	Suspects CrashGuard // nil if requests are not tracked
+	Suspects SuspectTracker // nil if requests are not tracked
 	Log      event.Log
 	Metrics  *Metrics
 	// Stopping reports whether responses close their connections.
--- a/wisteriarouter/relay/silence.go
+++ b/wisteriarouter/relay/silence.go
@@ -27,8 +27,8 @@
 // are lost with their routers (mean of five runs each).
 type responseWatch struct {
 	exchange     *exchange
-	place        Place
-	request      PlaceRequest
+	placement    Placement
+	request      PlacementRequest
 	retryable    bool // another attempt may follow
 	began        time.Time
 	overdueAfter time.Duration // time since began after which the response is overdue; zero for never
@@ -39,23 +39,23 @@
 	mu            sync.Mutex
 	firstByteSeen bool // a byte of the response has arrived
 	ended         bool // the attempt has ended
-	next          *Place
+	next          *Placement
 }
 
 // watchFirstByte starts the watch over an attempt. It returns the context of the
 // attempt and a function that ends the watch.
-func (x *exchange) watchFirstByte(ctx context.Context, p Place) (context.Context, func()) {
-	s := &responseWatch{exchange: x, place: p, began: time.Now(), request: x.placeRequest()}
-	s.request.Exclude = append(slices.Clip(x.exclude), p.Endpoint)
-	s.request.NoWait = true
-	s.retryable = x.policy().mayRetry(silent, x.sends+1, len(x.exclude)+1)
-	s.ctx, s.cancel = context.WithCancelCause(ctx)
-	x.watch = s
-	s.overdueAfter = overdueDelay(p.FirstByteLimit, x.route.FirstTarget)
-	if s.overdueAfter > 0 {
-		s.timer = time.AfterFunc(s.overdueAfter, s.run)
-	}
-	return s.ctx, s.stop
+func (x *exchange) watchFirstByte(ctx context.Context, p Placement) (context.Context, func()) {
+	w := &responseWatch{exchange: x, placement: p, began: time.Now(), request: x.placementRequest()}
+	w.request.Exclude = append(slices.Clip(x.exclude), p.Endpoint)
+	w.request.NoWait = true
+	w.retryable = x.policy().mayRetry(silent, x.sends+1, len(x.exclude)+1)
+	w.ctx, w.cancel = context.WithCancelCause(ctx)
+	x.watch = w
+	w.overdueAfter = overdueDelay(p.FirstByteLimit, x.route.FirstTarget)
+	if w.overdueAfter > 0 {
+		w.timer = time.AfterFunc(w.overdueAfter, w.run)
+	}
+	return w.ctx, w.stop
 }
 
 // overdueDelay returns the time after which a response is overdue: firstByteLimit,
@@ -71,64 +71,64 @@
 	return min(firstByteLimit, due)
 }
 
-// stop ends the watch. A place that was reserved for another attempt is kept only if
+// stop ends the watch. A placement reserved for another attempt is kept only if
 // this attempt ended because its response was overdue.
-func (s *responseWatch) stop() {
-	if s.timer != nil {
-		s.timer.Stop()
+func (w *responseWatch) stop() {
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	s.cancel(nil)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ended = true
-	if s.next != nil && s.exchange.nextPlace == nil {
-		s.next.Release()
+	w.cancel(nil)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.ended = true
+	if w.next != nil && w.exchange.nextPlacement == nil {
+		w.next.Release()
 	}
 }
 
 // recordFirstByte records that the response has begun.
-func (s *responseWatch) recordFirstByte(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.firstByteSeen {
+func (w *responseWatch) recordFirstByte(now time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.firstByteSeen {
 		return
 	}
-	s.firstByteSeen = true
-	if s.timer != nil {
-		s.timer.Stop()
+	w.firstByteSeen = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	if s.place.Observer != nil {
-		s.place.Observer.RecordFirstByte(now.Sub(s.began))
+	if w.placement.Observer != nil {
+		w.placement.Observer.RecordFirstByte(now.Sub(w.began))
 	}
 }
 
 // result returns silent if the attempt was cancelled as overdue, and otherwise the
 // given result.
-func (s *responseWatch) result(otherwise attemptResult) attemptResult {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.next == nil || !errors.Is(context.Cause(s.ctx), errOverdue) {
+func (w *responseWatch) result(otherwise attemptResult) attemptResult {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.next == nil || !errors.Is(context.Cause(w.ctx), errOverdue) {
 		return otherwise
 	}
-	s.exchange.nextPlace = s.next
+	w.exchange.nextPlacement = w.next
 	return silent
 }
 
 // run logs that the response is overdue and moves the request when that is due.
-func (s *responseWatch) run() {
-	if !s.waiting() {
+func (w *responseWatch) run() {
+	if !w.waiting() {
 		return
 	}
-	s.exchange.server.Log.Emit(event.RelayOverdue, s.fields()...)
-	for pause := s.overdueAfter / overdueDivisor; s.waiting(); pause *= 2 {
-		failing := s.place.Observer != nil && s.place.Observer.Overdue(s.ctx)
-		if !s.retryable || s.ctx.Err() != nil {
+	w.exchange.server.Log.Emit(event.RelayOverdue, w.fields()...)
+	for pause := w.overdueAfter / overdueDivisor; w.waiting(); pause *= 2 {
+		failing := w.placement.Observer != nil && w.placement.Observer.Overdue(w.ctx)
+		if !w.retryable || w.ctx.Err() != nil {
 			return
 		}
-		if (failing || s.silentTooLong()) && s.move() {
+		if (failing || w.silentTooLong()) && w.move() {
 			return
 		}
-		s.sleep(pause)
+		w.sleep(pause)
 	}
 }
 
@@ -148,75 +148,75 @@
 )
 
 // silentTooLong reports whether the wait alone justifies moving the request.
-func (s *responseWatch) silentTooLong() bool {
-	if s.place.FirstByteLimit == 0 {
+func (w *responseWatch) silentTooLong() bool {
+	if w.placement.FirstByteLimit == 0 {
 		return false
 	}
-	enough := max(s.place.FirstByteLimit, s.exchange.route.FirstTarget/targetDivisor)
-	if s.request.PrefixCached {
-		enough = max(enough, cachedLimitFactor*s.place.FirstByteLimit)
+	enough := max(w.placement.FirstByteLimit, w.exchange.route.FirstTarget/targetDivisor)
+	if w.request.PrefixCached {
+		enough = max(enough, cachedLimitFactor*w.placement.FirstByteLimit)
 	}
-	return time.Since(s.began) >= enough
+	return time.Since(w.began) >= enough
 }
 
-// move gets a place at another endpoint that has room now, and cancels the attempt
+// move gets a placement at another endpoint that has room now, and cancels the attempt
 // in favour of it.
-func (s *responseWatch) move() bool {
-	next, refusal := s.exchange.server.Placer.Place(s.ctx, s.request)
+func (w *responseWatch) move() bool {
+	next, refusal := w.exchange.server.Placer.Place(w.ctx, w.request)
 	if refusal != nil {
 		return false // the first attempt may still get a response
 	}
-	if !s.switchTo(next) {
+	if !w.switchTo(next) {
 		next.Release()
 		return false
 	}
-	deathCheck{server: s.exchange.server, place: s.place}.run()
+	deathCheck{server: w.exchange.server, placement: w.placement}.run()
 	return true
 }
 
-func (s *responseWatch) sleep(d time.Duration) {
+func (w *responseWatch) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-s.ctx.Done():
+	case <-w.ctx.Done():
 	}
 }
 
 // waiting reports whether the attempt is still waiting for its first byte.
-func (s *responseWatch) waiting() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.firstByteSeen && !s.ended
+func (w *responseWatch) waiting() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return !w.firstByteSeen && !w.ended
 }
 
 // switchTo cancels the attempt in favour of one at next, unless the response has
 // begun, the attempt has ended or the retry budget is spent.
-func (s *responseWatch) switchTo(next Place) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.firstByteSeen || s.ended || !s.exchange.server.Retries.Take(s.request.Pool) {
+func (w *responseWatch) switchTo(next Placement) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.firstByteSeen || w.ended || !w.exchange.server.Retries.Take(w.request.Pool) {
 		return false
 	}
-	s.next = &next
-	s.cancel(errOverdue)
+	w.next = &next
+	w.cancel(errOverdue)
 	return true
 }
 
-func (s *responseWatch) fields() []event.Field {
+func (w *responseWatch) fields() []event.Field {
 	return []event.Field{
-		event.F("request", s.exchange.metadata.Attempt),
-		event.F("endpoint", s.place.Endpoint),
-		event.F("patience-ms", s.place.FirstByteLimit.Milliseconds()),
-		event.F("due-ms", s.overdueAfter.Milliseconds()),
-		event.F("again", s.retryable),
+		event.F("request", w.exchange.metadata.Attempt),
+		event.F("endpoint", w.placement.Endpoint),
+		event.F("patience-ms", w.placement.FirstByteLimit.Milliseconds()),
+		event.F("due-ms", w.overdueAfter.Milliseconds()),
+		event.F("again", w.retryable),
 	}
 }
 
 // observe records what an attempt showed of its endpoint. A disconnected caller or
 // an expired deadline shows nothing: an endpoint that kept the request waiting was
 // reported when its response became overdue.
-func (x *exchange) observe(ctx context.Context, p Place, end attemptResult) {
+func (x *exchange) observe(ctx context.Context, p Placement, end attemptResult) {
 	if p.Observer == nil {
 		return
 	}
--- a/wisteriarouter/relay/state_test.go
+++ b/wisteriarouter/relay/state_test.go
@@ -37,9 +37,9 @@
 // fullPlacer refuses all requests and counts them.
 type fullPlacer struct{ asked int }
 
-func (p *fullPlacer) Place(context.Context, PlaceRequest) (Place, *outcome.Refusal) {
+func (p *fullPlacer) Place(context.Context, PlacementRequest) (Placement, *outcome.Refusal) {
 	p.asked++
-	return Place{}, &outcome.Refusal{Message: "full", RetryAfter: time.Second}
+	return Placement{}, &outcome.Refusal{Message: "full", RetryAfter: time.Second}
 }
 
 func (p *fullPlacer) Dead(coordination.Endpoint, coordination.Incarnation) {}
--- a/wisteriarouter/relay/trail.go
+++ b/wisteriarouter/relay/trail.go
@@ -10,14 +10,14 @@
 	"wisteriaspool/wisteriarouter/upstream"
 )
 
-// CrashGuard prevents a request that crashes endpoints from crashing several in turn.
-type CrashGuard interface {
-	// Follow starts to track a request, or refuses it. It may wait until another
+// SuspectTracker prevents a request that crashes endpoints from crashing several in turn.
+type SuspectTracker interface {
+	// Track starts to track a request, or refuses it. It may wait until another
 	// copy of a suspect has ended.
-	Follow(ctx context.Context, fingerprint uint64, p coordination.Pool) (TrackedRequest, *outcome.Refusal)
+	Track(ctx context.Context, fingerprint uint64, p coordination.Pool) (TrackedRequest, *outcome.Refusal)
 }
 
-// TrackedRequest is a request that CrashGuard tracks. End is called once, at the end.
+// TrackedRequest is a request that SuspectTracker tracks. End is called once, at the end.
 type TrackedRequest interface {
 	// Alone reports whether the next attempt must run apart from other suspects.
 	Alone() bool
@@ -36,19 +36,19 @@
 		return true
 	}
 	f := suspicion.FingerprintOf(string(x.account), x.r.Method, x.r.RequestURI, string(x.body))
-	trail, refusal := x.server.Suspects.Follow(ctx, uint64(f), x.pool)
+	tracked, refusal := x.server.Suspects.Track(ctx, uint64(f), x.pool)
 	if refusal != nil {
 		x.respondWithoutResult(refusal.Message, refusal.RetryAfter)
 		return false
 	}
-	x.tracked = trail
+	x.tracked = tracked
 	return true
 }
 
 // checkCrash checks whether the endpoint of a broken attempt has died, and reports
 // whether the request may have another attempt. An endpoint that only lost a
 // response still accepts connections.
-func (x *exchange) checkCrash(ctx context.Context, p Place) bool {
+func (x *exchange) checkCrash(ctx context.Context, p Placement) bool {
 	if x.server.Sender.Alive(ctx, p.Address) || ctx.Err() != nil {
 		return true
 	}
@@ -75,22 +75,22 @@
 // process has ended, and all routers are told. A dial that timed out may be due to a
 // single lost packet, so the endpoint is checked again in the background: one lost
 // packet once took the only endpoint of a pool from all routers for five seconds.
-func (s *Server) reportUnreachable(p Place, err error) {
+func (s *Server) reportUnreachable(p Placement, err error) {
 	if upstream.Refused(err) {
 		s.Placer.Dead(p.Endpoint, p.Incarnation)
 		return
 	}
-	go deathCheck{server: s, place: p}.run()
+	go deathCheck{server: s, placement: p}.run()
 }
 
 // deathCheck checks whether an endpoint that did not answer has died.
 type deathCheck struct {
-	server *Server
-	place  Place
+	server    *Server
+	placement Placement
 }
 
 func (c deathCheck) run() {
-	if !c.server.Sender.Alive(context.Background(), c.place.Address) {
-		c.server.Placer.Dead(c.place.Endpoint, c.place.Incarnation)
+	if !c.server.Sender.Alive(context.Background(), c.placement.Address) {
+		c.server.Placer.Dead(c.placement.Endpoint, c.placement.Incarnation)
 	}
 }
--- a/wisteriarouter/service/runner.go
+++ b/wisteriarouter/service/runner.go
@@ -31,7 +31,7 @@
 type Placer interface {
 	// Place returns a placement for an attempt, or the refusal to send to the
 	// caller.
-	Place(ctx context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal)
+	Place(ctx context.Context, r caller.PlacementRequest) (caller.Placement, *outcome.Refusal)
 	// Leaving records that an endpoint has reported that it is stopping.
 	Leaving(e coordination.Endpoint, n coordination.Incarnation)
 }
--- a/wisteriarouter/upstream/trust.go
+++ b/wisteriarouter/upstream/trust.go
@@ -36,14 +36,14 @@
 )
 
 // maxIdle returns how long a connection may have been idle to be reused for a
-// request; zero for no limit other than the endpoint's. With once set, it is
+// request; zero for no limit other than the endpoint's. With atMostOnce set, it is
 // derived from the longest proven idle time, between least and most, and does not
 // exceed the group's limit.
-func (t *idleLimits) maxIdle(group string, once bool, least, most time.Duration) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	e := t.groups[group]
-	if !once {
+func (l *idleLimits) maxIdle(group string, atMostOnce bool, least, most time.Duration) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.groups[group]
+	if !atMostOnce {
 		return e.limit
 	}
 	longest := min(max(least, time.Duration(idleLimitFactor*float64(e.proven))), most)
@@ -54,36 +54,36 @@
 }
 
 // recordSuccess records that a connection was reused successfully after an idle time.
-func (t *idleLimits) recordSuccess(group string, idleTime time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	e := t.groups[group]
+func (l *idleLimits) recordSuccess(group string, idleTime time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.groups[group]
 	if idleTime > e.proven && (e.limit == 0 || idleTime < e.limit) {
 		e.proven = idleTime
-		t.put(group, e)
+		l.put(group, e)
 	}
 }
 
 // recordFailure records that a connection failed on which a request was sent.
-func (t *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
+func (l *idleLimits) recordFailure(group string, c *conn, sent, now time.Time) {
 	idleTime := sent.Sub(c.idleSince)
 	if c.served < 2 || now.Sub(sent) > dropWithin || idleTime < minIdleLimit {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	e := t.groups[group]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.groups[group]
 	limit := max(time.Duration(idleLimitFactor*float64(idleTime)), minIdleLimit)
 	if e.limit == 0 || limit < e.limit {
 		e.limit = limit
 	}
 	e.proven = min(e.proven, e.limit)
-	t.put(group, e)
+	l.put(group, e)
 }
 
-func (t *idleLimits) put(group string, e idleRecord) {
-	if t.groups == nil {
-		t.groups = make(map[string]idleRecord)
+func (l *idleLimits) put(group string, e idleRecord) {
+	if l.groups == nil {
+		l.groups = make(map[string]idleRecord)
 	}
-	t.groups[group] = e
+	l.groups[group] = e
 }
