--- a/wisteriarouter/caller/abuse_test.go
+++ b/wisteriarouter/caller/abuse_test.go
@@ -65,7 +65,7 @@
 // the given engine client.
 func newHandler(e caller.Engines) http.Handler {
 	s := &caller.Server{
-		Planner: oneTeam{}, Placer: onePlace("e1:80"), Engines: e, Suspects: noSuspects{},
+		Planner: oneTeam{}, Placer: fixedPlacer("e1:80"), Engines: e, Suspects: noSuspects{},
 		Retries: unlimitedRetries{}, Actions: noActions{},
 		Limits:  caller.Limits{MaxBodyBytes: 1 << 12, WriteTimeout: 5 * time.Second, CancelTimeout: time.Second},
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
@@ -171,7 +171,7 @@
 func pacedRouter(t *testing.T, e plainEngine) *fleet {
 	f := newFleet(t, 1, 0)
 	f.stops = append(f.stops, f.network.Serve("e1:80", e))
-	f.servers[0].Placer = onePlace("e1:80")
+	f.servers[0].Placer = fixedPlacer("e1:80")
 	return f
 }
 
--- a/wisteriarouter/caller/caller_test.go
+++ b/wisteriarouter/caller/caller_test.go
@@ -94,13 +94,13 @@
 	next  int
 }
 
-func (p *roundRobin) Place(_ context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+func (p *roundRobin) Place(_ context.Context, r caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range p.ids {
 		id := p.ids[p.next%len(p.ids)]
 		p.next++
-		if !contains(w.Exclude, id) {
+		if !contains(r.Exclude, id) {
 			return p.place(id), nil
 		}
 	}
--- a/wisteriarouter/caller/path_bench_test.go
+++ b/wisteriarouter/caller/path_bench_test.go
@@ -85,20 +85,20 @@
 	return plan, refusal
 }
 
-// onePlace places all attempts at one address.
-type onePlace string
+// fixedPlacer places all attempts at one address.
+type fixedPlacer string
 
-func (p onePlace) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+func (p fixedPlacer) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	return caller.Placement{Endpoint: "e1", Address: string(p), Release: func() {}}, nil
 }
 
-func (p onePlace) Adopt(coordination.Endpoint) (caller.Placement, bool) {
+func (p fixedPlacer) Adopt(coordination.Endpoint) (caller.Placement, bool) {
 	return caller.Placement{}, false
 }
 
-func (p onePlace) Dead(coordination.Endpoint, coordination.Incarnation) {}
+func (p fixedPlacer) Dead(coordination.Endpoint, coordination.Incarnation) {}
 
-func (p onePlace) Leaving(coordination.Endpoint, coordination.Incarnation) {}
+func (p fixedPlacer) Leaving(coordination.Endpoint, coordination.Incarnation) {}
 
 // route is a path to an engine.
 type route struct {
@@ -114,7 +114,7 @@
 	client, closeClient := engine.NewClient(engine.Options{})
 	tb.Cleanup(closeClient)
 	s := &caller.Server{
-		Planner: patientTeam{}, Placer: onePlace(direct), Engines: client, Suspects: noSuspects{},
+		Planner: patientTeam{}, Placer: fixedPlacer(direct), Engines: client, Suspects: noSuspects{},
 		Retries: unlimitedRetries{}, Actions: noActions{},
 		Limits:  caller.Limits{MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute, CancelTimeout: time.Second},
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
--- a/wisteriarouter/daemon/abuse_test.go
+++ b/wisteriarouter/daemon/abuse_test.go
@@ -97,7 +97,7 @@
 // Callers disconnect in the middle of their responses. Each attempt must be
 // cancelled at the engine and its placement released: more callers disconnect than
 // there are slots, and the next request must still be served.
-func TestDisconnectedCallersFreeTheirPlaces(t *testing.T) {
+func TestDisconnectedCallersReleaseTheirPlacements(t *testing.T) {
 	w := newTestCluster(t, 1, 1)
 	w.engines[0].SetFaults(standinengine.Faults{Slow: 20})
 	const gone = 20
--- a/wisteriarouter/daemon/leaving_test.go
+++ b/wisteriarouter/daemon/leaving_test.go
@@ -19,10 +19,10 @@
 	w := newTestCluster(t, 3, 3)
 	done := make(chan struct{})
 	var others sync.WaitGroup
-	beside := make([]*ordinaryTraffic, len(w.routers))
-	for n := range beside {
-		beside[n] = &ordinaryTraffic{cluster: w, router: n, done: done}
-		others.Go(beside[n].run)
+	traffic := make([]*ordinaryTraffic, len(w.routers))
+	for n := range traffic {
+		traffic[n] = &ordinaryTraffic{cluster: w, router: n, done: done}
+		others.Go(traffic[n].run)
 	}
 	w.awaitArrivals(w.arrivals() + 20)
 	left := time.Now()
@@ -30,7 +30,7 @@
 	time.Sleep(leaveWithin + 2*time.Second)
 	close(done)
 	others.Wait()
-	for _, s := range beside {
+	for _, s := range traffic {
 		s.check()
 	}
 	s := w.engines[0].Stats()
--- a/wisteriarouter/daemon/parts.go
+++ b/wisteriarouter/daemon/parts.go
@@ -185,9 +185,9 @@
 // reachabilityLogger logs that a router has become unreachable or reachable again.
 type reachabilityLogger struct{ log event.Log }
 
-func (l reachabilityLogger) logChange(id coordination.Instance, away bool) {
+func (l reachabilityLogger) logChange(id coordination.Instance, unreachable bool) {
 	kind := event.PeerBack
-	if away {
+	if unreachable {
 		kind = event.PeerAway
 	}
 	l.log.Emit(kind, event.F("peer", id))
--- a/wisteriarouter/relay/relay.go
+++ b/wisteriarouter/relay/relay.go
@@ -136,10 +136,10 @@
 
 // A starting router reads the desired state within about 50 ms, or up to 0.3 s
 // after the store is back if it was unavailable. Until then a request can neither
-// be placed nor be refused for good. Refused at once, all callers of a restarting
-// fleet would return before it knows the state and give up after a few rounds. A
-// request therefore waits for a fraction of its time, which leaves its caller
-// time to ask another router. A request that has not been read within a second
+// be placed nor be refused for good. If requests were refused at once, all callers
+// of a restarting fleet would retry before it knows the state and give up after a
+// few retries. A request therefore waits for a fraction of its time, which leaves
+// its caller time to ask another router. A request that has not been read within a second
 // counts as ignored.
 const (
 	stateWaitShare = 8                      // fraction 1/n of the deadline set by the caller
--- a/wisteriarouter/service/path_test.go
+++ b/wisteriarouter/service/path_test.go
@@ -29,8 +29,8 @@
 type cluster struct {
 	network   pipe.Network
 	platform  *standin.Server
-	desks     []*service.Service
-	addresses []string // of the desks, and one at which nothing listens
+	services  []*service.Service
+	addresses []string // of the services, and one at which nothing listens
 	routers   []*router.Runner
 	cleanups  []func()
 
@@ -48,11 +48,11 @@
 }
 
 const (
-	clusterRouters = 3
-	clusterDesks   = 2
-	clusterKeys    = 5
-	keyCallers     = 4
-	callerTries    = 5
+	clusterRouters  = 3
+	clusterServices = 2
+	clusterKeys     = 5
+	keyCallers      = 4
+	callerTries     = 5
 )
 
 func newCluster(seed uint64) *cluster {
@@ -60,21 +60,21 @@
 	server, stop := standin.New(standin.Options{Seed: seed})
 	s.platform = server
 	s.cleanups = append(s.cleanups, s.network.Serve("platform:80", server), stop)
-	for i := range clusterDesks {
-		desk, stop := service.New(service.Options{Seed: seed + uint64(i), ActionTime: 20 * time.Millisecond})
-		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.2})
-		s.desks = append(s.desks, desk)
-		s.addresses = append(s.addresses, deskAddress(i))
-		s.cleanups = append(s.cleanups, s.network.Serve(deskAddress(i), desk), stop)
+	for i := range clusterServices {
+		svc, stop := service.New(service.Options{Seed: seed + uint64(i), ActionTime: 20 * time.Millisecond})
+		svc.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.2})
+		s.services = append(s.services, svc)
+		s.addresses = append(s.addresses, serviceAddress(i))
+		s.cleanups = append(s.cleanups, s.network.Serve(serviceAddress(i), svc), stop)
 	}
-	s.addresses = append(s.addresses, deskAddress(clusterDesks))
+	s.addresses = append(s.addresses, serviceAddress(clusterServices))
 	for i := range clusterRouters {
 		s.addRouter(i)
 	}
 	return s
 }
 
-func deskAddress(i int) string { return fmt.Sprintf("desk-%d:80", i) }
+func serviceAddress(i int) string { return fmt.Sprintf("desk-%d:80", i) }
 
 func (s *cluster) addRouter(i int) {
 	store, closeStore, err := platform.New(platform.Config{Endpoints: []string{"http://platform:80"}, DialContext: s.network.DialContext})
@@ -126,7 +126,7 @@
 	return router.Plan{Pool: "orders", Timeout: 5 * time.Second, NonIdempotent: s.nonIdempotent}, nil
 }
 
-// Place places at a random desk, or at the address at which nothing listens.
+// Place places at a random service, or at the address at which nothing listens.
 func (s *cluster) Place(context.Context, caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	return caller.Placement{Address: s.addresses[s.intN(len(s.addresses))], Release: func() {}}, nil
 }
@@ -249,7 +249,7 @@
 
 func (s *cluster) runs(key string) int {
 	n := 0
-	for _, d := range s.desks {
+	for _, d := range s.services {
 		n += d.Arrivals().ByKey[key].Ran
 	}
 	return n
--- a/wisteriarouter/service/process_test.go
+++ b/wisteriarouter/service/process_test.go
@@ -34,7 +34,7 @@
 // Environment variables that make this test binary run as a router.
 const (
 	envPlatform = "WISTERIA_TEST_PLATFORM" // URL
-	envDesks    = "WISTERIA_TEST_DESKS"    // addresses, separated by commas
+	envServices = "WISTERIA_TEST_DESKS"    // addresses, separated by commas
 )
 
 func TestMain(m *testing.M) {
@@ -66,7 +66,7 @@
 		CallTimeout:   300 * time.Millisecond,
 	})
 	s := &cluster{random: rand.New(rand.NewPCG(1, uint64(os.Getpid()))), nonIdempotent: true}
-	s.addresses = strings.Split(os.Getenv(envDesks), ",")
+	s.addresses = strings.Split(os.Getenv(envServices), ",")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -103,10 +103,10 @@
 	address string
 }
 
-func startChild(t *testing.T, platformURL string, desks []string) *child {
+func startChild(t *testing.T, platformURL string, services []string) *child {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), envPlatform+"="+platformURL, envDesks+"="+strings.Join(desks, ","))
+	cmd.Env = append(os.Environ(), envPlatform+"="+platformURL, envServices+"="+strings.Join(services, ","))
 	out, err := cmd.StdoutPipe()
 	assert.NilError(t, err)
 	_, err = cmd.StdinPipe() // closed when the test process ends
@@ -187,19 +187,19 @@
 	platformServer := httptest.NewServer(server)
 	defer platformServer.Close()
 	s := &cluster{random: rand.New(rand.NewPCG(1, 1)), results: map[string][]callResult{}}
-	var desks []string
-	for i := range clusterDesks {
-		desk, stop := service.New(service.Options{Seed: uint64(i), ActionTime: 20 * time.Millisecond})
+	var services []string
+	for i := range clusterServices {
+		svc, stop := service.New(service.Options{Seed: uint64(i), ActionTime: 20 * time.Millisecond})
 		defer stop()
-		desk.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.1})
-		srv := httptest.NewServer(desk)
+		svc.SetFaults(service.Faults{CutBefore: 0.1, CutAfter: 0.1, Refuse: 0.1})
+		srv := httptest.NewServer(svc)
 		defer srv.Close()
-		s.desks = append(s.desks, desk)
-		desks = append(desks, address(srv.URL))
+		s.services = append(s.services, svc)
+		services = append(services, address(srv.URL))
 	}
 	f := &fleet{}
 	for i := range clusterRouters {
-		f.set(i, startChild(t, platformServer.URL, desks))
+		f.set(i, startChild(t, platformServer.URL, services))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var callersDone sync.WaitGroup
@@ -219,7 +219,7 @@
 		time.Sleep(400 * time.Millisecond)
 		if n%3 == 2 {
 			c.kill()
-			f.set(i, startChild(t, platformServer.URL, desks))
+			f.set(i, startChild(t, platformServer.URL, services))
 			continue
 		}
 		c.signal(syscall.SIGCONT)
--- a/wisteriarouter/service/runner_test.go
+++ b/wisteriarouter/service/runner_test.go
@@ -20,9 +20,9 @@
 	router "wisteriaspool/wisteriarouter/service"
 )
 
-// desk is an order service with a number of endpoints. It also implements the
+// orderService is an order service with a number of endpoints. It also implements the
 // interfaces that a router needs.
-type desk struct {
+type orderService struct {
 	services  []*service.Service
 	addresses []string
 	held      int
@@ -32,9 +32,9 @@
 	retries   int
 }
 
-func newDesk(t *testing.T, n int) *desk {
+func newOrderService(t *testing.T, n int) *orderService {
 	t.Helper()
-	d := &desk{
+	d := &orderService{
 		plan:    router.Plan{Pool: "orders", Timeout: 5 * time.Second, NonIdempotent: true},
 		store:   kvtest.New(),
 		retries: 10,
@@ -50,8 +50,8 @@
 	return d
 }
 
-// router returns a new router in front of the desk.
-func (d *desk) router(t *testing.T) *router.Runner {
+// router returns a new router in front of the service.
+func (d *orderService) router(t *testing.T) *router.Runner {
 	t.Helper()
 	c, cleanup := router.NewClient(router.Options{})
 	t.Cleanup(cleanup)
@@ -60,12 +60,12 @@
 	return &router.Runner{Planner: d, Placer: d, Retries: d, Client: c, Ledger: l}
 }
 
-func (d *desk) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) { return d.plan, nil }
+func (d *orderService) PlanAction(caller.Action) (router.Plan, *outcome.Refusal) { return d.plan, nil }
 
-func (d *desk) Place(_ context.Context, w caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
+func (d *orderService) Place(_ context.Context, r caller.PlacementRequest) (caller.Placement, *outcome.Refusal) {
 	for i, a := range d.addresses {
 		id := coordination.Endpoint(a)
-		if !slices.Contains(w.Exclude, id) {
+		if !slices.Contains(r.Exclude, id) {
 			d.held++
 			return caller.Placement{Endpoint: id, Incarnation: coordination.Incarnation(i), Address: a, Release: func() { d.held-- }}, nil
 		}
@@ -73,20 +73,20 @@
 	return caller.Placement{}, &outcome.Refusal{Code: outcome.Overloaded, Outcome: outcome.NotRun, RetryAfter: time.Second}
 }
 
-func (d *desk) Leaving(e coordination.Endpoint, _ coordination.Incarnation) {
+func (d *orderService) Leaving(e coordination.Endpoint, _ coordination.Incarnation) {
 	d.left = append(d.left, e)
 }
 
-func (d *desk) RecordRequest(coordination.Team) {}
+func (d *orderService) RecordRequest(coordination.Team) {}
 
-func (d *desk) Take(coordination.Team) bool {
+func (d *orderService) Take(coordination.Team) bool {
 	d.retries--
 	return d.retries >= 0
 }
 
 // count returns how often a key arrived at all endpoints in total, and how
 // often it ran.
-func (d *desk) count(key string) service.Count {
+func (d *orderService) count(key string) service.Count {
 	var sum service.Count
 	for _, s := range d.services {
 		c := s.Arrivals().ByKey[key]
@@ -109,7 +109,7 @@
 }
 
 func TestRepeatThroughOtherRouter(t *testing.T) {
-	d := newDesk(t, 2)
+	d := newOrderService(t, 2)
 	a := booking(t)
 	first, refusal := d.router(t).Run(t.Context(), a)
 	assert.Assert(t, refusal == nil, "%v", refusal)
@@ -126,7 +126,7 @@
 // order through other routers; it must not be sent again, not even to another
 // endpoint, and the caller must not be told that it did not run.
 func TestCutConnectionIsNotRepeated(t *testing.T) {
-	d := newDesk(t, 2)
+	d := newOrderService(t, 2)
 	d.services[0].SetFaults(service.Faults{CutAfterNext: 1})
 	a := booking(t)
 	for range 3 {
@@ -141,7 +141,7 @@
 // One endpoint is unreachable and another refuses. Neither ran the order, so
 // it may be sent to a third.
 func TestNotRunActionIsSentToNextEndpoint(t *testing.T) {
-	d := newDesk(t, 2)
+	d := newOrderService(t, 2)
 	d.addresses = append([]string{closedAddress(t)}, d.addresses...)
 	d.services[0].SetFaults(service.Faults{RefuseNext: 1})
 	a := booking(t)
@@ -155,7 +155,7 @@
 // All endpoints refuse the order. The caller is told not-run and when to
 // retry, and a repeat with the same key runs.
 func TestKeyIsReusableAfterRefusal(t *testing.T) {
-	d := newDesk(t, 1)
+	d := newOrderService(t, 1)
 	d.services[0].SetFaults(service.Faults{RefuseNext: 1})
 	a := booking(t)
 	_, refusal := d.router(t).Run(t.Context(), a)
@@ -169,7 +169,7 @@
 // The caller disconnects while its order is running. The answer is recorded
 // nevertheless, so that the repeat gets it.
 func TestAnswerIsKeptAfterDisconnect(t *testing.T) {
-	d := newDesk(t, 1)
+	d := newOrderService(t, 1)
 	d.services[0].SetFaults(service.Faults{TimeMillis: 200})
 	a := booking(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -187,7 +187,7 @@
 // The platform responds only after the start deadline of the order. A caller
 // that may rely on nothing starting after it must not find the order run.
 func TestDeadlineBeforeRecord(t *testing.T) {
-	d := newDesk(t, 1)
+	d := newOrderService(t, 1)
 	d.store.SetFaults(kvtest.Faults{Delay: 30 * time.Millisecond})
 	a := booking(t)
 	a.Deadline = time.Now().Add(20 * time.Millisecond)
@@ -199,13 +199,13 @@
 
 // cancelOnArrival cancels the call once the action has reached the service.
 type cancelOnArrival struct {
-	desk   *desk
-	key    string
-	cancel context.CancelFunc
+	service *orderService
+	key     string
+	cancel  context.CancelFunc
 }
 
 func (c cancelOnArrival) run() {
-	for c.desk.count(c.key).Arrived == 0 {
+	for c.service.count(c.key).Arrived == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	c.cancel()
@@ -226,7 +226,7 @@
 		{"another account's key", func(a *caller.Action) { a.Account = "label-2" }, outcome.Conflict},
 		{"another body", func(a *caller.Action) { a.Body = []byte("{}") }, outcome.Conflict},
 	}
-	d := newDesk(t, 1)
+	d := newOrderService(t, 1)
 	r := d.router(t)
 	taken := booking(t)
 	_, refusal := r.Run(t.Context(), taken)
@@ -248,7 +248,7 @@
 // The connection of an idempotent action breaks. It may be sent again within
 // the retry budget, and needs neither a key nor the platform.
 func TestIdempotentActionIsRetried(t *testing.T) {
-	d := newDesk(t, 2)
+	d := newOrderService(t, 2)
 	d.plan.NonIdempotent = false
 	d.store.SetFaults(kvtest.Faults{Down: true})
 	d.services[0].SetFaults(service.Faults{CutBefore: 1})
@@ -268,7 +268,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer leaving.Close()
-	d := newDesk(t, 1)
+	d := newOrderService(t, 1)
 	d.addresses = append([]string{address(leaving.URL)}, d.addresses...)
 	ans, refusal := d.router(t).Run(t.Context(), booking(t))
 	assert.Assert(t, refusal == nil, "%v", refusal)
--- a/wisteriarouter/upstream/conn.go
+++ b/wisteriarouter/upstream/conn.go
@@ -20,11 +20,11 @@
 	// block. A longer one is written concurrently with reading, because an endpoint
 	// may refuse it before it has read all of it.
 	inlineBody = 4 << 10
-	// maxForeignBody is the size in bytes up to which the response to another
+	// maxMismatchedBody is the size in bytes up to which the response to another
 	// request is discarded; a longer one fails the request.
-	maxForeignBody = 64 << 10
-	// maxForeignResponses is how many such responses are discarded.
-	maxForeignResponses = 2
+	maxMismatchedBody = 64 << 10
+	// maxMismatchedResponses is how many such responses are discarded.
+	maxMismatchedResponses = 2
 )
 
 // conn is a connection to an endpoint. It serves one request at a time.
@@ -54,7 +54,7 @@
 	if err := c.write(r); err != nil {
 		return nil, ErrBroken.Wrap(err, "write to endpoint %s", c.address)
 	}
-	for range maxForeignResponses + 1 {
+	for range maxMismatchedResponses + 1 {
 		resp, err := c.readHead(r)
 		if err != nil {
 			return nil, ErrBroken.Wrap(err, "answer of endpoint %s", c.address)
@@ -92,22 +92,22 @@
 	}
 }
 
-var errUnbounded = errors.New("upstream: the response to another request is too long to discard")
+var errTooLongToDiscard = errors.New("upstream: the response to another request is too long to discard")
 
 // discard reads and drops a response that belongs to another request.
 func discard(resp *http.Response) error {
-	if resp.Close || resp.ContentLength > maxForeignBody {
-		return errUnbounded
+	if resp.Close || resp.ContentLength > maxMismatchedBody {
+		return errTooLongToDiscard
 	}
 	var buf [1 << 10]byte
-	for read := 0; read <= maxForeignBody; {
+	for read := 0; read <= maxMismatchedBody; {
 		n, err := resp.Body.Read(buf[:])
 		read += n
 		if err != nil {
 			return ignoreEOF(err)
 		}
 	}
-	return errUnbounded
+	return errTooLongToDiscard
 }
 
 // write sends a request, in the background if it is long.
--- a/wisteriarouter/upstream/upstream_test.go
+++ b/wisteriarouter/upstream/upstream_test.go
@@ -215,7 +215,7 @@
 
 // A response to an earlier request, sent after that request was abandoned, precedes
 // the right one.
-func TestForeignResponseIsDiscarded(t *testing.T) {
+func TestMismatchedResponseIsDiscarded(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(id string) string { return ok("other") + ok(id) })
 	c := newClient(t, upstream.Config{})
@@ -224,7 +224,7 @@
 	assert.Equal(t, body, "ok")
 }
 
-func TestOnlyForeignResponsesIsAnError(t *testing.T) {
+func TestOnlyMismatchedResponsesIsAnError(t *testing.T) {
 	e := newEndpoint(t, nil)
 	e.serve = e.each(func(string) string { return ok("a") + ok("b") + ok("c") + ok("d") })
 	c := newClient(t, upstream.Config{})
