--- a/coordination/outlier/pace.go
+++ b/coordination/outlier/pace.go
@@ -39,41 +39,41 @@
 	minAnswers = 8
 )
 
-func (p *latencyTail) observe(now time.Time, took time.Duration) {
-	p.rotate(now)
-	s := &p.current
-	s.n++
-	for i := range s.longest {
-		if took > s.longest[i] {
-			took, s.longest[i] = s.longest[i], took
+func (t *latencyTail) observe(now time.Time, took time.Duration) {
+	t.rotate(now)
+	w := &t.current
+	w.n++
+	for i := range w.longest {
+		if took > w.longest[i] {
+			took, w.longest[i] = w.longest[i], took
 		}
 	}
 }
 
 // rotate starts a new window when the current one is over.
-func (p *latencyTail) rotate(now time.Time) {
-	age := now.Sub(p.current.start)
+func (t *latencyTail) rotate(now time.Time) {
+	age := now.Sub(t.current.start)
 	switch {
 	case age < windowLength:
 		return
 	case age < 2*windowLength:
-		p.previous = p.current
+		t.previous = t.current
 	default:
-		p.previous = latencyWindow{}
+		t.previous = latencyWindow{}
 	}
-	p.current = latencyWindow{start: now}
+	t.current = latencyWindow{start: now}
 }
 
 // limit returns limitMargin times the time that one answer in tailShare has
 // exceeded, or the longest time if there were fewer answers than that. It
 // returns zero below minAnswers.
-func (p *latencyTail) limit(now time.Time) time.Duration {
-	p.rotate(now)
-	n := p.current.n + p.previous.n
+func (t *latencyTail) limit(now time.Time) time.Duration {
+	t.rotate(now)
+	n := t.current.n + t.previous.n
 	if n < minAnswers {
 		return 0
 	}
-	all := append(p.current.longest[:], p.previous.longest[:]...)
+	all := append(t.current.longest[:], t.previous.longest[:]...)
 	slices.Sort(all)
 	rank := min(n/tailShare, tailSize-1)
 	return limitMargin * all[len(all)-1-rank]
--- a/coordination/outlier/watch.go
+++ b/coordination/outlier/watch.go
@@ -57,41 +57,41 @@
 )
 
 // RecordSuccess records a successful request and returns its weight.
-func (w *Monitor) RecordSuccess(now time.Time, s Request) Weight {
-	v := w.pool(s.Pool)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	k := v.kind(s.Kind)
+func (m *Monitor) RecordSuccess(now time.Time, r Request) Weight {
+	p := m.pool(r.Pool)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := p.kind(r.Kind)
 	if k == nil {
 		return 0
 	}
-	k.add(now, s.Endpoint, 0)
+	k.add(now, r.Endpoint, 0)
 	return SuccessWeight
 }
 
 // RecordFailure records a failed request and returns its weight, which depends
 // on the failure rate of the same kind at the other endpoints.
-func (w *Monitor) RecordFailure(now time.Time, s Request) Weight {
-	v := w.pool(s.Pool)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	k := v.kind(s.Kind)
+func (m *Monitor) RecordFailure(now time.Time, r Request) Weight {
+	p := m.pool(r.Pool)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := p.kind(r.Kind)
 	if k == nil {
 		return 0
 	}
-	others := k.others(now, s.Endpoint)
-	k.add(now, s.Endpoint, 1)
+	others := k.others(now, r.Endpoint)
+	k.add(now, r.Endpoint, 1)
 	known := others.all / (others.all + priorRequests)
 	return Weight(known * float64(failureWeight(others.rate())))
 }
 
 // RecordFirstByte records the time that an endpoint took to the first byte of
 // an answer.
-func (w *Monitor) RecordFirstByte(now time.Time, s Request, took time.Duration) {
-	v := w.pool(s.Pool)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if k := v.kind(s.Kind); k != nil {
+func (m *Monitor) RecordFirstByte(now time.Time, r Request, took time.Duration) {
+	p := m.pool(r.Pool)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if k := p.kind(r.Kind); k != nil {
 		k.firstByte.observe(now, took)
 	}
 }
@@ -99,36 +99,36 @@
 // FirstByteLimit returns the time within which a request of this kind is
 // expected to get the first byte of its answer from a good endpoint, or zero if
 // there are too few observations.
-func (w *Monitor) FirstByteLimit(now time.Time, s Request) time.Duration {
-	v := w.pool(s.Pool)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if k := v.kind(s.Kind); k != nil {
+func (m *Monitor) FirstByteLimit(now time.Time, r Request) time.Duration {
+	p := m.pool(r.Pool)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if k := p.kind(r.Kind); k != nil {
 		return k.firstByte.limit(now)
 	}
 	return 0
 }
 
-func (w *Monitor) pool(p coordination.Pool) *poolStats {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	v := w.pools[p]
+func (m *Monitor) pool(p coordination.Pool) *poolStats {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	v := m.pools[p]
 	if v == nil {
-		if w.pools == nil {
-			w.pools = make(map[coordination.Pool]*poolStats)
+		if m.pools == nil {
+			m.pools = make(map[coordination.Pool]*poolStats)
 		}
 		v = &poolStats{kinds: make(map[string]*kindStats)}
-		w.pools[p] = v
+		m.pools[p] = v
 	}
 	return v
 }
 
 // kind returns the statistics of a kind, or nil if there are too many kinds.
-func (v *poolStats) kind(name string) *kindStats {
-	k := v.kinds[name]
-	if k == nil && len(v.kinds) < maxKinds {
+func (p *poolStats) kind(name string) *kindStats {
+	k := p.kinds[name]
+	if k == nil && len(p.kinds) < maxKinds {
 		k = &kindStats{byEndpoint: make(map[coordination.Endpoint]*tally)}
-		v.kinds[name] = k
+		p.kinds[name] = k
 	}
 	return k
 }
--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -28,9 +28,9 @@
 func (o *Owner) await(ctx context.Context, w *waiter) AdmitReply {
 	t := time.NewTicker(queueCheckInterval)
 	defer t.Stop()
-	var pass <-chan time.Time
+	var holdEnd <-chan time.Time
 	if !w.req.Final {
-		pass = time.After(time.Until(w.holdUntil))
+		holdEnd = time.After(time.Until(w.holdUntil))
 	}
 	for {
 		select {
@@ -38,7 +38,7 @@
 			return r
 		case <-t.C:
 			o.processQueueIfDue(time.Now(), w)
-		case <-pass:
+		case <-holdEnd:
 			o.processQueue(time.Now(), w)
 		case <-ctx.Done():
 			o.end(time.Now(), w.id, w.req.Endpoint)
@@ -54,7 +54,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.loads[w.req.Endpoint]
-	if l != nil && now.Sub(l.lastSweep) >= queueCheckInterval/2 {
+	if l != nil && now.Sub(l.lastDispatch) >= queueCheckInterval/2 {
 		l.dispatch(now, o.cfg.Load())
 	}
 }
@@ -84,7 +84,7 @@
 	if l == nil {
 		return o.notOwnerReply(req.Endpoint), nil
 	}
-	if wait, off := l.mustAvoid(now, &req, zone); off {
+	if wait, avoid := l.mustAvoid(now, &req, zone); avoid {
 		return AdmitReply{Decision: Next, Code: Outlier, RetryAfter: millis(wait)}, nil
 	}
 	return l.submit(now, req, o.cfg.Load())
@@ -145,11 +145,11 @@
 
 // checkCapacity returns why the endpoint cannot take one more request now, or
 // None. It does not check the bound, which grant checks and counts in one step.
-func (l *endpointLoad) checkCapacity(now time.Time, alone bool, cfg *Config) Code {
+func (l *endpointLoad) checkCapacity(now time.Time, isolated bool, cfg *Config) Code {
 	switch {
 	case l.settling(now, cfg):
 		return Settling
-	case alone && l.isolated > 0:
+	case isolated && l.isolated > 0:
 		return Full
 	case l.count(now, cfg) >= l.sendLimit(cfg):
 		return Full
@@ -160,12 +160,12 @@
 
 // grant counts the request unless the endpoint would exceed its bound. It returns
 // the number of requests that the endpoint may run now.
-func (l *endpointLoad) grant(now time.Time, id GrantID, alone bool, cfg *Config) (limit int, ok bool) {
+func (l *endpointLoad) grant(now time.Time, id GrantID, isolated bool, cfg *Config) (limit int, ok bool) {
 	l.refresh(now, cfg)
 	limit, ok = l.pool.admit(now, l.count(now, cfg), cfg)
 	if ok {
 		l.countedInPool++
-		l.addGrant(now, id, activeGrant{start: now, isolated: alone})
+		l.addGrant(now, id, activeGrant{start: now, isolated: isolated})
 	}
 	return limit, ok
 }
@@ -232,7 +232,7 @@
 // is over its bound, other endpoints of the pool carry less, so the waiting
 // requests are sent on to them.
 func (l *endpointLoad) dispatch(now time.Time, cfg *Config) {
-	l.lastSweep = now
+	l.lastDispatch = now
 	for l.queue.size > 0 {
 		w := l.queue.next(now, func(w *waiter) bool {
 			return l.checkCapacity(now, w.req.Isolated, cfg) == None
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -27,7 +27,7 @@
 	cfg       atomic.Pointer[Config]
 	view      atomic.Pointer[view]
 	held      grantTable
-	doubts    avoidTable
+	avoided   avoidTable
 	fallback  fallbackTable
 }
 
@@ -73,10 +73,10 @@
 	cfg, v := e.cfg.Load(), e.view.Load()
 	g := e.held.open(e, req.Isolated)
 	w := newWalk(time.Now(), req, cfg, v.set, v.routers)
-	w.latest, w.doubts = e.view.Load, &e.doubts
+	w.latest, w.avoided = e.view.Load, &e.avoided
 	for {
 		coordination.Sleep(ctx, w.pause(time.Now()))
-		a, refusal, ok := w.nextQuery(time.Now())
+		q, refusal, ok := w.nextQuery(time.Now())
 		if !ok && refusal.Code == NotOwner && w.awaitHandover(ctx) {
 			continue
 		}
@@ -84,12 +84,12 @@
 			e.held.close(g, e.id.Instance)
 			return nil, refusal
 		}
-		g.Warm, g.Rank = a.endpoint == w.warm, slices.Index(w.list, a.endpoint)
-		r := e.sendQuery(ctx, g, req, a, cfg)
+		g.Warm, g.Rank = q.endpoint == w.warm, slices.Index(w.list, q.endpoint)
+		r := e.sendQuery(ctx, g, req, q, cfg)
 		if r.Code == Outlier {
-			e.doubts.add(time.Now(), avoidKey{pool: req.Pool, endpoint: a.endpoint.ID, nonRetryable: req.NonRetryable}, r.RetryAfter.Duration())
+			e.avoided.add(time.Now(), avoidKey{pool: req.Pool, endpoint: q.endpoint.ID, nonRetryable: req.NonRetryable}, r.RetryAfter.Duration())
 		}
-		if !w.handleReply(a, r) {
+		if !w.handleReply(q, r) {
 			continue
 		}
 		if r.Decision == Granted && ctx.Err() == nil {
@@ -106,76 +106,76 @@
 }
 
 // sendQuery sends one query to one owner, or decides without it if it is unreachable.
-func (e *Entry) sendQuery(ctx context.Context, g *Grant, req Request, a ownerQuery, cfg *Config) AdmitReply {
-	e.held.recordQuery(time.Now(), g, a)
+func (e *Entry) sendQuery(ctx context.Context, g *Grant, req Request, q ownerQuery, cfg *Config) AdmitReply {
+	e.held.recordQuery(time.Now(), g, q)
 	m := AdmitRequest{
 		Entry:        e.id,
 		Sequence:     g.sequence,
-		Endpoint:     a.endpoint.ID,
-		Incarnation:  a.endpoint.Incarnation,
+		Endpoint:     q.endpoint.ID,
+		Incarnation:  q.endpoint.Incarnation,
 		Account:      req.Account,
 		Priority:     req.Priority,
-		Deadline:     a.deadline,
-		Wait:         a.wait,
-		Final:        a.final,
+		Deadline:     q.deadline,
+		Wait:         q.wait,
+		Final:        q.final,
 		Isolated:     req.Isolated,
 		NonRetryable: req.NonRetryable,
-		AllowOutlier: a.insist,
-		Target:       a.target,
+		AllowOutlier: q.allowOutliers,
+		Target:       q.target,
 	}
-	if a.owner == e.id.Instance {
+	if q.owner == e.id.Instance {
 		r := e.local.Admit(ctx, m)
-		e.recordReply(g, a, r)
+		e.recordReply(g, q, r)
 		return r
 	}
-	if a.owner == "" || e.fallback.backingOff(time.Now(), a.owner) {
-		return e.decideWithoutOwner(ctx, g, a, cfg)
+	if q.owner == "" || e.fallback.backingOff(time.Now(), q.owner) {
+		return e.decideWithoutOwner(ctx, g, q, cfg)
 	}
-	m.Releases = e.held.takeReleases(a.owner)
-	r, err := e.call(ctx, a, m, cfg)
+	m.Releases = e.held.takeReleases(q.owner)
+	r, err := e.call(ctx, q, m, cfg)
 	if err != nil {
 		// The owner may have granted the request, so a release is queued. The next query
 		// needs another sequence number, or the owner would take it for the released one.
-		e.held.requeueReleases(a.owner, m.Releases)
-		e.held.requeueReleases(a.owner, []Release{{Endpoint: a.endpoint.ID, Sequence: g.sequence}})
+		e.held.requeueReleases(q.owner, m.Releases)
+		e.held.requeueReleases(q.owner, []Release{{Endpoint: q.endpoint.ID, Sequence: g.sequence}})
 		e.held.renumber(g)
 		if ctx.Err() != nil {
 			return AdmitReply{Decision: Refused, Code: Cancelled}
 		}
-		e.fallback.recordFailure(time.Now(), a.owner)
-		return e.decideWithoutOwner(ctx, g, a, cfg)
+		e.fallback.recordFailure(time.Now(), q.owner)
+		return e.decideWithoutOwner(ctx, g, q, cfg)
 	}
-	e.fallback.recordAnswer(a.owner)
+	e.fallback.recordAnswer(q.owner)
 	if r.Code == EndpointLost {
-		e.fallback.markDead(time.Now(), lostOf(a.endpoint), cfg.LostTTL)
+		e.fallback.markDead(time.Now(), lostOf(q.endpoint), cfg.LostTTL)
 	}
-	e.recordReply(g, a, r)
+	e.recordReply(g, q, r)
 	return r
 }
 
 // recordReply records the limit and the grant in an owner's reply.
-func (e *Entry) recordReply(g *Grant, a ownerQuery, r AdmitReply) {
+func (e *Entry) recordReply(g *Grant, q ownerQuery, r AdmitReply) {
 	if r.Limit > 0 {
-		e.fallback.recordLimit(time.Now(), a.endpoint.Pool, r.Limit)
+		e.fallback.recordLimit(time.Now(), q.endpoint.Pool, r.Limit)
 	}
 	if r.Decision == Granted {
-		e.held.markGranted(time.Now(), g, a.owner)
+		e.held.markGranted(time.Now(), g, q.owner)
 	}
 }
 
 // call sends a query to a remote owner. Its timeout is the time for which the owner
 // may hold the request back plus admitTimeout.
-func (e *Entry) call(ctx context.Context, a ownerQuery, m AdmitRequest, cfg *Config) (AdmitReply, error) {
-	wait := a.wait.Duration()
-	if a.final {
+func (e *Entry) call(ctx context.Context, q ownerQuery, m AdmitRequest, cfg *Config) (AdmitReply, error) {
+	wait := q.wait.Duration()
+	if q.final {
 		wait = cfg.MaxWait
 	}
-	if a.final && a.deadline > 0 {
-		wait = min(wait, a.deadline.Duration())
+	if q.final && q.deadline > 0 {
+		wait = min(wait, q.deadline.Duration())
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+admitTimeout)
 	defer cancel()
-	b, err := e.transport.Call(ctx, a.owner, TopicAdmit, m.Encode())
+	b, err := e.transport.Call(ctx, q.owner, TopicAdmit, m.Encode())
 	if err != nil {
 		return AdmitReply{}, err
 	}
@@ -205,7 +205,7 @@
 
 // sendNotice tells one owner what a request shows of its endpoint, and reports
 // whether the endpoint is ejected. It reports false if the owner does not reply.
-func (e *Entry) sendNotice(ctx context.Context, owner coordination.Instance, n Notice) (out bool) {
+func (e *Entry) sendNotice(ctx context.Context, owner coordination.Instance, n Notice) (ejected bool) {
 	b := ReleaseBatch{Entry: e.id, Notices: []Notice{n}}
 	if owner == e.id.Instance {
 		return slices.Contains(e.local.Release(b).Ejected, n.Endpoint)
@@ -226,9 +226,9 @@
 	cfg, v := e.cfg.Load(), e.view.Load()
 	var wg sync.WaitGroup
 	now := time.Now()
-	for _, d := range e.held.pendingMessages(now, e.id, v, cfg) {
-		d.entry = e
-		wg.Go(func() { d.send(ctx) })
+	for _, m := range e.held.pendingMessages(now, e.id, v, cfg) {
+		m.entry = e
+		wg.Go(func() { m.send(ctx) })
 	}
 	wg.Wait()
 }
@@ -242,20 +242,20 @@
 }
 
 // send sends the message. Releases that may not have arrived are queued again.
-func (d outboundMessage) send(ctx context.Context) {
+func (m outboundMessage) send(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if d.register != nil {
-		d.sendRegister(ctx)
+	if m.register != nil {
+		m.sendRegister(ctx)
 		return
 	}
-	b := ReleaseBatch{Entry: d.entry.id, Releases: d.releases}
-	if d.to == d.entry.id.Instance {
-		d.entry.local.Release(b)
+	b := ReleaseBatch{Entry: m.entry.id, Releases: m.releases}
+	if m.to == m.entry.id.Instance {
+		m.entry.local.Release(b)
 		return
 	}
-	if _, err := d.entry.transport.Call(ctx, d.to, TopicRelease, b.Encode()); err != nil {
-		d.entry.held.requeueReleases(d.to, d.releases)
+	if _, err := m.entry.transport.Call(ctx, m.to, TopicRelease, b.Encode()); err != nil {
+		m.entry.held.requeueReleases(m.to, m.releases)
 	}
 }
 
@@ -263,12 +263,12 @@
 const sendTimeout = time.Second
 
 // sendRegister sends the registration. If that fails, another one is requested.
-func (d outboundMessage) sendRegister(ctx context.Context) {
-	if d.to == d.entry.id.Instance {
-		d.entry.local.Register(*d.register)
+func (m outboundMessage) sendRegister(ctx context.Context) {
+	if m.to == m.entry.id.Instance {
+		m.entry.local.Register(*m.register)
 		return
 	}
-	if _, err := d.entry.transport.Call(ctx, d.to, TopicRegister, d.register.Encode()); err != nil {
-		d.entry.held.requestRegistration()
+	if _, err := m.entry.transport.Call(ctx, m.to, TopicRegister, m.register.Encode()); err != nil {
+		m.entry.held.requestRegistration()
 	}
 }
--- a/coordination/placement/fallback.go
+++ b/coordination/placement/fallback.go
@@ -50,11 +50,11 @@
 	if t.backoffs == nil {
 		t.backoffs = make(map[coordination.Instance]ownerBackoff)
 	}
-	m, ok := t.backoffs[o]
-	if ok && now.Sub(m.since) < m.period-admitTimeout {
+	b, ok := t.backoffs[o]
+	if ok && now.Sub(b.since) < b.period-admitTimeout {
 		return
 	}
-	t.backoffs[o] = ownerBackoff{since: now, period: min(max(2*m.period, minOwnerBackoff), maxOwnerBackoff)}
+	t.backoffs[o] = ownerBackoff{since: now, period: min(max(2*b.period, minOwnerBackoff), maxOwnerBackoff)}
 }
 
 // recordAnswer notes that an owner has replied, which ends its backoff.
@@ -70,15 +70,15 @@
 func (t *fallbackTable) backingOff(now time.Time, o coordination.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.backoffs[o]
+	b, ok := t.backoffs[o]
 	if !ok {
 		return false
 	}
-	if now.Sub(m.since) < m.period {
+	if now.Sub(b.since) < b.period {
 		return true
 	}
-	m.since = now.Add(admitTimeout - m.period)
-	t.backoffs[o] = m
+	b.since = now.Add(admitTimeout - b.period)
+	t.backoffs[o] = b
 	return false
 }
 
@@ -129,22 +129,22 @@
 // It uses only this router's share of the remaining room, since the other routers
 // cannot reach the owner either and see the same report. In a large fleet that
 // share is zero, and the request goes on to an endpoint whose owner replies.
-func (e *Entry) decideWithoutOwner(ctx context.Context, g *Grant, a ownerQuery, cfg *Config) AdmitReply {
+func (e *Entry) decideWithoutOwner(ctx context.Context, g *Grant, q ownerQuery, cfg *Config) AdmitReply {
 	declined := AdmitReply{Decision: Next, Code: Unreachable}
 	if e.loads == nil {
-		if e.fallback.isDead(time.Now(), lostOf(a.endpoint), cfg.LostTTL) {
+		if e.fallback.isDead(time.Now(), lostOf(q.endpoint), cfg.LostTTL) {
 			return AdmitReply{Decision: Next, Code: EndpointLost}
 		}
 		return e.decideWithoutReport(g, cfg)
 	}
-	limit := e.fallback.limit(time.Now(), a.endpoint.Pool)
-	if limit == 0 || g.alone {
+	limit := e.fallback.limit(time.Now(), q.endpoint.Pool)
+	if limit == 0 || g.isolated {
 		return declined
 	}
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
-	r, err := e.loads.ReadLoad(ctx, a.endpoint.ID)
-	if err != nil || r.Leaving || r.Incarnation != a.endpoint.Incarnation {
+	r, err := e.loads.ReadLoad(ctx, q.endpoint.ID)
+	if err != nil || r.Leaving || r.Incarnation != q.endpoint.Incarnation {
 		return declined
 	}
 	room := fallbackLimit(limit, cfg) - r.Running
@@ -164,7 +164,7 @@
 // no requests. When all routers start at once, or one is cut off from all others,
 // refusing would not help either while the endpoints work.
 func (e *Entry) decideWithoutReport(g *Grant, cfg *Config) AdmitReply {
-	if g.alone || !e.held.grantBelow(time.Now(), g, cfg.FallbackLimit) {
+	if g.isolated || !e.held.grantBelow(time.Now(), g, cfg.FallbackLimit) {
 		return AdmitReply{Decision: Next, Code: Unreachable}
 	}
 	return AdmitReply{Decision: Granted}
--- a/coordination/placement/grants.go
+++ b/coordination/placement/grants.go
@@ -25,7 +25,7 @@
 
 	entry    *Entry
 	sequence Sequence
-	alone    bool
+	isolated bool
 
 	// The fields below are guarded by grantTable.mu.
 	granted  bool
@@ -57,13 +57,13 @@
 // ReportEvidence reports to the owners at once what the request shows of its
 // endpoint while it still runs there; zero only queries the state. It reports
 // whether the endpoint is ejected for its failures.
-func (g *Grant) ReportEvidence(ctx context.Context, w outlier.Weight) (out bool) {
+func (g *Grant) ReportEvidence(ctx context.Context, w outlier.Weight) (ejected bool) {
 	e := g.entry
 	n := Notice{Endpoint: g.Endpoint.ID, Sequence: g.sequence, Evidence: w}
 	for _, o := range e.held.ownersOf(g) {
-		out = e.sendNotice(ctx, o, n) || out
+		ejected = e.sendNotice(ctx, o, n) || ejected
 	}
-	return out
+	return ejected
 }
 
 // Hint returns the hint that directs the next request of the chat to this endpoint.
@@ -72,7 +72,7 @@
 // grantTable holds the grants of an entry and the releases to be sent.
 type grantTable struct {
 	mu             sync.Mutex
-	last           Sequence
+	lastSequence   Sequence
 	grants         map[Sequence]*Grant
 	releases       map[coordination.Instance][]Release
 	lastRegistered time.Time // zero if owners may have changed
@@ -102,18 +102,18 @@
 
 // open adds a grant that is still pending. It is numbered and added in one step, so
 // that no registration can omit the number and thereby report it as ended.
-func (t *grantTable) open(e *Entry, alone bool) *Grant {
+func (t *grantTable) open(e *Entry, isolated bool) *Grant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g := &Grant{entry: e, alone: alone}
+	g := &Grant{entry: e, isolated: isolated}
 	t.assignSequence(g)
 	return g
 }
 
 // assignSequence gives g the next sequence number and adds it. t.mu must be held.
 func (t *grantTable) assignSequence(g *Grant) {
-	t.last++
-	g.sequence = t.last
+	t.lastSequence++
+	g.sequence = t.lastSequence
 	t.grants[g.sequence] = g
 }
 
@@ -126,14 +126,14 @@
 }
 
 // recordQuery records the owner and the endpoint of the query for a pending grant.
-func (t *grantTable) recordQuery(now time.Time, g *Grant, a ownerQuery) {
+func (t *grantTable) recordQuery(now time.Time, g *Grant, q ownerQuery) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g.Endpoint = *a.endpoint
+	g.Endpoint = *q.endpoint
 	g.owners = g.owners[:0]
-	if a.owner != "" {
-		g.owners = append(g.owners, a.owner)
-		t.lastContact[a.owner] = now
+	if q.owner != "" {
+		g.owners = append(g.owners, q.owner)
+		t.lastContact[q.owner] = now
 	}
 }
 
@@ -255,14 +255,14 @@
 func (t *grantTable) registrations(now time.Time, id EntryID, v *view, cfg *Config) map[coordination.Instance]*Register {
 	all := make(map[coordination.Instance]*Register)
 	for _, o := range t.ownersToReconcile(now, v, cfg) {
-		all[o] = &Register{Entry: id, UpTo: t.last}
+		all[o] = &Register{Entry: id, UpTo: t.lastSequence}
 	}
 	for _, seq := range sortedKeys(t.grants) {
 		g := t.grants[seq]
 		t.updateOwners(g, v)
 		for _, o := range g.owners {
 			if all[o] == nil {
-				all[o] = &Register{Entry: id, UpTo: t.last}
+				all[o] = &Register{Entry: id, UpTo: t.lastSequence}
 			}
 			all[o].addGrant(now, g)
 		}
@@ -323,7 +323,7 @@
 	} else {
 		h.Flags |= HeldPending
 	}
-	if g.alone {
+	if g.isolated {
 		h.Flags |= HeldIsolated
 	}
 	i := slices.IndexFunc(m.Held, func(h HeldGrants) bool { return h.Endpoint == g.Endpoint.ID })
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -57,7 +57,7 @@
 	// that arrives after the release would be counted forever.
 	released       map[GrantID]time.Time
 	releasedPruned time.Time
-	lastSweep      time.Time
+	lastDispatch   time.Time
 }
 
 const (
--- a/coordination/placement/mean.go
+++ b/coordination/placement/mean.go
@@ -117,11 +117,11 @@
 // count as complete.
 const minCoverage = 7.0 / 8
 
-// unsettled reports whether the sums do not cover the listed endpoints, within
+// sumsIncomplete reports whether the sums do not cover the listed endpoints, within
 // partialTTL after they last did or after this owner's part changed. This
 // happens when many routers start or stop, and endpoints are counted by no
 // owner or by several. The caller holds the owner's lock.
-func (p *poolLoad) unsettled(now time.Time) bool {
+func (p *poolLoad) sumsIncomplete(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints == 0 || !p.coversListed() && min(now.Sub(p.lastComplete), now.Sub(p.reportChanged)) <= partialTTL
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -47,7 +47,7 @@
 // of its endpoint and reports whether the endpoint is ejected for the zone of
 // the request's router. A request that this owner does not count is ignored,
 // because it was recorded before or by another owner.
-func (o *Owner) recordEvidence(now time.Time, n Notice, from EntryID) (out bool) {
+func (o *Owner) recordEvidence(now time.Time, n Notice, from EntryID) (ejected bool) {
 	zone := o.zoneOf(from)
 	s := o.shard(n.Endpoint)
 	s.mu.Lock()
@@ -68,9 +68,9 @@
 // does not take. With 8 of 12 engines losing 3 of 10 answers, most were
 // ejected, and 21 of 566 requests ran on an engine at more than twice the mean
 // load.
-func (l *endpointLoad) outlierChanged(c outlier.Change, tell func(OutlierChange)) {
-	if tell != nil {
-		tell(OutlierChange{Endpoint: l.desc.ID, Incarnation: l.desc.Incarnation, Pool: l.desc.Pool, Change: c})
+func (l *endpointLoad) outlierChanged(c outlier.Change, notify func(OutlierChange)) {
+	if notify != nil {
+		notify(OutlierChange{Endpoint: l.desc.ID, Incarnation: l.desc.Incarnation, Pool: l.desc.Pool, Change: c})
 	}
 	if c.Standing == outlier.Ejected {
 		l.replyNextToAll(Outlier)
@@ -129,7 +129,7 @@
 // that a new owner, which has no record of failures, is asked soon.
 const maxAvoidTime = time.Second
 
-func (t *avoidTable) add(now time.Time, d avoidKey, wait time.Duration) {
+func (t *avoidTable) add(now time.Time, k avoidKey, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.until == nil {
@@ -140,7 +140,7 @@
 			delete(t.until, old)
 		}
 	}
-	t.until[d] = now.Add(min(wait, maxAvoidTime))
+	t.until[k] = now.Add(min(wait, maxAvoidTime))
 }
 
 // outliers returns the number of endpoints of a pool that are known to reject
@@ -152,19 +152,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for d, until := range t.until {
-		if d.pool == p && !d.nonRetryable && now.Before(until) {
+	for k, until := range t.until {
+		if k.pool == p && !k.nonRetryable && now.Before(until) {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *avoidTable) contains(now time.Time, d avoidKey) bool {
+func (t *avoidTable) contains(now time.Time, k avoidKey) bool {
 	if t == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Before(t.until[d])
+	return now.Before(t.until[k])
 }
--- a/coordination/placement/roster.go
+++ b/coordination/placement/roster.go
@@ -56,9 +56,9 @@
 		listed[d.ID] = true
 		r.track(d.ID).observe(now, d)
 	}
-	for id, l := range r.tracked {
-		l.markListed(now, listed[id])
-		if !l.present && now.Sub(l.changed) > absentRetention {
+	for id, t := range r.tracked {
+		t.markListed(now, listed[id])
+		if !t.present && now.Sub(t.changed) > absentRetention {
 			delete(r.tracked, id)
 		}
 	}
@@ -70,8 +70,8 @@
 func (r *Roster) MarkLeaving(id coordination.Endpoint, n coordination.Incarnation) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.track(id)
-	l.leaving = max(l.leaving, n)
+	t := r.track(id)
+	t.leaving = max(t.leaving, n)
 	return r.set(time.Now())
 }
 
@@ -80,8 +80,8 @@
 func (r *Roster) SetSuspect(id coordination.Endpoint, n coordination.Incarnation, suspect bool) *Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.track(id); l.desc.Incarnation == n {
-		l.suspect = suspect
+	if t := r.track(id); t.desc.Incarnation == n {
+		t.suspect = suspect
 	}
 	return r.set(time.Now())
 }
@@ -90,73 +90,73 @@
 	if r.tracked == nil {
 		r.tracked = make(map[coordination.Endpoint]*trackedEndpoint)
 	}
-	l := r.tracked[id]
-	if l == nil {
-		l = &trackedEndpoint{changed: time.Now()}
-		r.tracked[id] = l
+	t := r.tracked[id]
+	if t == nil {
+		t = &trackedEndpoint{changed: time.Now()}
+		r.tracked[id] = t
 	}
-	return l
+	return t
 }
 
 // set returns the listed endpoints. The caller holds r.mu.
 func (r *Roster) set(now time.Time) *Set {
 	var ds []Descriptor
-	for _, l := range r.tracked {
-		if l.present {
-			ds = append(ds, l.descriptor(now))
+	for _, t := range r.tracked {
+		if t.present {
+			ds = append(ds, t.descriptor(now))
 		}
 	}
 	return NewSet(ds)
 }
 
 // observe applies a descriptor from a list, which may be outdated.
-func (l *trackedEndpoint) observe(now time.Time, d Descriptor) {
-	if d.Incarnation < l.desc.Incarnation {
+func (t *trackedEndpoint) observe(now time.Time, d Descriptor) {
+	if d.Incarnation < t.desc.Incarnation {
 		return
 	}
-	if l.present && d.Incarnation > l.desc.Incarnation {
-		l.addPenalty(now)
+	if t.present && d.Incarnation > t.desc.Incarnation {
+		t.addPenalty(now)
 	}
-	if d.Incarnation > l.desc.Incarnation {
-		l.suspect = false
+	if d.Incarnation > t.desc.Incarnation {
+		t.suspect = false
 	}
 	if d.State == Leaving {
-		l.leaving = max(l.leaving, d.Incarnation)
+		t.leaving = max(t.leaving, d.Incarnation)
 	}
-	l.desc, l.present = d, true
+	t.desc, t.present = d, true
 }
 
 // markListed records whether the endpoint is in the list. A disappearance after
 // the endpoint announced that it is leaving is not penalized.
-func (l *trackedEndpoint) markListed(now time.Time, listed bool) {
-	if listed || !l.present {
+func (t *trackedEndpoint) markListed(now time.Time, listed bool) {
+	if listed || !t.present {
 		return
 	}
-	l.present = false
-	if l.leaving < l.desc.Incarnation {
-		l.addPenalty(now)
+	t.present = false
+	if t.leaving < t.desc.Incarnation {
+		t.addPenalty(now)
 	}
 }
 
-func (l *trackedEndpoint) addPenalty(now time.Time) {
-	l.penalty = l.decayedPenalty(now) + 1
-	l.changed = now
+func (t *trackedEndpoint) addPenalty(now time.Time) {
+	t.penalty = t.decayedPenalty(now) + 1
+	t.changed = now
 }
 
-func (l *trackedEndpoint) decayedPenalty(now time.Time) float64 {
-	return l.penalty * math.Exp2(-float64(now.Sub(l.changed))/float64(flapHalfLife))
+func (t *trackedEndpoint) decayedPenalty(now time.Time) float64 {
+	return t.penalty * math.Exp2(-float64(now.Sub(t.changed))/float64(flapHalfLife))
 }
 
 // descriptor returns the endpoint with its effective state and weight.
-func (l *trackedEndpoint) descriptor(now time.Time) Descriptor {
-	d := l.desc
+func (t *trackedEndpoint) descriptor(now time.Time) Descriptor {
+	d := t.desc
 	switch {
-	case l.leaving >= d.Incarnation:
+	case t.leaving >= d.Incarnation:
 		d.State = Leaving
-	case l.suspect:
+	case t.suspect:
 		d.State = Suspect
 	}
-	if l.decayedPenalty(now) >= flapPenalty {
+	if t.decayedPenalty(now) >= flapPenalty {
 		d.WeightFactor = flapShare
 	}
 	return d
--- a/coordination/placement/sums.go
+++ b/coordination/placement/sums.go
@@ -146,14 +146,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.view.Load()
-	silent := func(id coordination.Instance) bool { return now.Sub(o.skippedRoots[id]) < rootSkipTime }
+	skip := func(id coordination.Instance) bool { return now.Sub(o.skippedRoots[id]) < rootSkipTime }
 	byRoot := make(map[coordination.Instance]*sumCall)
 	for name, p := range o.pools {
 		count, endpoints := p.ownSums()
 		if endpoints == 0 && p.reportedEndpoints == 0 || now.Before(p.due(now, v)) {
 			continue
 		}
-		root := v.routers.Root(name, silent)
+		root := v.routers.Root(name, skip)
 		c := byRoot[root]
 		if c == nil {
 			c = &sumCall{owner: o, to: root, report: SumReport{From: o.self}}
@@ -171,7 +171,7 @@
 // owner's lock.
 func (p *poolLoad) due(now time.Time, v *view) time.Time {
 	interval := v.sumInterval(p.name)
-	if p.unsettled(now) {
+	if p.sumsIncomplete(now) {
 		interval = max(interval/partialSpeedup, minSumInterval)
 	}
 	return p.lastReport.Add(interval)
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -48,13 +48,13 @@
 
 // ownerQuery is one query to one owner.
 type ownerQuery struct {
-	endpoint *Descriptor
-	owner    coordination.Instance
-	deadline Millis
-	target   Millis
-	wait     Millis
-	final    bool
-	insist   bool
+	endpoint      *Descriptor
+	owner         coordination.Instance
+	deadline      Millis
+	target        Millis
+	wait          Millis
+	final         bool
+	allowOutliers bool
 }
 
 const (
@@ -78,7 +78,7 @@
 	set     *Set
 	routers *Routers
 	latest  func() *view // returns the current lists; nil if they do not change
-	doubts  *avoidTable  // nil if no outliers are known
+	avoided *avoidTable  // nil if no outliers are known
 	started time.Time
 
 	list []*Descriptor
@@ -86,22 +86,22 @@
 	at   int         // index of the current candidate; -1 before the first
 	warm *Descriptor // endpoint that the hint names, or nil
 
-	redirect     coordination.Instance
-	redirectedAt int // index of the candidate that was last redirected; -1 for none
-	rounds       int
-	resumeAt     time.Time // when a pause ends
-	handover     handover
-	stage        stage
-	fullReplies  int
-	otherReplies bool // some reply had a reason other than Full
-	unowned      bool // the owner of some endpoint disclaimed it
-	outliers     int  // endpoints skipped for their failures
-	insist       bool // ask outliers too, since too many are known to skip them
-	overBound    bool // some endpoint was over its bound, or its owner settling
-	bestQueue    *Descriptor
-	bestWait     Millis // expected wait in that queue
-	lastCode     Code
-	lost         []LostEndpoint // found dead, according to their owners
+	redirect      coordination.Instance
+	redirectedAt  int // index of the candidate that was last redirected; -1 for none
+	rounds        int
+	resumeAt      time.Time // when a pause ends
+	handover      handover
+	stage         stage
+	fullReplies   int
+	otherReplies  bool // some reply had a reason other than Full
+	unowned       bool // the owner of some endpoint disclaimed it
+	outliers      int  // endpoints skipped for their failures
+	allowOutliers bool // ask outliers too, since too many are known to skip them
+	overBound     bool // some endpoint was over its bound, or its owner settling
+	bestQueue     *Descriptor
+	bestWait      Millis // expected wait in that queue
+	lastCode      Code
+	lost          []LostEndpoint // found dead, according to their owners
 }
 
 // stage is the progress of a walk.
@@ -136,9 +136,9 @@
 		return ownerQuery{}, Refusal{Code: Deadline, RetryAfter: minRetryAfter}, false
 	}
 	if w.redirect != "" {
-		a := w.newQuery(now, w.list[w.at], deadline)
-		a.owner, w.redirect = w.redirect, ""
-		return a, Refusal{}, true
+		q := w.newQuery(now, w.list[w.at], deadline)
+		q.owner, w.redirect = w.redirect, ""
+		return q, Refusal{}, true
 	}
 	if d := w.advance(now); d != nil {
 		return w.newQuery(now, d, deadline), Refusal{}, true
@@ -191,17 +191,17 @@
 // bound it would wait while other endpoints idle.
 func (w *walk) queueQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
 	w.bestQueue = nil
-	a := w.newQuery(now, d, deadline)
+	q := w.newQuery(now, d, deadline)
 	if w.overBound {
 		w.stage = pausing
 		pause := w.meanPause()
 		w.resumeAt = now.Add(pause)
-		a.wait = millis(pause)
-		return a
+		q.wait = millis(pause)
+		return q
 	}
 	w.stage = queueing
-	a.final = true
-	return a
+	q.final = true
+	return q
 }
 
 // maxMeanPause bounds the time for which a request waits for a new mean.
@@ -252,20 +252,20 @@
 	w.redirectedAt = -1
 	w.stage, w.at, w.fullReplies = asking, -1, 0
 	w.otherReplies, w.unowned, w.overBound, w.bestQueue = false, false, false, nil
-	w.outliers, w.insist = 0, false
+	w.outliers, w.allowOutliers = 0, false
 }
 
 // retryWithOutliers restarts the walk with outliers included if there are more of
 // them than the pool can spare, if skipping them puts the others over their bound, or
 // if there is no other endpoint to wait for. It reports whether it did.
 func (w *walk) retryWithOutliers() bool {
-	if w.insist || w.outliers == 0 {
+	if w.allowOutliers || w.outliers == 0 {
 		return false
 	}
 	if !w.tooManyOutliers() && !w.overBound && w.bestQueue != nil {
 		return false
 	}
-	w.insist = true
+	w.allowOutliers = true
 	w.at, w.fullReplies, w.bestQueue = -1, 0, nil
 	w.overBound = false
 	return true
@@ -276,8 +276,8 @@
 	if w.fullReplies >= maxFullReplies && w.bestQueue != nil || w.tooManyOutliers() {
 		return nil
 	}
-	if w.at < 0 && w.doubts.outliers(now, w.req.Pool) > maxOutliers(w.set.Len(w.req.Pool)) {
-		w.insist = true
+	if w.at < 0 && w.avoided.outliers(now, w.req.Pool) > maxOutliers(w.set.Len(w.req.Pool)) {
+		w.allowOutliers = true
 	}
 	for {
 		w.at++
@@ -288,7 +288,7 @@
 		if slices.Contains(w.req.Avoid, d.ID) {
 			continue
 		}
-		if w.insist || !w.doubts.contains(now, avoidKey{pool: w.req.Pool, endpoint: d.ID, nonRetryable: w.req.NonRetryable}) {
+		if w.allowOutliers || !w.avoided.contains(now, avoidKey{pool: w.req.Pool, endpoint: d.ID, nonRetryable: w.req.NonRetryable}) {
 			return d
 		}
 		w.skipOutlier()
@@ -300,7 +300,7 @@
 
 // tooManyOutliers reports whether more outliers were skipped than the pool can spare.
 func (w *walk) tooManyOutliers() bool {
-	return !w.insist && w.outliers > maxOutliers(w.set.Len(w.req.Pool))
+	return !w.allowOutliers && w.outliers > maxOutliers(w.set.Len(w.req.Pool))
 }
 
 // skipOutlier counts the current candidate as skipped for its failures.
@@ -331,31 +331,31 @@
 
 // newQuery returns the query to the owner of d.
 func (w *walk) newQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
-	a := ownerQuery{
-		endpoint: d,
-		owner:    w.routers.Owner(d.ID, d.Zone),
-		deadline: deadline,
-		target:   w.target(now),
-		insist:   w.insist,
+	q := ownerQuery{
+		endpoint:      d,
+		owner:         w.routers.Owner(d.ID, d.Zone),
+		deadline:      deadline,
+		target:        w.target(now),
+		allowOutliers: w.allowOutliers,
 	}
 	if w.at == 0 && d == w.warm {
-		a.wait = millis(w.cfg.WarmWait)
+		q.wait = millis(w.cfg.WarmWait)
 	}
-	return a
+	return q
 }
 
 // handleReply records the reply to the last query and reports whether it ends the
 // walk.
-func (w *walk) handleReply(a ownerQuery, r AdmitReply) bool {
+func (w *walk) handleReply(q ownerQuery, r AdmitReply) bool {
 	if r.Decision != Next {
 		return true
 	}
 	w.lastCode = r.Code
 	if r.Code == EndpointLeaving || r.Code == EndpointLost {
-		w.req.Avoid = append(slices.Clip(w.req.Avoid), a.endpoint.ID)
+		w.req.Avoid = append(slices.Clip(w.req.Avoid), q.endpoint.ID)
 	}
 	if r.Code == EndpointLost {
-		w.lost = append(w.lost, lostOf(a.endpoint))
+		w.lost = append(w.lost, lostOf(q.endpoint))
 	}
 	if w.stage != asking {
 		// The owner no longer holds the request back; other endpoints may have room now.
@@ -365,13 +365,13 @@
 	switch r.Code {
 	case Full:
 		w.fullReplies++
-		w.considerQueue(a, r.RetryAfter)
+		w.considerQueue(q, r.RetryAfter)
 	case OverBound, Settling:
 		w.otherReplies, w.overBound = true, true
-		w.considerQueue(a, r.RetryAfter)
+		w.considerQueue(q, r.RetryAfter)
 	case NotOwner:
 		w.otherReplies, w.unowned = true, true
-		w.followRedirect(a, r.Owner)
+		w.followRedirect(q, r.Owner)
 	case Outlier:
 		w.skipOutlier()
 	default:
@@ -382,19 +382,19 @@
 
 // followRedirect asks the router that the replying one names as the owner, once for
 // each candidate: while router lists differ, two routers may name each other.
-func (w *walk) followRedirect(a ownerQuery, owner coordination.Instance) {
-	if owner != "" && owner != a.owner && w.redirectedAt != w.at {
+func (w *walk) followRedirect(q ownerQuery, owner coordination.Instance) {
+	if owner != "" && owner != q.owner && w.redirectedAt != w.at {
 		w.redirect, w.redirectedAt = owner, w.at
 	}
 }
 
 // considerQueue keeps the endpoint with the shortest expected wait to queue at.
-func (w *walk) considerQueue(a ownerQuery, wait Millis) {
+func (w *walk) considerQueue(q ownerQuery, wait Millis) {
 	if w.at > 0 {
 		wait += millis(warmBias)
 	}
 	if w.bestQueue == nil || wait < w.bestWait {
-		w.bestQueue, w.bestWait = a.endpoint, wait
+		w.bestQueue, w.bestWait = q.endpoint, wait
 	}
 }
 
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -69,8 +69,8 @@
 // Renew renews the claims of the suspects running on this router. The router
 // has to call it twice within each Config.MaxRun.
 func (g *Guard) Renew(ctx context.Context) {
-	for _, f := range g.registeredRequests() {
-		g.step(ctx, f, Claim, nil)
+	for _, r := range g.registeredRequests() {
+		g.step(ctx, r, Claim, nil)
 	}
 }
 
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := lo.Flatten(lo.Values(g.tracked))
-	all = lo.Filter(all, func(f *TrackedRequest, _ int) bool { return f.registered })
+	all = lo.Filter(all, func(r *TrackedRequest, _ int) bool { return r.registered })
 	slices.SortFunc(all, func(a, b *TrackedRequest) int { return int(a.copy.Number) - int(b.copy.Number) })
 	return all
 }
@@ -107,8 +107,8 @@
 	if _, state := g.table.Find(time.Now(), fp); state != Suspect {
 		return
 	}
-	for _, f := range g.registerAll(fp) {
-		g.step(ctx, f, Claim, nil)
+	for _, r := range g.registerAll(fp) {
+		g.step(ctx, r, Claim, nil)
 	}
 }
 
@@ -117,11 +117,11 @@
 func (g *Guard) registerAll(f Fingerprint) []*TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	unaware := lo.Filter(g.tracked[f], func(r *TrackedRequest, _ int) bool { return !r.registered })
-	for _, r := range unaware {
+	unregistered := lo.Filter(g.tracked[f], func(r *TrackedRequest, _ int) bool { return !r.registered })
+	for _, r := range unregistered {
 		r.registered = true
 	}
-	return unaware
+	return unregistered
 }
 
 // HandleGate answers a message received on [TopicGate]. The error is of type
@@ -164,11 +164,11 @@
 // Admitted reports whether the gate has admitted the request. A claim made on
 // receipt of a gossiped record is no admission: the request may be on its way
 // to an endpoint, and still has to ask the gate.
-func (f *TrackedRequest) Admitted() bool { return f.admitted.Load() }
+func (r *TrackedRequest) Admitted() bool { return r.admitted.Load() }
 
 // Alone reports whether the request has to run on an endpoint without other
 // suspects.
-func (f *TrackedRequest) Alone() bool { return f.alone.Load() }
+func (r *TrackedRequest) Alone() bool { return r.alone.Load() }
 
 // Begin starts tracking a request. For a suspect it waits until the gate admits
 // it or ctx ends. If the request must not run, Begin returns nil and the
@@ -177,60 +177,60 @@
 	// Tracking starts before the check, so that a record that arrives in
 	// between finds either a copy to claim or a suspect that has to ask the
 	// gate.
-	f := g.track(fp)
+	r := g.track(fp)
 	advice, after := g.table.Check(time.Now(), fp, p)
 	if advice == Refuse {
-		f.Abandoned(context.WithoutCancel(ctx))
+		r.Abandoned(context.WithoutCancel(ctx))
 		return nil, Refusal{Poison: true, RetryAfter: after}
 	}
 	if advice == Run {
-		return f, Refusal{}
+		return r, Refusal{}
 	}
-	g.register(f)
-	if refusal, ok := f.enter(ctx); !ok {
-		f.Abandoned(context.WithoutCancel(ctx))
+	g.register(r)
+	if refusal, ok := r.enter(ctx); !ok {
+		r.Abandoned(context.WithoutCancel(ctx))
 		return nil, refusal
 	}
-	return f, Refusal{}
+	return r, Refusal{}
 }
 
 func (g *Guard) track(fp Fingerprint) *TrackedRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastNumber++
-	f := &TrackedRequest{
+	r := &TrackedRequest{
 		guard:       g,
 		fingerprint: fp,
 		copy:        Copy{Instance: g.instance, Incarnation: g.incarnation, Number: g.lastNumber},
 	}
-	g.tracked[fp] = append(g.tracked[fp], f)
-	return f
+	g.tracked[fp] = append(g.tracked[fp], r)
+	return r
 }
 
 // untrack stops tracking a request and reports whether the gate knew of it.
-func (g *Guard) untrack(f *TrackedRequest) (known bool) {
+func (g *Guard) untrack(r *TrackedRequest) (known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rest := lo.Without(g.tracked[f.fingerprint], f)
+	rest := lo.Without(g.tracked[r.fingerprint], r)
 	if len(rest) == 0 {
-		delete(g.tracked, f.fingerprint)
+		delete(g.tracked, r.fingerprint)
 	} else {
-		g.tracked[f.fingerprint] = rest
+		g.tracked[r.fingerprint] = rest
 	}
-	return f.registered
+	return r.registered
 }
 
 // enter asks the gate until it admits or refuses the request, or ctx ends.
-func (f *TrackedRequest) enter(ctx context.Context) (Refusal, bool) {
+func (r *TrackedRequest) enter(ctx context.Context) (Refusal, bool) {
 	for {
-		reply := f.guard.step(ctx, f, Enter, nil)
+		reply := r.guard.step(ctx, r, Enter, nil)
 		switch reply.Verdict {
 		case Allowed:
-			f.admitted.Store(true)
+			r.admitted.Store(true)
 			return Refusal{}, true
 		case AllowedAlone:
-			f.alone.Store(true)
-			f.admitted.Store(true)
+			r.alone.Store(true)
+			r.admitted.Store(true)
 			return Refusal{}, true
 		case Poison:
 			return Refusal{Poison: true, RetryAfter: reply.RetryAfter.Duration()}, false
@@ -252,55 +252,55 @@
 // EndpointCrashed reports that the endpoint running the request has died. It
 // returns true once the request may run again, on an endpoint without other
 // suspects if Alone reports so; otherwise it returns the refusal and false.
-func (f *TrackedRequest) EndpointCrashed(ctx context.Context, p coordination.Pool, e coordination.Endpoint, n coordination.Incarnation) (Refusal, bool) {
+func (r *TrackedRequest) EndpointCrashed(ctx context.Context, p coordination.Pool, e coordination.Endpoint, n coordination.Incarnation) (Refusal, bool) {
 	now := time.Now()
-	mass := f.guard.table.RecordLoss(now, p, e)
-	f.guard.register(f)
-	crash := Crash{Endpoint: e, Incarnation: n, At: unixMillis(now), Alone: f.Alone()}
+	mass := r.guard.table.RecordLoss(now, p, e)
+	r.guard.register(r)
+	crash := Crash{Endpoint: e, Incarnation: n, At: unixMillis(now), Alone: r.Alone()}
 	crash.Mass = mass && !crash.Alone
-	reply := f.guard.step(ctx, f, Crashed, &crash)
+	reply := r.guard.step(ctx, r, Crashed, &crash)
 	if reply.Verdict == Poison {
 		return Refusal{Poison: true, RetryAfter: reply.RetryAfter.Duration()}, false
 	}
-	return f.enter(ctx)
+	return r.enter(ctx)
 }
 
 // EndpointFoundDead reports that the endpoint was dead before the request
 // reached it. A copy of the same request that this router does not know of yet
 // may have crashed it, so the gate is asked. It returns true once the request
 // may be sent to another endpoint; otherwise it returns the refusal and false.
-func (f *TrackedRequest) EndpointFoundDead(ctx context.Context, p coordination.Pool, e coordination.Endpoint) (Refusal, bool) {
-	f.guard.table.RecordLoss(time.Now(), p, e)
-	f.guard.register(f)
-	return f.enter(ctx)
+func (r *TrackedRequest) EndpointFoundDead(ctx context.Context, p coordination.Pool, e coordination.Endpoint) (Refusal, bool) {
+	r.guard.table.RecordLoss(time.Now(), p, e)
+	r.guard.register(r)
+	return r.enter(ctx)
 }
 
-func (g *Guard) register(f *TrackedRequest) {
+func (g *Guard) register(r *TrackedRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f.registered = true
+	r.registered = true
 }
 
 // Finished reports that the request has run to completion, which clears it of
 // suspicion.
-func (f *TrackedRequest) Finished(ctx context.Context) { f.end(ctx, Finished) }
+func (r *TrackedRequest) Finished(ctx context.Context) { r.end(ctx, Finished) }
 
 // Abandoned reports that the request ended without evidence for or against it:
 // refused, cancelled by its caller, or failed while its endpoint stayed alive.
-func (f *TrackedRequest) Abandoned(ctx context.Context) { f.end(ctx, Abandoned) }
+func (r *TrackedRequest) Abandoned(ctx context.Context) { r.end(ctx, Abandoned) }
 
-func (f *TrackedRequest) end(ctx context.Context, s Step) {
-	if f.guard.untrack(f) {
-		f.guard.step(ctx, f, s, nil)
+func (r *TrackedRequest) end(ctx context.Context, s Step) {
+	if r.guard.untrack(r) {
+		r.guard.step(ctx, r, s, nil)
 	}
 }
 
 // step reports a step to the gate. If the gate cannot be reached, this router's
 // own gate answers instead: crashes are still recorded and gossiped, and a
 // suspect waits, since another copy might be running.
-func (g *Guard) step(ctx context.Context, f *TrackedRequest, s Step, c *Crash) GateReply {
-	m := GateRequest{Fingerprint: f.fingerprint, Copy: f.copy, Step: s, Crash: c}
-	to := g.gateOf(f.fingerprint)
+func (g *Guard) step(ctx context.Context, r *TrackedRequest, s Step, c *Crash) GateReply {
+	m := GateRequest{Fingerprint: r.fingerprint, Copy: r.copy, Step: s, Crash: c}
+	to := g.gateOf(r.fingerprint)
 	if to == g.instance || to == "" {
 		return g.handleStep(ctx, m)
 	}
--- a/coordination/suspicion/table.go
+++ b/coordination/suspicion/table.go
@@ -109,13 +109,13 @@
 // Until then the request stays a suspect, of which no copy starts.
 func (t *Table) state(now time.Time, r Record) State {
 	own := 0
-	alone, excused := false, false
+	alone, discounted := false, false
 	var last UnixMillis
 	for _, c := range r.Crashes {
 		switch {
 		case c.Mass:
-		case !excused && t.attributedToOther(c, r.Fingerprint):
-			excused = true
+		case !discounted && t.attributedToOther(c, r.Fingerprint):
+			discounted = true
 		default:
 			own++
 			alone = alone || c.Alone
