--- a/coordination/placement/admit.go
+++ b/coordination/placement/admit.go
@@ -8,7 +8,7 @@
 )
 
 // queueCheckInterval is how often a waiting request checks whether the mean has
-// risen or the endpoint has stalled. Ends of requests trigger the queue directly.
+// risen or the endpoint has stalled. The end of a request processes the queue directly.
 const queueCheckInterval = 25 * time.Millisecond
 
 // Admit decides a request for a grant. It returns at once unless the request
--- a/coordination/placement/config.go
+++ b/coordination/placement/config.go
@@ -6,8 +6,8 @@
 	"wisteriaspool/coordination"
 )
 
-// DefaultWarmWait is the wait for a warm endpoint that is worth its cost,
-// measured with 60 endpoints and 30 routers; see docs/ROUTING.md.
+// DefaultWarmWait is a value of Config.WarmWait whose benefit exceeds its cost,
+// as measured with 60 endpoints and 30 routers; see docs/ROUTING.md.
 const DefaultWarmWait = 50 * time.Millisecond
 
 // Config holds the placement settings. A zero field selects its default.
@@ -67,7 +67,7 @@
 
 	// LostTTL is how long no requests are placed at an endpoint that an entry
 	// found dead, unless the endpoint's own report shows it alive. If endpoints
-	// do not report, nothing else can correct a mistaken entry. Default
+	// do not report, nothing else corrects a finding that was wrong. Default
 	// ReportTTL.
 	LostTTL time.Duration
 	// FallbackLimit is the number of requests that an entry may run at an
@@ -102,7 +102,7 @@
 // limit returns the maximum number of requests at an endpoint for a mean load.
 func (b PoolBound) limit(mean float64) int { return limitOf(b.Bound, mean) + b.Slack }
 
-// weightOf returns the share of account a under contention.
+// weightOf returns the relative share of account a under contention.
 func (c *Config) weightOf(a coordination.Account) float64 {
 	if w := c.AccountWeights[a]; w > 0 {
 		return w
--- a/coordination/placement/mean.go
+++ b/coordination/placement/mean.go
@@ -9,8 +9,8 @@
 )
 
 // poolLoad is an owner's view of the load of one pool: the exact sum over its
-// own endpoints and the last total received from the pool's root. The zero
-// value knows only the own part.
+// own endpoints and the last total received from the pool's root, see
+// [Routers.Root]. The zero value knows only the own part.
 type poolLoad struct {
 	mu        sync.Mutex
 	name      coordination.Pool
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -15,7 +15,7 @@
 const ownerShards = 16
 
 // Owner counts the requests at the endpoints that this router owns and admits
-// or rejects new ones. It starts no goroutines; the router calls [Owner.Tick]
+// or rejects new ones. It starts no goroutines; [Start] calls [Owner.Tick]
 // several times a second.
 type Owner struct {
 	self   coordination.Instance
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -70,7 +70,7 @@
 	noCandidateRetry = 500 * time.Millisecond
 )
 
-// walk leads one request through its candidates. It makes no calls: nextQuery
+// walk iterates over the candidates of one request. It makes no calls: nextQuery
 // returns the query to send, and handleReply takes the reply.
 type walk struct {
 	req     Request
@@ -78,7 +78,7 @@
 	set     *Set
 	routers *Routers
 	latest  func() *view // returns the current lists; nil if they do not change
-	avoided *avoidTable  // nil if no outliers are known
+	avoided *avoidTable  // endpoints known to reject requests as outliers; nil for none
 	started time.Time
 
 	list []*Descriptor
@@ -160,8 +160,8 @@
 		limit = d
 	}
 	if t := w.req.Target; t > 0 {
-		// A retry after a failed attempt gets at least t. Of the caller's deadline the
-		// endpoint needs a part itself.
+		// A retry after a failed attempt gets at least t. The endpoint itself needs
+		// part of the caller's deadline.
 		limit = min(limit, max(maxTargetMultiple*t-w.req.Waited, t))
 		if w.req.Deadline > 0 {
 			limit = min(limit, w.req.Deadline/startDivisor)
@@ -180,15 +180,16 @@
 	return max(millis(w.req.Target-w.req.Waited-now.Sub(w.started)), 1)
 }
 
-// maxTargetMultiple is how many times its target a request waits for its start at
-// most. Beyond that, its caller would soon give up waiting for the first byte.
+// maxTargetMultiple is the maximum time that a request waits for its start, as a
+// multiple of its target. Beyond that, its caller would soon give up waiting for the
+// first byte.
 const maxTargetMultiple = 2
 
 // queueQuery returns the query that makes the request wait at an endpoint. With a
 // bound above 1 some endpoint of the pool is under it, so if none that was asked is,
 // the owners' mean lags behind a rising load: the request waits for the next exchange
 // of sums and then asks all candidates again. In the queue of an endpoint over its
-// bound it would wait while other endpoints idle.
+// bound it would wait while other endpoints are idle.
 func (w *walk) queueQuery(now time.Time, d *Descriptor, deadline Millis) ownerQuery {
 	w.bestQueue = nil
 	q := w.newQuery(now, d, deadline)
@@ -222,7 +223,7 @@
 	return d
 }
 
-// maxRounds ends a walk that restarts without waiting, which would spin.
+// maxRounds ends a walk that restarts without waiting and would otherwise loop forever.
 const maxRounds = 200
 
 // pause returns how long the entry has to wait before the next query. An owner whose
@@ -309,8 +310,8 @@
 	w.otherReplies = true
 }
 
-// extendFactor times the configured number of candidates are asked at most in the
-// first round if some are over their bound. The limit grows with each round.
+// extendFactor limits the candidates asked in the first round if some are over their
+// bound, as a multiple of the configured number. The limit grows with each round.
 const extendFactor = 2
 
 // extend makes the list of candidates longer. With a bound above 1 some endpoint is
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -45,7 +45,7 @@
 
 type placerBox struct{ Placer }
 
-// NewGuard returns the guard of the router whose own gate is given.
+// NewGuard returns the guard of a router; gate is that router's own gate.
 func NewGuard(id coordination.Instance, n coordination.Incarnation, gate *Gate, t Transport, s Spreader) *Guard {
 	return &Guard{
 		instance:    id,
--- a/coordination/suspicion/messages.go
+++ b/coordination/suspicion/messages.go
@@ -59,7 +59,7 @@
 	Allowed      Verdict = iota // not a suspect; may run
 	AllowedAlone                // may run on an endpoint that runs no other suspect
 	Busy                        // another copy is running, or a crash or a change of routers is too recent
-	Poison
+	Poison                      // convicted; must not run
 )
 
 // GateReply answers a GateRequest. RetryAfter is set for Busy and Poison.
--- a/coordination/suspicion/suspicion.go
+++ b/coordination/suspicion/suspicion.go
@@ -156,9 +156,9 @@
 
 // States of a fingerprint.
 const (
-	Clear State = iota
-	Suspect
-	Convicted
+	Clear     State = iota // no crash counts against it
+	Suspect                // one crash counts, or a conviction is still on hold
+	Convicted              // refused by all routers
 )
 
 // String returns the name of s used in logs and metrics.
