--- a/coordination/placement/affinity_test.go
+++ b/coordination/placement/affinity_test.go
@@ -119,21 +119,21 @@
 	idle             map[coordination.Instance]map[coordination.Endpoint][]time.Time
 }
 
-func (d *connectionCounter) acquire(now time.Time, r coordination.Instance, e coordination.Endpoint) {
-	d.requests++
-	if d.idle[r] == nil {
-		d.idle[r] = make(map[coordination.Endpoint][]time.Time)
+func (c *connectionCounter) acquire(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+	c.requests++
+	if c.idle[r] == nil {
+		c.idle[r] = make(map[coordination.Endpoint][]time.Time)
 	}
-	all := d.idle[r][e]
+	all := c.idle[r][e]
 	if n := len(all); n > 0 && now.Sub(all[n-1]) <= reusable {
-		d.idle[r][e] = all[:n-1]
+		c.idle[r][e] = all[:n-1]
 		return
 	}
-	d.dialed++
+	c.dialed++
 }
 
-func (d *connectionCounter) release(now time.Time, r coordination.Instance, e coordination.Endpoint) {
-	d.idle[r][e] = append(d.idle[r][e], now)
+func (c *connectionCounter) release(now time.Time, r coordination.Instance, e coordination.Endpoint) {
+	c.idle[r][e] = append(c.idle[r][e], now)
 }
 
 // runSparseRequests runs 60 ms requests that have nothing cached, one every 100 ms at
--- a/coordination/placement/entry.go
+++ b/coordination/placement/entry.go
@@ -187,7 +187,7 @@
 const admitTimeout = 100 * time.Millisecond
 
 // ReportLost tells the owner of an endpoint that this router has found it dead, so
-// that other requests avoid it before the membership lists do.
+// that other requests avoid it before the instance lists show it.
 func (e *Entry) ReportLost(ctx context.Context, d Descriptor) {
 	lost := lostOf(&d)
 	e.fallback.markDead(time.Now(), lost, e.cfg.Load().LostTTL)
@@ -199,7 +199,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// If the message is lost, the membership list tells the owner a little later.
+	// If the message is lost, the instance list tells the owner a little later.
 	_, _ = e.transport.Call(ctx, to, TopicRelease, b.Encode())
 }
 
--- a/coordination/placement/overcommit_test.go
+++ b/coordination/placement/overcommit_test.go
@@ -20,10 +20,10 @@
 	slots chan struct{}
 }
 
-func (d slotServer) serve() {
-	d.slots <- struct{}{}
+func (s slotServer) serve() {
+	s.slots <- struct{}{}
 	time.Sleep(60 * time.Millisecond)
-	<-d.slots
+	<-s.slots
 }
 
 // simulatedRequest is one request from its admission to its release. It includes 10 ms
--- a/coordination/suspicion/fleet_test.go
+++ b/coordination/suspicion/fleet_test.go
@@ -39,28 +39,28 @@
 // run simulates the scenario in a synctest bubble.
 func (s scenario) run(t *testing.T) (o outcome) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFleetSim(s.seed, 7, 12, s.fault, s.cfg)
+		sim := newFleetSim(s.seed, 7, 12, s.fault, s.cfg)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		for i, m := range w.members {
-			wg.Go(func() { w.routers[m.ID].loop(ctx, time.Duration(200+250*i)*time.Millisecond) })
+		for i, m := range sim.members {
+			wg.Go(func() { sim.routers[m.ID].loop(ctx, time.Duration(200+250*i)*time.Millisecond) })
 		}
 		time.Sleep(3 * time.Second)
 		length := time.Duration(s.crashing)*s.spacing + 20*time.Second
 		var jobs sync.WaitGroup
-		jobs.Go(func() { s.sendHarmless(ctx, w, length, &o) })
+		jobs.Go(func() { s.sendHarmless(ctx, sim, length, &o) })
 		for i := range s.crashing {
 			jobs.Go(func() {
 				time.Sleep(time.Duration(i) * s.spacing)
-				s.sendCrashing(ctx, w, i, length)
+				s.sendCrashing(ctx, sim, i, length)
 			})
 		}
 		jobs.Wait()
 		cancel()
 		wg.Wait()
-		w.stop()
-		o.crashes, o.runs = w.crashCounts(), w.runs
-		o.falseConvictions = lo.CountBy(w.convicted, func(f Fingerprint) bool { return !isCrashing(f, s.crashing) })
+		sim.stop()
+		o.crashes, o.runs = sim.crashCounts(), sim.runs
+		o.falseConvictions = lo.CountBy(sim.convicted, func(f Fingerprint) bool { return !isCrashing(f, s.crashing) })
 		time.Sleep(time.Minute)
 	})
 	return o
@@ -74,7 +74,7 @@
 
 // sendHarmless sends 15 requests a second, one in twenty with the same common
 // prompt.
-func (s scenario) sendHarmless(ctx context.Context, w *fleetSim, length time.Duration, o *outcome) {
+func (s scenario) sendHarmless(ctx context.Context, sim *fleetSim, length time.Duration, o *outcome) {
 	rng := rand.New(rand.NewPCG(s.seed, 2))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -89,7 +89,7 @@
 		if rng.IntN(20) == 0 {
 			j.fingerprint = FingerprintOf("hello")
 		}
-		r := w.routers[w.members[rng.IntN(len(w.members))].ID]
+		r := sim.routers[sim.members[rng.IntN(len(sim.members))].ID]
 		o.sent++
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
@@ -106,7 +106,7 @@
 
 // sendCrashing sends a crashing request, and resends it through every router at
 // once when its first run has ended, and every 3 s after that.
-func (s scenario) sendCrashing(ctx context.Context, w *fleetSim, i int, length time.Duration) {
+func (s scenario) sendCrashing(ctx context.Context, sim *fleetSim, i int, length time.Duration) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(i+3)))
 	j := job{
 		fingerprint: crashingFingerprint(i),
@@ -116,16 +116,16 @@
 		retries:     3,
 	}
 	until := time.Now().Add(length)
-	first := w.routers[w.members[rng.IntN(len(w.members))].ID]
+	first := sim.routers[sim.members[rng.IntN(len(sim.members))].ID]
 	var wg sync.WaitGroup
 	original := j
 	wg.Go(func() { first.serve(ctx, original) })
-	for w.crashCounts()[j.fingerprint] == 0 && time.Now().Before(until) {
+	for sim.crashCounts()[j.fingerprint] == 0 && time.Now().Before(until) {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(time.Duration(10+rng.IntN(300)) * time.Millisecond)
 	for time.Now().Before(until) {
-		for _, r := range w.routers {
+		for _, r := range sim.routers {
 			if s.rekeyed {
 				j.key++
 			}
@@ -177,12 +177,12 @@
 // Checks that the limit of two endpoints is exceeded by routers that retry
 // without asking the gate, or that each ask only their own.
 func TestCrashLimitCheckDetectsInjectedFaults(t *testing.T) {
-	for _, planted := range []injectedFault{noGate, ownGateOnly} {
+	for _, fault := range []injectedFault{noGate, ownGateOnly} {
 		found := false
 		for seed := range uint64(2) {
-			o := scenario{seed: seed, crashing: 1, spacing: 10 * time.Second, fault: planted}.run(t)
+			o := scenario{seed: seed, crashing: 1, spacing: 10 * time.Second, fault: fault}.run(t)
 			found = found || o.crashes[crashingFingerprint(0)] > 2
 		}
-		assert.Assert(t, found, "fault %d is not detected", planted)
+		assert.Assert(t, found, "fault %d is not detected", fault)
 	}
 }
--- a/coordination/suspicion/simulation_test.go
+++ b/coordination/suspicion/simulation_test.go
@@ -71,12 +71,12 @@
 
 var errUnreachable = errors.New("cut")
 
-func newFleetSim(seed uint64, routers, endpoints int, planted injectedFault, cfg Config) *fleetSim {
+func newFleetSim(seed uint64, routers, endpoints int, fault injectedFault, cfg Config) *fleetSim {
 	w := &fleetSim{
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		endpoints: make(map[coordination.Endpoint]*simEndpoint),
 		routers:   make(map[coordination.Instance]*router),
-		fault:     planted,
+		fault:     fault,
 		cfg:       cfg,
 	}
 	for i := range endpoints {
@@ -95,8 +95,8 @@
 	return w
 }
 
-func newRouter(w *fleetSim, id coordination.Instance) *router {
-	r := &router{sim: w, id: id, table: NewTable(w.cfg), set: placement.NewSet(nil)}
+func newRouter(sim *fleetSim, id coordination.Instance) *router {
+	r := &router{sim: sim, id: id, table: NewTable(sim.cfg), set: placement.NewSet(nil)}
 	r.owner = placement.NewOwner(id, placement.Config{})
 	r.entry = placement.NewEntry(placement.EntryID{Instance: id, Incarnation: 1}, r.owner, r, nil, placement.Config{})
 	r.guard = NewGuard(id, 1, NewGate(r.table), r, r)
@@ -104,18 +104,18 @@
 	return r
 }
 
-func (w *fleetSim) stop() {
-	for _, r := range w.routers {
+func (sim *fleetSim) stop() {
+	for _, r := range sim.routers {
 		r.stop()
 	}
 }
 
 // list returns the endpoints that are up.
-func (w *fleetSim) list() *placement.Set {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *fleetSim) list() *placement.Set {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var ds []placement.Descriptor
-	for id, m := range w.endpoints {
+	for id, m := range sim.endpoints {
 		if m.up {
 			ds = append(ds, placement.Descriptor{ID: id, Pool: simPool, Incarnation: m.incarnation, Capacity: 16})
 		}
@@ -197,15 +197,15 @@
 
 // run runs a request at an endpoint for length. A crashing request then kills
 // the endpoint.
-func (w *fleetSim) run(d placement.Descriptor, f Fingerprint, length time.Duration, crashes bool) end {
-	w.mu.Lock()
-	m := w.endpoints[d.ID]
+func (sim *fleetSim) run(d placement.Descriptor, f Fingerprint, length time.Duration, crashes bool) end {
+	sim.mu.Lock()
+	m := sim.endpoints[d.ID]
 	if !m.up || m.incarnation != d.Incarnation {
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		return refused
 	}
 	gone := m.died
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	rec := runRecord{fingerprint: f, endpoint: d.ID, incarnation: d.Incarnation, start: time.Now()}
 	result := finished
 	select {
@@ -213,36 +213,36 @@
 		result = died
 	case <-time.After(length):
 		if crashes {
-			rec.killed = w.kill(d.ID, d.Incarnation)
+			rec.killed = sim.kill(d.ID, d.Incarnation)
 			result = died
 		}
 	}
 	rec.end = time.Now()
-	w.mu.Lock()
-	w.runs = append(w.runs, rec)
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.runs = append(sim.runs, rec)
+	sim.mu.Unlock()
 	return result
 }
 
 // kill ends an incarnation of an endpoint, which restarts after simRestart, and
 // reports whether that incarnation was up.
-func (w *fleetSim) kill(id coordination.Endpoint, n coordination.Incarnation) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m := w.endpoints[id]
+func (sim *fleetSim) kill(id coordination.Endpoint, n coordination.Incarnation) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	m := sim.endpoints[id]
 	if !m.up || m.incarnation != n {
 		return false
 	}
 	m.up = false
 	close(m.died)
-	time.AfterFunc(simRestart, func() { w.restart(id) })
+	time.AfterFunc(simRestart, func() { sim.restart(id) })
 	return true
 }
 
-func (w *fleetSim) restart(id coordination.Endpoint) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m := w.endpoints[id]
+func (sim *fleetSim) restart(id coordination.Endpoint) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	m := sim.endpoints[id]
 	m.up, m.incarnation, m.died = true, m.incarnation+1, make(chan struct{})
 }
 
@@ -338,19 +338,19 @@
 	return false
 }
 
-func (w *fleetSim) recordRefusal(j job, r Refusal) {
+func (sim *fleetSim) recordRefusal(j job, r Refusal) {
 	if !r.Poison {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.convicted = append(w.convicted, j.fingerprint)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.convicted = append(sim.convicted, j.fingerprint)
 }
 
 // crashCounts returns the number of endpoints crashed by each fingerprint.
-func (w *fleetSim) crashCounts() map[Fingerprint]int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	killed := lo.Filter(w.runs, func(r runRecord, _ int) bool { return r.killed })
+func (sim *fleetSim) crashCounts() map[Fingerprint]int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	killed := lo.Filter(sim.runs, func(r runRecord, _ int) bool { return r.killed })
 	return lo.CountValuesBy(killed, func(r runRecord) Fingerprint { return r.fingerprint })
 }
