--- a/coordination/placement/history_test.go
+++ b/coordination/placement/history_test.go
@@ -352,11 +352,11 @@
 }
 
 // playSeeds runs several seeds and adds up their results.
-func playSeeds(t *testing.T, faults func(*fleetTest), planted injectedFault, cfg Config) (all boundResult) {
+func playSeeds(t *testing.T, faults func(*fleetTest), fault injectedFault, cfg Config) (all boundResult) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			tr := newFleetTest(seed, 7, 12, cfg)
-			tr.fault = planted
+			tr.fault = fault
 			v := tr.play(t.Context(), faults, 0)
 			all.placed += v.placed
 			all.over += v.over
@@ -372,9 +372,9 @@
 // code prevents.
 func TestCheckDetectsInjectedFaults(t *testing.T) {
 	tests := []struct {
-		name    string
-		planted injectedFault
-		faults  func(*fleetTest)
+		name   string
+		fault  injectedFault
+		faults func(*fleetTest)
 	}{
 		{"release counted twice", releaseTwice, nil},
 		{"takeover from zero", takeoverAtZero, killOwnerAtOnce},
@@ -382,7 +382,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v := playSeeds(t, test.faults, test.planted, Config{Grace: time.Nanosecond})
+			v := playSeeds(t, test.faults, test.fault, Config{Grace: time.Nanosecond})
 			assert.Assert(t, !v.withinTolerance(), "%+v", v)
 		})
 	}
--- a/coordination/placement/outliers.go
+++ b/coordination/placement/outliers.go
@@ -22,7 +22,7 @@
 	return max(n/outlierDivisor, 1)
 }
 
-// OutlierChange reports that an endpoint is ejected or readmitted for the
+// OutlierChange reports that an endpoint is ejected or restored for the
 // routers of an availability zone.
 type OutlierChange struct {
 	Endpoint    coordination.Endpoint
--- a/coordination/placement/outliers_test.go
+++ b/coordination/placement/outliers_test.go
@@ -92,7 +92,7 @@
 	})
 }
 
-// Guards against a wrong pool count after an outlier leaves or is readmitted.
+// Guards against a wrong pool count after an outlier leaves or is restored.
 func TestOutlierThatLeavesOrComesBack(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
 		es := testEndpoints(2)
@@ -102,7 +102,7 @@
 		if leaves {
 			o.MarkLeaving("e0", 1)
 		} else {
-			now = now.Add(10 * time.Second) // readmitted after a time without requests
+			now = now.Add(10 * time.Second) // restored after a time without requests
 			assert.Equal(t, admit(o, now, 2, "e0").Decision, Granted)
 		}
 		o.tick(now)
--- a/coordination/placement/overcommit_test.go
+++ b/coordination/placement/overcommit_test.go
@@ -35,23 +35,23 @@
 	onTime *atomic.Int32
 }
 
-func (v simulatedRequest) run(ctx context.Context) {
+func (s simulatedRequest) run(ctx context.Context) {
 	start := time.Now()
 	entry := EntryID{Instance: "entry", Incarnation: 1}
-	r := v.owner.Admit(ctx, AdmitRequest{
-		Entry: entry, Sequence: Sequence(v.n + 1), Endpoint: "desk", Account: coordination.Account(fmt.Sprint(v.n % 10)),
+	r := s.owner.Admit(ctx, AdmitRequest{
+		Entry: entry, Sequence: Sequence(s.n + 1), Endpoint: "desk", Account: coordination.Account(fmt.Sprint(s.n % 10)),
 		Deadline: 1500, Final: true,
 	})
 	if r.Decision != Granted {
 		return
 	}
 	time.Sleep(5 * time.Millisecond)
-	v.server.serve()
+	s.server.serve()
 	if time.Since(start) < 290*time.Millisecond {
-		v.onTime.Add(1)
+		s.onTime.Add(1)
 	}
 	time.Sleep(25 * time.Millisecond)
-	v.owner.Release(ReleaseBatch{Entry: entry, Releases: []Release{{Endpoint: "desk", Sequence: Sequence(v.n + 1)}}})
+	s.owner.Release(ReleaseBatch{Entry: entry, Releases: []Release{{Endpoint: "desk", Sequence: Sequence(s.n + 1)}}})
 }
 
 // servedOnTime sends 4 s of requests at a fraction of the capacity of an endpoint with
--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -64,7 +64,7 @@
 	Priority    coordination.Priority
 	Shares      []Share
 	Public      bool // requires no key
-	Sticky      bool // requests name the parts of their prompts
+	Sticky      bool // requests name the parts of their prompts and go where these are cached
 	Resumable   bool // a broken stream may be continued at another endpoint
 }
 
--- a/coordination/suspicion/guard.go
+++ b/coordination/suspicion/guard.go
@@ -22,8 +22,8 @@
 	Spread(topic string, payload []byte)
 }
 
-// Placer maps the hash of a fingerprint to the router that is its gate.
-type Placer interface {
+// GateLocator maps the hash of a fingerprint to the router that is its gate.
+type GateLocator interface {
 	OwnerOfHash(hash uint64) coordination.Instance
 }
 
@@ -36,14 +36,14 @@
 	gate        *Gate
 	transport   Transport
 	spreader    Spreader
-	placer      atomic.Value // holds a placerBox
+	locator     atomic.Value // holds a locatorBox
 
 	mu         sync.Mutex
 	lastNumber uint64
 	tracked    map[Fingerprint][]*TrackedRequest
 }
 
-type placerBox struct{ Placer }
+type locatorBox struct{ GateLocator }
 
 // NewGuard returns the guard of a router; gate is that router's own gate.
 func NewGuard(id coordination.Instance, n coordination.Incarnation, gate *Gate, t Transport, s Spreader) *Guard {
@@ -60,8 +60,8 @@
 
 // Update sets a new list of routers and claims the suspects running on this
 // router at their gates, which may have changed.
-func (g *Guard) Update(ctx context.Context, p Placer) {
-	g.placer.Store(placerBox{p})
+func (g *Guard) Update(ctx context.Context, p GateLocator) {
+	g.locator.Store(locatorBox{p})
 	g.gate.MembersChanged(time.Now())
 	g.Renew(ctx)
 }
@@ -316,7 +316,7 @@
 }
 
 func (g *Guard) gateOf(f Fingerprint) coordination.Instance {
-	if b, ok := g.placer.Load().(placerBox); ok {
+	if b, ok := g.locator.Load().(locatorBox); ok {
 		return b.OwnerOfHash(uint64(f))
 	}
 	return ""
--- a/coordination/suspicion/guard_test.go
+++ b/coordination/suspicion/guard_test.go
@@ -27,13 +27,13 @@
 // gateAt assigns all fingerprints to one router.
 type gateAt coordination.Instance
 
-// OwnerOfHash implements Placer.
+// OwnerOfHash implements GateLocator.
 func (g gateAt) OwnerOfHash(uint64) coordination.Instance { return coordination.Instance(g) }
 
 // add adds a router for which the gate of all fingerprints is at.
 func (g gates) add(id, at coordination.Instance) *Guard {
 	guard := NewGuard(id, 1, NewGate(NewTable(Config{})), g, g)
-	guard.placer.Store(placerBox{gateAt(at)})
+	guard.locator.Store(locatorBox{gateAt(at)})
 	g[id] = guard
 	return guard
 }
--- a/coordination/suspicion/simulation_test.go
+++ b/coordination/suspicion/simulation_test.go
@@ -134,9 +134,9 @@
 	r.entry.Update(set, routers)
 	switch r.sim.fault {
 	case ownGateOnly:
-		r.guard.placer.Store(placerBox{ownGate(r.id)})
+		r.guard.locator.Store(locatorBox{ownGate(r.id)})
 	default:
-		r.guard.placer.Store(placerBox{routers})
+		r.guard.locator.Store(locatorBox{routers})
 	}
 }
 
