--- a/coordination/placement/history_test.go
+++ b/coordination/placement/history_test.go
@@ -116,8 +116,8 @@
 	return tr
 }
 
-// play runs the load, injects faults halfway and checks the history.
-func (tr *fleetTest) play(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
+// run runs the load, injects faults halfway and checks the history.
+func (tr *fleetTest) run(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
 	stop := tr.start()
 	ctx, cancel := context.WithCancel(ctx)
 	tr.wg.Go(func() { tr.reports(ctx) })
@@ -220,7 +220,7 @@
 func TestOneOwnerNeverExceedsTheBound(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			v := newFleetTest(seed, 1, 12, Config{}).play(t.Context(), nil, 0)
+			v := newFleetTest(seed, 1, 12, Config{}).run(t.Context(), nil, 0)
 			assert.Equal(t, v.over, 0, "seed %d: %+v", seed, v)
 			assert.Assert(t, v.placed > 400)
 		})
@@ -357,7 +357,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			tr := newFleetTest(seed, 7, 12, cfg)
 			tr.fault = fault
-			v := tr.play(t.Context(), faults, 0)
+			v := tr.run(t.Context(), faults, 0)
 			all.placed += v.placed
 			all.over += v.over
 			all.worst = max(all.worst, v.worst)
--- a/coordination/placement/model_test.go
+++ b/coordination/placement/model_test.go
@@ -226,7 +226,7 @@
 	m.every(modelSample, m.sample)
 	m.every(modelReport, m.report)
 	m.every(time.Second, func() { m.each(func(r *modelRouter) { r.owner.tick(m.now) }) })
-	m.every(queueCheckInterval, m.sweep)
+	m.every(queueCheckInterval, m.processQueues)
 	if m.scheme == ownerAdmission {
 		m.every(releaseInterval, m.flush)
 		m.every((&view{set: m.list(), routers: m.view}).sumInterval(testPool), m.exchange)
@@ -360,33 +360,33 @@
 
 // step asks the next candidate of a walk.
 func (m *model) step(r *modelRouter, w *walk, seq Sequence, done func(*Descriptor, func())) {
-	a, _, ok := w.nextQuery(m.now)
+	q, _, ok := w.nextQuery(m.now)
 	if !ok {
 		done(nil, nil)
 		return
 	}
-	owner := m.byID[a.owner]
+	owner := m.byID[q.owner]
 	req := AdmitRequest{
-		Entry: r.entryID(), Sequence: seq, Endpoint: a.endpoint.ID, Incarnation: a.endpoint.Incarnation,
-		Account: w.req.Account, Deadline: a.deadline, Wait: a.wait, Final: a.final,
+		Entry: r.entryID(), Sequence: seq, Endpoint: q.endpoint.ID, Incarnation: q.endpoint.Incarnation,
+		Account: w.req.Account, Deadline: q.deadline, Wait: q.wait, Final: q.final,
 	}
 	if owner != r {
-		req.Releases = r.releases[a.owner]
-		delete(r.releases, a.owner)
+		req.Releases = r.releases[q.owner]
+		delete(r.releases, q.owner)
 	}
 	answer := func(reply AdmitReply) {
-		m.hop(owner, r, len(reply.Encode()), func() {
+		m.send(owner, r, len(reply.Encode()), func() {
 			switch {
-			case !w.handleReply(a, reply):
+			case !w.handleReply(q, reply):
 				m.after(w.pause(m.now), func() { m.step(r, w, seq, done) })
 			case reply.Decision == Granted:
-				done(a.endpoint, func() { m.release(r, a, seq) })
+				done(q.endpoint, func() { m.release(r, q, seq) })
 			default:
 				done(nil, nil)
 			}
 		})
 	}
-	m.hop(r, owner, len(req.Encode()), func() {
+	m.send(r, owner, len(req.Encode()), func() {
 		reply, waits := owner.owner.submit(m.now, req)
 		if waits == nil {
 			answer(reply)
@@ -407,8 +407,8 @@
 	return EntryID{Instance: r.ID, Incarnation: 1_800_000_000_000}
 }
 
-// hop sends a message from one router to another.
-func (m *model) hop(from, to *modelRouter, size int, then func()) {
+// send sends a message from one router to another.
+func (m *model) send(from, to *modelRouter, size int, then func()) {
 	if from == to {
 		then()
 		return
@@ -432,7 +432,7 @@
 	}
 }
 
-func (m *model) sweep() {
+func (m *model) processQueues() {
 	m.each(func(r *modelRouter) {
 		for _, w := range r.waiting {
 			r.owner.processQueueIfDue(m.now, w.w)
@@ -442,14 +442,14 @@
 }
 
 // release ends a grant.
-func (m *model) release(r *modelRouter, a ownerQuery, seq Sequence) {
-	rel := Release{Endpoint: a.endpoint.ID, Sequence: seq}
-	if a.owner == r.ID {
+func (m *model) release(r *modelRouter, q ownerQuery, seq Sequence) {
+	rel := Release{Endpoint: q.endpoint.ID, Sequence: seq}
+	if q.owner == r.ID {
 		r.owner.release(m.now, ReleaseBatch{Entry: r.entryID(), Releases: []Release{rel}})
 		m.settle(r)
 		return
 	}
-	r.releases[a.owner] = append(r.releases[a.owner], rel)
+	r.releases[q.owner] = append(r.releases[q.owner], rel)
 }
 
 func (m *model) flush() {
@@ -459,7 +459,7 @@
 		for _, id := range owners {
 			b := ReleaseBatch{Entry: r.entryID(), Releases: r.releases[id]}
 			owner := m.byID[id]
-			m.hop(r, owner, len(b.Encode()), func() {
+			m.send(r, owner, len(b.Encode()), func() {
 				owner.owner.release(m.now, b)
 				m.settle(owner)
 			})
@@ -472,9 +472,9 @@
 	m.each(func(r *modelRouter) {
 		for _, c := range r.owner.sumCalls(m.now) {
 			root := m.byID[c.to]
-			m.hop(r, root, len(c.report.Encode()), func() {
+			m.send(r, root, len(c.report.Encode()), func() {
 				reply := root.owner.collectSums(m.now, c.report)
-				m.hop(root, r, len(reply.Encode()), func() { r.owner.applyTotals(m.now, c.report, reply) })
+				m.send(root, r, len(reply.Encode()), func() { r.owner.applyTotals(m.now, c.report, reply) })
 			})
 		}
 	})
--- a/coordination/placement/routers.go
+++ b/coordination/placement/routers.go
@@ -106,7 +106,7 @@
 }
 
 // Root returns the router that aggregates the load of a pool. Routers for which
-// silent returns true are skipped. It returns the empty instance if none is
+// skip returns true are not considered. It returns the empty instance if none is
 // left.
 func (r *Routers) Root(name coordination.Pool, skip func(coordination.Instance) bool) coordination.Instance {
 	among := lo.Reject(r.owners, func(o ownerRouter, _ int) bool { return skip(o.id) })
--- a/coordination/placement/unanswered_test.go
+++ b/coordination/placement/unanswered_test.go
@@ -46,12 +46,12 @@
 		time.Sleep(2 * time.Second) // until the owner has settled
 
 		g := e.held.open(e, false)
-		a := ownerQuery{endpoint: set.Find("a"), owner: "other"}
+		q := ownerQuery{endpoint: set.Find("a"), owner: "other"}
 		cfg := e.cfg.Load()
-		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Code, Unreachable)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, q, cfg).Code, Unreachable)
 		e.Tick(t.Context())
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, a, cfg).Decision, Granted)
+		assert.Equal(t, e.sendQuery(t.Context(), g, Request{Pool: "p"}, q, cfg).Decision, Granted)
 		g.Release()
 		e.Tick(t.Context())
 		assert.Equal(t, len(o.shard("a").loads["a"].grants), 0)
