--- a/wisteriarouter/daemon/rumors.go
+++ b/wisteriarouter/daemon/rumors.go
@@ -66,8 +66,8 @@
 	peer.Malformed:    event.PeerMalformed,
 	peer.Oversized:    event.PeerMalformed,
 	peer.Refused:      event.PeerRefused,
-	peer.Overflow:     event.RumourShed,
-	peer.Shedding:     event.RumourShed,
+	peer.Overflow:     event.RumorShed,
+	peer.Shedding:     event.RumorShed,
 	peer.HandlersBusy: event.PeerBusy,
 }
 
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -43,7 +43,7 @@
 	headerTimeout time.Duration
 
 	active  atomic.Int64
-	leaving atomic.Bool
+	keepAlivesDisabled atomic.Bool
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
@@ -82,7 +82,7 @@
 
 // DisableKeepAlives makes every response to a request that arrives from now on
 // close its connection. Existing and new connections are still served.
-func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
+func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
 // handler counts the requests in flight and, once DisableKeepAlives was called,
 // closes connections after the response.
@@ -93,7 +93,7 @@
 		}
 		s.active.Add(1)
 		defer s.active.Add(-1)
-		if s.leaving.Load() {
+		if s.keepAlivesDisabled.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
--- a/wisteriarouter/endpoint/directory.go
+++ b/wisteriarouter/endpoint/directory.go
@@ -32,7 +32,7 @@
 }
 
 // Leaving reports whether the endpoint is shutting down.
-func (k Info) Leaving() bool { return k.State == placement.Leaving }
+func (i Info) Leaving() bool { return i.State == placement.Leaving }
 
 // missedListLimit is the number of consecutive lists that must omit an endpoint
 // before it is removed. A single list may be truncated, and removing a live
@@ -94,8 +94,8 @@
 
 // Find returns the endpoint with the given id.
 func (d *Directory) Find(id coordination.Endpoint) (Info, bool) {
-	k, ok := d.current().byID[id]
-	return k, ok
+	info, ok := d.current().byID[id]
+	return info, ok
 }
 
 // Pool returns the endpoints of a pool, sorted by id. The caller must not
@@ -263,17 +263,17 @@
 		pools: make(map[coordination.Pool][]Info),
 	}
 	for id, e := range d.entries {
-		k := e.Info
-		k.State = placement.Live
-		if n, ok := d.leaving[id]; ok && k.Incarnation <= n {
-			k.State = placement.Leaving
+		info := e.Info
+		info.State = placement.Live
+		if n, ok := d.leaving[id]; ok && info.Incarnation <= n {
+			info.State = placement.Leaving
 		}
-		s.byID[id] = k
-		s.all = append(s.all, k)
+		s.byID[id] = info
+		s.all = append(s.all, info)
 	}
 	slices.SortFunc(s.all, compareByID)
-	for _, k := range s.all {
-		s.pools[k.Pool] = append(s.pools[k.Pool], k)
+	for _, info := range s.all {
+		s.pools[info.Pool] = append(s.pools[info.Pool], info)
 	}
 	return s
 }
@@ -282,8 +282,8 @@
 	if len(a.byID) != len(b.byID) {
 		return false
 	}
-	for id, k := range a.byID {
-		if b.byID[id] != k {
+	for id, info := range a.byID {
+		if b.byID[id] != info {
 			return false
 		}
 	}
--- a/wisteriarouter/endpoint/refresh.go
+++ b/wisteriarouter/endpoint/refresh.go
@@ -118,12 +118,12 @@
 func (p *Poller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentPolls)
-	for _, k := range p.Directory.All() {
-		if k.Kind != platform.Engine || !p.Owned(k) {
+	for _, info := range p.Directory.All() {
+		if info.Kind != platform.Engine || !p.Owned(info) {
 			continue
 		}
 		slots <- struct{}{}
-		q := pollTask{poller: p, target: k, release: func() { <-slots }}
+		q := pollTask{poller: p, target: info, release: func() { <-slots }}
 		wg.Go(func() { q.run(ctx) })
 	}
 	wg.Wait()
@@ -141,11 +141,11 @@
 	q.poller.pollEndpoint(ctx, q.target)
 }
 
-func (p *Poller) pollEndpoint(ctx context.Context, k Info) {
-	l, err := p.Loads.Load(ctx, k.Address)
+func (p *Poller) pollEndpoint(ctx context.Context, info Info) {
+	l, err := p.Loads.Load(ctx, info.Address)
 	if err != nil {
 		return
 	}
-	p.Directory.ApplyReport(Report{ID: k.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
-	p.OnLoad(k, l)
+	p.Directory.ApplyReport(Report{ID: info.ID, Incarnation: l.Incarnation, Leaving: l.Leaving(), Capacity: l.Capacity})
+	p.OnLoad(info, l)
 }
--- a/wisteriarouter/endpoint/register.go
+++ b/wisteriarouter/endpoint/register.go
@@ -82,11 +82,11 @@
 // holdRemoved delays the removal of an endpoint if its entry may come back, and
 // reports whether it does. The caller holds r.mu.
 func (r *EntryTracker) holdRemoved(now time.Time, id coordination.Endpoint) bool {
-	k, ok := r.Directory.Find(id)
-	if !ok || k.Leaving() {
+	info, ok := r.Directory.Find(id)
+	if !ok || info.Leaving() {
 		return false
 	}
-	d := r.holdDuration(now, len(r.Directory.Pool(k.Pool)))
+	d := r.holdDuration(now, len(r.Directory.Pool(info.Pool)))
 	if d <= 0 {
 		return false
 	}
@@ -135,8 +135,8 @@
 // cancelRemoval cancels the scheduled removal of an endpoint, if any. The
 // caller holds r.mu.
 func (r *EntryTracker) cancelRemoval(id coordination.Endpoint) {
-	if t := r.removalTimers[id]; t != nil {
-		t.Stop()
+	if timer := r.removalTimers[id]; timer != nil {
+		timer.Stop()
 		delete(r.removalTimers, id)
 	}
 }
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -78,7 +78,7 @@
 	if !settings.ValidTeam(req.Team) {
 		return nil, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	c := &inForceQuery{s: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
+	c := &inForceQuery{server: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
 	return &inForceOutput{Body: c.collect(ctx)}, nil
 }
 
@@ -93,7 +93,7 @@
 
 // inForceQuery sends the same request to all routers and collects the responses.
 type inForceQuery struct {
-	s     *Server
+	server     *Server
 	req   inForceRequest
 	slots chan struct{}
 	group sync.WaitGroup
@@ -108,7 +108,7 @@
 	wait := min(time.Duration(c.req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
-	members := c.s.Peers.Members()
+	members := c.server.Peers.Members()
 	c.result = InForce{
 		Team: c.req.Team, Revision: c.req.Want.Revision, Routers: len(members),
 		Behind: []RouterInForce{}, Unreachable: []coordination.Instance{},
@@ -148,14 +148,14 @@
 
 // call sends req to one router, or serves it locally if to is this router.
 func (c *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceResponse, err error) {
-	if to == c.s.Self {
-		return c.s.waitInForce(ctx, req), nil
+	if to == c.server.Self {
+		return c.server.waitInForce(ctx, req), nil
 	}
 	payload, err := cbor.Marshal(req)
 	if err != nil {
 		return a, fmt.Errorf("operator: encoding in-force request: %w", err)
 	}
-	data, err := c.s.Peers.Call(ctx, to, topicInForce, payload)
+	data, err := c.server.Peers.Call(ctx, to, topicInForce, payload)
 	if err != nil {
 		return a, err
 	}
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -40,7 +40,7 @@
 	n.memberWatchers = append(n.memberWatchers, fn)
 	n.replays = append(n.replays, replay{watcher: fn})
 	n.topicMu.Unlock()
-	n.notify()
+	n.wakeDispatcher()
 }
 
 // OnRumor registers fn, which is called with each known rumour of topic and with
@@ -52,7 +52,7 @@
 	n.rumorListeners[topic] = append(n.rumorListeners[topic], fn)
 	n.replays = append(n.replays, replay{topic: topic, listener: fn})
 	n.topicMu.Unlock()
-	n.notify()
+	n.wakeDispatcher()
 }
 
 // Broadcast spreads a rumour to all members and reports whether it was accepted. It
--- a/wisteriarouter/peer/conn.go
+++ b/wisteriarouter/peer/conn.go
@@ -194,7 +194,7 @@
 	switch m.Kind {
 	case kindGossip:
 		if m.Gossip != nil {
-			c.node.gossip(c, *m.Gossip)
+			c.node.receiveGossip(c, *m.Gossip)
 		}
 	case kindRequest, kindNotice:
 		c.lastUsed.Set(time.Now())
--- a/wisteriarouter/peer/dial.go
+++ b/wisteriarouter/peer/dial.go
@@ -25,20 +25,20 @@
 }
 
 // dial starts an attempt to connect to address, or joins the one in progress.
-func (n *Node) dial(address string, gossip bool, after ...membership.Message) *dialAttempt {
+func (n *Node) dial(address string, gossip bool, pending ...membership.Message) *dialAttempt {
 	n.connMu.Lock()
 	defer n.connMu.Unlock()
-	if d := n.dialings[address]; d != nil {
-		d.pending = append(d.pending, after...)
+	if d := n.dialAttempts[address]; d != nil {
+		d.pending = append(d.pending, pending...)
 		return d
 	}
-	d := &dialAttempt{node: n, address: address, gossip: gossip, pending: after, done: make(chan struct{})}
-	if n.stopped || len(n.conns)+len(n.dialings) >= n.cfg.MaxConns {
+	d := &dialAttempt{node: n, address: address, gossip: gossip, pending: pending, done: make(chan struct{})}
+	if n.stopped || len(n.conns)+len(n.dialAttempts) >= n.cfg.MaxConns {
 		d.err = errTooManyConns
 		close(d.done)
 		return d
 	}
-	n.dialings[address] = d
+	n.dialAttempts[address] = d
 	n.wg.Add(1)
 	go d.run()
 	return d
@@ -54,16 +54,16 @@
 		c, err = n.register(made)
 	}
 	n.connMu.Lock()
-	delete(n.dialings, d.address)
+	delete(n.dialAttempts, d.address)
 	d.conn, d.err = c, err
-	after := d.pending
+	pending := d.pending
 	n.connMu.Unlock()
 	close(d.done)
 	if err != nil {
 		n.dialFailed(d.address)
 		return
 	}
-	for _, m := range after {
+	for _, m := range pending {
 		_ = c.post(&message{Kind: kindGossip, Gossip: &m})
 	}
 	if c == made {
@@ -254,7 +254,7 @@
 // retire takes c out of use. Calls in progress may complete. If tell is set, the
 // peer is sent a goodbye, so that it does not send a request while the connection
 // closes.
-func (n *Node) retire(c *conn, tell bool) {
+func (n *Node) retire(c *conn, sendGoodbye bool) {
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
 	if current {
@@ -263,7 +263,7 @@
 	n.draining[c] = struct{}{}
 	n.connMu.Unlock()
 	c.drain()
-	if tell {
+	if sendGoodbye {
 		_ = c.post(&message{Kind: kindGoodbye})
 	}
 	if current {
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -30,7 +30,7 @@
 	connMu   sync.Mutex
 	conns    map[coordination.Instance]*conn
 	draining map[*conn]struct{}
-	dialings map[string]*dialAttempt
+	dialAttempts map[string]*dialAttempt
 	stopped  bool
 
 	topicMu        sync.RWMutex
@@ -64,7 +64,7 @@
 		machine:        membership.New(cfg.Membership, cfg.Self, time.Now()),
 		conns:          make(map[coordination.Instance]*conn),
 		draining:       make(map[*conn]struct{}),
-		dialings:       make(map[string]*dialAttempt),
+		dialAttempts:       make(map[string]*dialAttempt),
 		topicHandlers:  make(map[string]Handler),
 		rumorListeners: make(map[string][]rumorFunc),
 		handlerSlots:   make(chan struct{}, cfg.MaxHandlers),
@@ -111,11 +111,11 @@
 	for _, d := range out.Dials {
 		n.dial(d.Address, true)
 	}
-	n.notify()
+	n.wakeDispatcher()
 }
 
-// notify wakes the dispatcher.
-func (n *Node) notify() {
+// wakeDispatcher wakes the dispatcher.
+func (n *Node) wakeDispatcher() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
@@ -141,7 +141,7 @@
 	}
 }
 
-func (n *Node) gossip(c *conn, m membership.Message) {
+func (n *Node) receiveGossip(c *conn, m membership.Message) {
 	for i := range m.Rumors {
 		n.countRumor(&m.Rumors[i], false)
 	}
--- a/wisteriarouter/peer/reach.go
+++ b/wisteriarouter/peer/reach.go
@@ -70,10 +70,10 @@
 // NewFailureDetector returns a FailureDetector that answers the probes of other
 // routers, and a function that stops its own probes. It calls onChange when a
 // router becomes unresponsive or recovers.
-func NewFailureDetector(f Transport, onTurn func(id coordination.Instance, away bool)) (*FailureDetector, func()) {
-	f.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
+func NewFailureDetector(transport Transport, onChange func(id coordination.Instance, away bool)) (*FailureDetector, func()) {
+	transport.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
 	ctx, cancel := context.WithCancel(context.Background())
-	return &FailureDetector{transport: f, onChange: onTurn, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
+	return &FailureDetector{transport: transport, onChange: onChange, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
 }
 
 // Watch registers fn, which is called when a router becomes unresponsive or
@@ -188,13 +188,13 @@
 func (p probe) recordMiss(now time.Time) {
 	p.mu.Lock()
 	s := p.outages[p.id]
-	turned := !s.unresponsive && now.Sub(s.since) >= unresponsiveAfter
-	if turned {
+	nowUnresponsive := !s.unresponsive && now.Sub(s.since) >= unresponsiveAfter
+	if nowUnresponsive {
 		s.unresponsive = true
 		p.responsive = nil
 	}
 	p.mu.Unlock()
-	if turned {
+	if nowUnresponsive {
 		p.notifyWatchers(true)
 	}
 }
@@ -202,19 +202,19 @@
 // finish ends the tracking of the router.
 func (p probe) finish() {
 	p.mu.Lock()
-	was := p.outages[p.id].unresponsive
+	wasUnresponsive := p.outages[p.id].unresponsive
 	delete(p.outages, p.id)
-	if was {
+	if wasUnresponsive {
 		p.responsive = nil
 	}
 	p.mu.Unlock()
-	if was {
+	if wasUnresponsive {
 		p.notifyWatchers(false)
 	}
 }
 
-func (p probe) notifyWatchers(away bool) {
-	p.onChange(p.id, away)
+func (p probe) notifyWatchers(unresponsive bool) {
+	p.onChange(p.id, unresponsive)
 	p.mu.Lock()
 	watchers := slices.Clone(p.watchers)
 	p.mu.Unlock()
