--- a/standin/member.go
+++ b/standin/member.go
@@ -58,36 +58,36 @@
 		return err
 	}
 	s := serve(ln, w)
-	p := &registration{
+	r := &registration{
 		member: m, worker: w, client: platform.Client{URL: m.platform},
 		entry: m.entry(ln.Addr().String(), kind, w.Incarnation()),
 	}
-	if err := p.register(ctx); err != nil {
+	if err := r.register(ctx); err != nil {
 		return err
 	}
 	refresh, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go p.refreshLoop(refresh, done)
+	go r.refreshLoop(refresh, done)
 	err = s.wait(ctx)
 	cancel()
 	<-done
 	if err != nil {
 		return err
 	}
-	return m.leave(s, p)
+	return m.leave(s, r)
 }
 
 // leave stops gracefully, without interrupting accepted requests.
-func (m *member) leave(s *server, p *registration) error {
+func (m *member) leave(s *server, r *registration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	p.worker.Leave()
-	p.entry.State = platform.Leaving
-	registered := p.register(ctx)
+	r.worker.Leave()
+	r.entry.State = platform.Leaving
+	registered := r.register(ctx)
 	time.Sleep(m.leaveTime)
-	drained := p.worker.Drain(ctx)
+	drained := r.worker.Drain(ctx)
 	stopped := s.stop()
-	return errors.Join(registered, drained, stopped, p.remove(ctx))
+	return errors.Join(registered, drained, stopped, r.remove(ctx))
 }
 
 // registration maintains a member's entry in the list of instances.
@@ -100,7 +100,7 @@
 
 // refreshLoop updates the entry when the incarnation of the worker changes, which
 // happens after a crash.
-func (p *registration) refreshLoop(ctx context.Context, done chan<- struct{}) {
+func (r *registration) refreshLoop(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -110,28 +110,28 @@
 		case <-ctx.Done():
 			return
 		}
-		incarnation := p.worker.Incarnation()
-		if incarnation == p.entry.Incarnation {
+		incarnation := r.worker.Incarnation()
+		if incarnation == r.entry.Incarnation {
 			continue
 		}
-		next := *p
+		next := *r
 		next.entry.Incarnation = incarnation
 		if next.register(ctx) == nil {
-			p.entry = next.entry
+			r.entry = next.entry
 		}
 	}
 }
 
 // register registers the entry. It makes several attempts, since the platform may
 // still be starting.
-func (p *registration) register(ctx context.Context) error {
+func (r *registration) register(ctx context.Context) error {
 	const tries, interval = 25, 200 * time.Millisecond
-	if p.member.platform == "" {
+	if r.member.platform == "" {
 		return nil
 	}
 	var err error
 	for range tries {
-		if err = p.client.Register(ctx, p.entry); err == nil {
+		if err = r.client.Register(ctx, r.entry); err == nil {
 			return nil
 		}
 		select {
@@ -143,9 +143,9 @@
 	return err
 }
 
-func (p *registration) remove(ctx context.Context) error {
-	if p.member.platform == "" {
+func (r *registration) remove(ctx context.Context) error {
+	if r.member.platform == "" {
 		return nil
 	}
-	return p.client.Remove(ctx, p.entry.ID)
+	return r.client.Remove(ctx, r.entry.ID)
 }
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -54,25 +54,25 @@
 
 // update appends a copy of the current list, modified by change, and drops
 // the snapshots that no lag up to maxListLag can select.
-func (d *instanceList) update(change func(map[string]Instance)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	next := maps.Clone(d.snapshots[len(d.snapshots)-1].instances)
+func (l *instanceList) update(change func(map[string]Instance)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	next := maps.Clone(l.snapshots[len(l.snapshots)-1].instances)
 	change(next)
 	now := time.Now()
-	d.snapshots = append(d.snapshots, snapshot{at: now, instances: next})
-	for len(d.snapshots) > 1 && now.Sub(d.snapshots[1].at) > maxListLag {
-		d.snapshots = d.snapshots[1:]
+	l.snapshots = append(l.snapshots, snapshot{at: now, instances: next})
+	for len(l.snapshots) > 1 && now.Sub(l.snapshots[1].at) > maxListLag {
+		l.snapshots = l.snapshots[1:]
 	}
 }
 
 // list returns the list as of lag ago, ordered by ID.
-func (d *instanceList) list(lag time.Duration) List {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *instanceList) list(lag time.Duration) List {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	asOf := time.Now().Add(-lag)
-	shown := d.snapshots[0]
-	for _, s := range d.snapshots {
+	shown := l.snapshots[0]
+	for _, s := range l.snapshots {
 		if !s.at.After(asOf) {
 			shown = s
 		}
--- a/standin/soak/check_test.go
+++ b/standin/soak/check_test.go
@@ -117,7 +117,7 @@
 			arrivals = append(arrivals, arrivals[i].with(func(a *arrival) { a.StartedAt = a.StartedAt.Add(time.Second) }))
 		}
 		h := history{outcomes: outcomes, arrivals: arrivals}
-		expectViolation(t, h.checkRepeats(), test.want)
+		expectViolation(t, h.checkRetries(), test.want)
 	}
 }
 
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -145,9 +145,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var up []*endpoint
-	for _, b := range s.endpoints {
-		if b.until().IsZero() && b.service != "long" {
-			up = append(up, b)
+	for _, e := range s.endpoints {
+		if e.until().IsZero() && e.service != "long" {
+			up = append(up, e)
 		}
 	}
 	return up[s.rng.IntN(len(up))]
@@ -158,15 +158,15 @@
 
 // crashEndpoint kills an endpoint and starts a replacement after d.
 func (s *soak) crashEndpoint(d time.Duration) {
-	b := s.randomEndpoint()
-	s.logf("endpoint %s crashes", b.id)
+	e := s.randomEndpoint()
+	s.logf("endpoint %s crashes", e.id)
 	s.mu.Lock()
-	b.crashed = time.Now()
+	e.crashed = time.Now()
 	s.mu.Unlock()
 	s.recordFaultSpan(max(d, entryExpiry))
-	b.kill()
-	s.after(entryExpiry, func() { s.store.Delete(b.Key()) })
-	s.after(d, func() { s.replaceEndpoint(b.service) })
+	e.kill()
+	s.after(entryExpiry, func() { s.store.Delete(e.Key()) })
+	s.after(d, func() { s.replaceEndpoint(e.service) })
 }
 
 func (s *soak) replaceEndpoint(service string) {
@@ -182,19 +182,19 @@
 // drainEndpoint stops an endpoint gracefully. If neither the routers nor the
 // store were faulty, it must receive no requests after drainTime.
 func (s *soak) drainEndpoint() {
-	b := s.randomEndpoint()
-	s.logf("endpoint %s drains", b.id)
+	e := s.randomEndpoint()
+	s.logf("endpoint %s drains", e.id)
 	at := time.Now()
 	s.mu.Lock()
-	b.drained = at
+	e.drained = at
 	s.mu.Unlock()
 	s.recordFaultSpan(drainTime)
-	s.replaceEndpoint(b.service)
-	b.Drain()
-	s.after(drainTime, func() { s.checkDrained(b, at) })
+	s.replaceEndpoint(e.service)
+	e.Drain()
+	s.after(drainTime, func() { s.checkDrained(e, at) })
 }
 
-func (s *soak) checkDrained(b *endpoint, at time.Time) {
+func (s *soak) checkDrained(e *endpoint, at time.Time) {
 	s.mu.Lock()
 	stable := s.lastStoreFault.Before(at.Add(-drainTime))
 	s.mu.Unlock()
@@ -202,27 +202,27 @@
 	for _, r := range s.routers {
 		healthy = healthy && r.healthySince(at.Add(-drainTime))
 	}
-	before := len(b.Arrivals())
+	before := len(e.Arrivals())
 	time.Sleep(time.Second)
-	if after := len(b.Arrivals()); healthy && after > before {
-		s.reportViolation("endpoint %s got %d requests over %v behind its word that it stops", b.id, after-before, drainTime)
+	if after := len(e.Arrivals()); healthy && after > before {
+		s.reportViolation("endpoint %s got %d requests over %v behind its word that it stops", e.id, after-before, drainTime)
 	}
-	s.store.Delete(b.Key())
+	s.store.Delete(e.Key())
 }
 
 // degradeEndpoint makes an endpoint return faulty responses, or its link fail.
 func (s *soak) degradeEndpoint(d time.Duration) {
-	b := s.randomEndpoint()
+	e := s.randomEndpoint()
 	f := []replica.Faults{{CutAfter: 2}, {CutLate: true}, {Status: http.StatusInternalServerError}, {Full: true}}[s.rng.IntN(4)]
 	m := proxy.Mode{}
 	if s.rng.IntN(2) == 0 {
 		f, m = replica.Faults{}, s.randomLinkFault()
 	}
-	s.logf("endpoint %s is spoiled for %v: %+v %+v", b.id, d, f, m)
+	s.logf("endpoint %s is spoiled for %v: %+v %+v", e.id, d, f, m)
 	s.recordFaultSpan(d)
-	b.SetFaults(f)
-	b.proxy.SetMode(m)
-	s.after(d, func() { b.SetFaults(replica.Faults{}); b.proxy.SetMode(proxy.Mode{}) })
+	e.SetFaults(f)
+	e.proxy.SetMode(m)
+	s.after(d, func() { e.SetFaults(replica.Faults{}); e.proxy.SetMode(proxy.Mode{}) })
 }
 
 // propagationTimeout is the time within which a change of the desired state must
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -37,7 +37,7 @@
 // each.
 func (h *history) violations() []string {
 	var all []string
-	for _, check := range []func() []string{h.checkRuns, h.checkContents, h.checkDeadlines, h.checkRepeats, h.checkLoads, h.checkDisconnects} {
+	for _, check := range []func() []string{h.checkRuns, h.checkContents, h.checkDeadlines, h.checkRetries, h.checkLoads, h.checkDisconnects} {
 		all = append(all, check()...)
 	}
 	return all
@@ -103,16 +103,16 @@
 	return violations
 }
 
-// The second attempts that a service may receive within repeatSpan: repeatShare of
-// the first attempts plus repeatSlack.
+// The second attempts that a service may receive within retrySpan: retryShare of
+// the first attempts plus retrySlack.
 const (
-	repeatSpan  = 10 * time.Second
-	repeatShare = 0.2
-	repeatSlack = 54
+	retrySpan  = 10 * time.Second
+	retryShare = 0.2
+	retrySlack = 54
 )
 
-// checkRepeats finds services that received more second attempts than permitted.
-func (h *history) checkRepeats() (violations []string) {
+// checkRetries finds services that received more second attempts than permitted.
+func (h *history) checkRetries() (violations []string) {
 	for _, service := range h.services() {
 		var firsts, retries []time.Time
 		seen := make(map[string]bool)
@@ -128,9 +128,9 @@
 			seen[a.ID] = true
 		}
 		for _, at := range retries {
-			n := countWithin(retries, at, repeatSpan)
-			of := max(countWithin(firsts, at, repeatSpan), countWithin(firsts, at.Add(-repeatSpan/2), repeatSpan), countWithin(firsts, at.Add(-repeatSpan), repeatSpan))
-			if float64(n) > repeatShare*float64(of)+repeatSlack {
+			n := countWithin(retries, at, retrySpan)
+			of := max(countWithin(firsts, at, retrySpan), countWithin(firsts, at.Add(-retrySpan/2), retrySpan), countWithin(firsts, at.Add(-retrySpan), retrySpan))
+			if float64(n) > retryShare*float64(of)+retrySlack {
 				violations = append(violations, fmt.Sprintf("service %s got %d second attempts for %d requests", service, n, of))
 				break
 			}
--- a/standin/soak/router.go
+++ b/standin/soak/router.go
@@ -141,15 +141,15 @@
 	ended   chan struct{}
 }
 
-func (l processWaiter) run() {
-	err := l.command.Wait()
-	l.router.mu.Lock()
-	l.router.process = nil
-	l.router.mu.Unlock()
-	close(l.ended)
+func (w processWaiter) run() {
+	err := w.command.Wait()
+	w.router.mu.Lock()
+	w.router.process = nil
+	w.router.mu.Unlock()
+	close(w.ended)
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() > 0 {
-		l.router.soak.reportViolation("router %d ended by itself or cut off requests: exit code %d; see %s", l.router.n, exit.ExitCode(), l.router.logFile())
+		w.router.soak.reportViolation("router %d ended by itself or cut off requests: exit code %d; see %s", w.router.n, exit.ExitCode(), w.router.logFile())
 	}
 }
 
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -80,11 +80,11 @@
 
 // until returns the time at which the endpoint stopped accepting requests, or the
 // zero time.
-func (b *endpoint) until() time.Time {
-	if b.drained.IsZero() {
-		return b.crashed
+func (e *endpoint) until() time.Time {
+	if e.drained.IsZero() {
+		return e.crashed
 	}
-	return b.drained
+	return e.drained
 }
 
 // The number of endpoints per service. Endpoints of the service with long streams
@@ -196,14 +196,14 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &endpoint{Replica: r, id: id, service: service, proxy: p, kill: kill, added: time.Now()}
+	e := &endpoint{Replica: r, id: id, service: service, proxy: p, kill: kill, added: time.Now()}
 	r.RegisterAt(p.Address())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints = append(s.endpoints, b)
+	s.endpoints = append(s.endpoints, e)
 	s.onClose(kill)
 	s.onClose(stop)
-	return b, nil
+	return e, nil
 }
 
 // putState writes the next version of the desired state.
@@ -287,11 +287,11 @@
 		r.clearFaults(s.seeds())
 	}
 	s.mu.Lock()
-	backs := append([]*endpoint(nil), s.endpoints...)
+	endpoints := append([]*endpoint(nil), s.endpoints...)
 	s.mu.Unlock()
-	for _, b := range backs {
-		b.SetFaults(replica.Faults{})
-		b.proxy.SetMode(proxy.Mode{})
+	for _, e := range endpoints {
+		e.SetFaults(replica.Faults{})
+		e.proxy.SetMode(proxy.Mode{})
 	}
 	time.Sleep(recoveryTime)
 	for _, r := range s.routers {
@@ -312,10 +312,10 @@
 // check reports the violations that only the complete history shows.
 func (s *soak) check() {
 	h := history{outcomes: s.load.outcomes(), faultSpans: s.faultSpans}
-	for _, b := range s.endpoints {
-		h.servingPeriods = append(h.servingPeriods, servingPeriod{b.service, b.added, b.until()})
-		for _, a := range b.Arrivals() {
-			h.arrivals = append(h.arrivals, arrival{Arrival: a, endpoint: b.id, service: b.service})
+	for _, e := range s.endpoints {
+		h.servingPeriods = append(h.servingPeriods, servingPeriod{e.service, e.added, e.until()})
+		for _, a := range e.Arrivals() {
+			h.arrivals = append(h.arrivals, arrival{Arrival: a, endpoint: e.id, service: e.service})
 		}
 	}
 	slices.SortFunc(h.arrivals, func(a, b arrival) int { return a.StartedAt.Compare(b.StartedAt) })
--- a/wisteriactl/client.go
+++ b/wisteriactl/client.go
@@ -43,7 +43,7 @@
 }
 
 // Error implements error.
-func (f *routerError) Error() string { return f.Code + ": " + f.Message }
+func (e *routerError) Error() string { return e.Code + ": " + e.Message }
 
 // teamSettings holds the settings of a team as returned by a router: the
 // revision stored in the platform and the position in force on the router.
--- a/wisteriactl/command.go
+++ b/wisteriactl/command.go
@@ -35,7 +35,7 @@
 	do           func(ctx context.Context, c *command) error
 
 	teamName coordination.Team
-	attempt  coordination.Attempt
+	requestID  coordination.Attempt
 	client   *client
 	routers  string
 	format   string
@@ -99,7 +99,7 @@
 		if f.NArg() == 0 {
 			return errUsage.New("%s needs the id of a REQUEST; see wisteriactl %s -help", c.name, c.name)
 		}
-		c.attempt = coordination.Attempt(f.Arg(0))
+		c.requestID = coordination.Attempt(f.Arg(0))
 		if err := f.Parse(f.Args()[1:]); err != nil {
 			return errUsage.New("wrong flags: %v", err)
 		}
--- a/wisteriactl/explain.go
+++ b/wisteriactl/explain.go
@@ -116,9 +116,9 @@
 			if err != nil {
 				return err
 			}
-			e, ok := explainRequest(string(c.attempt), lines)
+			e, ok := explainRequest(string(c.requestID), lines)
 			if !ok {
-				return errorNamespace.NewType("no_request").New("no line names the request %q", c.attempt)
+				return errorNamespace.NewType("no_request").New("no line names the request %q", c.requestID)
 			}
 			return c.show(e, func() { c.printExplanation(e) })
 		},
--- a/wisteriactl/put.go
+++ b/wisteriactl/put.go
@@ -87,18 +87,18 @@
 	if err != nil {
 		return err
 	}
-	ch, err := p.buildRequest(ctx, c, t)
+	req, err := p.buildRequest(ctx, c, t)
 	if err != nil {
 		return err
 	}
-	var a putResponse
-	if err := c.client.call(ctx, http.MethodPut, settingsPath(c.teamName), ch, &a); err != nil {
-		return p.reportError(c, ch, err)
+	var resp putResponse
+	if err := c.client.call(ctx, http.MethodPut, settingsPath(c.teamName), req, &resp); err != nil {
+		return p.reportError(c, req, err)
 	}
 	if p.wait > 0 {
-		a.InForce, err = p.awaitRollout(ctx, c, a)
+		resp.InForce, err = p.awaitRollout(ctx, c, resp)
 	}
-	return c.showWithError(err, a, func() { p.print(c, a) })
+	return c.showWithError(err, resp, func() { p.print(c, resp) })
 }
 
 func (p *putCommand) buildRequest(ctx context.Context, c *command, t settingsText) (putRequest, error) {
@@ -110,27 +110,27 @@
 	case p.id != "" && !settings.ChangeID(p.id).Valid():
 		return putRequest{}, errUsage.New("-change-id %q is no UUIDv7", p.id)
 	}
-	ch := putRequest{Text: t.body, BaseRevision: kv.Revision(p.base), ChangeID: settings.ChangeID(p.id), Author: p.author, Reason: p.reason}
+	req := putRequest{Text: t.body, BaseRevision: kv.Revision(p.base), ChangeID: settings.ChangeID(p.id), Author: p.author, Reason: p.reason}
 	if p.id == "" {
-		ch.ChangeID = settings.NewChangeID()
+		req.ChangeID = settings.NewChangeID()
 	}
 	if p.base < 0 {
-		ch.BaseRevision = t.base
+		req.BaseRevision = t.base
 	}
-	if ch.BaseRevision >= 0 {
-		return ch, nil
+	if req.BaseRevision >= 0 {
+		return req, nil
 	}
 	s, err := c.client.get(ctx, c.teamName)
 	if err != nil && !errorx.IsOfType(err, errNoTeam) {
 		return putRequest{}, err
 	}
-	ch.BaseRevision = s.Revision
-	return ch, nil
+	req.BaseRevision = s.Revision
+	return req, nil
 }
 
 // reportError prints why a change was not accepted and how to proceed. It returns
 // err with the type of its exit code.
-func (p *putCommand) reportError(c *command, ch putRequest, err error) error {
+func (p *putCommand) reportError(c *command, req putRequest, err error) error {
 	var f *routerError
 	if errors.As(err, &f) {
 		if c.format == formatJSON {
@@ -143,7 +143,7 @@
 		return classifyError(err)
 	}
 	if errorx.IsOfType(err, errUnknown) {
-		fmt.Fprintf(c.err, "wisteriactl: to settle it, put the same file again with -change-id %s -base %d\n", ch.ChangeID, ch.BaseRevision)
+		fmt.Fprintf(c.err, "wisteriactl: to settle it, put the same file again with -change-id %s -base %d\n", req.ChangeID, req.BaseRevision)
 	}
 	return err
 }
@@ -156,36 +156,36 @@
 	c.printf("\n%s", f.Diff)
 }
 
-func (p *putCommand) print(c *command, a putResponse) {
+func (p *putCommand) print(c *command, resp putResponse) {
 	again := ""
-	if a.Repeated {
+	if resp.Repeated {
 		again = ", by an earlier try"
 	}
-	c.printf("accepted: team %s, revision %d%s\n", a.Team, a.Revision, again)
-	if a.InForce == nil {
+	c.printf("accepted: team %s, revision %d%s\n", resp.Team, resp.Revision, again)
+	if resp.InForce == nil {
 		return
 	}
-	c.printf("in force on %d of %d routers\n", a.InForce.InForce, a.InForce.Routers)
-	for _, b := range a.InForce.Behind {
+	c.printf("in force on %d of %d routers\n", resp.InForce.InForce, resp.InForce.Routers)
+	for _, b := range resp.InForce.Behind {
 		c.printf("  %s still has revision %d", b.Instance, b.Revision)
 		if b.Refused > 0 {
 			c.printf(" and refuses revision %d", b.Refused)
 		}
 		c.printf("\n")
 	}
-	for _, u := range a.InForce.Unreachable {
+	for _, u := range resp.InForce.Unreachable {
 		c.printf("  %s did not answer\n", u)
 	}
 }
 
 // awaitRollout waits until the change is in force on all routers. It returns
 // errBehind if that takes longer than -wait or cannot be determined.
-func (p *putCommand) awaitRollout(ctx context.Context, c *command, a putResponse) (*rolloutStatus, error) {
+func (p *putCommand) awaitRollout(ctx context.Context, c *command, resp putResponse) (*rolloutStatus, error) {
 	deadline := time.Now().Add(p.wait)
 	for {
 		left := max(time.Until(deadline), 0)
 		path := fmt.Sprintf("%s/in-force?revision=%d&sequence=%d&wait_ms=%d",
-			settingsPath(a.Team), a.Revision, a.Sequence, min(left, maxWait).Milliseconds())
+			settingsPath(resp.Team), resp.Revision, resp.Sequence, min(left, maxWait).Milliseconds())
 		var in rolloutStatus
 		if err := c.client.call(ctx, http.MethodGet, path, nil, &in); err != nil {
 			return nil, errBehind.New("accepted, but no router tells where it is in force: %v", err)
--- a/wisteriactl/settings.go
+++ b/wisteriactl/settings.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// auditTrail lists the changes to the settings of a team, newest first.
-type auditTrail struct {
+// settingsHistory lists the changes to the settings of a team, newest first.
+type settingsHistory struct {
 	Team    coordination.Team `json:"team"`
 	Fresh   bool              `json:"fresh"`
 	Entries []settings.Entry  `json:"entries"`
@@ -192,17 +192,17 @@
 		synopsis: "print who changed the settings of TEAM, when and why, newest first",
 		flags:    func(fs *flag.FlagSet) { fs.BoolVar(&diffs, "diff", false, "print what each change changed") },
 		do: func(ctx context.Context, c *command) error {
-			var h auditTrail
+			var h settingsHistory
 			err := c.client.call(ctx, http.MethodGet, settingsPath(c.teamName)+"/history", nil, &h)
 			if err != nil {
 				return classifyError(err)
 			}
-			return c.show(h, func() { c.printAuditTrail(h, diffs) })
+			return c.show(h, func() { c.printHistory(h, diffs) })
 		},
 	}
 }
 
-func (c *command) printAuditTrail(h auditTrail, diffs bool) {
+func (c *command) printHistory(h settingsHistory, diffs bool) {
 	if diffs {
 		for _, e := range h.Entries {
 			c.printf("revision %d  %s  %s  %s\n%s\n", e.Revision, e.Time.Format(time.RFC3339), e.Author, e.Reason, e.Diff)
--- a/wisteriarouter/daemon/servers.go
+++ b/wisteriarouter/daemon/servers.go
@@ -63,7 +63,7 @@
 		event.F("bytes", each.BytesRead),
 		event.F("waited-ms", each.Elapsed.Milliseconds()),
 		event.F("first", each.FirstRequest),
-		event.F("gone", each.PeerClosed),
+		event.F("gone", each.ClientClosed),
 		event.F("draining", each.Draining))
 }
 
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -29,7 +29,7 @@
 	BytesRead    int           // bytes of the request that were read, at least 1
 	Elapsed      time.Duration // since the first of these bytes was read
 	FirstRequest bool          // it was the first request on its connection
-	PeerClosed   bool          // the client had closed or reset the connection
+	ClientClosed   bool          // the client had closed or reset the connection
 	Draining     bool          // the server was being drained
 }
 
--- a/wisteriarouter/endpoint/refresh.go
+++ b/wisteriarouter/endpoint/refresh.go
@@ -123,8 +123,8 @@
 			continue
 		}
 		slots <- struct{}{}
-		q := pollTask{poller: p, target: info, release: func() { <-slots }}
-		wg.Go(func() { q.run(ctx) })
+		t := pollTask{poller: p, target: info, release: func() { <-slots }}
+		wg.Go(func() { t.run(ctx) })
 	}
 	wg.Wait()
 }
@@ -136,9 +136,9 @@
 	release func()
 }
 
-func (q pollTask) run(ctx context.Context) {
-	defer q.release()
-	q.poller.pollEndpoint(ctx, q.target)
+func (t pollTask) run(ctx context.Context) {
+	defer t.release()
+	t.poller.pollEndpoint(ctx, t.target)
 }
 
 func (p *Poller) pollEndpoint(ctx context.Context, info Info) {
--- a/wisteriarouter/endpoint/register.go
+++ b/wisteriarouter/endpoint/register.go
@@ -52,57 +52,57 @@
 
 // StoreRecovered records that the store is available again after an outage for
 // all routers.
-func (r *EntryTracker) StoreRecovered() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.recoveredAt = time.Now()
+func (t *EntryTracker) StoreRecovered() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recoveredAt = time.Now()
 }
 
 // Apply applies changes, which must be in the order in which they were made.
-func (r *EntryTracker) Apply(changes []Change) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *EntryTracker) Apply(changes []Change) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
 	var put []platform.Entry
 	var removed []coordination.Endpoint
 	for _, c := range changes {
 		if !c.Removed {
-			r.cancelRemoval(c.ID)
+			t.cancelRemoval(c.ID)
 			put = append(put, c.Entry)
 			continue
 		}
-		if r.holdRemoved(now, c.ID) {
+		if t.holdRemoved(now, c.ID) {
 			continue
 		}
 		removed = append(removed, c.ID)
 	}
-	r.Directory.Apply(put, removed)
+	t.Directory.Apply(put, removed)
 }
 
 // holdRemoved delays the removal of an endpoint if its entry may come back, and
 // reports whether it does. The caller holds r.mu.
-func (r *EntryTracker) holdRemoved(now time.Time, id coordination.Endpoint) bool {
-	info, ok := r.Directory.Find(id)
+func (t *EntryTracker) holdRemoved(now time.Time, id coordination.Endpoint) bool {
+	info, ok := t.Directory.Find(id)
 	if !ok || info.Leaving() {
 		return false
 	}
-	d := r.holdDuration(now, len(r.Directory.Pool(info.Pool)))
+	d := t.holdDuration(now, len(t.Directory.Pool(info.Pool)))
 	if d <= 0 {
 		return false
 	}
-	r.cancelRemoval(id)
-	r.scheduleRemoval(id, d)
-	r.Log.Emit(event.EndpointHeld, event.F("endpoint", id), event.F("for-ms", d.Milliseconds()))
+	t.cancelRemoval(id)
+	t.scheduleRemoval(id, d)
+	t.Log.Emit(event.EndpointHeld, event.F("endpoint", id), event.F("for-ms", d.Milliseconds()))
 	return true
 }
 
 // holdDuration returns how long to keep an endpoint whose entry was removed at
 // now, zero for not at all. endpoints is the size of its pool.
-func (r *EntryTracker) holdDuration(now time.Time, endpoints int) time.Duration {
-	bulk := r.recordRemoval(now, endpoints)
+func (t *EntryTracker) holdDuration(now time.Time, endpoints int) time.Duration {
+	bulk := t.recordRemoval(now, endpoints)
 	switch {
-	case now.Sub(r.recoveredAt) < recoveryHold:
-		return recoveryHold - now.Sub(r.recoveredAt)
+	case now.Sub(t.recoveredAt) < recoveryHold:
+		return recoveryHold - now.Sub(t.recoveredAt)
 	case bulk:
 		return bulkHold
 	default:
@@ -112,52 +112,52 @@
 
 // scheduleRemoval removes an endpoint after d unless the removal is canceled.
 // The caller holds r.mu.
-func (r *EntryTracker) scheduleRemoval(id coordination.Endpoint, d time.Duration) {
-	if r.removalTimers == nil {
-		r.removalTimers = make(map[coordination.Endpoint]*time.Timer)
+func (t *EntryTracker) scheduleRemoval(id coordination.Endpoint, d time.Duration) {
+	if t.removalTimers == nil {
+		t.removalTimers = make(map[coordination.Endpoint]*time.Timer)
 	}
-	r.removalTimers[id] = time.AfterFunc(d, func() { r.removeHeld(id) })
+	t.removalTimers[id] = time.AfterFunc(d, func() { t.removeHeld(id) })
 }
 
 // recordRemoval records a removal and reports whether the removals within
 // bulkWindow exceed bulkFraction of the pool.
-func (r *EntryTracker) recordRemoval(now time.Time, endpoints int) bool {
-	recent := r.recentRemovals[:0]
-	for _, at := range r.recentRemovals {
+func (t *EntryTracker) recordRemoval(now time.Time, endpoints int) bool {
+	recent := t.recentRemovals[:0]
+	for _, at := range t.recentRemovals {
 		if now.Sub(at) < bulkWindow {
 			recent = append(recent, at)
 		}
 	}
-	r.recentRemovals = append(recent, now)
-	return len(r.recentRemovals) > 1 && float64(len(r.recentRemovals)) > bulkFraction*float64(endpoints)
+	t.recentRemovals = append(recent, now)
+	return len(t.recentRemovals) > 1 && float64(len(t.recentRemovals)) > bulkFraction*float64(endpoints)
 }
 
 // cancelRemoval cancels the scheduled removal of an endpoint, if any. The
 // caller holds r.mu.
-func (r *EntryTracker) cancelRemoval(id coordination.Endpoint) {
-	if timer := r.removalTimers[id]; timer != nil {
+func (t *EntryTracker) cancelRemoval(id coordination.Endpoint) {
+	if timer := t.removalTimers[id]; timer != nil {
 		timer.Stop()
-		delete(r.removalTimers, id)
+		delete(t.removalTimers, id)
 	}
 }
 
 // removeHeld removes an endpoint whose entry has not come back. While the store
 // is unavailable, a missing entry says nothing about its endpoint, and the
 // removal is postponed.
-func (r *EntryTracker) removeHeld(id coordination.Endpoint) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.removalTimers[id] == nil {
+func (t *EntryTracker) removeHeld(id coordination.Endpoint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.removalTimers[id] == nil {
 		return
 	}
-	if r.StoreUnavailable != nil && r.StoreUnavailable() {
-		r.scheduleRemoval(id, recoveryHold)
+	if t.StoreUnavailable != nil && t.StoreUnavailable() {
+		t.scheduleRemoval(id, recoveryHold)
 		return
 	}
-	if since := time.Since(r.recoveredAt); since < recoveryHold {
-		r.scheduleRemoval(id, recoveryHold-since)
+	if since := time.Since(t.recoveredAt); since < recoveryHold {
+		t.scheduleRemoval(id, recoveryHold-since)
 		return
 	}
-	delete(r.removalTimers, id)
-	r.Directory.Apply(nil, []coordination.Endpoint{id})
+	delete(t.removalTimers, id)
+	t.Directory.Apply(nil, []coordination.Endpoint{id})
 }
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -78,17 +78,17 @@
 	if !settings.ValidTeam(req.Team) {
 		return nil, &Failure{Code: CodeUnknownTeam, Message: "this is no name of a team"}
 	}
-	c := &inForceQuery{server: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
-	return &inForceOutput{Body: c.collect(ctx)}, nil
+	q := &inForceQuery{server: s, req: req, slots: make(chan struct{}, maxConcurrentCalls)}
+	return &inForceOutput{Body: q.collect(ctx)}, nil
 }
 
 // reached reports whether position in is want or later. It compares revisions
 // if want has no sequence.
-func reached(in, want settings.Position) bool {
+func reached(current, want settings.Position) bool {
 	if want.Sequence == 0 {
-		return in.Revision >= want.Revision
+		return current.Revision >= want.Revision
 	}
-	return !in.Before(want)
+	return !current.Before(want)
 }
 
 // inForceQuery sends the same request to all routers and collects the responses.
@@ -104,65 +104,65 @@
 
 // collect queries all known routers, this one included, and returns once each
 // has answered or timed out.
-func (c *inForceQuery) collect(ctx context.Context) InForce {
-	wait := min(time.Duration(c.req.WaitMs)*time.Millisecond, maxWait)
+func (q *inForceQuery) collect(ctx context.Context) InForce {
+	wait := min(time.Duration(q.req.WaitMs)*time.Millisecond, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
-	members := c.server.Peers.Members()
-	c.result = InForce{
-		Team: c.req.Team, Revision: c.req.Want.Revision, Routers: len(members),
+	members := q.server.Peers.Members()
+	q.result = InForce{
+		Team: q.req.Team, Revision: q.req.Want.Revision, Routers: len(members),
 		Behind: []RouterInForce{}, Unreachable: []coordination.Instance{},
 	}
 	deadline := time.Now().Add(wait)
 	for _, m := range members {
-		c.group.Add(1)
-		go c.queryRouter(ctx, m.Instance, deadline)
+		q.group.Add(1)
+		go q.queryRouter(ctx, m.Instance, deadline)
 	}
-	c.group.Wait()
-	slices.SortFunc(c.result.Behind, func(a, b RouterInForce) int { return cmp.Compare(a.Instance, b.Instance) })
-	slices.Sort(c.result.Unreachable)
-	return c.result
+	q.group.Wait()
+	slices.SortFunc(q.result.Behind, func(a, b RouterInForce) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.Sort(q.result.Unreachable)
+	return q.result
 }
 
 // queryRouter queries one router and records its response.
-func (c *inForceQuery) queryRouter(ctx context.Context, to coordination.Instance, deadline time.Time) {
-	defer c.group.Done()
-	c.slots <- struct{}{}
-	defer func() { <-c.slots }()
-	req := c.req
+func (q *inForceQuery) queryRouter(ctx context.Context, to coordination.Instance, deadline time.Time) {
+	defer q.group.Done()
+	q.slots <- struct{}{}
+	defer func() { <-q.slots }()
+	req := q.req
 	req.WaitMs = max(time.Until(deadline).Milliseconds(), 0)
-	a, err := c.call(ctx, to, req)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	resp, err := q.call(ctx, to, req)
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	switch {
 	case err != nil:
-		c.result.Unreachable = append(c.result.Unreachable, to)
-	case reached(a.Position, c.req.Want):
-		c.result.InForce++
+		q.result.Unreachable = append(q.result.Unreachable, to)
+	case reached(resp.Position, q.req.Want):
+		q.result.InForce++
 	default:
-		c.result.Behind = append(c.result.Behind, RouterInForce{
-			Instance: to, Revision: a.Position.Revision, Sequence: a.Position.Sequence, Refused: a.Refused,
+		q.result.Behind = append(q.result.Behind, RouterInForce{
+			Instance: to, Revision: resp.Position.Revision, Sequence: resp.Position.Sequence, Refused: resp.Refused,
 		})
 	}
 }
 
 // call sends req to one router, or serves it locally if to is this router.
-func (c *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (a inForceResponse, err error) {
-	if to == c.server.Self {
-		return c.server.waitInForce(ctx, req), nil
+func (q *inForceQuery) call(ctx context.Context, to coordination.Instance, req inForceRequest) (resp inForceResponse, err error) {
+	if to == q.server.Self {
+		return q.server.waitInForce(ctx, req), nil
 	}
 	payload, err := cbor.Marshal(req)
 	if err != nil {
-		return a, fmt.Errorf("operator: encoding in-force request: %w", err)
+		return resp, fmt.Errorf("operator: encoding in-force request: %w", err)
 	}
-	data, err := c.server.Peers.Call(ctx, to, topicInForce, payload)
+	data, err := q.server.Peers.Call(ctx, to, topicInForce, payload)
 	if err != nil {
-		return a, err
+		return resp, err
 	}
-	if err := cbor.Unmarshal(data, &a); err != nil {
-		return a, fmt.Errorf("operator: decoding in-force response from %s: %w", to, err)
+	if err := cbor.Unmarshal(data, &resp); err != nil {
+		return resp, fmt.Errorf("operator: decoding in-force response from %s: %w", to, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
 // handleInForce serves an inForceRequest from another router.
@@ -187,14 +187,14 @@
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		a := s.inForce(req.Team)
-		if reached(a.Position, req.Want) {
-			return a
+		resp := s.inForce(req.Team)
+		if reached(resp.Position, req.Want) {
+			return resp
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return a
+			return resp
 		}
 	}
 }
@@ -205,11 +205,11 @@
 		if st.Team != team {
 			continue
 		}
-		a := inForceResponse{Position: st.Position}
+		resp := inForceResponse{Position: st.Position}
 		if st.Refused != nil {
-			a.Refused = st.Refused.Revision
+			resp.Refused = st.Refused.Revision
 		}
-		return a
+		return resp
 	}
 	return inForceResponse{}
 }
--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -68,8 +68,8 @@
 			v.InForce, v.Refused = st.Position, st.Refused
 		}
 	}
-	if in, ok := s.Replica.Snapshot(team); ok && v.Refused != nil {
-		v.InForceText = in.Value.Text
+	if snap, ok := s.Replica.Snapshot(team); ok && v.Refused != nil {
+		v.InForceText = snap.Value.Text
 	}
 	return v
 }
@@ -166,16 +166,16 @@
 		h.Entries = current.Value.History(current.Revision)
 	}
 	// A value that was written without the routers may be outdated or
-	// unreadable and so lack later changes. The settings in force still have
-	// them in their history.
-	if in, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, in) {
-		h.Entries = in.Value.History(in.Position.Revision)
+	// unreadable and so lack later changes. The settings snap force still have
+	// them snap their history.
+	if snap, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, snap) {
+		h.Entries = snap.Value.History(snap.Position.Revision)
 	}
 	return &historyOutput{Body: h}, nil
 }
 
 // olderOrUnreadable reports whether the stored value cannot be read or is older
 // than the settings in force.
-func olderOrUnreadable(current settings.Current, in *settings.Snapshot) bool {
-	return current.Value == nil || current.Value.Change.Sequence < in.Position.Sequence
+func olderOrUnreadable(current settings.Current, snap *settings.Snapshot) bool {
+	return current.Value == nil || current.Value.Change.Sequence < snap.Position.Sequence
 }
--- a/wisteriarouter/peer/reach.go
+++ b/wisteriarouter/peer/reach.go
@@ -78,52 +78,52 @@
 
 // Watch registers fn, which is called when a router becomes unresponsive or
 // recovers.
-func (r *FailureDetector) Watch(fn func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.watchers = append(r.watchers, fn)
+func (d *FailureDetector) Watch(fn func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watchers = append(d.watchers, fn)
 }
 
 // Unresponsive reports whether a router is known not to respond.
-func (r *FailureDetector) Unresponsive(id coordination.Instance) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.outages[id]
+func (d *FailureDetector) Unresponsive(id coordination.Instance) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.outages[id]
 	return s != nil && s.unresponsive
 }
 
 // Responsive returns the members that are neither leaving nor unresponsive, sorted
 // by instance. The same slice is returned until there is a change; callers must not
 // modify it.
-func (r *FailureDetector) Responsive() []membership.Member {
-	members := r.transport.Members()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.responsive == nil || !membership.SameList(members, r.lastMembers) {
-		r.lastMembers = members
-		r.responsive = lo.Filter(members, func(m membership.Member, _ int) bool {
-			s := r.outages[m.Instance]
+func (d *FailureDetector) Responsive() []membership.Member {
+	members := d.transport.Members()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.responsive == nil || !membership.SameList(members, d.lastMembers) {
+		d.lastMembers = members
+		d.responsive = lo.Filter(members, func(m membership.Member, _ int) bool {
+			s := d.outages[m.Instance]
 			return m.State != membership.Leaving && (s == nil || !s.unresponsive)
 		})
 	}
-	return r.responsive
+	return d.responsive
 }
 
 // Call implements placement.Transport and suspicion.Transport.
-func (r *FailureDetector) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
-	answer, err := r.transport.Call(ctx, to, topic, payload)
+func (d *FailureDetector) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
+	answer, err := d.transport.Call(ctx, to, topic, payload)
 	if mayBeDown(err) && !errors.Is(ctx.Err(), context.Canceled) {
-		r.suspect(to)
+		d.suspect(to)
 	}
 	return answer, err
 }
 
 // Notify implements mirror.Transport. A nil error does not mean that the message
 // was delivered.
-func (r *FailureDetector) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
-	err := r.transport.Notify(ctx, to, topic, payload)
+func (d *FailureDetector) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
+	err := d.transport.Notify(ctx, to, topic, payload)
 	if mayBeDown(err) && !errors.Is(ctx.Err(), context.Canceled) {
-		r.suspect(to)
+		d.suspect(to)
 	}
 	return err
 }
@@ -135,14 +135,14 @@
 }
 
 // suspect starts to probe a router unless it is being probed already.
-func (r *FailureDetector) suspect(id coordination.Instance) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.outages[id] != nil {
+func (d *FailureDetector) suspect(id coordination.Instance) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.outages[id] != nil {
 		return
 	}
-	r.outages[id] = &outage{since: time.Now()}
-	go probe{FailureDetector: r, id: id}.run(r.ctx)
+	d.outages[id] = &outage{since: time.Now()}
+	go probe{FailureDetector: d, id: id}.run(d.ctx)
 }
 
 // probe repeatedly probes one router that failed to respond.
--- a/wisteriarouter/peer/serve.go
+++ b/wisteriarouter/peer/serve.go
@@ -36,8 +36,8 @@
 		return
 	}
 	c.serving.Add(1)
-	s := incomingCall{conn: c, request: m, handler: h}
-	go s.run()
+	in := incomingCall{conn: c, request: m, handler: h}
+	go in.run()
 }
 
 func (c *conn) reject(m *message, err error) {
@@ -46,33 +46,33 @@
 	}
 }
 
-func (s incomingCall) run() {
-	defer s.release()
-	ctx, cancel := s.context()
+func (in incomingCall) run() {
+	defer in.release()
+	ctx, cancel := in.context()
 	defer cancel()
-	payload, err := s.handler(ctx, s.conn.peer.Instance, s.request.Payload)
-	if s.request.Kind != kindRequest {
+	payload, err := in.handler(ctx, in.conn.peer.Instance, in.request.Payload)
+	if in.request.Kind != kindRequest {
 		return
 	}
-	m := &message{Kind: kindAnswer, ID: s.request.ID, Topic: s.request.Topic, Payload: payload}
+	m := &message{Kind: kindAnswer, ID: in.request.ID, Topic: in.request.Topic, Payload: payload}
 	if err != nil {
 		m.Failure = Failed
 		m.Error = err.Error()
 	}
-	if err := s.conn.post(m); err != nil {
+	if err := in.conn.post(m); err != nil {
 		// Without an answer the caller would wait until its deadline.
-		s.conn.cancel(err)
+		in.conn.cancel(err)
 	}
 }
 
-func (s incomingCall) context() (context.Context, context.CancelFunc) {
-	if s.request.Timeout == 0 {
-		return context.WithCancel(s.conn.ctx)
+func (in incomingCall) context() (context.Context, context.CancelFunc) {
+	if in.request.Timeout == 0 {
+		return context.WithCancel(in.conn.ctx)
 	}
-	return context.WithTimeout(s.conn.ctx, time.Duration(s.request.Timeout)*time.Millisecond)
+	return context.WithTimeout(in.conn.ctx, time.Duration(in.request.Timeout)*time.Millisecond)
 }
 
-func (s incomingCall) release() {
-	s.conn.serving.Add(-1)
-	<-s.conn.node.handlerSlots
+func (in incomingCall) release() {
+	in.conn.serving.Add(-1)
+	<-in.conn.node.handlerSlots
 }
