--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -29,7 +29,7 @@
 	KVBytesPerToken  int           // simulated KV cache bytes per token; 0 means 131072
 	LinkBytesPerSec  float64       // simulated bandwidth of KV export and import; 0 means 1.25e9
 	UnreadTimeout    time.Duration // how long an attempt is kept without a reader; 0 means 10s
-	IgnoreFencing    bool          // accepts orders with an outdated fencing number
+	IgnoreFencing    bool          // accepts orders with an outdated fencing token
 	Poison           string        // text in a message that crashes the engine; empty means "POISON"
 	RestartDelay     time.Duration // downtime after a crash; 0 means 1s
 	Seed             uint64        // seed of the random choices for faults and lost events
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,7 +10,7 @@
 var orderKinds = []string{"load-model", "load-adapter", "set-version", "set-role"}
 
 // Order instructs the engine to load a model or adapter, or to change its version
-// or role. Fencing is the fencing number of the sender.
+// or role. Fencing is the fencing token of the sender.
 type Order struct {
 	Fencing int64  `json:"fencing"`
 	Kind    string `json:"kind"`
@@ -18,7 +18,7 @@
 	Version string `json:"version"`
 }
 
-// orderLog holds the highest fencing number seen and the accepted orders.
+// orderLog holds the highest fencing token seen and the accepted orders.
 type orderLog struct {
 	Fencing int64   `json:"fencing"`
 	Orders  []Order `json:"orders"`
@@ -31,7 +31,7 @@
 	return slices.Clone(e.orders.Orders)
 }
 
-// handleOrder accepts an order unless its fencing number is outdated.
+// handleOrder accepts an order unless its fencing token is outdated.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil {
@@ -50,7 +50,7 @@
 }
 
 // acceptOrder records an order. It reports false if an order with a higher fencing
-// number was accepted before and Options.IgnoreFencing is not set.
+// token was accepted before and Options.IgnoreFencing is not set.
 func (e *Engine) acceptOrder(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -103,7 +103,7 @@
 	return violations
 }
 
-// The second attempts that a service may receive within retrySpan: retryShare of
+// The retries that a service may receive within retrySpan: retryShare of
 // the first attempts plus retrySlack.
 const (
 	retrySpan  = 10 * time.Second
@@ -111,7 +111,7 @@
 	retrySlack = 54
 )
 
-// checkRetries finds services that received more second attempts than permitted.
+// checkRetries finds services that received more retries than permitted.
 func (h *history) checkRetries() (violations []string) {
 	for _, service := range h.services() {
 		var firsts, retries []time.Time
--- a/wisteriarouter/downstream/conn.go
+++ b/wisteriarouter/downstream/conn.go
@@ -25,7 +25,7 @@
 	firstRequest bool      // no request has been answered yet
 	requestStart time.Time // when the first byte of the unanswered request was read; zero if there is none
 	bytesRead    int       // bytes of the unanswered request
-	clientClosed   bool      // the peer has closed or reset the connection
+	clientClosed   bool      // the client has closed or reset the connection
 }
 
 // retryWindow is the time allowed for one retry of a read or an accept whose
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -82,7 +82,7 @@
 	return &inForceOutput{Body: q.collect(ctx)}, nil
 }
 
-// reached reports whether position in is want or later. It compares revisions
+// reached reports whether current is want or a later position. It compares revisions
 // if want has no sequence.
 func reached(current, want settings.Position) bool {
 	if want.Sequence == 0 {
--- a/wisteriarouter/peer/api.go
+++ b/wisteriarouter/peer/api.go
@@ -43,10 +43,9 @@
 	n.wakeDispatcher()
 }
 
-// OnRumor registers fn, which is called with each known rumour of topic and with
+// OnRumor registers fn, which is called with each known rumor of topic and with
 // each new one. If several versions arrive in quick succession, fn may see only the
-// newest. Rumours that originate at this node are not
-// reported.
+// newest. Rumors that originate at this node are not reported.
 func (n *Node) OnRumor(topic string, fn func(key string, version uint64, payload []byte)) {
 	n.topicMu.Lock()
 	n.rumorListeners[topic] = append(n.rumorListeners[topic], fn)
@@ -55,7 +54,7 @@
 	n.wakeDispatcher()
 }
 
-// Broadcast spreads a rumour to all members and reports whether it was accepted. It
+// Broadcast spreads a rumor to all members and reports whether it was accepted. It
 // rejects a version that is not newer than the known one and a payload larger than
 // membership.MaxPayload.
 func (n *Node) Broadcast(topic, key string, version uint64, payload []byte) bool {
@@ -125,7 +124,7 @@
 }
 
 // Leave announces to all members that this router is stopping. It returns once the
-// messages to the neighbours are written or ctx ends. Calls still work afterwards.
+// messages to the neighbors are written or ctx ends. Calls still work afterwards.
 func (n *Node) Leave(ctx context.Context) {
 	n.step(func(now time.Time) membership.Output {
 		n.machine.Leave(now)
--- a/wisteriarouter/peer/bench_test.go
+++ b/wisteriarouter/peer/bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkFleet runs nodes in one process over loopback and reports per node, over
 // ten seconds: bytes sent including WebSocket framing, messages sent, CPU use as a
 // share of one core, and heap and stack memory. All nodes together broadcast the
-// given number of rumours of 40 bytes per second.
+// given number of rumors of 40 bytes per second.
 func BenchmarkFleet(b *testing.B) {
 	for _, nodes := range []int{7, 15, 30, 60} {
 		for _, rate := range []int{0, 20} {
@@ -61,7 +61,7 @@
 	}
 }
 
-// sent returns the totals sent by the routers. Rumours are skipped, as they are
+// sent returns the totals sent by the routers. Rumors are skipped, as they are
 // included in gossip.
 func sent(routers []*router) (bytes, messages uint64) {
 	for _, r := range routers {
--- a/wisteriarouter/peer/reach_test.go
+++ b/wisteriarouter/peer/detector_test.go
@@ -69,8 +69,8 @@
 	return err
 }
 
-// reachOf returns a FailureDetector that is stopped when the test ends.
-func reachOf(t *testing.T, f *fakeTransport) *FailureDetector {
+// newTestDetector returns a FailureDetector that is stopped when the test ends.
+func newTestDetector(t *testing.T, f *fakeTransport) *FailureDetector {
 	r, stop := NewFailureDetector(f, func(coordination.Instance, bool) {})
 	t.Cleanup(stop)
 	return r
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeTransport{}
-				r := reachOf(t, f)
+				r := newTestDetector(t, f)
 				var changes atomic.Int32
 				r.Watch(func() { changes.Add(1) })
 				ask(r)
@@ -121,7 +121,7 @@
 func TestShortSilenceChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{frozen: true}
-		r := reachOf(t, f)
+		r := newTestDetector(t, f)
 		r.Watch(func() { t.Error("router considered unresponsive") })
 		ask(r)
 		time.Sleep(150 * time.Millisecond)
@@ -136,7 +136,7 @@
 func TestProbingStopsForRemovedMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{dead: true}
-		r := reachOf(t, f)
+		r := newTestDetector(t, f)
 		ask(r)
 		time.Sleep(10 * time.Second)
 		f.set(func(f *fakeTransport) { f.gone = true })
@@ -153,7 +153,7 @@
 func TestResponsiveListIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeTransport{}
-		r := reachOf(t, f)
+		r := newTestDetector(t, f)
 		assert.Equal(t, len(r.Responsive()), 1)
 		f.set(func(f *fakeTransport) { f.dead = true })
 		ask(r)
--- a/wisteriarouter/peer/dial.go
+++ b/wisteriarouter/peer/dial.go
@@ -251,9 +251,9 @@
 	}
 }
 
-// retire takes c out of use. Calls in progress may complete. If tell is set, the
-// peer is sent a goodbye, so that it does not send a request while the connection
-// closes.
+// retire takes c out of use. Calls in progress may complete. If sendGoodbye is set,
+// the peer is sent a goodbye, so that it does not send a request while the
+// connection closes.
 func (n *Node) retire(c *conn, sendGoodbye bool) {
 	n.connMu.Lock()
 	current := n.conns[c.peer.Instance] == c
--- a/wisteriarouter/peer/fault_test.go
+++ b/wisteriarouter/peer/fault_test.go
@@ -309,7 +309,7 @@
 	assert.NilError(t, err)
 }
 
-// A function registered with OnRumor must be called with the rumours that are
+// A function registered with OnRumor must be called with the rumors that are
 // already known, or those received while the router starts would be lost to it.
 func TestRumorsAreReplayed(t *testing.T) {
 	routers := fleet(t, 2, nil)
--- a/wisteriarouter/peer/idle_test.go
+++ b/wisteriarouter/peer/idle_test.go
@@ -71,7 +71,7 @@
 	assert.Equal(t, r.Stats().Conns, manyPeers, "idle connections were closed")
 }
 
-// mute makes a router that is not a neighbour of r stop answering pings, and
+// mute makes a router that is not a neighbor of r stop answering pings, and
 // returns its instance.
 func mute(t *testing.T, r *router, all []*pingResponder) coordination.Instance {
 	for _, c := range r.connections() {
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -141,6 +141,7 @@
 	}
 }
 
+// receiveGossip passes a gossip message received on c to the state machine.
 func (n *Node) receiveGossip(c *conn, m membership.Message) {
 	for i := range m.Rumors {
 		n.countRumor(&m.Rumors[i], false)
@@ -194,7 +195,7 @@
 
 // maintainConns pings quiet connections, closes broken ones and retires connections
 // made for calls that are no longer used. Connections to members other than
-// neighbours are checked only while a reply or a call is pending: a router of a
+// neighbors are checked only while a reply or a call is pending: a router of a
 // large fleet has one to nearly every other router, rarely uses each, and would
 // otherwise send little but pings.
 func (n *Node) maintainConns(now time.Time) {
--- a/wisteriarouter/peer/peer.go
+++ b/wisteriarouter/peer/peer.go
@@ -1,5 +1,5 @@
 // Package peer connects a router with the other routers of its fleet. It carries
-// the membership protocol, rumours, and calls between routers as CBOR messages over
+// the membership protocol, rumors, and calls between routers as CBOR messages over
 // WebSocket connections.
 //
 // Two routers share at most one connection. Some connections belong to the gossip
@@ -38,7 +38,7 @@
 	// Membership configures the membership protocol; its Seeds and Topics are
 	// overwritten by those below.
 	Membership membership.Config
-	// Topics configures how the rumours of each topic spread.
+	// Topics configures how the rumors of each topic spread.
 	Topics map[string]membership.Topic
 	// OnEvent, if not nil, is called with each Event. It is called from several
 	// goroutines and must not block.
@@ -129,7 +129,7 @@
 	MemberLeft                         // a member has shut down
 	MemberDead                         // a member was declared dead
 	Reincarnated                       // this router was declared dead and has rejoined
-	Shedding                           // soft rumours are dropped to stay within the byte budget
+	Shedding                           // soft rumors are dropped to stay within the byte budget
 )
 
 var eventNames = map[EventKind]string{
@@ -164,6 +164,6 @@
 	Peer        coordination.Instance // if known
 	Incarnation coordination.Incarnation
 	Address     string // if known
-	Count       uint64 // Shedding: rumours dropped since the last such event; Overflow, HandlersBusy: total so far
+	Count       uint64 // Shedding: rumors dropped since the last such event; Overflow, HandlersBusy: total so far
 	Err         error
 }
--- a/wisteriarouter/peer/stats.go
+++ b/wisteriarouter/peer/stats.go
@@ -13,7 +13,7 @@
 // includes the WebSocket framing, but not TCP and IP headers.
 type Traffic struct {
 	Type     string // hello, gossip, request, answer, notice, ping, pong, goodbye, rumor
-	Topic    string // of requests, answers, notices and rumours
+	Topic    string // of requests, answers, notices and rumors
 	Sent     bool   // false if received
 	Messages uint64
 	Bytes    uint64
@@ -21,7 +21,7 @@
 
 // Stats is a snapshot of the counters of a Node.
 type Stats struct {
-	Traffic    []Traffic // rumours are also included in gossip; their size is an estimate
+	Traffic    []Traffic // rumors are also included in gossip; their size is an estimate
 	Membership membership.Stats
 	Conns      int
 	Neighbors  int
