--- a/standin/soak/history.go
+++ b/standin/soak/history.go
@@ -103,8 +103,8 @@
 	return violations
 }
 
-// The retries that a service may receive within retrySpan: retryShare of
-// the first attempts plus retrySlack.
+// The retries that a service may receive within retrySpan: retryShare of the first
+// attempts plus retrySlack.
 const (
 	retrySpan  = 10 * time.Second
 	retryShare = 0.2
--- a/wisteriactl/command.go
+++ b/wisteriactl/command.go
@@ -34,11 +34,11 @@
 	flags        func(f *flag.FlagSet)
 	do           func(ctx context.Context, c *command) error
 
-	teamName coordination.Team
-	requestID  coordination.Attempt
-	client   *client
-	routers  string
-	format   string
+	teamName  coordination.Team
+	requestID coordination.Attempt
+	client    *client
+	routers   string
+	format    string
 }
 
 // Name implements subcommands.Command.
--- a/wisteriarouter/downstream/conn.go
+++ b/wisteriarouter/downstream/conn.go
@@ -25,7 +25,7 @@
 	firstRequest bool      // no request has been answered yet
 	requestStart time.Time // when the first byte of the unanswered request was read; zero if there is none
 	bytesRead    int       // bytes of the unanswered request
-	clientClosed   bool      // the client has closed or reset the connection
+	clientClosed bool      // the client has closed or reset the connection
 }
 
 // retryWindow is the time allowed for one retry of a read or an accept whose
@@ -187,7 +187,7 @@
 		BytesRead:    c.bytesRead,
 		Elapsed:      time.Since(c.requestStart),
 		FirstRequest: c.firstRequest,
-		ClientClosed:   c.clientClosed,
+		ClientClosed: c.clientClosed,
 		Draining:     c.drain != nil,
 	}
 	c.bytesRead, c.requestStart = 0, time.Time{}
--- a/wisteriarouter/downstream/conn_test.go
+++ b/wisteriarouter/downstream/conn_test.go
@@ -35,15 +35,15 @@
 				c := f.connect()
 				if together {
 					c.write(text("/") + text("/"))
-					assert.Assert(t, !c.answer())
+					assert.Assert(t, !c.readAnswer())
 				} else {
 					c.write(text("/"))
-					assert.Assert(t, !c.answer())
+					assert.Assert(t, !c.readAnswer())
 					c.write(text("/"))
 				}
 				synctest.Wait()
 				left := f.beginDrain(8 * time.Second)
-				c.answer()
+				c.readAnswer()
 				assert.Equal(t, <-left, 0)
 				assert.Assert(t, !cancelled.Load())
 			})
@@ -62,7 +62,7 @@
 		c.write(long[:4095])
 		synctest.Wait()
 		c.write(long[4095:])
-		assert.Assert(t, !c.answer())
+		assert.Assert(t, !c.readAnswer())
 		time.Sleep(2 * quiet)
 		start := time.Now()
 		assert.Equal(t, <-f.beginDrain(8*time.Second), 0)
@@ -98,7 +98,7 @@
 // Guards against a response to a too large body that is delayed until the rest of
 // the body arrives. http.MaxBytesReader makes the server close the connection only
 // if it gets the HTTP server's own ResponseWriter.
-func TestHandlersHaveTheWriterOfTheHTTPServer(t *testing.T) {
+func TestHandlersGetServerResponseWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixtureOf(t, func(w http.ResponseWriter, r *http.Request) {
 			if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 8)); err != nil {
@@ -109,7 +109,7 @@
 			c := f.connect()
 			c.write("POST / HTTP/1.1\r\nHost: desk.example\r\n" + framing)
 			start := time.Now()
-			assert.Equal(t, c.head().StatusCode, http.StatusRequestEntityTooLarge)
+			assert.Equal(t, c.readHeader().StatusCode, http.StatusRequestEntityTooLarge)
 			assert.Equal(t, time.Since(start), time.Duration(0))
 			assert.NilError(t, c.Close())
 		}
@@ -119,7 +119,7 @@
 
 // Guards against clients that block a drain by sending an incomplete request
 // header.
-func TestDrainBoundsHeads(t *testing.T) {
+func TestDrainLimitsHeaderTime(t *testing.T) {
 	for name, kept := range map[string]bool{"first": false, "next": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -127,7 +127,7 @@
 				c := f.connect()
 				if kept {
 					c.write(text("/"))
-					assert.Assert(t, !c.answer())
+					assert.Assert(t, !c.readAnswer())
 				}
 				c.write("P")
 				synctest.Wait()
@@ -144,7 +144,7 @@
 
 // Guards against dropping a request whose first byte arrives during a drain and the
 // rest late.
-func TestDrainWaitsForAHeadThatHasBegun(t *testing.T) {
+func TestDrainWaitsForPartialHeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		c := f.connect()
@@ -154,21 +154,21 @@
 		c.write(text("/")[:1])
 		time.Sleep(2 * quiet)
 		c.write(text("/")[1:])
-		assert.Assert(t, c.answer())
+		assert.Assert(t, c.readAnswer())
 		assert.Equal(t, <-left, 0)
 	})
 }
 
-func TestDrainWaitsForABodyThatItHasAskedFor(t *testing.T) {
+func TestDrainWaitsForRequestedBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		c := f.connect()
 		c.write("POST / HTTP/1.1\r\nHost: desk.example\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-		assert.Equal(t, c.head().StatusCode, http.StatusContinue)
+		assert.Equal(t, c.readHeader().StatusCode, http.StatusContinue)
 		left := f.beginDrain(8 * time.Second)
 		time.Sleep(3 * quiet)
 		c.write("body")
-		c.answer()
+		c.readAnswer()
 		assert.Equal(t, <-left, 0)
 		assert.Equal(t, len(f.dropped()), 0)
 	})
@@ -183,7 +183,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		assert.Equal(t, f.Drain(ctx), 0)
-		c.ended()
+		c.awaitClose()
 		assert.Equal(t, len(f.dropped()), 1)
 	})
 }
@@ -196,7 +196,7 @@
 		synctest.Wait()
 		start := time.Now()
 		left := f.beginDrain(1200 * time.Millisecond)
-		c.ended()
+		c.awaitClose()
 		assert.Equal(t, time.Since(start), 700*time.Millisecond+look)
 		assert.Equal(t, <-left, 0)
 	})
--- a/wisteriarouter/downstream/listener_test.go
+++ b/wisteriarouter/downstream/listener_test.go
@@ -82,8 +82,8 @@
 		left := f.beginDrain(8 * time.Second)
 		c := &client{used, t, bufio.NewReader(used)}
 		c.write(text("/"))
-		assert.Assert(t, c.answer())
-		(&client{unused, t, bufio.NewReader(unused)}).ended()
+		assert.Assert(t, c.readAnswer())
+		(&client{unused, t, bufio.NewReader(unused)}).awaitClose()
 		assert.Equal(t, <-left, 0)
 		assert.Assert(t, time.Since(start) < 2*quiet)
 	})
--- a/wisteriarouter/downstream/server.go
+++ b/wisteriarouter/downstream/server.go
@@ -29,7 +29,7 @@
 	BytesRead    int           // bytes of the request that were read, at least 1
 	Elapsed      time.Duration // since the first of these bytes was read
 	FirstRequest bool          // it was the first request on its connection
-	ClientClosed   bool          // the client had closed or reset the connection
+	ClientClosed bool          // the client had closed or reset the connection
 	Draining     bool          // the server was being drained
 }
 
@@ -42,7 +42,7 @@
 	// limit.
 	headerTimeout time.Duration
 
-	active  atomic.Int64
+	active             atomic.Int64
 	keepAlivesDisabled atomic.Bool
 
 	mu    sync.Mutex
--- a/wisteriarouter/downstream/server_test.go
+++ b/wisteriarouter/downstream/server_test.go
@@ -177,24 +177,24 @@
 	assert.NilError(c.t, err)
 }
 
-// head reads a response header.
-func (c *client) head() *http.Response {
+// readHeader reads a response header.
+func (c *client) readHeader() *http.Response {
 	resp, err := http.ReadResponse(c.r, nil)
 	assert.NilError(c.t, err, "the connection ended without an answer")
 	return resp
 }
 
-// answer reads a response and reports whether it closes the connection.
-func (c *client) answer() (last bool) {
-	resp := c.head()
+// readAnswer reads a response and reports whether it closes the connection.
+func (c *client) readAnswer() (last bool) {
+	resp := c.readHeader()
 	body, err := io.ReadAll(resp.Body)
 	assert.NilError(c.t, err)
 	assert.Equal(c.t, string(body), "body")
 	return resp.Close
 }
 
-// ended waits until the server closes the connection.
-func (c *client) ended() {
+// awaitClose waits until the server closes the connection.
+func (c *client) awaitClose() {
 	_, err := c.r.ReadByte()
 	assert.Equal(c.t, err, io.EOF)
 }
@@ -224,15 +224,15 @@
 				c := f.connect()
 				if tc.kept {
 					c.write(whole)
-					assert.Assert(t, !c.answer())
+					assert.Assert(t, !c.readAnswer())
 				}
 				c.write(whole[:tc.before])
 				synctest.Wait()
 				left := f.beginDrain(8 * time.Second)
 				time.Sleep(tc.after)
 				c.write(whole[tc.before:])
-				assert.Equal(t, c.answer(), !tc.keeps)
-				c.ended()
+				assert.Equal(t, c.readAnswer(), !tc.keeps)
+				c.awaitClose()
 				assert.Equal(t, <-left, 0)
 				assert.Equal(t, len(f.dropped()), 0)
 			})
@@ -247,7 +247,7 @@
 		f := newFixture(t)
 		c := f.connect()
 		c.write(text("/slow"))
-		resp := c.head()
+		resp := c.readHeader()
 		c.write(text("/")[:1])
 		synctest.Wait()
 		close(f.release)
@@ -256,7 +256,7 @@
 		left := f.beginDrain(8 * time.Second)
 		time.Sleep(3 * time.Second)
 		c.write(text("/")[1:])
-		assert.Assert(t, c.answer(), "the response keeps the connection open")
+		assert.Assert(t, c.readAnswer(), "the response keeps the connection open")
 		assert.Equal(t, <-left, 0)
 		assert.Equal(t, len(f.dropped()), 0)
 	})
@@ -269,7 +269,7 @@
 		f := newFixture(t)
 		c := f.connect()
 		c.write(text("/slow"))
-		resp := c.head()
+		resp := c.readHeader()
 		assert.Assert(t, !resp.Close)
 		left := f.beginDrain(8 * time.Second)
 		time.Sleep(3 * time.Second)
@@ -278,7 +278,7 @@
 		assert.NilError(t, err)
 		time.Sleep(quiet / 2)
 		c.write(text("/"))
-		assert.Assert(t, c.answer(), "the response keeps the connection open")
+		assert.Assert(t, c.readAnswer(), "the response keeps the connection open")
 		assert.Equal(t, <-left, 0)
 	})
 }
@@ -288,16 +288,16 @@
 		f := newFixture(t)
 		unused, fresh := f.connect(), f.connect()
 		unused.write(text("/"))
-		assert.Assert(t, !unused.answer())
+		assert.Assert(t, !unused.readAnswer())
 		time.Sleep(quiet / 4)
 		fresh.write(text("/"))
-		assert.Assert(t, !fresh.answer())
+		assert.Assert(t, !fresh.readAnswer())
 		time.Sleep(quiet / 2)
 		start := time.Now()
 		left := f.beginDrain(8 * time.Second)
-		unused.ended()
+		unused.awaitClose()
 		assert.Equal(t, time.Since(start), quiet/4+look)
-		fresh.ended()
+		fresh.awaitClose()
 		assert.Equal(t, time.Since(start), quiet/2+look)
 		assert.Equal(t, <-left, 0)
 		assert.Equal(t, time.Since(start), quiet/2+look)
@@ -311,7 +311,7 @@
 		f := newFixture(t)
 		c := f.connect()
 		c.write(text("/slow"))
-		c.head()
+		c.readHeader()
 		start := time.Now()
 		assert.Equal(t, <-f.beginDrain(2*time.Second), 1)
 		assert.Equal(t, time.Since(start), 2*time.Second)
@@ -325,14 +325,14 @@
 		f := newFixture(t)
 		kept := f.connect()
 		kept.write(text("/"))
-		assert.Assert(t, !kept.answer())
+		assert.Assert(t, !kept.readAnswer())
 		f.DisableKeepAlives()
 		time.Sleep(10 * time.Second)
 		kept.write(text("/"))
-		assert.Assert(t, kept.answer())
+		assert.Assert(t, kept.readAnswer())
 		fresh := f.connect()
 		fresh.write(text("/"))
-		assert.Assert(t, fresh.answer())
+		assert.Assert(t, fresh.readAnswer())
 	})
 }
 
@@ -348,7 +348,7 @@
 		c.write(text("/")[:20])
 		time.Sleep(time.Second)
 		closeAll()
-		c.ended()
+		c.awaitClose()
 		assert.DeepEqual(t, f.dropped(), []downstream.Drop{{BytesRead: 20, Elapsed: time.Second, FirstRequest: true}})
 	})
 }
@@ -398,7 +398,7 @@
 		c := &client{near, t, bufio.NewReader(near)}
 		synctest.Wait()
 		left := f.beginDrain(8 * time.Second)
-		assert.Assert(t, c.answer())
+		assert.Assert(t, c.readAnswer())
 		assert.Equal(t, <-left, 0)
 	})
 }
--- a/wisteriarouter/event/catalogue.go
+++ b/wisteriarouter/event/catalogue.go
@@ -37,7 +37,7 @@
 	PeerMalformed    = Kind{402, "peer-malformed", logrus.WarnLevel, "A peer sent a malformed message; its connection was closed. Look for a router of a wrong version or another client on the peer port."}
 	PeerRefused      = Kind{403, "peer-refused", logrus.WarnLevel, "A connection was refused during the handshake because of its fleet name or its version."}
 	MemberChanged    = Kind{404, "member-changed", logrus.InfoLevel, "A router joined, left, or was declared dead."}
-	RumorShed       = Kind{405, "rumour-shed", logrus.WarnLevel, "Soft state was dropped to stay within the byte budget. If this continues, raise the budget or look for flapping instances."}
+	RumorShed        = Kind{405, "rumour-shed", logrus.WarnLevel, "Soft state was dropped to stay within the byte budget. If this continues, raise the budget or look for flapping instances."}
 	PeerBusy         = Kind{406, "peer-busy", logrus.WarnLevel, "Other routers made more concurrent calls than this router handles; some were refused. If this continues, the instance is too small or a peer repeats its calls."}
 	PeerAway         = Kind{407, "peer-away", logrus.WarnLevel, "A router does not answer calls; this one does not use it until it answers again. If this continues and the router is not declared dead, check the network path between the two."}
 	PeerBack         = Kind{408, "peer-back", logrus.InfoLevel, "A router that did not answer calls answers again."}
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -93,10 +93,10 @@
 
 // inForceQuery sends the same request to all routers and collects the responses.
 type inForceQuery struct {
-	server     *Server
-	req   inForceRequest
-	slots chan struct{}
-	group sync.WaitGroup
+	server *Server
+	req    inForceRequest
+	slots  chan struct{}
+	group  sync.WaitGroup
 
 	mu     sync.Mutex
 	result InForce
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -26,12 +26,12 @@
 
 	// linkMu keeps the calls of machine.LinkUp and LinkDown in the order in which
 	// connections changed. It is acquired before mu and connMu.
-	linkMu   sync.Mutex
-	connMu   sync.Mutex
-	conns    map[coordination.Instance]*conn
-	draining map[*conn]struct{}
+	linkMu       sync.Mutex
+	connMu       sync.Mutex
+	conns        map[coordination.Instance]*conn
+	draining     map[*conn]struct{}
 	dialAttempts map[string]*dialAttempt
-	stopped  bool
+	stopped      bool
 
 	topicMu        sync.RWMutex
 	topicHandlers  map[string]Handler
@@ -64,7 +64,7 @@
 		machine:        membership.New(cfg.Membership, cfg.Self, time.Now()),
 		conns:          make(map[coordination.Instance]*conn),
 		draining:       make(map[*conn]struct{}),
-		dialAttempts:       make(map[string]*dialAttempt),
+		dialAttempts:   make(map[string]*dialAttempt),
 		topicHandlers:  make(map[string]Handler),
 		rumorListeners: make(map[string][]rumorFunc),
 		handlerSlots:   make(chan struct{}, cfg.MaxHandlers),
