--- a/wisteriarouter/operator/settings.go
+++ b/wisteriarouter/operator/settings.go
@@ -166,8 +166,8 @@
 		h.Entries = current.Value.History(current.Revision)
 	}
 	// A value that was written without the routers may be outdated or
-	// unreadable and so lack later changes. The settings snap force still have
-	// them snap their history.
+	// unreadable and so lack later changes. The settings in force still have
+	// them in their history.
 	if snap, ok := s.Replica.Snapshot(team); ok && olderOrUnreadable(current, snap) {
 		h.Entries = snap.Value.History(snap.Position.Revision)
 	}
--- a/wisteriarouter/peer/detector.go
+++ b/wisteriarouter/peer/detector.go
@@ -51,7 +51,7 @@
 // without the detection.
 type FailureDetector struct {
 	transport Transport
-	onChange  func(id coordination.Instance, away bool)
+	onChange  func(id coordination.Instance, unresponsive bool)
 	ctx       context.Context // cancelled when the router stops
 
 	mu          sync.Mutex
@@ -70,7 +70,7 @@
 // NewFailureDetector returns a FailureDetector that answers the probes of other
 // routers, and a function that stops its own probes. It calls onChange when a
 // router becomes unresponsive or recovers.
-func NewFailureDetector(transport Transport, onChange func(id coordination.Instance, away bool)) (*FailureDetector, func()) {
+func NewFailureDetector(transport Transport, onChange func(id coordination.Instance, unresponsive bool)) (*FailureDetector, func()) {
 	transport.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
 	ctx, cancel := context.WithCancel(context.Background())
 	return &FailureDetector{transport: transport, onChange: onChange, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -114,7 +114,8 @@
 	n.wakeDispatcher()
 }
 
-// wakeDispatcher wakes the dispatcher.
+// wakeDispatcher makes the dispatcher check for changes to report. It does not
+// block.
 func (n *Node) wakeDispatcher() {
 	select {
 	case n.wake <- struct{}{}:
