--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -136,21 +136,21 @@
 }
 
 // run copies data until either connection ends, and then closes the other.
-func (h forwarder) run() {
-	defer close(h.done)
-	defer func() { _ = h.to.Close() }()
+func (f forwarder) run() {
+	defer close(f.done)
+	defer func() { _ = f.to.Close() }()
 	buf := make([]byte, 16<<10)
 	for {
-		n, err := h.from.Read(buf)
+		n, err := f.from.Read(buf)
 		if n > 0 {
-			h.waitForMode()
-			if _, werr := h.to.Write(buf[:n]); werr != nil {
-				_ = h.from.Close()
+			f.waitForMode()
+			if _, werr := f.to.Write(buf[:n]); werr != nil {
+				_ = f.from.Close()
 				return
 			}
 		}
 		if err != nil {
-			h.waitForMode() // delays the close like data
+			f.waitForMode() // delays the close like data
 			return
 		}
 	}
@@ -158,10 +158,10 @@
 
 // waitForMode waits until the mode allows data in this direction and then for
 // mode.Delay.
-func (h forwarder) waitForMode() {
+func (f forwarder) waitForMode() {
 	for {
-		mode, changed := h.proxy.currentMode()
-		if !mode.Silent && (!mode.OneWay || !h.toTarget) {
+		mode, changed := f.proxy.currentMode()
+		if !mode.Silent && (!mode.OneWay || !f.toTarget) {
 			time.Sleep(mode.Delay)
 			return
 		}
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -200,7 +200,7 @@
 		r.serveStream(w, req, a, f)
 		return
 	}
-	r.serveWhole(w, req, a, f)
+	r.serveSingle(w, req, a, f)
 }
 
 // slotWaiter is a request that waits for a slot.
@@ -230,29 +230,29 @@
 	if len(r.queue) >= r.opts.Slots/2 {
 		return false
 	}
-	t := &slotWaiter{granted: make(chan struct{})}
-	r.queue = append(r.queue, t)
+	waiter := &slotWaiter{granted: make(chan struct{})}
+	r.queue = append(r.queue, waiter)
 	r.mu.Unlock()
 	defer r.mu.Lock()
-	return r.awaitSlot(req, t)
+	return r.awaitSlot(req, waiter)
 }
 
 // awaitSlot waits for a slot until the caller's timeout expires or the caller
 // disconnects.
-func (r *Replica) awaitSlot(req *http.Request, t *slotWaiter) bool {
+func (r *Replica) awaitSlot(req *http.Request, waiter *slotWaiter) bool {
 	var expired <-chan time.Time
 	if left := callerTimeout(req); left > 0 {
 		expired = time.After(left)
 	}
 	select {
-	case <-t.granted:
+	case <-waiter.granted:
 		return true
 	case <-expired:
 	case <-req.Context().Done():
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := slices.Index(r.queue, t)
+	i := slices.Index(r.queue, waiter)
 	if i < 0 {
 		return true // the slot was granted concurrently
 	}
@@ -344,8 +344,8 @@
 	}
 }
 
-// serveWhole sends a single response.
-func (r *Replica) serveWhole(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
+// serveSingle sends a single response.
+func (r *Replica) serveSingle(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
 	if !r.waitDelay(req, a) {
 		return
 	}
