--- a/wisteriarouter/daemon/relay_desired.go
+++ b/wisteriarouter/daemon/relay_desired.go
@@ -16,7 +16,7 @@
 	"wisteriaspool/wisteriarouter/event"
 )
 
-// desiredState holds the desiredState state in force. It implements
+// desiredState holds the desired state in force. It implements
 // relay.DesiredState.
 type desiredState struct {
 	log     event.Log
