--- a/coordination/mirror/peers.go
+++ b/coordination/mirror/peers.go
@@ -211,7 +211,7 @@
 	}
 	m := s.Mirrors[req.Prefix]
 	if m == nil {
-		return nil, 0, ErrMalformed.New("no mirror of prefix %q", req.Prefix)
+		return nil, 0, ErrMalformed.New("no mirror of %q", req.Prefix)
 	}
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxHold)
 	ctx, cancel := context.WithTimeout(ctx, wait)
--- a/coordination/settings/put.go
+++ b/coordination/settings/put.go
@@ -81,19 +81,19 @@
 		found = append(found, Problem{File: file, Key: key, Section: "change", Message: message})
 	}
 	if !ValidTeam(p.Team) {
-		add("team", fmt.Sprintf("%q is not a valid team name; use letters, digits and . _ @ : -, at most 128", p.Team))
+		add("team", fmt.Sprintf("%q is no name of a team; write letters, digits and . _ @ : -, at most 128", p.Team))
 	}
 	if !p.ID.Valid() {
-		add("change-id", fmt.Sprintf("%q is not a lowercase UUIDv7", p.ID))
+		add("change-id", fmt.Sprintf("%q is no UUIDv7 in lower case", p.ID))
 	}
 	if !validLine(p.Author, maxAuthor) {
-		add("author", fmt.Sprintf("the author is missing or invalid; write one line of at most %d bytes", maxAuthor))
+		add("author", fmt.Sprintf("say who makes the change, in one line of at most %d bytes", maxAuthor))
 	}
 	if !validLine(p.Reason, maxReason) {
-		add("reason", fmt.Sprintf("the reason is missing or invalid; write one line of at most %d bytes", maxReason))
+		add("reason", fmt.Sprintf("say why the change is made, in one line of at most %d bytes", maxReason))
 	}
 	if p.Base < 0 {
-		add("base-revision", "a revision must not be negative; write 0 for a new team")
+		add("base-revision", "a revision is not negative; write 0 for a new team")
 	}
 	_, problems := Parse(file, []byte(p.Text))
 	return append(found, problems...)
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -142,7 +142,7 @@
 func (s *Sync) serveValue(_ context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req valueRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("settings: decoding a value request: %w", err)
+		return nil, fmt.Errorf("settings: value request: %w", err)
 	}
 	snapshot, ok := s.replica.Snapshot(req.Team)
 	if !ok || snapshot.Position.Before(req.From) {
--- a/wisteriarouter/operator/inforce.go
+++ b/wisteriarouter/operator/inforce.go
@@ -169,11 +169,11 @@
 func (s *Server) handleInForce(ctx context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req inForceRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("operator: decoding in-force request: %w", err)
+		return nil, fmt.Errorf("operator: question about settings: %w", err)
 	}
 	data, err := cbor.Marshal(s.waitInForce(ctx, req))
 	if err != nil {
-		return nil, fmt.Errorf("operator: encoding in-force response: %w", err)
+		return nil, fmt.Errorf("operator: encoding an answer: %w", err)
 	}
 	return data, nil
 }
