--- a/coordination/placement/history_test.go
+++ b/coordination/placement/history_test.go
@@ -116,8 +116,8 @@
 	return tr
 }
 
-// play runs the load, injects faults halfway and checks the history.
-func (tr *fleetTest) play(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
+// run runs the load, injects faults halfway and checks the history.
+func (tr *fleetTest) run(ctx context.Context, faults func(*fleetTest), slack int) boundResult {
 	stop := tr.start()
 	ctx, cancel := context.WithCancel(ctx)
 	tr.wg.Go(func() { tr.reports(ctx) })
@@ -220,7 +220,7 @@
 func TestOneOwnerNeverExceedsTheBound(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			v := newFleetTest(seed, 1, 12, Config{}).play(t.Context(), nil, 0)
+			v := newFleetTest(seed, 1, 12, Config{}).run(t.Context(), nil, 0)
 			assert.Equal(t, v.over, 0, "seed %d: %+v", seed, v)
 			assert.Assert(t, v.placed > 400)
 		})
@@ -352,12 +352,12 @@
 }
 
 // playSeeds runs several seeds and adds up their results.
-func playSeeds(t *testing.T, faults func(*fleetTest), planted injectedFault, cfg Config) (all boundResult) {
+func playSeeds(t *testing.T, faults func(*fleetTest), fault injectedFault, cfg Config) (all boundResult) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			tr := newFleetTest(seed, 7, 12, cfg)
-			tr.fault = planted
-			v := tr.play(t.Context(), faults, 0)
+			tr.fault = fault
+			v := tr.run(t.Context(), faults, 0)
 			all.placed += v.placed
 			all.over += v.over
 			all.worst = max(all.worst, v.worst)
@@ -372,9 +372,9 @@
 // code prevents.
 func TestCheckDetectsInjectedFaults(t *testing.T) {
 	tests := []struct {
-		name    string
-		planted injectedFault
-		faults  func(*fleetTest)
+		name   string
+		fault  injectedFault
+		faults func(*fleetTest)
 	}{
 		{"release counted twice", releaseTwice, nil},
 		{"takeover from zero", takeoverAtZero, killOwnerAtOnce},
@@ -382,7 +382,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v := playSeeds(t, test.faults, test.planted, Config{Grace: time.Nanosecond})
+			v := playSeeds(t, test.faults, test.fault, Config{Grace: time.Nanosecond})
 			assert.Assert(t, !v.withinTolerance(), "%+v", v)
 		})
 	}
--- a/coordination/settings/spread.go
+++ b/coordination/settings/spread.go
@@ -95,11 +95,11 @@
 
 // handleChangeRumor requests the value of a change that the replica lacks.
 func (s *Sync) handleChangeRumor(key string, _ uint64, payload []byte) {
-	var a changeNotice
-	if cbor.Unmarshal(payload, &a) != nil || !ValidTeam(coordination.Team(key)) {
+	var n changeNotice
+	if cbor.Unmarshal(payload, &n) != nil || !ValidTeam(coordination.Team(key)) {
 		return
 	}
-	s.requestValue(coordination.Team(key), a.Position, a.Origin)
+	s.requestValue(coordination.Team(key), n.Position, n.Origin)
 }
 
 // confirm announces that the platform responded at revision, unless a router has
@@ -142,7 +142,7 @@
 func (s *Sync) serveValue(_ context.Context, _ coordination.Instance, payload []byte) ([]byte, error) {
 	var req valueRequest
 	if err := cbor.Unmarshal(payload, &req); err != nil {
-		return nil, fmt.Errorf("settings: decoding a value request: %w", err)
+		return nil, fmt.Errorf("settings: value request: %w", err)
 	}
 	snapshot, ok := s.replica.Snapshot(req.Team)
 	if !ok || snapshot.Position.Before(req.From) {
--- a/wisteriarouter/peer/node.go
+++ b/wisteriarouter/peer/node.go
@@ -26,12 +26,12 @@
 
 	// linkMu keeps the calls of machine.LinkUp and LinkDown in the order in which
 	// connections changed. It is acquired before mu and connMu.
-	linkMu   sync.Mutex
-	connMu   sync.Mutex
-	conns    map[coordination.Instance]*conn
-	draining map[*conn]struct{}
-	dialings map[string]*dialAttempt
-	stopped  bool
+	linkMu       sync.Mutex
+	connMu       sync.Mutex
+	conns        map[coordination.Instance]*conn
+	draining     map[*conn]struct{}
+	dialAttempts map[string]*dialAttempt
+	stopped      bool
 
 	topicMu        sync.RWMutex
 	topicHandlers  map[string]Handler
@@ -64,7 +64,7 @@
 		machine:        membership.New(cfg.Membership, cfg.Self, time.Now()),
 		conns:          make(map[coordination.Instance]*conn),
 		draining:       make(map[*conn]struct{}),
-		dialings:       make(map[string]*dialAttempt),
+		dialAttempts:   make(map[string]*dialAttempt),
 		topicHandlers:  make(map[string]Handler),
 		rumorListeners: make(map[string][]rumorFunc),
 		handlerSlots:   make(chan struct{}, cfg.MaxHandlers),
@@ -111,11 +111,12 @@
 	for _, d := range out.Dials {
 		n.dial(d.Address, true)
 	}
-	n.notify()
+	n.wakeDispatcher()
 }
 
-// notify wakes the dispatcher.
-func (n *Node) notify() {
+// wakeDispatcher makes the dispatcher check for changes to report. It does not
+// block.
+func (n *Node) wakeDispatcher() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
@@ -141,7 +142,8 @@
 	}
 }
 
-func (n *Node) gossip(c *conn, m membership.Message) {
+// receiveGossip passes a gossip message received on c to the state machine.
+func (n *Node) receiveGossip(c *conn, m membership.Message) {
 	for i := range m.Rumors {
 		n.countRumor(&m.Rumors[i], false)
 	}
@@ -194,7 +196,7 @@
 
 // maintainConns pings quiet connections, closes broken ones and retires connections
 // made for calls that are no longer used. Connections to members other than
-// neighbours are checked only while a reply or a call is pending: a router of a
+// neighbors are checked only while a reply or a call is pending: a router of a
 // large fleet has one to nearly every other router, rarely uses each, and would
 // otherwise send little but pings.
 func (n *Node) maintainConns(now time.Time) {
--- a/wisteriarouter/peer/reach.go
+++ b/wisteriarouter/peer/reach.go
@@ -51,7 +51,7 @@
 // without the detection.
 type FailureDetector struct {
 	transport Transport
-	onChange  func(id coordination.Instance, away bool)
+	onChange  func(id coordination.Instance, unresponsive bool)
 	ctx       context.Context // cancelled when the router stops
 
 	mu          sync.Mutex
@@ -70,60 +70,60 @@
 // NewFailureDetector returns a FailureDetector that answers the probes of other
 // routers, and a function that stops its own probes. It calls onChange when a
 // router becomes unresponsive or recovers.
-func NewFailureDetector(f Transport, onTurn func(id coordination.Instance, away bool)) (*FailureDetector, func()) {
-	f.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
+func NewFailureDetector(transport Transport, onChange func(id coordination.Instance, unresponsive bool)) (*FailureDetector, func()) {
+	transport.Handle(topicProbe, func(context.Context, coordination.Instance, []byte) ([]byte, error) { return nil, nil })
 	ctx, cancel := context.WithCancel(context.Background())
-	return &FailureDetector{transport: f, onChange: onTurn, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
+	return &FailureDetector{transport: transport, onChange: onChange, ctx: ctx, outages: make(map[coordination.Instance]*outage)}, cancel
 }
 
 // Watch registers fn, which is called when a router becomes unresponsive or
 // recovers.
-func (r *FailureDetector) Watch(fn func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.watchers = append(r.watchers, fn)
+func (d *FailureDetector) Watch(fn func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watchers = append(d.watchers, fn)
 }
 
 // Unresponsive reports whether a router is known not to respond.
-func (r *FailureDetector) Unresponsive(id coordination.Instance) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.outages[id]
+func (d *FailureDetector) Unresponsive(id coordination.Instance) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.outages[id]
 	return s != nil && s.unresponsive
 }
 
 // Responsive returns the members that are neither leaving nor unresponsive, sorted
 // by instance. The same slice is returned until there is a change; callers must not
 // modify it.
-func (r *FailureDetector) Responsive() []membership.Member {
-	members := r.transport.Members()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.responsive == nil || !membership.SameList(members, r.lastMembers) {
-		r.lastMembers = members
-		r.responsive = lo.Filter(members, func(m membership.Member, _ int) bool {
-			s := r.outages[m.Instance]
+func (d *FailureDetector) Responsive() []membership.Member {
+	members := d.transport.Members()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.responsive == nil || !membership.SameList(members, d.lastMembers) {
+		d.lastMembers = members
+		d.responsive = lo.Filter(members, func(m membership.Member, _ int) bool {
+			s := d.outages[m.Instance]
 			return m.State != membership.Leaving && (s == nil || !s.unresponsive)
 		})
 	}
-	return r.responsive
+	return d.responsive
 }
 
 // Call implements placement.Transport and suspicion.Transport.
-func (r *FailureDetector) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
-	answer, err := r.transport.Call(ctx, to, topic, payload)
+func (d *FailureDetector) Call(ctx context.Context, to coordination.Instance, topic string, payload []byte) ([]byte, error) {
+	answer, err := d.transport.Call(ctx, to, topic, payload)
 	if mayBeDown(err) && !errors.Is(ctx.Err(), context.Canceled) {
-		r.suspect(to)
+		d.suspect(to)
 	}
 	return answer, err
 }
 
 // Notify implements mirror.Transport. A nil error does not mean that the message
 // was delivered.
-func (r *FailureDetector) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
-	err := r.transport.Notify(ctx, to, topic, payload)
+func (d *FailureDetector) Notify(ctx context.Context, to coordination.Instance, topic string, payload []byte) error {
+	err := d.transport.Notify(ctx, to, topic, payload)
 	if mayBeDown(err) && !errors.Is(ctx.Err(), context.Canceled) {
-		r.suspect(to)
+		d.suspect(to)
 	}
 	return err
 }
@@ -135,14 +135,14 @@
 }
 
 // suspect starts to probe a router unless it is being probed already.
-func (r *FailureDetector) suspect(id coordination.Instance) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.outages[id] != nil {
+func (d *FailureDetector) suspect(id coordination.Instance) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.outages[id] != nil {
 		return
 	}
-	r.outages[id] = &outage{since: time.Now()}
-	go probe{FailureDetector: r, id: id}.run(r.ctx)
+	d.outages[id] = &outage{since: time.Now()}
+	go probe{FailureDetector: d, id: id}.run(d.ctx)
 }
 
 // probe repeatedly probes one router that failed to respond.
@@ -188,13 +188,13 @@
 func (p probe) recordMiss(now time.Time) {
 	p.mu.Lock()
 	s := p.outages[p.id]
-	turned := !s.unresponsive && now.Sub(s.since) >= unresponsiveAfter
-	if turned {
+	nowUnresponsive := !s.unresponsive && now.Sub(s.since) >= unresponsiveAfter
+	if nowUnresponsive {
 		s.unresponsive = true
 		p.responsive = nil
 	}
 	p.mu.Unlock()
-	if turned {
+	if nowUnresponsive {
 		p.notifyWatchers(true)
 	}
 }
@@ -202,19 +202,19 @@
 // finish ends the tracking of the router.
 func (p probe) finish() {
 	p.mu.Lock()
-	was := p.outages[p.id].unresponsive
+	wasUnresponsive := p.outages[p.id].unresponsive
 	delete(p.outages, p.id)
-	if was {
+	if wasUnresponsive {
 		p.responsive = nil
 	}
 	p.mu.Unlock()
-	if was {
+	if wasUnresponsive {
 		p.notifyWatchers(false)
 	}
 }
 
-func (p probe) notifyWatchers(away bool) {
-	p.onChange(p.id, away)
+func (p probe) notifyWatchers(unresponsive bool) {
+	p.onChange(p.id, unresponsive)
 	p.mu.Lock()
 	watchers := slices.Clone(p.watchers)
 	p.mu.Unlock()
